--- a/internal/api/announcements.go
+++ b/internal/api/announcements.go
@@ -126,7 +126,7 @@
 
 // signOffNamed ends the instance that the path names.
 func (p *Proxy) signOffNamed(out http.ResponseWriter, in *http.Request) {
-	p.stages.Dismiss(mux.Vars(in)["instance"])
+	p.stages.RetireInstance(mux.Vars(in)["instance"])
 	WriteCode(out, errcode.OK, "")
 }
 
@@ -141,7 +141,7 @@
 		WriteCode(out, errcode.AnnounceBad, err.Error())
 		return
 	}
-	if !p.stages.SignOff(end.Service, end.Instance, end.Incarnation) {
+	if !p.stages.Deregister(end.Service, end.Instance, end.Incarnation) {
 		WriteCode(out, errcode.AnnounceUnknown, "")
 		return
 	}
--- a/internal/api/callers.go
+++ b/internal/api/callers.go
@@ -162,8 +162,8 @@
 	c.began, c.first = time.Time{}, time.Time{}
 }
 
-// Came is when the present request's first byte came.
-func (c *callerConn) Came() time.Time {
+// ArrivedAt is when the present request's first byte came.
+func (c *callerConn) ArrivedAt() time.Time {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.came
--- a/internal/api/callers_test.go
+++ b/internal/api/callers_test.go
@@ -119,7 +119,7 @@
 	c := qt.New(t)
 	limits := changing{atomic.NewDuration(5 * time.Second), atomic.NewDuration(time.Second)}
 	address := callersServer(c, limits, func(out http.ResponseWriter, in *http.Request) {
-		waited := time.Since(in.Context().Value(frontend.ArrivalKey{}).(frontend.Arrival).Came())
+		waited := time.Since(in.Context().Value(frontend.ArrivalKey{}).(frontend.Arrival).ArrivedAt())
 		time.Sleep(300 * time.Millisecond)
 		fmt.Fprintf(out, "%s %t", in.URL.Path, waited > 150*time.Millisecond)
 	})
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -58,9 +58,9 @@
 
 // Metrics gives the samples of the proxy's traffic side.
 func (p *Proxy) Metrics() []figures.Sample {
-	answers, retries := p.frontend.Tallies()
+	answers, retries := p.frontend.ResultCounts()
 	running, pending := p.backend.Running()
 	return append(figures.Counts("answers_total", "code", answers), figures.Of("retries_total", float64(retries)),
 		figures.Of("upstreams_running", float64(running)), figures.Of("upstreams_pending", float64(pending)),
-		figures.Of("requests_inside", float64(p.stages.Inside())), figures.Flag("ready", !p.stopping.Load() && p.frontend.Ready(p.goroutines.Now())))
+		figures.Of("requests_inside", float64(p.stages.InFlight())), figures.Flag("ready", !p.stopping.Load() && p.frontend.Ready(p.goroutines.Now())))
 }
--- a/internal/api/proxy.go
+++ b/internal/api/proxy.go
@@ -30,13 +30,13 @@
 	goroutines *goroutine.Group
 	frontend   *frontend.Frontend
 	backend    *backend.Backend
-	stages     *frontend.Stages
+	stages     *frontend.Pipeline
 	stopping   atomic.Bool
 	closed     atomic.Bool
 }
 
 // NewProxy returns the HTTP interface of a proxy.
-func NewProxy(cfg settings.Settings, process *node.Node, goroutines *goroutine.Group, front *frontend.Frontend, back *backend.Backend, stages *frontend.Stages) *Proxy {
+func NewProxy(cfg settings.Settings, process *node.Node, goroutines *goroutine.Group, front *frontend.Frontend, back *backend.Backend, stages *frontend.Pipeline) *Proxy {
 	return &Proxy{settings: cfg, process: process, goroutines: goroutines, frontend: front, backend: back, stages: stages}
 }
 
@@ -92,11 +92,11 @@
 }
 
 func (p *Proxy) counters() proxyCounters {
-	answers, retries := p.frontend.Tallies()
+	answers, retries := p.frontend.ResultCounts()
 	running, pending := p.backend.Running()
 	counters := proxyCounters{
 		Answers:             answers,
-		Inside:              p.stages.Inside(),
+		Inside:              p.stages.InFlight(),
 		Process:             p.process.Counters(),
 		Retries:             retries,
 		ServingProxyPending: pending,
--- a/internal/backend/announcements.go
+++ b/internal/backend/announcements.go
@@ -21,7 +21,7 @@
 	Warming     bool    `json:"warming"`
 	Leaving     bool    `json:"leaving"`
 	Load        float64 `json:"load"`
-	Number      int64   `json:"number"`  // rises with each announcement of a life; 0: not told
+	Sequence    int64   `json:"number"`  // rises with each announcement of a life; 0: not told
 	Cold        int64   `json:"cold_ms"` // how long it stays slow yet
 }
 
@@ -46,12 +46,12 @@
 
 // Announce takes a heartbeat. It gives the registrations that it ended, and orders for
 // requests that were pending.
-func (g *Backend) Announce(now time.Duration, response Announcement) (accepted bool, endings []Announcement, orders []Order) {
+func (g *Backend) Announce(now time.Duration, response Announcement) (accepted bool, endings []Announcement, orders []Decision) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	key := response.key()
 	held, known := g.upstreams[key]
-	if _, gone := g.ended[response.Instance]; gone || known && response.Number < held.announcement.Number && response.Incarnation == held.announcement.Incarnation {
+	if _, gone := g.ended[response.Instance]; gone || known && response.Sequence < held.announcement.Sequence && response.Incarnation == held.announcement.Incarnation {
 		// A late one, behind the upstream's last word or a newer one: it alters nothing.
 		return true, nil, nil
 	}
@@ -87,8 +87,8 @@
 	return true, endings, append(orders, g.fill(now, held)...)
 }
 
-// SignOff ends a registration; false when it is not here.
-func (g *Backend) SignOff(service, instance string, incarnation int64) (bool, []Order) {
+// Deregister ends a registration; false when it is not here.
+func (g *Backend) Deregister(service, instance string, incarnation int64) (bool, []Decision) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	key := service + "/" + instance
@@ -100,9 +100,9 @@
 	return true, g.end(held, errcode.BusyLeaving)
 }
 
-// Dismiss ends whatever an instance has registered here, and takes no announcement of
+// RetireInstance ends whatever an instance has registered here, and takes no announcement of
 // its name any more; false when it was not registered.
-func (g *Backend) Dismiss(now time.Duration, instance string) (ending Announcement, found bool, orders []Order) {
+func (g *Backend) RetireInstance(now time.Duration, instance string) (ending Announcement, found bool, orders []Decision) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.ended[instance] = now
@@ -139,8 +139,8 @@
 }
 
 // end refuses everything pending at an upstream.
-func (g *Backend) end(held *upstream, code errcode.Code) []Order {
-	orders := []Order{}
+func (g *Backend) end(held *upstream, code errcode.Code) []Decision {
+	orders := []Decision{}
 	for _, item := range held.queue {
 		orders = append(orders, g.refuse(item.forward, code))
 	}
@@ -150,10 +150,10 @@
 
 // Roster takes what the holders say of upstreams here: one that told another proxy
 // that it leaves gets nothing more.
-func (g *Backend) Roster(upstreams map[string][]message.Registration) []Order {
+func (g *Backend) Roster(upstreams map[string][]message.Registration) []Decision {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	orders := []Order{}
+	orders := []Decision{}
 	for _, key := range g.keys() {
 		held := g.upstreams[key]
 		for _, response := range upstreams[held.announcement.Service] {
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -27,8 +27,8 @@
 
 const never = time.Duration(-1 << 62)
 
-// Order is what is to be done with a carried request: start it, or refuse it.
-type Order struct {
+// Decision is what is to be done with a carried request: start it, or refuse it.
+type Decision struct {
 	Forward message.Forward
 	Start   bool
 	Code    errcode.Code
@@ -38,10 +38,10 @@
 
 // Target is the upstream as bound at the moment of starting.
 type Target struct {
-	Key         string
-	Address     string
-	Incarnation int64
-	Pass        string
+	Key             string
+	Address         string
+	Incarnation     int64
+	DelegationToken string
 }
 
 type upstream struct {
@@ -57,8 +57,8 @@
 	whole        time.Duration            // and one of any route
 }
 
-// Pass is what a running request may be named by when its upstream calls on.
-type Pass struct {
+// Delegation is what a running request may be named by when its upstream calls on.
+type Delegation struct {
 	Tenant  string
 	Service string
 	Key     string
@@ -77,7 +77,7 @@
 	outcomes  map[string]*kept
 	order     []string
 	heavy     []string // ids whose kept outcomes still have their answers
-	passes    map[string]Pass
+	passes    map[string]Delegation
 	leaving   bool
 
 	repeatsFrom time.Duration // no repeat starts before
@@ -88,11 +88,11 @@
 
 // New makes a backend.
 func New(cfg settings.Settings, allows Allows) *Backend {
-	return &Backend{settings: cfg, allows: allows, newPass: randomPass, upstreams: map[string]*upstream{}, outcomes: map[string]*kept{}, passes: map[string]Pass{}, ended: map[string]time.Duration{}}
+	return &Backend{settings: cfg, allows: allows, newPass: randomPass, upstreams: map[string]*upstream{}, outcomes: map[string]*kept{}, passes: map[string]Delegation{}, ended: map[string]time.Duration{}}
 }
 
-// UsePasses replaces the source of passes, for the simulator's random source.
-func (g *Backend) UsePasses(newPass func() string) { g.newPass = newPass }
+// UseTokenSource replaces the source of passes, for the simulator's random source.
+func (g *Backend) UseTokenSource(newPass func() string) { g.newPass = newPass }
 
 func randomPass() string {
 	var bytes [24]byte
@@ -100,18 +100,18 @@
 	return hex.EncodeToString(bytes[:])
 }
 
-func (g *Backend) refuse(forward message.Forward, code errcode.Code) Order {
-	return Order{Forward: forward, Code: code}
+func (g *Backend) refuse(forward message.Forward, code errcode.Code) Decision {
+	return Decision{Forward: forward, Code: code}
 }
 
 func (g *Backend) keys() []string { return slices.Sorted(maps.Keys(g.upstreams)) }
 
-// Leave refuses all that has not started, from now on.
-func (g *Backend) Leave() []Order {
+// Drain refuses all that has not started, from now on.
+func (g *Backend) Drain() []Decision {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.leaving = true
-	orders := []Order{}
+	orders := []Decision{}
 	for _, key := range g.keys() {
 		orders = append(orders, g.end(g.upstreams[key], errcode.BusyLeaving)...)
 	}
@@ -120,18 +120,18 @@
 
 // Forwarded takes a request from another proxy, or from this one, and returns the orders that follow:
 // it is started or refused; one that waits in the queue gives no order now.
-func (g *Backend) Forwarded(now time.Duration, forward message.Forward) []Order {
+func (g *Backend) Forwarded(now time.Duration, forward message.Forward) []Decision {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if old, seen := g.outcomes[forward.ID]; seen {
 		if old.barred {
-			return []Order{g.refuse(forward, errcode.BusyServingProxyLost)}
+			return []Decision{g.refuse(forward, errcode.BusyServingProxyLost)}
 		}
 		return nil
 	}
 	held, known := g.upstreams[forward.Service+"/"+forward.Instance]
 	if code := g.admits(now, held, known, forward); code != errcode.OK {
-		return []Order{g.refuse(forward, code)}
+		return []Decision{g.refuse(forward, code)}
 	}
 	until := now + time.Duration(forward.Remaining)
 	g.remember(forward.ID, &kept{at: until, queue: true})
@@ -141,7 +141,7 @@
 	}
 	if held.hopeless(now, item) {
 		delete(g.outcomes, forward.ID)
-		return []Order{g.refuse(forward, errcode.BusySlotsFull)}
+		return []Decision{g.refuse(forward, errcode.BusySlotsFull)}
 	}
 	held.push(item)
 	orders := g.fill(now, held)
@@ -186,10 +186,10 @@
 }
 
 // Expire refuses what has waited past its time.
-func (g *Backend) Expire(now time.Duration) []Order {
+func (g *Backend) Expire(now time.Duration) []Decision {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	orders := []Order{}
+	orders := []Decision{}
 	stood := g.heldUp(now)
 	g.sweptAt = now
 	for instance, at := range g.ended {
@@ -220,8 +220,8 @@
 	return orders
 }
 
-// PassOf names the tenant and calling service of a running request.
-func (g *Backend) PassOf(pass string) (Pass, bool) {
+// LookupDelegation names the tenant and calling service of a running request.
+func (g *Backend) LookupDelegation(pass string) (Delegation, bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	held, known := g.passes[pass]
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -29,7 +29,7 @@
 	return serving
 }
 
-func codes(orders []Order) []errcode.Code {
+func codes(orders []Decision) []errcode.Code {
 	list := []errcode.Code{}
 	for _, order := range orders {
 		if order.Start {
@@ -46,7 +46,7 @@
 func TestSlots(t *testing.T) {
 	c := qt.New(t)
 	serving := servingProxy(c)
-	started := []Order{}
+	started := []Decision{}
 	for _, id := range []string{"a", "b"} {
 		orders := serving.Forwarded(time.Second, forwardOf(id, "one", 5))
 		c.Assert(codes(orders), qt.DeepEquals, []errcode.Code{errcode.OK})
@@ -88,9 +88,9 @@
 	target := Target{Key: "pay/one", Address: "a:1", Incarnation: 5}
 	c.Assert(serving.Dialable(settings.Default().DialFresh(), target), qt.IsTrue)
 	c.Assert(serving.Dialable(settings.Default().DialFresh()+1, target), qt.IsFalse)
-	serving.Alive(time.Second, target)
+	serving.MarkAlive(time.Second, target)
 	c.Assert(serving.Dialable(time.Second, target), qt.IsTrue)
-	serving.Broke(2*time.Second, target)
+	serving.MarkBroken(2*time.Second, target)
 	c.Assert(codes(serving.Forwarded(2*time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	serving.Announce(2*time.Second+1, response("one", "a:1", 5))
 	c.Assert(serving.Dialable(2*time.Second+1, target), qt.IsTrue)
@@ -139,7 +139,7 @@
 	old.waitAccepted(c, b.guards+len(b.caller.idle[target]))
 	old.listener.Close()
 	heir := newScripted(c, members, b.address, func(int64) string { return good })
-	c.Assert(len(b.caller.idle[target]), qt.Equals, b.serving.ConnectionsReady(target))
+	c.Assert(len(b.caller.idle[target]), qt.Equals, b.serving.WarmConnections(target))
 	c.Assert(b.request(c, "a", http.MethodPost).Kind, qt.Equals, message.StartedWhole)
 	c.Assert(old.reads.Load(), qt.Equals, int64(1))
 	// Every kept connection is used up, and the last sign of life is a moment too old.
--- a/internal/backend/calling.go
+++ b/internal/backend/calling.go
@@ -47,22 +47,22 @@
 
 // Headers that the mesh sets itself towards an upstream.
 const (
-	TenantHeader  = "X-Tenant"
-	CallerHeader  = "X-Calling-Service"
-	PassHeader    = "X-Beacon-Pass"
-	RequestHeader = "X-Request-Id"
+	TenantHeader     = "X-Tenant"
+	CallerHeader     = "X-Calling-Service"
+	DelegationHeader = "X-Beacon-Pass"
+	RequestHeader    = "X-Request-Id"
 )
 
 type heldConnection struct {
 	conn    net.Conn
-	answers *Answers
+	answers *ResponseReader
 	idleAt  time.Duration
 
 	idleFor time.Duration // as the upstream told; 0: it did not
 }
 
-// Caller carries out start orders.
-type Caller struct {
+// UpstreamClient carries out start orders.
+type UpstreamClient struct {
 	settings   settings.Settings
 	protocol   Protocol
 	serving    *Backend
@@ -85,30 +85,30 @@
 type Dialer func(address string, until time.Time) (net.Conn, error)
 
 // UseDialer replaces the dialer, for models of what upstreams do to connections.
-func (c *Caller) UseDialer(dialer Dialer) { c.dialer = dialer }
+func (c *UpstreamClient) UseDialer(dialer Dialer) { c.dialer = dialer }
 
-// NewCaller makes a caller for a backend.
-func NewCaller(cfg settings.Settings, serving *Backend, members *goroutine.Group) *Caller {
-	c := &Caller{settings: cfg, protocol: Node{}, serving: serving, goroutines: members, idle: map[Target][]*heldConnection{}, guards: map[Target]*heldConnection{}, calls: map[string]*call{}}
+// NewUpstreamClient makes a caller for a backend.
+func NewUpstreamClient(cfg settings.Settings, serving *Backend, members *goroutine.Group) *UpstreamClient {
+	c := &UpstreamClient{settings: cfg, protocol: NativeProtocol{}, serving: serving, goroutines: members, idle: map[Target][]*heldConnection{}, guards: map[Target]*heldConnection{}, calls: map[string]*call{}}
 	c.dialer = c.dialTCP
 	return c
 }
 
-func (c *Caller) dialTCP(address string, until time.Time) (net.Conn, error) {
+func (c *UpstreamClient) dialTCP(address string, until time.Time) (net.Conn, error) {
 	dialer := net.Dialer{Deadline: until, Timeout: c.settings.ConnectionDial()}
 	return dialer.DialContext(c.goroutines.Context, "tcp", address)
 }
 
 // UseProtocol sets the upstreams' manner; before it is used.
-func (c *Caller) UseProtocol(protocol Protocol) { c.protocol = protocol }
+func (c *UpstreamClient) UseProtocol(protocol Protocol) { c.protocol = protocol }
 
 func bare(target Target) Target {
-	target.Pass = ""
+	target.DelegationToken = ""
 	return target
 }
 
 // Call starts the request at the upstream and gives the outcome.
-func (c *Caller) Call(order Order) message.Outcome {
+func (c *UpstreamClient) Call(order Decision) message.Outcome {
 	limit := time.Duration(order.Forward.Remaining)
 	limit -= min(limit/20, 20*time.Millisecond)
 	until := time.Now().Add(limit)
@@ -130,7 +130,7 @@
 	keep = keep && !cancelled
 	if err == nil {
 		// Bytes on a proven connection: for a moment nobody else can be at that address.
-		c.serving.Alive(c.goroutines.Now(), order.Target)
+		c.serving.MarkAlive(c.goroutines.Now(), order.Target)
 	}
 	if err == nil && keep {
 		c.give(order.Target, connection)
@@ -149,13 +149,13 @@
 	case errors.As(err, &timeout) && timeout.Timeout():
 		code = errcode.UnknownTimeout
 	case code == errcode.UnknownOutcome && !cancelled:
-		c.serving.Doubt(order.Target)
+		c.serving.MarkDoubtful(order.Target)
 	}
 	return message.Outcome{Kind: message.StartedNoWhole, Code: int64(code)}
 }
 
 // begin notes a call that may be cancelled from now on.
-func (c *Caller) begin(id string) *call {
+func (c *UpstreamClient) begin(id string) *call {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	underway := &call{id: id}
@@ -164,7 +164,7 @@
 }
 
 // end says whether the call was cancelled; from now on it can't be.
-func (c *Caller) end(underway *call) bool {
+func (c *UpstreamClient) end(underway *call) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	delete(c.calls, underway.id)
@@ -172,7 +172,7 @@
 }
 
 // attach gives a call its connection; false where the call was cancelled before.
-func (c *Caller) attach(underway *call, connection *heldConnection) bool {
+func (c *UpstreamClient) attach(underway *call, connection *heldConnection) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	underway.connection = connection
@@ -181,7 +181,7 @@
 
 // Cancel breaks an exchange off whose caller has left: the connection is closed, at which
 // most upstreams drop the request. An attempt that isn't under way is passed over.
-func (c *Caller) Cancel(id string) {
+func (c *UpstreamClient) Cancel(id string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	underway, known := c.calls[id]
@@ -194,7 +194,7 @@
 	}
 }
 
-func (c *Caller) take(target Target, until time.Time) (*heldConnection, message.Outcome) {
+func (c *UpstreamClient) take(target Target, until time.Time) (*heldConnection, message.Outcome) {
 	if connection := c.takeIdle(bare(target)); connection != nil {
 		return connection, message.Outcome{}
 	}
@@ -202,23 +202,23 @@
 	if c.settings.ByTarget() {
 		connection, err := c.dial(target, until)
 		if err != nil {
-			c.serving.Broke(c.goroutines.Now(), target)
+			c.serving.MarkBroken(c.goroutines.Now(), target)
 			return nil, gone
 		}
 		return connection, message.Outcome{}
 	}
-	if !c.serving.Usable(c.goroutines.Now(), target) || !c.guarded(target) {
+	if !c.serving.ConnectionsUsable(c.goroutines.Now(), target) || !c.guarded(target) {
 		return nil, gone
 	}
 	connection, code := c.dialProven(target, until)
 	if code == errcode.BusyUpstreamGone {
-		c.serving.Broke(c.goroutines.Now(), target)
+		c.serving.MarkBroken(c.goroutines.Now(), target)
 	}
 	return connection, message.Outcome{Kind: message.NotStarted, Code: int64(code)}
 }
 
 // dialProven makes a connection between two looks at its proof; without that there is none.
-func (c *Caller) dialProven(target Target, until time.Time) (*heldConnection, errcode.Code) {
+func (c *UpstreamClient) dialProven(target Target, until time.Time) (*heldConnection, errcode.Code) {
 	if !c.serving.Dialable(c.goroutines.Now(), target) {
 		return nil, errcode.BusyUnproven
 	}
@@ -235,20 +235,20 @@
 	return connection, errcode.OK
 }
 
-func (c *Caller) dial(target Target, until time.Time) (*heldConnection, error) {
+func (c *UpstreamClient) dial(target Target, until time.Time) (*heldConnection, error) {
 	conn, err := c.dialer(target.Address, until)
 	if err != nil {
 		return nil, errcode.Wrap("backend.dial", errcode.BusyUpstreamGone, err)
 	}
-	return &heldConnection{conn: conn, answers: NewAnswers(conn)}, nil
+	return &heldConnection{conn: conn, answers: NewResponseReader(conn)}, nil
 }
 
 // Guard renews the guard of an upstream that has just announced itself.
-func (c *Caller) Guard(response Announcement) {
+func (c *UpstreamClient) Guard(response Announcement) {
 	target := Target{Key: response.key(), Address: response.Address, Incarnation: response.Incarnation}
 	connection, err := c.dial(target, time.Now().Add(c.settings.ConnectionDial()))
 	if err != nil {
-		c.serving.Broke(c.goroutines.Now(), target)
+		c.serving.MarkBroken(c.goroutines.Now(), target)
 		return
 	}
 	c.lock.Lock()
@@ -262,8 +262,8 @@
 }
 
 // fill keeps proven connections ready, made while a sign of life is fresh.
-func (c *Caller) fill(target Target) {
-	ready := c.serving.ConnectionsReady(target)
+func (c *UpstreamClient) fill(target Target) {
+	ready := c.serving.WarmConnections(target)
 	for range ready {
 		c.lock.Lock()
 		enough := len(c.idle[target]) >= ready
@@ -280,7 +280,7 @@
 }
 
 // guarded looks at the guard; a broken one bars dials until a newer heartbeat.
-func (c *Caller) guarded(target Target) bool {
+func (c *UpstreamClient) guarded(target Target) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	key := bare(target)
@@ -290,11 +290,11 @@
 	}
 	guard.conn.Close()
 	delete(c.guards, key)
-	c.serving.Broke(c.goroutines.Now(), target)
+	c.serving.MarkBroken(c.goroutines.Now(), target)
 	return false
 }
 
-func (c *Caller) takeIdle(target Target) *heldConnection {
+func (c *UpstreamClient) takeIdle(target Target) *heldConnection {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for list := c.idle[target]; len(list) > 0; list = c.idle[target] {
@@ -310,7 +310,7 @@
 }
 
 // idleLimit is how long a connection may idle: less than the upstream allows.
-func (c *Caller) idleLimit(connection *heldConnection) time.Duration {
+func (c *UpstreamClient) idleLimit(connection *heldConnection) time.Duration {
 	if connection.idleFor > 0 {
 		return min(c.settings.ConnectionIdle(), connection.idleFor/2)
 	}
@@ -342,12 +342,12 @@
 	return err == nil && still
 }
 
-func (c *Caller) give(target Target, connection *heldConnection) {
+func (c *UpstreamClient) give(target Target, connection *heldConnection) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	connection.idleAt = c.goroutines.Now()
 	key := bare(target)
-	if len(c.idle[key]) >= 32 || !c.serving.Usable(connection.idleAt, target) && !c.settings.ByTarget() {
+	if len(c.idle[key]) >= 32 || !c.serving.ConnectionsUsable(connection.idleAt, target) && !c.settings.ByTarget() {
 		connection.conn.Close()
 		return
 	}
@@ -356,7 +356,7 @@
 
 // Sweep closes connections that idled too long or whose target has ended, and looks at
 // every guard.
-func (c *Caller) Sweep() {
+func (c *UpstreamClient) Sweep() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	now := c.goroutines.Now()
@@ -365,14 +365,14 @@
 			guard.conn.Close()
 			delete(c.guards, target)
 			if !stands {
-				c.serving.Broke(now, target)
+				c.serving.MarkBroken(now, target)
 			}
 		}
 	}
 	for target, list := range c.idle {
 		kept := list[:0]
 		for _, connection := range list {
-			if now-connection.idleAt < c.idleLimit(connection) && (c.serving.Usable(now, target) || c.settings.ByTarget() && c.serving.Here(target)) {
+			if now-connection.idleAt < c.idleLimit(connection) && (c.serving.ConnectionsUsable(now, target) || c.settings.ByTarget() && c.serving.Here(target)) {
 				kept = append(kept, connection)
 			} else {
 				connection.conn.Close()
@@ -386,7 +386,7 @@
 }
 
 // exchange sends once and reads one whole answer.
-func (c *Caller) exchange(connection *heldConnection, order Order, until time.Time) (message.Outcome, bool, error) {
+func (c *UpstreamClient) exchange(connection *heldConnection, order Decision, until time.Time) (message.Outcome, bool, error) {
 	forward := order.Forward
 	request, err := c.requestOf(forward, order.Target, until)
 	if err != nil {
@@ -401,9 +401,9 @@
 	if _, err := connection.conn.Write(text.Bytes()); err != nil {
 		return message.Outcome{}, false, errcode.Wrap("backend.write", errcode.UnknownOutcome, err)
 	}
-	pairing := Pairing{Protocol: c.protocol, Forward: forward, Target: order.Target, Named: c.settings.ByTarget(), request: request}
+	pairing := ResponseMatcher{Protocol: c.protocol, Forward: forward, Target: order.Target, NamedResponses: c.settings.ByTarget(), request: request}
 	found, err := pairing.Read(connection.answers)
-	connection.idleFor = found.Received.Idle
+	connection.idleFor = found.Received.KeepAlive
 	return found.Outcome, found.Keep, err
 }
 
@@ -435,7 +435,7 @@
 	return bodiless || chunked || response.ContentLength >= 0
 }
 
-func (c *Caller) requestOf(forward message.Forward, target Target, until time.Time) (*http.Request, error) {
+func (c *UpstreamClient) requestOf(forward message.Forward, target Target, until time.Time) (*http.Request, error) {
 	path, err := url.PathUnescape(forward.Path)
 	if err != nil {
 		return nil, err
@@ -464,8 +464,8 @@
 	return request.WithContext(context.Background()), nil
 }
 
-// HopHeaders lists the headers that end at this hop.
-func HopHeaders(header http.Header) map[string]bool {
+// HopByHopHeaders lists the headers that end at this hop.
+func HopByHopHeaders(header http.Header) map[string]bool {
 	dropped := map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 		"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true}
 	for _, value := range header["Connection"] {
--- a/internal/backend/calling_test.go
+++ b/internal/backend/calling_test.go
@@ -77,7 +77,7 @@
 
 type bench struct {
 	serving   *Backend
-	caller    *Caller
+	caller    *UpstreamClient
 	members   *goroutine.Group
 	address   string
 	forwarded int
@@ -86,10 +86,10 @@
 
 func newBench(c *qt.C, members *goroutine.Group, address string) *bench {
 	serving := New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
-	b := &bench{serving: serving, caller: NewCaller(settings.Default(), serving, members), members: members, address: address}
+	b := &bench{serving: serving, caller: NewUpstreamClient(settings.Default(), serving, members), members: members, address: address}
 	target := Target{Key: "pay/one", Address: b.address, Incarnation: 1}
 	b.announce(c, "pay", "one", 1)
-	for b.kept(target) < serving.ConnectionsReady(target) {
+	for b.kept(target) < serving.WarmConnections(target) {
 		// On a busy machine the sign of life was too old before all connections were made.
 		b.announce(c, "pay", "one", 1)
 	}
@@ -271,10 +271,10 @@
 	c.Assert(request.Header.Get(TenantHeader), qt.Equals, "t")
 	c.Assert(request.Header.Get(CallerHeader), qt.Equals, "shop")
 	c.Assert(request.Header.Get("X-Color"), qt.Equals, "red")
-	c.Assert(request.Header.Get(PassHeader), qt.Not(qt.Equals), "")
+	c.Assert(request.Header.Get(DelegationHeader), qt.Not(qt.Equals), "")
 	c.Assert(request.Header.Get("User-Agent"), qt.Equals, "")
 	// The pass ends with the request.
-	_, known := b.serving.PassOf(request.Header.Get(PassHeader))
+	_, known := b.serving.LookupDelegation(request.Header.Get(DelegationHeader))
 	c.Assert(known, qt.IsFalse)
 }
 
--- a/internal/backend/heartbeats_test.go
+++ b/internal/backend/heartbeats_test.go
@@ -14,7 +14,7 @@
 
 func numbered(number int64, alter func(response *Announcement)) Announcement {
 	announcement := response("one", "a:1", 5)
-	announcement.Number = number
+	announcement.Sequence = number
 	if alter != nil {
 		alter(&announcement)
 	}
@@ -26,7 +26,7 @@
 func TestQueueGoesByPriority(t *testing.T) {
 	c := qt.New(t)
 	serving := servingProxy(c)
-	forwarded := func(id string, priority int64) []Order {
+	forwarded := func(id string, priority int64) []Decision {
 		forward := forwardOf(id, "one", 5)
 		forward.Priority = priority
 		return serving.Forwarded(time.Second, forward)
@@ -81,7 +81,7 @@
 	serving.Forwarded(0, forwardOf("a", "one", 5))
 	serving.Forwarded(0, forwardOf("b", "one", 5))
 	serving.Forwarded(0, forwardOf("c", "one", 5))
-	ending, found, orders := serving.Dismiss(time.Second, "one")
+	ending, found, orders := serving.RetireInstance(time.Second, "one")
 	c.Assert(found, qt.IsTrue)
 	c.Assert(ending.Service, qt.Equals, "pay")
 	c.Assert(codes(orders), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
@@ -91,10 +91,10 @@
 		c.Assert(serving.Holds("one"), qt.IsFalse)
 	}
 	c.Assert(codes(serving.Forwarded(2*time.Second, forwardOf("d", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
-	_, found, _ = serving.Dismiss(2*time.Second, "one")
+	_, found, _ = serving.RetireInstance(2*time.Second, "one")
 	c.Assert(found, qt.IsFalse)
 	// One that was never heard of here may not come after its last word either.
-	serving.Dismiss(2*time.Second, "unheard")
+	serving.RetireInstance(2*time.Second, "unheard")
 	serving.Announce(2*time.Second, response("unheard", "a:3", 1))
 	c.Assert(serving.Holds("unheard"), qt.IsFalse)
 	serving.Announce(2*time.Second, response("two", "a:1", 1))
--- a/internal/backend/outcomes.go
+++ b/internal/backend/outcomes.go
@@ -39,13 +39,13 @@
 // what may start next comes back as orders. A request that ended without any answer may
 // still run at the upstream, so its slot stays taken for another request's time; one
 // that was answered, be it with garbage, has run.
-func (g *Backend) Finish(now time.Duration, order Order, outcome message.Outcome) (message.Outcome, []Order) {
+func (g *Backend) Finish(now time.Duration, order Decision, outcome message.Outcome) (message.Outcome, []Decision) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	delete(g.passes, order.Target.Pass)
+	delete(g.passes, order.Target.DelegationToken)
 	outcome.ID = order.Forward.ID
 	held, known := g.upstreams[order.Forward.Service+"/"+order.Forward.Instance]
-	orders := []Order{}
+	orders := []Decision{}
 	if _, runs := held.runs(outcome.ID); runs {
 		delete(held.running, outcome.ID)
 		if code := errcode.Code(outcome.Code); outcome.Kind == message.StartedNoWhole && code != errcode.AnswerMalformed && code != errcode.AnswerTooLarge {
@@ -151,7 +151,7 @@
 
 // Withdraw drops a request whose caller hung up, if it has not started. Where an upstream
 // works on it and it may be repeated, cancel says that the work may be broken off.
-func (g *Backend) Withdraw(id string) (orders []Order, cancel bool) {
+func (g *Backend) Withdraw(id string) (orders []Decision, cancel bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	for _, key := range g.keys() {
@@ -162,7 +162,7 @@
 		for index, item := range held.queue {
 			if item.forward.ID == id {
 				held.queue = append(append([]waiting{}, held.queue[:index]...), held.queue[index+1:]...)
-				return []Order{g.refuse(item.forward, errcode.BusyDeadline)}, false
+				return []Decision{g.refuse(item.forward, errcode.BusyDeadline)}, false
 			}
 		}
 	}
--- a/internal/backend/pairing.go
+++ b/internal/backend/pairing.go
@@ -21,90 +21,90 @@
 // othersPassed is how many answers to other requests are passed over on a connection.
 const othersPassed = 3
 
-// Pairing finds, in what an upstream sends on a connection, the answer to one request.
-type Pairing struct {
-	Protocol Protocol
-	Forward  message.Forward
-	Target   Target
-	Named    bool // upstreams name the request that they answer
-	request  *http.Request
+// ResponseMatcher finds, in what an upstream sends on a connection, the answer to one request.
+type ResponseMatcher struct {
+	Protocol       Protocol
+	Forward        message.Forward
+	Target         Target
+	NamedResponses bool // upstreams name the request that they answer
+	request        *http.Request
 }
 
-// Paired is what was found. The outcome bears no id yet.
-type Paired struct {
+// MatchedResponse is what was found. The outcome bears no id yet.
+type MatchedResponse struct {
 	Outcome  message.Outcome
-	Received Received
+	Received ResponseMetadata
 	Keep     bool // the connection may carry another request
 }
 
-// Answers is the readable end of a connection, with a bound on each answer.
-type Answers struct {
+// ResponseReader is the readable end of a connection, with a bound on each answer.
+type ResponseReader struct {
 	limit  *io.LimitedReader
 	reader *bufio.Reader
 }
 
-// NewAnswers reads answers from a stream.
-func NewAnswers(stream io.Reader) *Answers {
+// NewResponseReader reads answers from a stream.
+func NewResponseReader(stream io.Reader) *ResponseReader {
 	limit := &io.LimitedReader{R: stream}
-	return &Answers{limit: limit, reader: bufio.NewReader(limit)}
+	return &ResponseReader{limit: limit, reader: bufio.NewReader(limit)}
 }
 
 // Read gives this request's own answer, or an error where it is not known to have run or not.
-func (p Pairing) Read(answers *Answers) (Paired, error) {
+func (p ResponseMatcher) Read(answers *ResponseReader) (MatchedResponse, error) {
 	for range othersPassed {
 		answers.limit.N = p.Forward.AnswerCap + headCap
 		found, err := p.next(answers)
-		if err != nil || !found.Received.Other {
+		if err != nil || !found.Received.OtherRequest {
 			return found, err
 		}
 	}
-	return Paired{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errors.New("answers to other requests only"))
+	return MatchedResponse{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errors.New("answers to other requests only"))
 }
 
 // next reads one answer whole, then says whose it is and what it means.
-func (p Pairing) next(answers *Answers) (Paired, error) {
+func (p ResponseMatcher) next(answers *ResponseReader) (MatchedResponse, error) {
 	response, body, err := p.whole(answers)
 	if err != nil {
-		return Paired{}, err
+		return MatchedResponse{}, err
 	}
-	found := Paired{Received: p.Protocol.Interpret(response, p.Forward, p.Target)}
-	if found.Received.Other && safeguard.AnswerOfAnother.On() {
+	found := MatchedResponse{Received: p.Protocol.Interpret(response, p.Forward, p.Target)}
+	if found.Received.OtherRequest && safeguard.AnswerOfAnother.On() {
 		return found, nil
 	}
-	found.Received.Other = false
+	found.Received.OtherRequest = false
 	if p.nameless(response) && safeguard.AnswerWithoutName.On() {
 		if response.StatusCode < http.StatusMultipleChoices {
 			// A stray one: the own answer, which bears the name, may come behind it.
-			found.Received.Other = true
+			found.Received.OtherRequest = true
 			return found, nil
 		}
-		return Paired{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errors.New("an answer that names no request"))
+		return MatchedResponse{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errors.New("an answer that names no request"))
 	}
 	behind := answers.reader.Buffered() > 0 && safeguard.BytesBehind.On()
-	if behind && !p.Named {
+	if behind && !p.NamedResponses {
 		// Without a name in the answer nobody can say which of the two is this one's.
-		return Paired{}, errcode.Wrap("backend.body", errcode.AnswerMalformed, errors.New("bytes behind the answer"))
+		return MatchedResponse{}, errcode.Wrap("backend.body", errcode.AnswerMalformed, errors.New("bytes behind the answer"))
 	}
 	found.Keep = !response.Close && !behind
 	switch {
-	case found.Received.Refuse != errcode.OK:
-		found.Outcome = message.Outcome{Kind: message.NotStarted, Code: int64(found.Received.Refuse), Sent: true}
+	case found.Received.Refusal != errcode.OK:
+		found.Outcome = message.Outcome{Kind: message.NotStarted, Code: int64(found.Received.Refusal), Sent: true}
 		return found, nil
-	case found.Received.Spoilt, found.Received.Hides && safeguard.HiddenPromise.On():
-		return Paired{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errors.New("not the upstream's own whole answer"))
+	case found.Received.Corrupt, found.Received.AmbiguousRefusal && safeguard.HiddenPromise.On():
+		return MatchedResponse{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errors.New("not the upstream's own whole answer"))
 	}
 	found.Outcome = ownAnswer(response, body, found.Received)
 	return found, nil
 }
 
 // nameless: every answer names its request, and this one names none.
-func (p Pairing) nameless(response *http.Response) bool {
-	namer, names := p.Protocol.(Namer)
-	return names && p.Forward.Name != "" && namer.NameOf(response) == ""
+func (p ResponseMatcher) nameless(response *http.Response) bool {
+	namer, names := p.Protocol.(RequestNamer)
+	return names && p.Forward.Name != "" && namer.RequestName(response) == ""
 }
 
 // whole reads one answer to its end.
-func (p Pairing) whole(answers *Answers) (*http.Response, []byte, error) {
+func (p ResponseMatcher) whole(answers *ResponseReader) (*http.Response, []byte, error) {
 	fail := func(step string, code errcode.Code, cause error) (*http.Response, []byte, error) {
 		return nil, nil, errcode.Wrap(step, code, cause)
 	}
@@ -133,12 +133,12 @@
 }
 
 // ownAnswer is the upstream's whole answer, less what ends at this hop.
-func ownAnswer(response *http.Response, body []byte, received Received) message.Outcome {
+func ownAnswer(response *http.Response, body []byte, received ResponseMetadata) message.Outcome {
 	outcome := message.Outcome{Kind: message.StartedWhole, Status: int64(response.StatusCode), Headers: []message.HeaderLine{}, Body: body}
-	if received.Loaded && received.Load[2] > 0 {
+	if received.HasLoad && received.Load[2] > 0 {
 		outcome.Load = float64(received.Load[0]+received.Load[1]) / float64(received.Load[2])
 	}
-	dropped := HopHeaders(response.Header)
+	dropped := HopByHopHeaders(response.Header)
 	for name, values := range response.Header {
 		if dropped[name] {
 			continue
--- a/internal/backend/proof.go
+++ b/internal/backend/proof.go
@@ -13,9 +13,9 @@
 	return held, known && held.announcement.Incarnation == target.Incarnation && held.announcement.Address == target.Address
 }
 
-// Usable says whether the target is still what it was, so that connections made under its
+// ConnectionsUsable says whether the target is still what it was, so that connections made under its
 // proof serve on.
-func (g *Backend) Usable(now time.Duration, target Target) bool {
+func (g *Backend) ConnectionsUsable(now time.Duration, target Target) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	held, same := g.bound(target)
@@ -31,8 +31,8 @@
 	return same && !held.broken && now-held.aliveAt <= g.settings.DialFresh()
 }
 
-// Alive notes bytes that came on a proven connection of the target.
-func (g *Backend) Alive(now time.Duration, target Target) {
+// MarkAlive notes bytes that came on a proven connection of the target.
+func (g *Backend) MarkAlive(now time.Duration, target Target) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if held, same := g.bound(target); same && !held.broken {
@@ -40,9 +40,9 @@
 	}
 }
 
-// Doubt notes that a connection to the target broke with a request on it: it proves nobody
+// MarkDoubtful notes that a connection to the target broke with a request on it: it proves nobody
 // until the next sign of life, but the guard and the connections that stand still do.
-func (g *Backend) Doubt(target Target) {
+func (g *Backend) MarkDoubtful(target Target) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if held, same := g.bound(target); same {
@@ -50,8 +50,8 @@
 	}
 }
 
-// ConnectionsReady is how many proven connections are kept for a target that idles.
-func (g *Backend) ConnectionsReady(target Target) int {
+// WarmConnections is how many proven connections are kept for a target that idles.
+func (g *Backend) WarmConnections(target Target) int {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	held, same := g.bound(target)
@@ -69,8 +69,8 @@
 	return same
 }
 
-// Broke notes a refused, reset or closed connection: no dial until a newer heartbeat.
-func (g *Backend) Broke(now time.Duration, target Target) {
+// MarkBroken notes a refused, reset or closed connection: no dial until a newer heartbeat.
+func (g *Backend) MarkBroken(now time.Duration, target Target) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if held, known := g.upstreams[target.Key]; known && held.announcement.Incarnation == target.Incarnation {
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -12,39 +12,41 @@
 	"beaconvane/internal/message"
 )
 
-// Received is what an answer's head says.
-type Received struct {
-	Other  bool          // it answers another request; this one's comes behind it
-	Refuse errcode.Code  // not OK: the upstream did not begin, and why
-	Spoilt bool          // it is not the upstream's own whole answer
-	Hides  bool          // its status promises that nothing ran, which was not said
-	Loaded bool          // the upstream told its load
-	Load   [3]int64      // running, waiting, slots
-	Idle   time.Duration // how long the connection may idle; 0: not told
+// ResponseMetadata is what an answer's head says.
+type ResponseMetadata struct {
+	OtherRequest     bool          // it answers another request; this one's comes behind it
+	Refusal          errcode.Code  // not OK: the upstream did not begin, and why
+	Corrupt          bool          // it is not the upstream's own whole answer
+	AmbiguousRefusal bool          // its status promises that nothing ran, which was not said
+	HasLoad          bool          // the upstream told its load
+	Load             [3]int64      // running, waiting, slots
+	KeepAlive        time.Duration // how long the connection may idle; 0: not told
 }
 
 // Protocol is how upstreams speak.
 type Protocol interface {
 	SetHeaders(header http.Header, forward message.Forward, target Target, left time.Duration)
-	Interpret(answer *http.Response, forward message.Forward, target Target) Received
+	Interpret(answer *http.Response, forward message.Forward, target Target) ResponseMetadata
 }
 
-// Namer is a manner of speaking in which every answer names the request that it answers.
+// RequestNamer is a manner of speaking in which every answer names the request that it answers.
 // An answer without a name is then nobody's.
-type Namer interface {
-	NameOf(answer *http.Response) string
+type RequestNamer interface {
+	RequestName(answer *http.Response) string
 }
 
-// Node is the product's own manner.
-type Node struct{}
+// NativeProtocol is the product's own manner.
+type NativeProtocol struct{}
 
 // SetHeaders names tenant, caller, pass and request.
-func (Node) SetHeaders(header http.Header, forward message.Forward, target Target, _ time.Duration) {
+func (NativeProtocol) SetHeaders(header http.Header, forward message.Forward, target Target, _ time.Duration) {
 	header.Set(TenantHeader, forward.Tenant)
 	header.Set(CallerHeader, forward.Caller)
-	header.Set(PassHeader, target.Pass)
+	header.Set(DelegationHeader, target.DelegationToken)
 	header.Set(RequestHeader, forward.ID)
 }
 
 // Interpret finds nothing more in the head.
-func (Node) Interpret(*http.Response, message.Forward, Target) Received { return Received{} }
+func (NativeProtocol) Interpret(*http.Response, message.Forward, Target) ResponseMetadata {
+	return ResponseMetadata{}
+}
--- a/internal/backend/queue.go
+++ b/internal/backend/queue.go
@@ -61,8 +61,8 @@
 }
 
 // fill starts pending requests while slots are free.
-func (g *Backend) fill(now time.Duration, held *upstream) []Order {
-	orders := []Order{}
+func (g *Backend) fill(now time.Duration, held *upstream) []Decision {
+	orders := []Decision{}
 	ghosts := held.ghosts[:0]
 	for _, until := range held.ghosts {
 		if now < until {
@@ -89,10 +89,10 @@
 		g.noteStart(next.forward.Repeat, next.forward.Once)
 		g.remember(next.forward.ID, &kept{at: now, began: now})
 		pass := g.newPass()
-		g.passes[pass] = Pass{next.forward.Tenant, next.forward.Service, next.forward.ID}
+		g.passes[pass] = Delegation{next.forward.Tenant, next.forward.Service, next.forward.ID}
 		forward := next.forward
 		forward.Remaining = int64(next.until - now)
-		orders = append(orders, Order{Forward: forward, Start: true,
+		orders = append(orders, Decision{Forward: forward, Start: true,
 			Target: Target{held.announcement.key(), held.announcement.Address, held.announcement.Incarnation, pass}})
 	}
 	return orders
--- a/internal/backend/target_test.go
+++ b/internal/backend/target_test.go
@@ -29,22 +29,22 @@
 	header.Set("Left", fmt.Sprint(left > 0 && left <= time.Duration(forward.Remaining)))
 }
 
-func (named) Interpret(answer *http.Response, forward message.Forward, _ Target) Received {
-	received := Received{}
+func (named) Interpret(answer *http.Response, forward message.Forward, _ Target) ResponseMetadata {
+	received := ResponseMetadata{}
 	switch name := answer.Header.Get("Name"); {
 	case name != "" && name != forward.Name:
-		received.Other = true
+		received.OtherRequest = true
 	case answer.StatusCode == http.StatusMisdirectedRequest:
-		received.Refuse = errcode.BusyUpstreamGone
+		received.Refusal = errcode.BusyUpstreamGone
 	case answer.Header.Get("Unrun") != "":
-		received.Refuse = errcode.BusySlotsFull
+		received.Refusal = errcode.BusySlotsFull
 	case answer.StatusCode == http.StatusServiceUnavailable:
-		received.Hides = true
+		received.AmbiguousRefusal = true
 	case answer.Header.Get("Seal") == "":
-		received.Spoilt = true
+		received.Corrupt = true
 	}
 	if answer.Header.Get("Idle") != "" {
-		received.Idle = time.Nanosecond
+		received.KeepAlive = time.Nanosecond
 	}
 	return received
 }
@@ -98,7 +98,7 @@
 	cfg := settings.Default()
 	cfg.Proof = settings.ProofTarget
 	serving := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
-	b := &bench{serving: serving, caller: NewCaller(cfg, serving, members), members: members, address: address}
+	b := &bench{serving: serving, caller: NewUpstreamClient(cfg, serving, members), members: members, address: address}
 	b.caller.UseProtocol(named{})
 	accepted, _, _ := serving.Announce(members.Now(), Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: address, Zone: "d", Slots: 4})
 	c.Assert(accepted, qt.IsTrue)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -137,5 +137,5 @@
 		}
 	}
 	load := func() (settings.Settings, error) { return settings.Load(program.Role, o.configPath, overrides) }
-	return load, Protocols{Callers: frontend.Node{}, Upstreams: backend.Node{}}
+	return load, Protocols{Callers: frontend.NativeProtocol{}, Upstreams: backend.NativeProtocol{}}
 }
--- a/internal/cli/proxy.go
+++ b/internal/cli/proxy.go
@@ -29,7 +29,7 @@
 	machine    *proxy.Machine
 	goroutines *goroutine.Group
 	frontend   *frontend.Frontend
-	stages     *frontend.Stages
+	stages     *frontend.Pipeline
 	api        *api.Proxy
 	server     *api.Server
 	callers    *api.Server // callers' own address; nil where they share the proxy's
@@ -45,17 +45,17 @@
 
 func newProxyProgram(cfg settings.Settings, group *goroutine.Group, process *node.Node, protocols Protocols) *proxyProgram {
 	p := &proxyProgram{settings: cfg, process: process, goroutines: group}
-	upstreams := backend.New(cfg, func(forward message.Forward) errcode.Code { return p.frontend.Allowed(forward) })
-	p.frontend = frontend.New(cfg, upstreams.PassOf)
+	upstreams := backend.New(cfg, func(forward message.Forward) errcode.Code { return p.frontend.AuthorizeForward(forward) })
+	p.frontend = frontend.New(cfg, upstreams.LookupDelegation)
 	p.frontend.UseProtocol(protocols.Callers)
-	p.frontend.RepeatsOf(upstreams)
-	caller := backend.NewCaller(cfg, upstreams, group)
+	p.frontend.UseRetryMonitor(upstreams)
+	caller := backend.NewUpstreamClient(cfg, upstreams, group)
 	caller.UseProtocol(protocols.Upstreams)
 	self := node.Self(cfg, message.RoleProxy)
 	p.machine = proxy.New(cfg, self)
-	p.stages = frontend.NewStages(cfg, p.frontend, upstreams, caller, group, self, process.Tell)
-	process.OnTraffic(p.stages.Traffic)
-	process.OnPublish(func(snapshot any) { p.stages.Show(snapshot.(*proxy.Snapshot)) })
+	p.stages = frontend.NewPipeline(cfg, p.frontend, upstreams, caller, group, self, process.Tell)
+	process.OnTraffic(p.stages.HandlePeerFrame)
+	process.OnPublish(func(snapshot any) { p.stages.UpdateSnapshot(snapshot.(*proxy.Snapshot)) })
 	p.api = api.NewProxy(cfg, process, group, p.frontend, upstreams, p.stages)
 	limits := limitsInForce{p.frontend, group}
 	if p.callersApart() {
@@ -113,11 +113,11 @@
 	linger := time.NewTimer(max(p.settings.Linger(), p.settings.UpdatesEvery()))
 	defer linger.Stop()
 	if p.settings.Linger() == 0 {
-		p.stages.Leave()
+		p.stages.Drain()
 	}
 	<-linger.C
 	p.api.Close()
-	p.stages.Leave()
+	p.stages.Drain()
 	err := p.shutdownServers(limited)
 	p.awaitRequests(limited)
 	p.process.Transport.Close()
@@ -137,7 +137,7 @@
 func (p *proxyProgram) awaitRequests(ctx context.Context) {
 	ticker := time.NewTicker(p.settings.TickEvery())
 	defer ticker.Stop()
-	for p.stages.Inside() > 0 && ctx.Err() == nil {
+	for p.stages.InFlight() > 0 && ctx.Err() == nil {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -187,7 +187,7 @@
 			return
 		case <-ticker.C:
 		}
-		answers, _ := p.frontend.Tallies()
+		answers, _ := p.frontend.ResultCounts()
 		if since := refusedSince(last, answers); len(since) > 0 {
 			p.process.Log.Info("answers", "since", since)
 		}
--- a/internal/frontend/admit.go
+++ b/internal/frontend/admit.go
@@ -13,7 +13,7 @@
 // Patience is how long the read stage waits before the gate has said until when.
 func (f *Frontend) Patience(request *Request) time.Duration {
 	limit := f.settings.RequestLimit()
-	if wait := f.protocol.Claims(request).Wait; wait > 0 {
+	if wait := f.protocol.Metadata(request).Timeout; wait > 0 {
 		limit = min(limit, wait)
 	}
 	return limit
@@ -28,33 +28,33 @@
 }
 
 // Admit decides who asks for what: key to tenant, caller, route, size.
-func (f *Frontend) Admit(now time.Duration, wall time.Time, request *Request) *Final {
+func (f *Frontend) Admit(now time.Duration, wall time.Time, request *Request) *Response {
 	f.lock.Lock()
 	snapshot := f.snapshot
 	f.lock.Unlock()
 	if snapshot == nil || !snapshot.Known {
-		return Refusal(errcode.BusyNotReady)
+		return NewRefusal(errcode.BusyNotReady)
 	}
 	if limit := f.settings.StaleAdmit(); limit > 0 && now-snapshot.FreshAt > limit {
-		return Refusal(errcode.BusyStale)
+		return NewRefusal(errcode.BusyStale)
 	}
-	path, code := f.protocol.PathOf(request)
+	path, code := f.protocol.RoutingPath(request)
 	if code != errcode.OK {
-		return Refusal(code)
+		return NewRefusal(code)
 	}
 	request.Path = path
-	claims := f.protocol.Claims(request)
+	claims := f.protocol.Metadata(request)
 	key := ""
-	if len(claims.Keys) > 0 {
-		key = claims.Keys[0]
+	if len(claims.APIKeys) > 0 {
+		key = claims.APIKeys[0]
 	}
-	if f.protocol.ShowsKey(request, claims.Keys, snapshot.Configurations) {
-		return Refusal(errcode.RequestBadPath)
+	if f.protocol.PathExposesKey(request, claims.APIKeys, snapshot.Configurations) {
+		return NewRefusal(errcode.RequestBadPath)
 	}
-	passed, byPass := backend.Pass{}, false
-	if claims.Pass != "" {
-		if passed, byPass = f.passOf(claims.Pass); !byPass {
-			return Refusal(errcode.RequestPassInvalid)
+	passed, byPass := backend.Delegation{}, false
+	if claims.DelegationToken != "" {
+		if passed, byPass = f.passOf(claims.DelegationToken); !byPass {
+			return NewRefusal(errcode.RequestPassInvalid)
 		}
 	}
 	known, open, anyRoute := byPass, false, false
@@ -68,12 +68,12 @@
 	switch {
 	case byPass || open || known:
 	case key == "":
-		return Refusal(errcode.RequestNoKey)
+		return NewRefusal(errcode.RequestNoKey)
 	default:
-		return Refusal(errcode.RequestKeyUnknown)
+		return NewRefusal(errcode.RequestKeyUnknown)
 	}
 	if !anyRoute {
-		return Refusal(errcode.RequestNoRoute)
+		return NewRefusal(errcode.RequestNoRoute)
 	}
 	for _, configuration := range snapshot.Configurations {
 		route, found := configuration.Find(request.Host, request.Method, path)
@@ -81,7 +81,7 @@
 			continue
 		}
 		tenant, held := configuration.Tenant(key)
-		claimed := claims.Caller
+		claimed := claims.CallingService
 		if byPass {
 			// A pass is worth what its tenant's keys are: nothing once all are withdrawn.
 			tenant, claimed, held = passed.Tenant, passed.Service, configuration.Honours(passed.Tenant)
@@ -90,32 +90,32 @@
 			claimed = f.settings.Service
 		}
 		if !held && !route.Open && !(route.Host != "" && configuration.Keyless()) || !route.Allows(tenant, claimed) {
-			return Refusal(errcode.RequestCallerRefused)
+			return NewRefusal(errcode.RequestCallerRefused)
 		}
 		if route.Calendar != nil && !route.Calendar.Open(wall) {
-			final := Refusal(errcode.RequestRouteClosed)
+			final := NewRefusal(errcode.RequestRouteClosed)
 			final.RetryAfter = route.Calendar.NextOpen(wall)
 			return final
 		}
 		if route.BodyCap > 0 && int64(len(request.Body)) > route.BodyCap {
-			return Refusal(errcode.RequestTooLarge)
+			return NewRefusal(errcode.RequestTooLarge)
 		}
-		request.Configuration, request.Route, request.Tenant, request.Caller, request.Name = configuration, route, tenant, claimed, claims.Name
+		request.Configuration, request.Route, request.Tenant, request.Caller, request.Name = configuration, route, tenant, claimed, claims.AttemptName
 		request.Priority = configuration.Priority(tenant, route)
 		request.Deadline = min(request.Deadline, request.since(now)+route.Limit)
-		if claims.Wait > 0 {
-			request.Deadline = min(request.Deadline, request.Came+claims.Wait)
+		if claims.Timeout > 0 {
+			request.Deadline = min(request.Deadline, request.ArrivedAt+claims.Timeout)
 		}
 		request.Tried = map[string]bool{}
-		f.protocol.RemoveClaims(request, claims.Keys, snapshot.Configurations)
+		f.protocol.Sanitize(request, claims.APIKeys, snapshot.Configurations)
 		f.begin(request)
 		return nil
 	}
-	return Refusal(errcode.RequestNoRoute)
+	return NewRefusal(errcode.RequestNoRoute)
 }
 
-// Allowed is the serving proxy's check of a carried request against its own configurations.
-func (f *Frontend) Allowed(forward message.Forward) errcode.Code {
+// AuthorizeForward is the serving proxy's check of a carried request against its own configurations.
+func (f *Frontend) AuthorizeForward(forward message.Forward) errcode.Code {
 	f.lock.Lock()
 	snapshot := f.snapshot
 	f.lock.Unlock()
--- a/internal/frontend/adopt_test.go
+++ b/internal/frontend/adopt_test.go
@@ -17,11 +17,11 @@
 
 // recordingEnvironment is a environment whose clock the test sets; orders to start are kept.
 type recordingEnvironment struct {
-	tracker  *Tracker
+	tracker  *Dispatcher
 	now      time.Duration
 	wall     time.Time
 	response []any
-	starts   []backend.Order
+	starts   []backend.Decision
 	full     bool
 }
 
@@ -32,11 +32,11 @@
 func (p *recordingEnvironment) Cancel(string)          {}
 
 func (p *recordingEnvironment) After(time.Duration, func()) {}
-func (p *recordingEnvironment) Tell(notice any)             { p.response = append(p.response, notice) }
+func (p *recordingEnvironment) Notify(notice any)           { p.response = append(p.response, notice) }
 
-func (p *recordingEnvironment) Queue(env Env, item any) bool {
+func (p *recordingEnvironment) Enqueue(env Stage, item any) bool {
 	if env == StageStart && !p.full {
-		p.starts = append(p.starts, item.(backend.Order))
+		p.starts = append(p.starts, item.(backend.Decision))
 	}
 	return !p.full
 }
@@ -65,7 +65,7 @@
 	cfg.Zone, cfg.Proof, cfg.Counted = "here", proof, settings.CountBegun
 	serving := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	p := &recordingEnvironment{}
-	p.tracker = NewTracker(cfg, New(cfg, serving.PassOf), serving, p, message.Member{Name: "proxy/me", Address: "here:1", Birth: 7})
+	p.tracker = NewDispatcher(cfg, New(cfg, serving.LookupDelegation), serving, p, message.Member{Name: "proxy/me", Address: "here:1", Birth: 7})
 	return p, serving, cfg
 }
 
@@ -79,7 +79,7 @@
 }
 
 func announced(instance, address string, number int64) backend.Announcement {
-	return backend.Announcement{Service: "pay", Instance: instance, Incarnation: 1, Address: address, Zone: "here", Slots: 2, Number: number}
+	return backend.Announcement{Service: "pay", Instance: instance, Incarnation: 1, Address: address, Zone: "here", Slots: 2, Sequence: number}
 }
 
 // After a power cut the upstream has another name at the old address. The roster still
@@ -88,15 +88,15 @@
 	c := qt.New(t)
 	p, serving, _ := servingProxyTracker(settings.ProofTarget)
 	snapshot := rosterOf(beside("old", "up:1", message.StateReady, 6))
-	p.tracker.Show(snapshot)
+	p.tracker.UpdateSnapshot(snapshot)
 	c.Assert(p.words(), qt.DeepEquals, []string{"old ready"})
-	p.tracker.Show(snapshot)
+	p.tracker.UpdateSnapshot(snapshot)
 	c.Assert(p.words(), qt.HasLen, 0)
 	c.Assert(p.tracker.Announce(announced("new", "up:1", 1)), qt.IsTrue)
 	c.Assert(p.words(), qt.DeepEquals, []string{"old off", "new ready"})
 	for range 3 {
 		p.now += 100 * time.Millisecond
-		p.tracker.Show(snapshot)
+		p.tracker.UpdateSnapshot(snapshot)
 		c.Assert(p.words(), qt.HasLen, 0)
 		c.Assert(serving.Holds("old"), qt.IsFalse)
 		c.Assert(serving.Holds("new"), qt.IsTrue)
@@ -125,7 +125,7 @@
 			c := qt.New(t)
 			p, _, _ := servingProxyTracker(tried.proof)
 			p.now = tried.now
-			p.tracker.Show(rosterOf(tried.response))
+			p.tracker.UpdateSnapshot(rosterOf(tried.response))
 			c.Assert(p.words(), qt.DeepEquals, tried.wanted)
 		})
 	}
@@ -147,10 +147,10 @@
 	for _, word := range p.words() {
 		c.Assert(word, qt.Equals, "one leaving")
 	}
-	p.tracker.Dismiss("one")
+	p.tracker.RetireInstance("one")
 	c.Assert(p.words(), qt.DeepEquals, []string{"one off"})
 	p.tracker.Announce(announced("one", "up:1", 8))
-	p.tracker.Show(rosterOf(beside("one", "up:1", message.StateReady, 6)))
+	p.tracker.UpdateSnapshot(rosterOf(beside("one", "up:1", message.StateReady, 6)))
 	c.Assert(p.words(), qt.HasLen, 0)
 	c.Assert(serving.Holds("one"), qt.IsFalse)
 }
@@ -165,7 +165,7 @@
 	p.tracker.Announce(announced("one", "up:1", 1))
 	outcomes := []message.Outcome{}
 	forward := func(id, tenant string) {
-		p.tracker.Inbound(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Tenant: tenant, Remaining: int64(time.Second)},
+		p.tracker.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Tenant: tenant, Remaining: int64(time.Second)},
 			func(msg any) error { outcomes = append(outcomes, msg.(message.Outcome)); return nil })
 	}
 	counts := func(window int64) map[string]int64 {
@@ -184,9 +184,9 @@
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 2})
 	// The outcomes come in the next window; so does the start of the one that waited.
 	p.wall = p.wall.Add(cfg.UsageWindow())
-	p.tracker.Conclude(p.starts[0], message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: true})
+	p.tracker.Complete(p.starts[0], message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: true})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
-	p.tracker.Conclude(p.starts[1], message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)})
+	p.tracker.Complete(p.starts[1], message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
 	c.Assert(outcomes, qt.HasLen, 2)
 	p.now += cfg.DialFresh()
@@ -194,7 +194,7 @@
 	c.Assert(p.starts, qt.HasLen, 3)
 	c.Assert(counts(window+1), qt.DeepEquals, map[string]int64{"u": 1})
 	// One that finds no room before it is sent was not begun.
-	p.tracker.Conclude(p.starts[2], message.Outcome{Kind: message.StartedWhole, Status: 200})
+	p.tracker.Complete(p.starts[2], message.Outcome{Kind: message.StartedWhole, Status: 200})
 	p.full = true
 	forward("late", "t")
 	c.Assert(counts(window + 1)["t"], qt.Equals, int64(0))
--- a/internal/frontend/budget.go
+++ b/internal/frontend/budget.go
@@ -48,8 +48,8 @@
 	BarRepeats(until time.Duration)
 }
 
-// RepeatsOf sets the serving side; before it is used.
-func (f *Frontend) RepeatsOf(serving Repeats) { f.repeats = serving }
+// UseRetryMonitor sets the serving side; before it is used.
+func (f *Frontend) UseRetryMonitor(serving Repeats) { f.repeats = serving }
 
 // paysFirst counts a request's first attempt. A call that a running repeat makes is itself
 // a repeat at the service called, and draws on its budget; since calls don't say which run
--- a/internal/frontend/callerlimits_test.go
+++ b/internal/frontend/callerlimits_test.go
@@ -29,19 +29,19 @@
 }
 
 // limitedStages has the read stage only: what passes it waits for ever.
-func limitedStages(limits string, alter func(cfg *settings.Settings)) *Stages {
+func limitedStages(limits string, alter func(cfg *settings.Settings)) *Pipeline {
 	cfg := settings.Default()
 	cfg.Limits.Body = 16 << 20
 	alter(&cfg)
-	front := New(cfg, func(string) (backend.Pass, bool) { return backend.Pass{}, false })
+	front := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 	group := goroutine.New()
 	serving := backend.New(cfg, nil)
-	stages := NewStages(cfg, front, serving, backend.NewCaller(cfg, serving, group), group, message.Member{}, func(any) {})
-	front.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{limited(limits)}})
+	stages := NewPipeline(cfg, front, serving, backend.NewUpstreamClient(cfg, serving, group), group, message.Member{}, func(any) {})
+	front.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{limited(limits)}})
 	return stages
 }
 
-func statusOf(stages *Stages, request *http.Request) int {
+func statusOf(stages *Pipeline, request *http.Request) int {
 	recorder := httptest.NewRecorder()
 	done := make(chan struct{})
 	go func() {
@@ -163,7 +163,7 @@
 	c := qt.New(t)
 	f := hostedFrontend(c, upstream("one", "here"))
 	request := asked("/pay/x", "secret")
-	request.Came = old - time.Second
+	request.ArrivedAt = old - time.Second
 	c.Assert(f.Admit(old, time.Now(), request), qt.IsNil)
 	c.Assert(request.Deadline, qt.Equals, old+2*time.Second)
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -27,8 +27,8 @@
 
 // Names under which a caller shows its tenant's key.
 const (
-	KeyHeader = "X-Api-Key"
-	KeyParam  = "api_key"
+	APIKeyHeader = "X-Api-Key"
+	KeyParam     = "api_key"
 )
 
 type peer struct {
@@ -58,7 +58,7 @@
 type Frontend struct {
 	settings settings.Settings
 	protocol Protocol
-	passOf   func(pass string) (backend.Pass, bool)
+	passOf   func(pass string) (backend.Delegation, bool)
 	lock     sync.Mutex
 	snapshot *proxy.Snapshot
 	peers    map[string]*peer
@@ -73,15 +73,15 @@
 }
 
 // New makes a frontend; passOf asks the backend of the same proxy.
-func New(cfg settings.Settings, passOf func(pass string) (backend.Pass, bool)) *Frontend {
-	return &Frontend{settings: cfg, protocol: Node{}, passOf: passOf, peers: map[string]*peer{}, budgets: map[string]*budget{}, usual: map[string]float64{}, usage: map[int64]map[string]int64{}, open: map[string]int64{}, tallies: map[errcode.Code]int64{}}
+func New(cfg settings.Settings, passOf func(pass string) (backend.Delegation, bool)) *Frontend {
+	return &Frontend{settings: cfg, protocol: NativeProtocol{}, passOf: passOf, peers: map[string]*peer{}, budgets: map[string]*budget{}, usual: map[string]float64{}, usage: map[int64]map[string]int64{}, open: map[string]int64{}, tallies: map[errcode.Code]int64{}}
 }
 
 // UseProtocol sets the callers' manner; before it is used.
 func (f *Frontend) UseProtocol(protocol Protocol) { f.protocol = protocol }
 
-// Show takes a new snapshot of the control state.
-func (f *Frontend) Show(now time.Duration, snapshot *proxy.Snapshot) {
+// UpdateSnapshot takes a new snapshot of the control state.
+func (f *Frontend) UpdateSnapshot(now time.Duration, snapshot *proxy.Snapshot) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.snapshot = snapshot
@@ -131,8 +131,8 @@
 	return f.snapshot != nil && f.snapshot.Known && f.snapshot.RosterHere
 }
 
-// Choose picks the upstream for the next attempt.
-func (f *Frontend) Choose(now time.Duration, request *Request, random *rand.Rand) *Final {
+// SelectUpstream picks the upstream for the next attempt.
+func (f *Frontend) SelectUpstream(now time.Duration, request *Request, random *rand.Rand) *Response {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if now >= request.Deadline {
@@ -187,8 +187,8 @@
 	return near, far, known
 }
 
-// Judge takes an outcome: a final answer, or nil to choose again.
-func (f *Frontend) Judge(now time.Duration, request *Request, outcome message.Outcome) *Final {
+// EvaluateOutcome takes an outcome: a final answer, or nil to choose again.
+func (f *Frontend) EvaluateOutcome(now time.Duration, request *Request, outcome message.Outcome) *Response {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	code, ending := errcode.Code(outcome.Code), EndingOf(outcome)
@@ -204,7 +204,7 @@
 		held.notFull()
 		held.learnFailure(false)
 		f.learnPace(held, request.Route.Name, time.Duration(outcome.Took))
-		return &Final{Code: errcode.OK, Status: int(outcome.Status), Headers: notOwn(outcome.Headers), Body: outcome.Body}
+		return &Response{Code: errcode.OK, Status: int(outcome.Status), Headers: notOwn(outcome.Headers), Body: outcome.Body}
 	case Unsure:
 		held.notFull()
 		held.learnFailure(true)
@@ -266,11 +266,11 @@
 }
 
 // Abandon says what a caller is told whose time is up while a request is out.
-func (f *Frontend) Abandon(request *Request, forwarded bool, code errcode.Code) *Final {
+func (f *Frontend) Abandon(request *Request, forwarded bool, code errcode.Code) *Response {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if forwarded {
-		return Refusal(errcode.UnknownTimeout)
+		return NewRefusal(errcode.UnknownTimeout)
 	}
 	return f.giveUp(request, code)
 }
@@ -303,7 +303,7 @@
 		Host: request.Host, Name: request.Name, Priority: request.Priority, Once: request.Route.Once, Repeat: request.Sent > 0}
 	remaining := request.Deadline - now
 	if request.Route.Aim > 0 && !request.nested() {
-		forward.Aim = max(int64(request.Came+request.Route.Aim-now), 1)
+		forward.Aim = max(int64(request.ArrivedAt+request.Route.Aim-now), 1)
 	}
 	forward.Remaining = int64(remaining - min(remaining/20, f.settings.UpdatesEvery()/10))
 	names := make([]string, 0, len(request.Header))
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -28,10 +28,10 @@
 	cfg.Zone, cfg.Bounds.KeyWithdrawal = "here", withdrawal
 	faults, _ := routeconfig.Check([]byte(configName), cfg.ConfigurationLimits())
 	c.Assert(faults, qt.HasLen, 0)
-	f := New(cfg, func(pass string) (backend.Pass, bool) {
-		return backend.Pass{Tenant: "t", Service: "pay"}, pass == "good"
+	f := New(cfg, func(pass string) (backend.Delegation, bool) {
+		return backend.Delegation{Tenant: "t", Service: "pay"}, pass == "good"
 	})
-	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
+	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
 		Proxies: 10, Upstreams: map[string][]message.Registration{"pay": upstreams}})
 	return f
 }
@@ -45,7 +45,7 @@
 	return &Request{ID: "q", Method: method, RawPath: raw, RawQuery: params, Header: header, Deadline: 5 * time.Second}
 }
 
-func code(final *Final) errcode.Code {
+func code(final *Response) errcode.Code {
 	if final == nil {
 		return errcode.OK
 	}
@@ -59,21 +59,21 @@
 		request *Request
 		code    errcode.Code
 	}{
-		{request("POST", "/pay", KeyHeader, "secret", backend.CallerHeader, "shop"), errcode.OK},
+		{request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.OK},
 		{request("POST", "/pay", "Authorization", "Bearer secret", backend.CallerHeader, "shop"), errcode.OK},
 		{request("POST", "/pay?api_key=secret", backend.CallerHeader, "shop"), errcode.OK},
-		{request("POST", "/pay", backend.PassHeader, "good"), errcode.OK},
-		{request("POST", "/pay", backend.PassHeader, "old", KeyHeader, "secret"), errcode.RequestPassInvalid},
-		{request("GET", "/look", backend.PassHeader, "good"), errcode.RequestCallerRefused},
+		{request("POST", "/pay", backend.DelegationHeader, "good"), errcode.OK},
+		{request("POST", "/pay", backend.DelegationHeader, "old", APIKeyHeader, "secret"), errcode.RequestPassInvalid},
+		{request("GET", "/look", backend.DelegationHeader, "good"), errcode.RequestCallerRefused},
 		{request("POST", "/pay", backend.CallerHeader, "shop"), errcode.RequestNoKey},
-		{request("POST", "/pay", KeyHeader, "wrong", backend.CallerHeader, "shop"), errcode.RequestKeyUnknown},
-		{request("POST", "/pay", KeyHeader, "secret", backend.CallerHeader, "thief"), errcode.RequestCallerRefused},
-		{request("POST", "/other", KeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestNoRoute},
-		{request("POST", "/pay/%2e%2e/x", KeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestBadPath},
+		{request("POST", "/pay", APIKeyHeader, "wrong", backend.CallerHeader, "shop"), errcode.RequestKeyUnknown},
+		{request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "thief"), errcode.RequestCallerRefused},
+		{request("POST", "/other", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestNoRoute},
+		{request("POST", "/pay/%2e%2e/x", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestBadPath},
 	} {
 		c.Check(code(f.Admit(time.Second, time.Now(), tried.request)), qt.Equals, tried.code, qt.Commentf("%v", tried.request.Header))
 	}
-	large := request("GET", "/look", KeyHeader, "secret", backend.CallerHeader, "shop")
+	large := request("GET", "/look", APIKeyHeader, "secret", backend.CallerHeader, "shop")
 	large.Body = []byte("12345")
 	c.Assert(code(f.Admit(time.Second, time.Now(), large)), qt.Equals, errcode.RequestTooLarge)
 }
@@ -84,7 +84,7 @@
 	for withdrawal, wanted := range map[int64]errcode.Code{0: errcode.OK, 5000: errcode.BusyStale} {
 		f := ready(c, withdrawal)
 		asked := func(now time.Duration) errcode.Code {
-			return code(f.Admit(now, time.Now(), request("POST", "/pay", KeyHeader, "secret", backend.CallerHeader, "shop")))
+			return code(f.Admit(now, time.Now(), request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")))
 		}
 		c.Assert(asked(4400*time.Millisecond), qt.Equals, errcode.OK)
 		c.Assert(asked(4600*time.Millisecond), qt.Equals, wanted)
@@ -94,14 +94,14 @@
 func TestKeyAndOwnHeadersAreDropped(t *testing.T) {
 	c := qt.New(t)
 	f := ready(c, 0)
-	asked := request("POST", "/pay?a=1&api_key=secret&b=secret&c=%73ecret&e=%2573ecret&d=2&api_key=extra", KeyHeader, "secret", "Authorization", "bearer other", "Cookie", "x=secret",
+	asked := request("POST", "/pay?a=1&api_key=secret&b=secret&c=%73ecret&e=%2573ecret&d=2&api_key=extra", APIKeyHeader, "secret", "Authorization", "bearer other", "Cookie", "x=secret",
 		"Cookie", "y=SECRET", "Referer", "/x?k=%53ecret", "X-Note", "an other one", "X-More", "extra", "X-Second", "a=second",
 		"X-Tenant", "other", "X_tenant", "other", backend.CallerHeader, "shop", "X-Request-Id", "mine", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "yes")
 	c.Assert(f.Admit(time.Second, time.Now(), asked), qt.IsNil)
 	c.Assert(asked.Header, qt.DeepEquals, http.Header{"X-Kept": {"yes"}})
 	c.Assert(asked.RawQuery, qt.Equals, "a=1&d=2")
 	for _, path := range []string{"/pay/secret", "/pay/%73ecret", "/pay/SECRET/x", "/pay/second"} {
-		c.Assert(code(f.Admit(time.Second, time.Now(), request("POST", path, KeyHeader, "secret", backend.CallerHeader, "shop"))), qt.Equals, errcode.RequestBadPath)
+		c.Assert(code(f.Admit(time.Second, time.Now(), request("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop"))), qt.Equals, errcode.RequestBadPath)
 	}
 }
 
@@ -116,10 +116,10 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	chosen := map[string]int{}
 	for range 6 {
-		asked := request("POST", "/pay", KeyHeader, "secret", backend.CallerHeader, "shop")
+		asked := request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")
 		c.Assert(f.Admit(10*time.Second, time.Now(), asked), qt.IsNil)
 		asked.Deadline = 20 * time.Second
-		c.Assert(f.Choose(10*time.Second, asked, random), qt.IsNil)
+		c.Assert(f.SelectUpstream(10*time.Second, asked, random), qt.IsNil)
 		chosen[asked.Target.Instance]++
 	}
 	c.Assert(chosen["near"] > chosen["far"], qt.IsTrue)
@@ -144,12 +144,12 @@
 	} {
 		f := ready(c, 0, upstream("one", "here"), upstream("two", "here"))
 		method := map[string]string{"/pay": "POST", "/look": "GET"}[tried.path]
-		asked := request(method, tried.path, KeyHeader, "secret", backend.CallerHeader, "shop")
+		asked := request(method, tried.path, APIKeyHeader, "secret", backend.CallerHeader, "shop")
 		begin := 10 * time.Second // a life as old as the retry window has its allowance
 		asked.Deadline += begin
 		c.Assert(f.Admit(begin, time.Now(), asked), qt.IsNil)
-		c.Assert(f.Choose(begin, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
-		final := f.Judge(begin+time.Millisecond, asked, tried.outcome)
+		c.Assert(f.SelectUpstream(begin, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
+		final := f.EvaluateOutcome(begin+time.Millisecond, asked, tried.outcome)
 		c.Check(final == nil, qt.Equals, tried.again, qt.Commentf("%+v", tried))
 		c.Check(code(final), qt.Equals, tried.final, qt.Commentf("%+v", tried))
 		if final != nil {
@@ -158,8 +158,8 @@
 		}
 		// Once something may have run, no later refusal says that nothing did.
 		if final == nil && tried.outcome.Kind == message.StartedNoWhole {
-			c.Assert(f.Choose(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
-			last := f.Judge(begin+6*time.Second, asked, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)})
+			c.Assert(f.SelectUpstream(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
+			last := f.EvaluateOutcome(begin+6*time.Second, asked, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)})
 			c.Check(code(last), qt.Equals, errcode.UnknownOutcome)
 		}
 	}
--- a/internal/frontend/full_test.go
+++ b/internal/frontend/full_test.go
@@ -29,8 +29,8 @@
 	for _, name := range strings.Split("abcdefgh", "") {
 		list = append(list, upstream(name, "here"))
 	}
-	f := New(cfg, func(string) (backend.Pass, bool) { return backend.Pass{}, false })
-	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(nestedRoutes), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
+	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
+	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(nestedRoutes), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
 		Proxies: proxies, Upstreams: map[string][]message.Registration{"pay": list}})
 	return f
 }
@@ -42,11 +42,11 @@
 	request.Deadline = now + 3*time.Second
 	c.Assert(f.Admit(now, time.Now(), request), qt.IsNil)
 	for sent := 0; ; sent++ {
-		if final := f.Choose(now, request, random); final != nil {
+		if final := f.SelectUpstream(now, request, random); final != nil {
 			c.Assert(final.Code, qt.Equals, errcode.BusySlotsFull)
 			return sent
 		}
-		if final := f.Judge(now, request, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}); final != nil {
+		if final := f.EvaluateOutcome(now, request, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}); final != nil {
 			return sent + 1
 		}
 	}
@@ -83,8 +83,8 @@
 	}
 	request := asked("/check/x", "")
 	c.Assert(f.Admit(old, time.Now(), request), qt.IsNil)
-	c.Assert(f.Choose(old, request, random), qt.IsNil)
-	f.Judge(old, request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(time.Millisecond)})
+	c.Assert(f.SelectUpstream(old, request, random), qt.IsNil)
+	f.EvaluateOutcome(old, request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(time.Millisecond)})
 	c.Assert(forwards(c, f, old, random, "/pay/x", "secret") > 0, qt.IsTrue)
 }
 
@@ -104,7 +104,7 @@
 	f = crowded(77)
 	for _, request := range []*Request{nested, own} {
 		c.Assert(f.Admit(old, time.Now(), request), qt.IsNil)
-		c.Assert(f.Choose(old, request, random), qt.IsNil)
+		c.Assert(f.SelectUpstream(old, request, random), qt.IsNil)
 	}
 	c.Assert(f.Forward(old, nested, "proxy/me", "1").Aim, qt.Equals, int64(0))
 	c.Assert(f.Forward(old, own, "proxy/me", "1").Aim > 0, qt.IsTrue)
--- a/internal/frontend/lag_test.go
+++ b/internal/frontend/lag_test.go
@@ -45,14 +45,14 @@
 			case ends > now:
 				rest = append(rest, item)
 			default:
-				f.Judge(ends, item.request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(lagWork)})
+				f.EvaluateOutcome(ends, item.request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(lagWork)})
 			}
 		}
 		waiting = rest
 		going := asked("/pay/x", "secret")
 		going.Deadline = now + 3*time.Second
 		c.Assert(f.Admit(now, time.Now(), going), qt.IsNil)
-		c.Assert(f.Choose(now, going, random), qt.IsNil)
+		c.Assert(f.SelectUpstream(now, going, random), qt.IsNil)
 		sent[going.Target.Instance]++
 		total++
 		waiting = append(waiting, out{going, now})
--- a/internal/frontend/link_test.go
+++ b/internal/frontend/link_test.go
@@ -40,9 +40,9 @@
 			address = "serving-a"
 			f.snapshot.Upstreams["pay"] = f.snapshot.Upstreams["pay"][:1]
 		}
-		back.tracker = NewTracker(f.settings, f, backend.New(f.settings, f.Allowed), back, message.Member{Name: "me", Address: address})
-		var final *Final
-		back.tracker.Arrive(asked(tried.path, tried.key), func(time.Duration) {}, func(answer *Final) { final = answer })
+		back.tracker = NewDispatcher(f.settings, f, backend.New(f.settings, f.AuthorizeForward), back, message.Member{Name: "me", Address: address})
+		var final *Response
+		back.tracker.Submit(asked(tried.path, tried.key), func(time.Duration) {}, func(answer *Response) { final = answer })
 		if !tried.refused {
 			c.Check(final, qt.IsNil, qt.Commentf(tried.name))
 			continue
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -120,8 +120,8 @@
 type modelAsked struct {
 	name   string
 	once   bool
-	finals []*Final
-	trip   *Trip
+	finals []*Response
+	trip   *PendingRequest
 	lost   bool // with a life of its proxy: its caller's connection is closed, which says nothing
 	left   bool // its caller hung up
 }
@@ -150,10 +150,10 @@
 	address string
 	life    int64
 	running map[string]bool // exchanges by attempt; false: cancelled
-	tracker *Tracker
+	tracker *Dispatcher
 	front   *Frontend
 	serving *backend.Backend
-	caller  *backend.Caller
+	caller  *backend.UpstreamClient
 	inside  []*modelLink
 }
 
@@ -198,28 +198,28 @@
 	header.Set("For", forward.Instance)
 }
 
-func (modelNamer) NameOf(answer *http.Response) string { return answer.Header.Get("Name") }
+func (modelNamer) RequestName(answer *http.Response) string { return answer.Header.Get("Name") }
 
-func (m modelNamer) Interpret(answer *http.Response, forward message.Forward, _ backend.Target) backend.Received {
-	received := backend.Received{}
-	switch name := m.NameOf(answer); {
+func (m modelNamer) Interpret(answer *http.Response, forward message.Forward, _ backend.Target) backend.ResponseMetadata {
+	received := backend.ResponseMetadata{}
+	switch name := m.RequestName(answer); {
 	case name != "" && name != forward.Name:
-		received.Other = true
+		received.OtherRequest = true
 	case answer.StatusCode == http.StatusMisdirectedRequest:
-		received.Refuse = errcode.BusyUpstreamGone
+		received.Refusal = errcode.BusyUpstreamGone
 	case answer.Header.Get("Unrun") != "":
-		received.Refuse = errcode.BusySlotsFull
+		received.Refusal = errcode.BusySlotsFull
 	case answer.StatusCode == http.StatusServiceUnavailable:
-		received.Hides = true
+		received.AmbiguousRefusal = true
 	}
 	return received
 }
 
 // modelCallers name each try, as the platform's callers do.
-type modelCallers struct{ Node }
+type modelCallers struct{ NativeProtocol }
 
-func (modelCallers) Claims(request *Request) Claims {
-	return Claims{Name: request.Header.Get("Try"), Keys: nil}
+func (modelCallers) Metadata(request *Request) Metadata {
+	return Metadata{AttemptName: request.Header.Get("Try"), APIKeys: nil}
 }
 
 func newModel(chooser *modelChooser, named bool) *model {
@@ -240,9 +240,9 @@
 	p.life++
 	p.running = map[string]bool{}
 	p.serving = backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
-	p.front = New(cfg, p.serving.PassOf)
+	p.front = New(cfg, p.serving.LookupDelegation)
 	p.front.UseProtocol(modelCallers{})
-	p.caller = backend.NewCaller(cfg, p.serving, w.group)
+	p.caller = backend.NewUpstreamClient(cfg, p.serving, w.group)
 	if w.named {
 		p.caller.UseProtocol(modelNamer{})
 	}
@@ -250,7 +250,7 @@
 	p.caller.UseDialer(func(address string, _ time.Time) (net.Conn, error) {
 		return &modelUpstreamConn{world: w, upstream: address}, nil
 	})
-	p.tracker = NewTracker(cfg, p.front, p.serving, &modelEnvironment{p, life, rand.New(rand.NewPCG(1, 2))}, message.Member{Name: p.address, Address: p.address, Birth: life})
+	p.tracker = NewDispatcher(cfg, p.front, p.serving, &modelEnvironment{p, life, rand.New(rand.NewPCG(1, 2))}, message.Member{Name: p.address, Address: p.address, Birth: life})
 	list := []message.Registration{}
 	for _, name := range []string{"one", "two", "three"} {
 		if modelHomes[name] == p.address {
@@ -263,7 +263,7 @@
 		list = append(list, message.Registration{Service: "pay", Instance: name, Incarnation: 1, Address: name, Zone: "here", Slots: 4, State: message.StateReady,
 			ServingProxy: modelHomes[name], ServingProxyAddress: modelHomes[name], ServingProxyBirth: w.proxies[modelHomes[name]].lifeOr(life)})
 	}
-	p.front.Show(w.now, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(modelRoutes), cfg.ConfigurationLimits())},
+	p.front.UpdateSnapshot(w.now, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(modelRoutes), cfg.ConfigurationLimits())},
 		Known: true, RosterHere: true, Joined: true, Proxies: 1, Upstreams: map[string][]message.Registration{"pay": list}})
 }
 
@@ -284,7 +284,7 @@
 func (b *modelEnvironment) Now() time.Duration { return b.proxy.world.now }
 func (b *modelEnvironment) Wall() time.Time    { return time.Unix(0, int64(b.proxy.world.now)) }
 func (b *modelEnvironment) Random() *rand.Rand { return b.random }
-func (b *modelEnvironment) Tell(any)           {}
+func (b *modelEnvironment) Notify(any)         {}
 
 // alive does something in the process, as long as this life lasts.
 func (b *modelEnvironment) alive(do func()) func() {
@@ -309,18 +309,18 @@
 	b.proxy.world.after(wait, b.alive(then))
 }
 
-func (b *modelEnvironment) Queue(stage Env, item any) bool {
+func (b *modelEnvironment) Enqueue(stage Stage, item any) bool {
 	p := b.proxy
 	p.world.after(0, b.alive(func() {
 		switch stage {
 		case StageAdmit:
-			p.tracker.Admit(item.(*Trip))
-		case StageChoose:
-			p.tracker.Choose(item.(*Trip))
-		case StageJudge:
-			p.tracker.Judge(item.(Judged))
+			p.tracker.Admit(item.(*PendingRequest))
+		case StageSelect:
+			p.tracker.SelectUpstream(item.(*PendingRequest))
+		case StageOutcome:
+			p.tracker.HandleOutcome(item.(AttemptOutcome))
 		case StageStart:
-			b.start(item.(backend.Order))
+			b.start(item.(backend.Decision))
 		}
 	}))
 	return true
@@ -328,7 +328,7 @@
 
 // start makes an exchange, which takes the time of the work; one that is cancelled in that
 // time ends without an answer.
-func (b *modelEnvironment) start(order backend.Order) {
+func (b *modelEnvironment) start(order backend.Decision) {
 	p := b.proxy
 	outcome := p.caller.Call(order)
 	p.running[order.Forward.ID] = true
@@ -337,7 +337,7 @@
 			outcome = message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}
 		}
 		delete(p.running, order.Forward.ID)
-		p.tracker.Conclude(order, outcome)
+		p.tracker.Complete(order, outcome)
 	}))
 }
 
@@ -426,7 +426,7 @@
 		if l.cut || l.to.life != life {
 			return
 		}
-		l.to.tracker.Inbound(msg, l.reply)
+		l.to.tracker.HandleFrame(msg, l.reply)
 	})
 }
 
@@ -602,8 +602,8 @@
 	asked := &modelAsked{name: path, once: once}
 	w.asked = append(w.asked, asked)
 	request := &Request{ID: "id" + path, Method: http.MethodPost, RawPath: path, Header: http.Header{"Try": {"try" + path}}, Host: "shop.example",
-		Body: []byte("body"), Came: w.now, Deadline: w.now + modelDeadline}
-	asked.trip = p.tracker.Arrive(request, func(time.Duration) {}, func(final *Final) {
+		Body: []byte("body"), ArrivedAt: w.now, Deadline: w.now + modelDeadline}
+	asked.trip = p.tracker.Submit(request, func(time.Duration) {}, func(final *Response) {
 		asked.finals = append(asked.finals, final)
 		if len(asked.finals) == 1 {
 			w.after(0, then)
--- a/internal/frontend/protocol.go
+++ b/internal/frontend/protocol.go
@@ -19,34 +19,34 @@
 	"beaconvane/internal/routeconfig"
 )
 
-// Claims is what a request says of who asks.
-type Claims struct {
-	Keys   []string      // of tenants; the first one counts
-	Pass   string        // of a running request, on whose behalf an upstream asks
-	Caller string        // the calling service, where callers name theirs
-	Name   string        // the caller's own name of this try, "" for none
-	Wait   time.Duration // how long the caller waits; 0: not told
+// Metadata is what a request says of who asks.
+type Metadata struct {
+	APIKeys         []string      // of tenants; the first one counts
+	DelegationToken string        // of a running request, on whose behalf an upstream asks
+	CallingService  string        // the calling service, where callers name theirs
+	AttemptName     string        // the caller's own name of this try, "" for none
+	Timeout         time.Duration // how long the caller waits; 0: not told
 }
 
 // Protocol is how callers speak.
 type Protocol interface {
-	Claims(request *Request) Claims
-	PathOf(request *Request) (path string, code errcode.Code)
-	ShowsKey(request *Request, keys []string, configurations []*routeconfig.Configuration) bool
-	RemoveClaims(request *Request, keys []string, configurations []*routeconfig.Configuration)
-	Answer(out http.ResponseWriter, final *Final)
+	Metadata(request *Request) Metadata
+	RoutingPath(request *Request) (path string, code errcode.Code)
+	PathExposesKey(request *Request, keys []string, configurations []*routeconfig.Configuration) bool
+	Sanitize(request *Request, keys []string, configurations []*routeconfig.Configuration)
+	WriteResponse(out http.ResponseWriter, final *Response)
 }
 
-// Node is the product's own manner.
-type Node struct{}
+// NativeProtocol is the product's own manner.
+type NativeProtocol struct{}
 
-// Claims takes keys from header, bearer and parameter.
-func (Node) Claims(request *Request) Claims {
-	return Claims{Keys: takeKeys(request), Pass: request.Header.Get(backend.PassHeader), Caller: request.Header.Get(backend.CallerHeader)}
+// Metadata takes keys from header, bearer and parameter.
+func (NativeProtocol) Metadata(request *Request) Metadata {
+	return Metadata{APIKeys: takeKeys(request), DelegationToken: request.Header.Get(backend.DelegationHeader), CallingService: request.Header.Get(backend.CallerHeader)}
 }
 
-// PathOf is the normalised path; one that shows a key has none.
-func (Node) PathOf(request *Request) (string, errcode.Code) {
+// RoutingPath is the normalised path; one that shows a key has none.
+func (NativeProtocol) RoutingPath(request *Request) (string, errcode.Code) {
 	path, err := routeconfig.NormalPath(request.RawPath)
 	if err != nil {
 		return "", errcode.RequestBadPath
@@ -54,26 +54,26 @@
 	return path, errcode.OK
 }
 
-// ShowsKey says that the path itself shows a key, which can't be taken out.
-func (Node) ShowsKey(request *Request, keys []string, configurations []*routeconfig.Configuration) bool {
+// PathExposesKey says that the path itself shows a key, which can't be taken out.
+func (NativeProtocol) PathExposesKey(request *Request, keys []string, configurations []*routeconfig.Configuration) bool {
 	return shows(request.RawPath, keys, configurations)
 }
 
-// RemoveClaims removes what the mesh sets itself and keys wherever they stand.
-func (Node) RemoveClaims(request *Request, keys []string, configurations []*routeconfig.Configuration) {
+// Sanitize removes what the mesh sets itself and keys wherever they stand.
+func (NativeProtocol) Sanitize(request *Request, keys []string, configurations []*routeconfig.Configuration) {
 	scrub(request, keys, configurations)
 }
 
-// Answer puts a refusal with its code in the head and in a JSON body.
-func (Node) Answer(out http.ResponseWriter, final *Final) {
+// WriteResponse puts a refusal with its code in the head and in a JSON body.
+func (NativeProtocol) WriteResponse(out http.ResponseWriter, final *Response) {
 	if final.RetryAfter > 0 {
 		out.Header().Set("Retry-After", strconv.FormatInt(int64((final.RetryAfter+time.Second-1)/time.Second), 10))
 	}
-	Refuse(out, final)
+	WriteRefusal(out, final)
 }
 
-// Refuse writes a refusal's head and body.
-func Refuse(out http.ResponseWriter, final *Final) {
+// WriteRefusal writes a refusal's head and body.
+func WriteRefusal(out http.ResponseWriter, final *Response) {
 	out.Header().Set(CodeHeader, strconv.Itoa(int(final.Code)))
 	out.Header().Set("Content-Type", "application/json")
 	out.WriteHeader(final.Status)
@@ -82,7 +82,7 @@
 
 // takeKeys gives every key that a request shows where keys belong; the first one counts.
 func takeKeys(request *Request) []string {
-	keys := slices.Clone(request.Header.Values(KeyHeader))
+	keys := slices.Clone(request.Header.Values(APIKeyHeader))
 	for _, value := range request.Header.Values("Authorization") {
 		if scheme, key, found := strings.Cut(value, " "); found && strings.EqualFold(scheme, "Bearer") {
 			keys = append(keys, strings.TrimSpace(key))
@@ -125,7 +125,7 @@
 
 func scrub(request *Request, keys []string, configurations []*routeconfig.Configuration) {
 	clean := http.Header{}
-	dropped := backend.HopHeaders(request.Header)
+	dropped := backend.HopByHopHeaders(request.Header)
 	for name, values := range request.Header {
 		if dropped[name] || ownHeaders[strings.ReplaceAll(strings.ToLower(name), "_", "-")] || shows(name, keys, configurations) {
 			continue
--- a/internal/frontend/question.go
+++ b/internal/frontend/question.go
@@ -19,7 +19,7 @@
 
 // question is one asking about some attempts at one serving proxy.
 type question struct {
-	tracker      *Tracker
+	tracker      *Dispatcher
 	servingProxy string
 	left         int // further askings
 	connection   Connection
@@ -30,7 +30,7 @@
 }
 
 // question asks about attempts, given with the births of the lives that they were sent to.
-func (d *Tracker) question(servingProxy string, births map[string]int64, left int) {
+func (d *Dispatcher) question(servingProxy string, births map[string]int64, left int) {
 	q := &question{tracker: d, servingProxy: servingProxy, left: left - 1, births: births, running: map[string]bool{}}
 	ids := slices.Sorted(maps.Keys(births))
 	connection := d.back.Open(servingProxy, q.received, q.broke)
@@ -114,7 +114,7 @@
 }
 
 // anyWaiting: some request still waits for one of these attempts.
-func (d *Tracker) anyWaiting(ids []string) bool {
+func (d *Dispatcher) anyWaiting(ids []string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return slices.ContainsFunc(ids, func(id string) bool { return d.waiting[id] != nil })
--- a/internal/frontend/repeats_test.go
+++ b/internal/frontend/repeats_test.go
@@ -28,12 +28,12 @@
 func callsLet(c *qt.C, share float64, key string) int {
 	f := hostedFrontend(c, upstream("one", "here"))
 	repeats := &fixedRepeats{share: share}
-	f.RepeatsOf(repeats)
+	f.UseRetryMonitor(repeats)
 	random, let := rand.New(rand.NewPCG(1, 2)), 0
 	for range 200 {
 		going := asked("/free/x", key)
 		c.Assert(f.Admit(time.Second, time.Now(), going), qt.IsNil)
-		final := f.Choose(time.Second, going, random)
+		final := f.SelectUpstream(time.Second, going, random)
 		if final == nil {
 			let++
 			f.Release(going)
@@ -63,10 +63,10 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	going := asked("/pay/x", "secret")
 	c.Assert(f.Admit(old, time.Now(), going), qt.IsNil)
-	c.Assert(f.Choose(old, going, random), qt.IsNil)
+	c.Assert(f.SelectUpstream(old, going, random), qt.IsNil)
 	c.Assert(f.Forward(old, going, "me", "1").Repeat, qt.IsFalse)
-	c.Assert(f.Judge(old, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: true}), qt.IsNil)
-	c.Assert(f.Choose(old, going, random), qt.IsNil)
+	c.Assert(f.EvaluateOutcome(old, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: true}), qt.IsNil)
+	c.Assert(f.SelectUpstream(old, going, random), qt.IsNil)
 	repeat := f.Forward(old, going, "me", "2")
 	c.Assert(repeat.Repeat, qt.IsTrue)
 
@@ -102,7 +102,7 @@
 	serving := backend.New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
 	serving.Announce(old, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "one", Zone: "here", Slots: 4})
 	serving.BarRepeats(old + time.Second)
-	start := func(id string, now time.Duration, repeat bool) backend.Order {
+	start := func(id string, now time.Duration, repeat bool) backend.Decision {
 		orders := serving.Forwarded(now, message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Repeat: repeat})
 		c.Assert(orders, qt.HasLen, 1)
 		return orders[0]
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -13,15 +13,15 @@
 
 // Request is one caller's request on its way.
 type Request struct {
-	ID       string
-	Method   string
-	RawPath  string
-	RawQuery string
-	Header   http.Header
-	Host     string
-	Body     []byte
-	Came     time.Duration // when its first byte was here
-	Deadline time.Duration
+	ID        string
+	Method    string
+	RawPath   string
+	RawQuery  string
+	Header    http.Header
+	Host      string
+	Body      []byte
+	ArrivedAt time.Duration // when its first byte was here
+	Deadline  time.Duration
 
 	Path          string
 	Name          string
@@ -48,14 +48,14 @@
 
 // since is when the request's time began: with its first byte, where that is known.
 func (r *Request) since(now time.Duration) time.Duration {
-	if r.Came > 0 {
-		return r.Came
+	if r.ArrivedAt > 0 {
+		return r.ArrivedAt
 	}
 	return now
 }
 
-// Final is the answer to the caller.
-type Final struct {
+// Response is the answer to the caller.
+type Response struct {
 	Code       errcode.Code
 	Status     int
 	Headers    []message.HeaderLine
@@ -63,9 +63,9 @@
 	RetryAfter time.Duration
 }
 
-// Refusal makes a final answer of a code; busy ones say when to come back.
-func Refusal(code errcode.Code) *Final {
-	final := &Final{Code: code, Status: code.Status()}
+// NewRefusal makes a final answer of a code; busy ones say when to come back.
+func NewRefusal(code errcode.Code) *Response {
+	final := &Response{Code: code, Status: code.Status()}
 	if final.Status == http.StatusServiceUnavailable || final.Status == http.StatusRequestTimeout {
 		final.RetryAfter = time.Second
 	}
@@ -74,7 +74,7 @@
 
 // soon says when a busy answer's cause will most likely be over: updates is some askings
 // away, a slot is free after a part of a request's time.
-func (f *Frontend) soon(final *Final) *Final {
+func (f *Frontend) soon(final *Response) *Response {
 	switch {
 	case final.RetryAfter == 0 || !f.settings.ByTarget() || final.Code == errcode.RequestRouteClosed:
 	case final.Code == errcode.BusyNotReady || final.Code == errcode.BusyStale:
--- a/internal/frontend/retry.go
+++ b/internal/frontend/retry.go
@@ -76,7 +76,7 @@
 
 // afterAttempt gives the final answer after an attempt that brought none, or nil for
 // another attempt.
-func (f *Frontend) afterAttempt(now time.Duration, request *Request, ending Ending, code errcode.Code) *Final {
+func (f *Frontend) afterAttempt(now time.Duration, request *Request, ending Ending, code errcode.Code) *Response {
 	unsure := code
 	if code == errcode.OK || ending != Unsure || code.Status() == http.StatusServiceUnavailable {
 		// Nothing that promises "not run" is said of a request that may have run.
@@ -84,7 +84,7 @@
 	}
 	switch {
 	case ending == Unsure && (request.Route.Once && safeguard.OnceOnly.On() || now >= request.Deadline):
-		return Refusal(unsure)
+		return NewRefusal(unsure)
 	case ending != Unsure && (now >= request.Deadline || code == errcode.BusyDeadline):
 		return f.giveUp(request, errcode.BusyDeadline)
 	case ending != Unsure && code.Status() != http.StatusServiceUnavailable:
@@ -102,9 +102,9 @@
 
 // giveUp ends a request that gets no further attempt: with a promise that it has not run
 // only while that is so.
-func (f *Frontend) giveUp(request *Request, code errcode.Code) *Final {
+func (f *Frontend) giveUp(request *Request, code errcode.Code) *Response {
 	if !request.promised() {
-		return Refusal(errcode.UnknownOutcome)
+		return NewRefusal(errcode.UnknownOutcome)
 	}
-	return Refusal(code)
+	return NewRefusal(code)
 }
--- a/internal/frontend/stages.go
+++ b/internal/frontend/stages.go
@@ -30,33 +30,33 @@
 // CodeHeader bears the result code of answers that are the mesh's own.
 const CodeHeader = "X-Beacon-Code"
 
-// Stages is the running traffic side of a proxy.
-type Stages struct {
-	*Tracker
+// Pipeline is the running traffic side of a proxy.
+type Pipeline struct {
+	*Dispatcher
 	settings   settings.Settings
 	serving    *backend.Backend
-	caller     *backend.Caller
+	caller     *backend.UpstreamClient
 	goroutines *goroutine.Group
 	tell       func(notice any)
 	transport  *transport.Transport
 
-	admit  chan *Trip
-	choose chan *Trip
-	judge  chan *Judged
-	starts chan *backend.Order
+	admit  chan *PendingRequest
+	choose chan *PendingRequest
+	judge  chan *AttemptOutcome
+	starts chan *backend.Decision
 	inside atomic.Int64
 	bodies bodyRoom
 	random *mathrand.Rand
 }
 
-// NewStages joins frontend and backend to connections.
-func NewStages(cfg settings.Settings, front *Frontend, serving *backend.Backend, caller *backend.Caller, members *goroutine.Group, self message.Member, tell func(notice any)) *Stages {
+// NewPipeline joins frontend and backend to connections.
+func NewPipeline(cfg settings.Settings, front *Frontend, serving *backend.Backend, caller *backend.UpstreamClient, members *goroutine.Group, self message.Member, tell func(notice any)) *Pipeline {
 	capacity := int(cfg.Limits.Queue)
-	t := &Stages{settings: cfg, serving: serving, caller: caller, goroutines: members, tell: tell,
-		admit: make(chan *Trip, capacity), choose: make(chan *Trip, capacity), judge: make(chan *Judged, capacity*2+16),
-		starts: make(chan *backend.Order, capacity*4), random: mathrand.New(lockedSource{&sync.Mutex{}, mathrand.NewPCG(mathrand.Uint64(), mathrand.Uint64())})}
+	t := &Pipeline{settings: cfg, serving: serving, caller: caller, goroutines: members, tell: tell,
+		admit: make(chan *PendingRequest, capacity), choose: make(chan *PendingRequest, capacity), judge: make(chan *AttemptOutcome, capacity*2+16),
+		starts: make(chan *backend.Decision, capacity*4), random: mathrand.New(lockedSource{&sync.Mutex{}, mathrand.NewPCG(mathrand.Uint64(), mathrand.Uint64())})}
 	t.bodies.left = cfg.BodyRoom()
-	t.Tracker = NewTracker(cfg, front, serving, t, self)
+	t.Dispatcher = NewDispatcher(cfg, front, serving, t, self)
 	return t
 }
 
@@ -74,16 +74,16 @@
 }
 
 // Start begins the workers.
-func (t *Stages) Start(network *transport.Transport) {
+func (t *Pipeline) Start(network *transport.Transport) {
 	t.transport = network
 	for range 4 {
 		t.goroutines.Go("stage.admit", func(ctx context.Context) { work(ctx, t.admit, t.Admit) })
-		t.goroutines.Go("stage.choose", func(ctx context.Context) { work(ctx, t.choose, t.Choose) })
-		t.goroutines.Go("stage.judge", func(ctx context.Context) { work(ctx, t.judge, func(item *Judged) { t.Judge(*item) }) })
+		t.goroutines.Go("stage.choose", func(ctx context.Context) { work(ctx, t.choose, t.SelectUpstream) })
+		t.goroutines.Go("stage.judge", func(ctx context.Context) { work(ctx, t.judge, func(item *AttemptOutcome) { t.HandleOutcome(*item) }) })
 	}
 	t.goroutines.Go("stage.serving", func(ctx context.Context) {
-		work(ctx, t.starts, func(order *backend.Order) {
-			t.goroutines.Go("stage.call", func(context.Context) { t.Conclude(*order, t.caller.Call(*order)) })
+		work(ctx, t.starts, func(order *backend.Decision) {
+			t.goroutines.Go("stage.call", func(context.Context) { t.Complete(*order, t.caller.Call(*order)) })
 		})
 	})
 	t.goroutines.Go("stage.expire", t.runExpire)
@@ -100,7 +100,7 @@
 	}
 }
 
-func (t *Stages) runExpire(ctx context.Context) {
+func (t *Pipeline) runExpire(ctx context.Context) {
 	ticker := time.NewTicker(t.settings.UpdatesEvery() / 4)
 	defer ticker.Stop()
 	for {
@@ -115,35 +115,35 @@
 }
 
 // Now returns the process clock.
-func (t *Stages) Now() time.Duration { return t.goroutines.Now() }
+func (t *Pipeline) Now() time.Duration { return t.goroutines.Now() }
 
 // Wall returns the time of day.
-func (t *Stages) Wall() time.Time { return time.Unix(0, int64(t.goroutines.Wall())) }
+func (t *Pipeline) Wall() time.Time { return time.Unix(0, int64(t.goroutines.Wall())) }
 
 // Random returns the random source of the traffic side.
-func (t *Stages) Random() *mathrand.Rand { return t.random }
+func (t *Pipeline) Random() *mathrand.Rand { return t.random }
 
-// Tell hands a notice to the control machine.
-func (t *Stages) Tell(notice any) { t.tell(notice) }
+// Notify hands a notice to the control machine.
+func (t *Pipeline) Notify(notice any) { t.tell(notice) }
 
 // Cancel breaks off the exchange of an attempt with its upstream.
-func (t *Stages) Cancel(id string) { t.caller.Cancel(id) }
+func (t *Pipeline) Cancel(id string) { t.caller.Cancel(id) }
 
 // Backlog is how long a frame that was posted now would wait for the machine's link.
-func (t *Stages) Backlog() time.Duration { return t.transport.Backlog() }
+func (t *Pipeline) Backlog() time.Duration { return t.transport.Backlog() }
 
-// Queue puts an item before a stage; false when its queue is full.
-func (t *Stages) Queue(env Env, item any) bool {
+// Enqueue puts an item before a stage; false when its queue is full.
+func (t *Pipeline) Enqueue(env Stage, item any) bool {
 	switch env {
 	case StageAdmit:
-		return offer(t.admit, item.(*Trip))
-	case StageChoose:
-		return offer(t.choose, item.(*Trip))
-	case StageJudge:
-		judged := item.(Judged)
+		return offer(t.admit, item.(*PendingRequest))
+	case StageSelect:
+		return offer(t.choose, item.(*PendingRequest))
+	case StageOutcome:
+		judged := item.(AttemptOutcome)
 		return offer(t.judge, &judged)
 	}
-	order := item.(backend.Order)
+	order := item.(backend.Decision)
 	return offer(t.starts, &order)
 }
 
@@ -157,7 +157,7 @@
 }
 
 // Open makes a traffic connection; closed is called once when it breaks.
-func (t *Stages) Open(servingProxy string, received func(msg any), closed func(connection Connection)) Connection {
+func (t *Pipeline) Open(servingProxy string, received func(msg any), closed func(connection Connection)) Connection {
 	connection := t.transport.Open(servingProxy, received)
 	t.goroutines.Go("stage.watch", func(ctx context.Context) {
 		select {
@@ -170,7 +170,7 @@
 }
 
 // After calls back once the time has passed.
-func (t *Stages) After(wait time.Duration, then func()) {
+func (t *Pipeline) After(wait time.Duration, then func()) {
 	t.goroutines.Go("stage.after", func(ctx context.Context) {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
@@ -183,8 +183,8 @@
 }
 
 // Announce takes an announcement and renews the upstream's guard.
-func (t *Stages) Announce(response backend.Announcement) bool {
-	if !t.Tracker.Announce(response) {
+func (t *Pipeline) Announce(response backend.Announcement) bool {
+	if !t.Dispatcher.Announce(response) {
 		return false
 	}
 	if t.settings.ByTarget() {
@@ -194,13 +194,13 @@
 	return true
 }
 
-// Traffic takes frames from other proxies.
-func (t *Stages) Traffic(_ string, msg any, back func(msg any) error) bool {
-	return t.Inbound(msg, back)
+// HandlePeerFrame takes frames from other proxies.
+func (t *Pipeline) HandlePeerFrame(_ string, msg any, back func(msg any) error) bool {
+	return t.HandleFrame(msg, back)
 }
 
 // ServeHTTP is the read stage and the answer stage of one caller's request.
-func (t *Stages) ServeHTTP(out http.ResponseWriter, in *http.Request) {
+func (t *Pipeline) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	if t.inside.Inc() > t.settings.Limits.Queue {
 		t.inside.Dec()
 		t.refuse(out, errcode.BusyQueueFull)
@@ -209,7 +209,7 @@
 	defer t.inside.Dec()
 	came := t.arrival(in)
 	request := &Request{ID: newID(), Method: in.Method, RawPath: rawPath(in), RawQuery: in.URL.RawQuery, Header: in.Header,
-		Host: in.Host, Came: came, Deadline: came + t.settings.RequestLimit()}
+		Host: in.Host, ArrivedAt: came, Deadline: came + t.settings.RequestLimit()}
 	if in.URL.Opaque != "" || in.Method == http.MethodConnect {
 		t.refuse(out, errcode.RequestBadPath)
 		return
@@ -224,10 +224,10 @@
 		t.refuse(out, code)
 		return
 	}
-	answered, gated := make(chan *Final, 1), make(chan time.Duration, 1)
+	answered, gated := make(chan *Response, 1), make(chan time.Duration, 1)
 	timer := time.NewTimer(t.frontend.Patience(request))
 	defer timer.Stop()
-	trip := t.Arrive(request, func(deadline time.Duration) { gated <- deadline }, func(final *Final) { answered <- final })
+	trip := t.Submit(request, func(deadline time.Duration) { gated <- deadline }, func(final *Response) { answered <- final })
 	for {
 		select {
 		case final := <-answered:
@@ -247,13 +247,13 @@
 }
 
 // readBody reads the body within its bounds of size and time.
-func (t *Stages) readBody(out http.ResponseWriter, in *http.Request, request *Request) (claimed int64, code errcode.Code) {
+func (t *Pipeline) readBody(out http.ResponseWriter, in *http.Request, request *Request) (claimed int64, code errcode.Code) {
 	if in.ContentLength == 0 {
 		return 0, errcode.OK
 	}
 	// Whoever is slower than its own deadline has nothing to wait for.
 	reading := http.NewResponseController(out)
-	limit := min(request.Came+t.frontend.Patience(request)-t.goroutines.Now(), slowestBody)
+	limit := min(request.ArrivedAt+t.frontend.Patience(request)-t.goroutines.Now(), slowestBody)
 	_ = reading.SetReadDeadline(time.Now().Add(limit))
 	request.Body, claimed, code = t.bodies.readBody(in, t.frontend.limits.bodyBytes(t.settings))
 	if code == errcode.OK {
@@ -265,32 +265,32 @@
 // Arrival tells when the first byte of a connection's present request came; the faces put
 // it into the contexts of requests.
 type Arrival interface {
-	Came() time.Time
+	ArrivedAt() time.Time
 }
 
 // ArrivalKey is the key of the Arrival in a request's context.
 type ArrivalKey struct{}
 
 // arrival is when a request's first byte came: one that was pipelined has waited since.
-func (t *Stages) arrival(in *http.Request) time.Duration {
+func (t *Pipeline) arrival(in *http.Request) time.Duration {
 	now := t.goroutines.Now()
 	arrival, told := in.Context().Value(ArrivalKey{}).(Arrival)
 	if !told {
 		return now
 	}
-	return max(now-max(0, time.Since(arrival.Came())), 1)
+	return max(now-max(0, time.Since(arrival.ArrivedAt())), 1)
 }
 
-func (t *Stages) refuse(out http.ResponseWriter, code errcode.Code) {
-	final := Refusal(code)
+func (t *Pipeline) refuse(out http.ResponseWriter, code errcode.Code) {
+	final := NewRefusal(code)
 	t.frontend.Count(0, &Request{}, final)
 	t.write(out, final)
 }
 
 // write puts a final answer on HTTP, the mesh's own in the callers' manner.
-func (t *Stages) write(out http.ResponseWriter, final *Final) {
+func (t *Pipeline) write(out http.ResponseWriter, final *Response) {
 	if final.Code != errcode.OK {
-		t.frontend.protocol.Answer(out, final)
+		t.frontend.protocol.WriteResponse(out, final)
 		return
 	}
 	for _, line := range final.Headers {
@@ -320,8 +320,8 @@
 	return hex.EncodeToString(bytes[:])
 }
 
-// Inside counts requests of both roles that are not finished.
-func (t *Stages) Inside() int64 {
+// InFlight counts requests of both roles that are not finished.
+func (t *Pipeline) InFlight() int64 {
 	running, queue := t.serving.Running()
 	return t.inside.Load() + int64(running+queue)
 }
--- a/internal/frontend/target_test.go
+++ b/internal/frontend/target_test.go
@@ -27,14 +27,14 @@
 	cfg.Zone, cfg.Proof, cfg.Service = "here", settings.ProofTarget, "clinic"
 	faults, _ := routeconfig.Check([]byte(hosted), cfg.ConfigurationLimits())
 	c.Assert(faults, qt.HasLen, 0)
-	f := New(cfg, func(string) (backend.Pass, bool) { return backend.Pass{}, false })
-	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
+	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
+	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
 		Proxies: 1, Upstreams: map[string][]message.Registration{"pay": upstreams}})
 	return f
 }
 
 func asked(path, key string) *Request {
-	made := request("POST", path, KeyHeader, key)
+	made := request("POST", path, APIKeyHeader, key)
 	if key == "" {
 		made = request("POST", path)
 	}
@@ -50,22 +50,22 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	going := asked("/pay/x", "secret")
 	c.Assert(f.Admit(old, time.Now(), going), qt.IsNil)
-	c.Assert(f.Choose(old, going, random), qt.IsNil)
+	c.Assert(f.SelectUpstream(old, going, random), qt.IsNil)
 	first := going.Target.Instance
 	misdirected := message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyUpstreamGone), Sent: true}
-	c.Assert(f.Judge(old, going, misdirected), qt.IsNil)
-	c.Assert(f.Choose(old, going, random), qt.IsNil)
+	c.Assert(f.EvaluateOutcome(old, going, misdirected), qt.IsNil)
+	c.Assert(f.SelectUpstream(old, going, random), qt.IsNil)
 	c.Assert(going.Target.Instance, qt.Not(qt.Equals), first)
 	// The configuration allows two upstreams: then it is refused, and may be asked again.
-	final := f.Judge(old, going, misdirected)
+	final := f.EvaluateOutcome(old, going, misdirected)
 	c.Assert(code(final), qt.Equals, errcode.BusyUpstreamGone)
 	c.Assert(final.Status, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(final.RetryAfter > 0, qt.IsTrue)
 	// Neither is chosen again for a moment; then both are.
 	later := asked("/pay/x", "secret")
 	c.Assert(f.Admit(old, time.Now(), later), qt.IsNil)
-	c.Assert(code(f.Choose(old, later, random)), qt.Equals, errcode.BusySlotsFull)
-	c.Assert(f.Choose(old+f.settings.HeartbeatEvery()*2, later, random), qt.IsNil)
+	c.Assert(code(f.SelectUpstream(old, later, random)), qt.Equals, errcode.BusySlotsFull)
+	c.Assert(f.SelectUpstream(old+f.settings.HeartbeatEvery()*2, later, random), qt.IsNil)
 }
 
 // Homes that turn a request away which no upstream has seen cost no retries, up to a
@@ -84,9 +84,9 @@
 		c.Assert(f.Admit(now, time.Now(), going), qt.IsNil)
 		tries := 0
 		for {
-			c.Assert(f.Choose(now, going, random), qt.IsNil)
+			c.Assert(f.SelectUpstream(now, going, random), qt.IsNil)
 			tries++
-			if final := f.Judge(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: sent}); final != nil {
+			if final := f.EvaluateOutcome(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: sent}); final != nil {
 				c.Assert(final.Code, qt.Equals, errcode.BusyBudget)
 				break
 			}
--- a/internal/frontend/tracker.go
+++ b/internal/frontend/tracker.go
@@ -23,14 +23,14 @@
 	"beaconvane/internal/settings"
 )
 
-// Env names a queue between two steps.
-type Env int
+// Stage names a queue between two steps.
+type Stage int
 
 // The stages behind the read stage; StageStart is the serving proxy's.
 const (
-	StageAdmit Env = iota
-	StageChoose
-	StageJudge
+	StageAdmit Stage = iota
+	StageSelect
+	StageOutcome
 	StageStart
 )
 
@@ -47,10 +47,10 @@
 	Now() time.Duration
 	Wall() time.Time
 	Random() *rand.Rand
-	Queue(env Env, item any) bool
+	Enqueue(env Stage, item any) bool
 	Open(servingProxy string, received func(msg any), closed func(connection Connection)) Connection
 	After(wait time.Duration, then func())
-	Tell(notice any)
+	Notify(notice any)
 
 	// Cancel breaks off the exchange of an attempt that this serving proxy has started; its
 	// outcome is concluded as any other.
@@ -60,8 +60,8 @@
 	Backlog() time.Duration
 }
 
-// Trip is a request on its way through this proxy.
-type Trip struct {
+// PendingRequest is a request on its way through this proxy.
+type PendingRequest struct {
 	Request    *Request
 	lock       sync.Mutex
 	forwarded  string     // id of the attempt that is out
@@ -69,12 +69,12 @@
 	judging    bool       // a outcome is in; the answer or the next attempt is on its way
 	over       bool
 	gated      func(deadline time.Duration)
-	done       func(final *Final)
+	done       func(final *Response)
 	came       time.Duration
 }
 
 // claim takes the outcome of an attempt, once.
-func (t *Trip) claim(id string) bool {
+func (t *PendingRequest) claim(id string) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	if t.over || t.forwarded != id {
@@ -85,20 +85,20 @@
 }
 
 // on says that the attempt which is out went on a certain connection.
-func (t *Trip) on(connection Connection) bool {
+func (t *PendingRequest) on(connection Connection) bool {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.connection == connection
 }
 
-// Judged is a outcome on its way to the judge stage.
-type Judged struct {
-	Trip    *Trip
+// AttemptOutcome is a outcome on its way to the judge stage.
+type AttemptOutcome struct {
+	Trip    *PendingRequest
 	Outcome message.Outcome
 }
 
-// Tracker joins frontend and backend of one proxy.
-type Tracker struct {
+// Dispatcher joins frontend and backend of one proxy.
+type Dispatcher struct {
 	settings settings.Settings
 	frontend *Frontend
 	serving  *backend.Backend
@@ -112,19 +112,19 @@
 
 	lock        sync.Mutex
 	connections map[string]Connection
-	waiting     map[string]*Trip
+	waiting     map[string]*PendingRequest
 	replies     map[string]func(msg any) error
 }
 
-// NewTracker makes the desk of a proxy.
-func NewTracker(cfg settings.Settings, front *Frontend, serving *backend.Backend, back Environment, self message.Member) *Tracker {
-	return &Tracker{settings: cfg, frontend: front, serving: serving, back: back, address: self.Address, node: self.Name, life: self.Birth, born: back.Now(),
-		connections: map[string]Connection{}, waiting: map[string]*Trip{}, replies: map[string]func(msg any) error{}}
+// NewDispatcher makes the desk of a proxy.
+func NewDispatcher(cfg settings.Settings, front *Frontend, serving *backend.Backend, back Environment, self message.Member) *Dispatcher {
+	return &Dispatcher{settings: cfg, frontend: front, serving: serving, back: back, address: self.Address, node: self.Name, life: self.Birth, born: back.Now(),
+		connections: map[string]Connection{}, waiting: map[string]*PendingRequest{}, replies: map[string]func(msg any) error{}}
 }
 
-// Show takes a new snapshot of the control state to both sides.
-func (d *Tracker) Show(snapshot *proxy.Snapshot) {
-	d.frontend.Show(d.back.Now(), snapshot)
+// UpdateSnapshot takes a new snapshot of the control state to both sides.
+func (d *Dispatcher) UpdateSnapshot(snapshot *proxy.Snapshot) {
+	d.frontend.UpdateSnapshot(d.back.Now(), snapshot)
 	d.ForwardOut(d.serving.Roster(snapshot.Upstreams))
 	if d.settings.ByTarget() && d.back.Now()-d.born < d.settings.HeartbeatBound() && !d.receivedOf.Load() {
 		d.adopt(snapshot)
@@ -134,7 +134,7 @@
 // adopt takes over, until any upstream has announced itself here, what the roster
 // says of those beside an earlier life of this serving proxy: a request names its upstream, so one
 // that is no longer there refuses what is sent.
-func (d *Tracker) adopt(snapshot *proxy.Snapshot) {
+func (d *Dispatcher) adopt(snapshot *proxy.Snapshot) {
 	for _, list := range snapshot.Upstreams {
 		for _, registration := range list {
 			if registration.ServingProxy == d.node && registration.ServingProxyBirth < d.life && !d.serving.Holds(registration.Instance) {
@@ -145,23 +145,23 @@
 	}
 }
 
-// Arrive begins a request's trip; gated is told once until when it may take, done is
+// Submit begins a request's trip; gated is told once until when it may take, done is
 // called once with the final answer.
-func (d *Tracker) Arrive(request *Request, gated func(deadline time.Duration), done func(final *Final)) *Trip {
-	trip := &Trip{Request: request, gated: gated, done: done, came: d.back.Now()}
-	if !d.back.Queue(StageAdmit, trip) {
-		d.finish(trip, Refusal(errcode.BusyQueueFull))
+func (d *Dispatcher) Submit(request *Request, gated func(deadline time.Duration), done func(final *Response)) *PendingRequest {
+	trip := &PendingRequest{Request: request, gated: gated, done: done, came: d.back.Now()}
+	if !d.back.Enqueue(StageAdmit, trip) {
+		d.finish(trip, NewRefusal(errcode.BusyQueueFull))
 	}
 	return trip
 }
 
 // Admit is the gate stage.
-func (d *Tracker) Admit(trip *Trip) {
+func (d *Dispatcher) Admit(trip *PendingRequest) {
 	if now := d.back.Now(); now-d.born < d.settings.Reparent() && now-trip.came < d.frontend.Moment(trip.Request) && !d.frontend.Here() {
 		// This proxy has only just begun, and its updates is a moment away.
 		d.back.After(d.settings.TickEvery(), func() {
-			if !d.back.Queue(StageAdmit, trip) {
-				d.finish(trip, Refusal(errcode.BusyQueueFull))
+			if !d.back.Enqueue(StageAdmit, trip) {
+				d.finish(trip, NewRefusal(errcode.BusyQueueFull))
 			}
 		})
 		return
@@ -174,15 +174,15 @@
 	d.next(trip)
 }
 
-func (d *Tracker) next(trip *Trip) {
-	if !d.back.Queue(StageChoose, trip) {
+func (d *Dispatcher) next(trip *PendingRequest) {
+	if !d.back.Enqueue(StageSelect, trip) {
 		d.finish(trip, d.frontend.Abandon(trip.Request, false, errcode.BusyQueueFull))
 	}
 }
 
-// Choose is the choose stage; it carries.
-func (d *Tracker) Choose(trip *Trip) {
-	if final := d.frontend.Choose(d.back.Now(), trip.Request, d.back.Random()); final != nil {
+// SelectUpstream is the choose stage; it carries.
+func (d *Dispatcher) SelectUpstream(trip *PendingRequest) {
+	if final := d.frontend.SelectUpstream(d.back.Now(), trip.Request, d.back.Random()); final != nil {
 		d.finish(trip, final)
 		return
 	}
@@ -191,7 +191,7 @@
 
 // carry sends the request to the chosen serving proxy. Where the frame provably never left, it
 // was not started; otherwise only the serving proxy may say so.
-func (d *Tracker) forward(trip *Trip) {
+func (d *Dispatcher) forward(trip *PendingRequest) {
 	request := trip.Request
 	if request.Target.ServingProxyAddress != d.address && d.linkIsBusy(request) {
 		d.frontend.Release(request)
@@ -221,7 +221,7 @@
 // linkIsBusy says that a request would wait too long for this machine's link, so that it
 // is better refused at once. A running request's calls may wait longer, since refusing
 // one wastes that request's work.
-func (d *Tracker) linkIsBusy(request *Request) bool {
+func (d *Dispatcher) linkIsBusy(request *Request) bool {
 	limit := d.settings.LinkWait()
 	if request.nested() {
 		limit *= nestedLinkWaits
@@ -233,12 +233,12 @@
 const nestedLinkWaits = 2
 
 // local passes a frame to this proxy's own backend.
-func (d *Tracker) local(msg any) {
-	d.Inbound(msg, func(reply any) error { d.received(reply); return nil })
+func (d *Dispatcher) local(msg any) {
+	d.HandleFrame(msg, func(reply any) error { d.received(reply); return nil })
 }
 
 // connectionTo gives the connection to a serving proxy, opened anew where it broke; nil for this proxy.
-func (d *Tracker) connectionTo(servingProxy string) Connection {
+func (d *Dispatcher) connectionTo(servingProxy string) Connection {
 	if servingProxy == d.address {
 		return nil
 	}
@@ -252,8 +252,8 @@
 	return connection
 }
 
-// OutOn counts the attempts that are out on a connection.
-func (d *Tracker) OutOn(connection Connection) int {
+// AttemptsOn counts the attempts that are out on a connection.
+func (d *Dispatcher) AttemptsOn(connection Connection) int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	count := 0
@@ -267,9 +267,9 @@
 
 // lost settles what was out on a connection that broke: on that one alone, since another
 // connection to the same serving proxy says nothing of what this one carried.
-func (d *Tracker) lost(servingProxy string, connection Connection) {
+func (d *Dispatcher) lost(servingProxy string, connection Connection) {
 	d.lock.Lock()
-	out := map[string]*Trip{}
+	out := map[string]*PendingRequest{}
 	ids := []string{}
 	for id, trip := range d.waiting {
 		if trip.on(connection) {
@@ -299,32 +299,32 @@
 }
 
 // received takes what a serving proxy says.
-func (d *Tracker) received(msg any) {
+func (d *Dispatcher) received(msg any) {
 	if outcome, isOutcome := msg.(message.Outcome); isOutcome && outcome.Kind != message.StillRunning {
 		d.outcome(outcome)
 	}
 }
 
-func (d *Tracker) outcome(outcome message.Outcome) {
+func (d *Dispatcher) outcome(outcome message.Outcome) {
 	d.lock.Lock()
 	trip, known := d.waiting[outcome.ID]
 	delete(d.waiting, outcome.ID)
 	d.lock.Unlock()
 	if known && trip.claim(outcome.ID) {
-		d.back.Queue(StageJudge, Judged{trip, outcome})
+		d.back.Enqueue(StageOutcome, AttemptOutcome{trip, outcome})
 	}
 }
 
-// Judge is the judge stage.
-func (d *Tracker) Judge(item Judged) {
-	if final := d.frontend.Judge(d.back.Now(), item.Trip.Request, item.Outcome); final != nil {
+// HandleOutcome is the judge stage.
+func (d *Dispatcher) HandleOutcome(item AttemptOutcome) {
+	if final := d.frontend.EvaluateOutcome(d.back.Now(), item.Trip.Request, item.Outcome); final != nil {
 		d.finish(item.Trip, final)
 		return
 	}
 	d.next(item.Trip)
 }
 
-func (d *Tracker) finish(trip *Trip, final *Final) {
+func (d *Dispatcher) finish(trip *PendingRequest, final *Response) {
 	trip.lock.Lock()
 	if trip.over {
 		trip.lock.Unlock()
@@ -339,7 +339,7 @@
 
 // Abandon ends a trip from the waiting side: its time is up, or the caller hung up.
 // False when an answer was already on its way.
-func (d *Tracker) Abandon(trip *Trip) bool {
+func (d *Dispatcher) Abandon(trip *PendingRequest) bool {
 	trip.lock.Lock()
 	if trip.over || trip.judging {
 		trip.lock.Unlock()
@@ -366,8 +366,8 @@
 	return true
 }
 
-// Inbound takes traffic frames from other proxies (and from this one).
-func (d *Tracker) Inbound(msg any, back func(msg any) error) bool {
+// HandleFrame takes traffic frames from other proxies (and from this one).
+func (d *Dispatcher) HandleFrame(msg any, back func(msg any) error) bool {
 	switch received := msg.(type) {
 	case message.Forward:
 		d.lock.Lock()
@@ -404,23 +404,23 @@
 }
 
 // ForwardOut queues orders for the serving proxy stage; a full queue refuses at once.
-func (d *Tracker) ForwardOut(orders []backend.Order) {
+func (d *Dispatcher) ForwardOut(orders []backend.Decision) {
 	for _, order := range orders {
 		if !order.Start {
-			d.Conclude(order, message.Outcome{Kind: message.NotStarted, Code: int64(order.Code)})
+			d.Complete(order, message.Outcome{Kind: message.NotStarted, Code: int64(order.Code)})
 			continue
 		}
 		if d.settings.CountsBegun() {
 			order.Window = d.frontend.Began(time.Duration(d.back.Wall().UnixNano()), order.Forward.Tenant)
 		}
-		if !d.back.Queue(StageStart, order) {
-			d.Conclude(order, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyQueueFull)})
+		if !d.back.Enqueue(StageStart, order) {
+			d.Complete(order, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyQueueFull)})
 		}
 	}
 }
 
-// Conclude sends a outcome back and starts what may start next.
-func (d *Tracker) Conclude(order backend.Order, outcome message.Outcome) {
+// Complete sends a outcome back and starts what may start next.
+func (d *Dispatcher) Complete(order backend.Decision, outcome message.Outcome) {
 	if order.Start && outcome.Kind == message.NotStarted && d.settings.CountsBegun() {
 		d.frontend.Unbegun(order.Window, order.Forward.Tenant)
 	}
@@ -447,47 +447,47 @@
 }
 
 // Expire is the steady sweep of the serving proxy.
-func (d *Tracker) Expire() { d.ForwardOut(d.serving.Expire(d.back.Now())) }
+func (d *Dispatcher) Expire() { d.ForwardOut(d.serving.Expire(d.back.Now())) }
 
-// Leave is the serving proxy's part of a polite stop.
-func (d *Tracker) Leave() { d.ForwardOut(d.serving.Leave()) }
+// Drain is the serving proxy's part of a polite stop.
+func (d *Dispatcher) Drain() { d.ForwardOut(d.serving.Drain()) }
 
 // Announce takes a checked announcement; false when a higher incarnation is known.
-func (d *Tracker) Announce(response backend.Announcement) bool {
+func (d *Dispatcher) Announce(response backend.Announcement) bool {
 	d.receivedOf.Store(true)
 	return d.take(response)
 }
 
-func (d *Tracker) take(response backend.Announcement) bool {
+func (d *Dispatcher) take(response backend.Announcement) bool {
 	accepted, endings, orders := d.serving.Announce(d.back.Now(), response)
 	if !accepted {
 		return false
 	}
 	for _, ending := range endings {
-		d.back.Tell(proxy.SignedOff{Service: ending.Service, Instance: ending.Instance, Incarnation: ending.Incarnation})
+		d.back.Notify(proxy.SignedOff{Service: ending.Service, Instance: ending.Instance, Incarnation: ending.Incarnation})
 	}
 	// What the serving proxy holds now, which a late announcement has not altered.
 	if held, known := d.serving.Held(response.Service, response.Instance); known {
-		d.back.Tell(proxy.Announced{Registration: held.Registration()})
+		d.back.Notify(proxy.Announced{Registration: held.Registration()})
 	}
 	d.ForwardOut(orders)
 	return true
 }
 
-// Dismiss takes an instance's last word, whatever it had registered; its name never
+// RetireInstance takes an instance's last word, whatever it had registered; its name never
 // comes back.
-func (d *Tracker) Dismiss(instance string) {
-	ending, found, orders := d.serving.Dismiss(d.back.Now(), instance)
+func (d *Dispatcher) RetireInstance(instance string) {
+	ending, found, orders := d.serving.RetireInstance(d.back.Now(), instance)
 	if found {
-		d.back.Tell(proxy.SignedOff{Service: ending.Service, Instance: instance, Incarnation: ending.Incarnation})
+		d.back.Notify(proxy.SignedOff{Service: ending.Service, Instance: instance, Incarnation: ending.Incarnation})
 	}
 	d.ForwardOut(orders)
 }
 
-// SignOff takes an upstream's last word; false when it is not registered here.
-func (d *Tracker) SignOff(service, instance string, incarnation int64) bool {
-	found, orders := d.serving.SignOff(service, instance, incarnation)
-	d.back.Tell(proxy.SignedOff{Service: service, Instance: instance, Incarnation: incarnation})
+// Deregister takes an upstream's last word; false when it is not registered here.
+func (d *Dispatcher) Deregister(service, instance string, incarnation int64) bool {
+	found, orders := d.serving.Deregister(service, instance, incarnation)
+	d.back.Notify(proxy.SignedOff{Service: service, Instance: instance, Incarnation: incarnation})
 	d.ForwardOut(orders)
 	return found
 }
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/tracker_test.go
@@ -31,9 +31,9 @@
 func (w *fakeConnection) Close()         { w.broken = true }
 
 type fakeEnvironment struct {
-	tracker     *Tracker
+	tracker     *Dispatcher
 	connections []*fakeConnection
-	judged      []Judged
+	judged      []AttemptOutcome
 	random      *rand.Rand
 	backlog     time.Duration
 	cancelled   []string
@@ -46,16 +46,16 @@
 
 func (b *fakeEnvironment) Cancel(id string)            { b.cancelled = append(b.cancelled, id) }
 func (b *fakeEnvironment) After(time.Duration, func()) {}
-func (b *fakeEnvironment) Tell(any)                    {}
+func (b *fakeEnvironment) Notify(any)                  {}
 
-func (b *fakeEnvironment) Queue(env Env, item any) bool {
+func (b *fakeEnvironment) Enqueue(env Stage, item any) bool {
 	switch env {
 	case StageAdmit:
-		b.tracker.Admit(item.(*Trip))
-	case StageChoose:
-		b.tracker.Choose(item.(*Trip))
-	case StageJudge:
-		b.judged = append(b.judged, item.(Judged))
+		b.tracker.Admit(item.(*PendingRequest))
+	case StageSelect:
+		b.tracker.SelectUpstream(item.(*PendingRequest))
+	case StageOutcome:
+		b.judged = append(b.judged, item.(AttemptOutcome))
 	}
 	return true
 }
@@ -71,15 +71,15 @@
 	c := qt.New(t)
 	cfg := settings.Default()
 	cfg.Zone = "here"
-	f := New(cfg, func(string) (backend.Pass, bool) { return backend.Pass{}, false })
-	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Proxies: 2,
+	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
+	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Proxies: 2,
 		Upstreams: map[string][]message.Registration{"pay": {upstream("one", "here")}}})
 	back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
-	back.tracker = NewTracker(cfg, f, backend.New(cfg, nil), back, message.Member{Name: "me", Address: "here:1"})
+	back.tracker = NewDispatcher(cfg, f, backend.New(cfg, nil), back, message.Member{Name: "me", Address: "here:1"})
 	request := func(id string) {
-		asked := request("POST", "/pay", KeyHeader, "secret", backend.CallerHeader, "shop")
+		asked := request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")
 		asked.ID = id
-		back.tracker.Arrive(asked, func(time.Duration) {}, func(*Final) {})
+		back.tracker.Submit(asked, func(time.Duration) {}, func(*Response) {})
 	}
 	request("sent")
 	c.Assert(back.connections, qt.HasLen, 1)
@@ -108,14 +108,14 @@
 func TestWithdrawnWorkIsBrokenOffWhereItMayBeRepeated(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
-	f := New(cfg, func(string) (backend.Pass, bool) { return backend.Pass{}, false })
+	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 	back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
 	serving := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
-	back.tracker = NewTracker(cfg, f, serving, back, message.Member{Name: "me", Address: "here:1"})
+	back.tracker = NewDispatcher(cfg, f, serving, back, message.Member{Name: "me", Address: "here:1"})
 	_, _, _ = serving.Announce(time.Second, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "up:1", Zone: "here", Slots: 4})
 	for _, id := range []string{"once", "repeatable"} {
-		back.tracker.Inbound(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Once: id == "once"}, func(any) error { return nil })
-		back.tracker.Inbound(message.Withdraw{ID: id}, func(any) error { return nil })
+		back.tracker.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Once: id == "once"}, func(any) error { return nil })
+		back.tracker.HandleFrame(message.Withdraw{ID: id}, func(any) error { return nil })
 	}
 	c.Assert(back.cancelled, qt.DeepEquals, []string{"repeatable"})
 }
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -47,7 +47,7 @@
 
 // Count notes a final answer: for the counters by code, and for the usage report when
 // it is the upstream's own.
-func (f *Frontend) Count(wall time.Duration, request *Request, final *Final) {
+func (f *Frontend) Count(wall time.Duration, request *Request, final *Response) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.tallies[final.Code]++
@@ -94,8 +94,8 @@
 	return usage, closed
 }
 
-// Tallies gives the counters.
-func (f *Frontend) Tallies() (map[string]int64, int64) {
+// ResultCounts gives the counters.
+func (f *Frontend) ResultCounts() (map[string]int64, int64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	tallies := map[string]int64{}
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -171,7 +171,7 @@
 		request.Body = http.NoBody
 	}
 	request.Header.Set(stubserver.IDHeader, asked.ID)
-	request.Header.Set(frontend.KeyHeader, asked.Key)
+	request.Header.Set(frontend.APIKeyHeader, asked.Key)
 	request.Header.Set(backend.CallerHeader, kind.Caller)
 	response, err := r.client.Do(request)
 	if err != nil {
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -139,9 +139,9 @@
 	held.goroutines, held.process = members, process
 	self := node.Self(held.part.Settings, held.part.Role)
 	if held.part.Role == message.RoleProxy {
-		tracker := frontend.New(held.part.Settings, func(string) (backend.Pass, bool) { return backend.Pass{}, false })
+		tracker := frontend.New(held.part.Settings, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 		process.OnPublish(func(snapshot any) {
-			tracker.Show(members.Now(), snapshot.(*proxy.Snapshot))
+			tracker.UpdateSnapshot(members.Now(), snapshot.(*proxy.Snapshot))
 			t.shown(held, snapshot.(*proxy.Snapshot))
 		})
 		if err := process.Run(proxy.New(held.part.Settings, self), nil); err != nil {
--- a/internal/simulation/actors.go
+++ b/internal/simulation/actors.go
@@ -175,7 +175,7 @@
 		n.run(life, func() {
 			owner := n.world.addresses[target.Address]
 			if owner == nil || !owner.up {
-				n.serving.Broke(n.Now(), target)
+				n.serving.MarkBroken(n.Now(), target)
 				return
 			}
 			n.guards[target] = upConnection{owner: owner, life: owner.life}
@@ -186,7 +186,7 @@
 
 func (n *Node) fill(target backend.Target) {
 	owner := n.world.addresses[target.Address]
-	for owner != nil && owner.up && len(n.pools[target]) < n.serving.ConnectionsReady(target) && n.serving.Dialable(n.Now(), target) {
+	for owner != nil && owner.up && len(n.pools[target]) < n.serving.WarmConnections(target) && n.serving.Dialable(n.Now(), target) {
 		n.pools[target] = append(n.pools[target], upConnection{owner: owner, life: owner.life})
 	}
 }
@@ -217,7 +217,9 @@
 		if servingProxy.up && !servingProxy.frozen {
 			chosenServingProxy, life := servingProxy, servingProxy.life
 			u.world.after(200*time.Microsecond, func() {
-				chosenServingProxy.run(life, func() { chosenServingProxy.tracker.SignOff(response.Service, response.Instance, response.Incarnation) })
+				chosenServingProxy.run(life, func() {
+					chosenServingProxy.tracker.Deregister(response.Service, response.Instance, response.Incarnation)
+				})
 			})
 			return
 		}
@@ -225,12 +227,12 @@
 }
 
 // call is the serving proxy's exchange with an upstream, as calling.go does it on sockets.
-func (n *Node) call(life int, order backend.Order) {
+func (n *Node) call(life int, order backend.Decision) {
 	w := n.world
 	target := order.Target
-	target.Pass = ""
+	target.DelegationToken = ""
 	refuse := func(code errcode.Code) {
-		n.run(life, func() { n.tracker.Conclude(order, message.Outcome{Kind: message.NotStarted, Code: int64(code)}) })
+		n.run(life, func() { n.tracker.Complete(order, message.Outcome{Kind: message.NotStarted, Code: int64(code)}) })
 	}
 	if connection, kept := n.idle(target); kept {
 		n.exchange(life, order, connection)
@@ -239,11 +241,11 @@
 	guarded := func() bool {
 		guard, known := n.guards[target]
 		if known && !guard.quiet() {
-			n.serving.Broke(n.Now(), target)
+			n.serving.MarkBroken(n.Now(), target)
 		}
 		return known && guard.quiet()
 	}
-	if !n.serving.Usable(n.Now(), target) || !guarded() {
+	if !n.serving.ConnectionsUsable(n.Now(), target) || !guarded() {
 		refuse(errcode.BusyUpstreamGone)
 		return
 	}
@@ -259,7 +261,7 @@
 			owner := w.addresses[target.Address]
 			switch {
 			case owner == nil || !owner.up:
-				n.serving.Broke(n.Now(), target)
+				n.serving.MarkBroken(n.Now(), target)
 				refuse(errcode.BusyUpstreamGone)
 			case !n.serving.Dialable(n.Now(), target) || !guarded():
 				refuse(errcode.BusyUnproven)
@@ -271,9 +273,9 @@
 }
 
 // exchange sends a request on a connection, once.
-func (n *Node) exchange(life int, order backend.Order, connection upConnection) {
+func (n *Node) exchange(life int, order backend.Decision, connection upConnection) {
 	w, target := n.world, order.Target
-	target.Pass = ""
+	target.DelegationToken = ""
 	limit := time.Duration(order.Forward.Remaining)
 	if connection.stream == nil {
 		connection.stream = &upstreamStream{}
@@ -286,16 +288,16 @@
 		over = true
 		n.run(life, func() {
 			if broke {
-				n.serving.Doubt(target)
+				n.serving.MarkDoubtful(target)
 			} else if outcome.Kind == message.StartedWhole {
-				n.serving.Alive(n.Now(), target)
+				n.serving.MarkAlive(n.Now(), target)
 				if connection.owner.serviceSpec.Closes || !connection.stream.kept {
 					n.fill(target)
-				} else if n.serving.Usable(n.Now(), target) {
+				} else if n.serving.ConnectionsUsable(n.Now(), target) {
 					n.pools[target] = append(n.pools[target], connection)
 				}
 			}
-			n.tracker.Conclude(order, outcome)
+			n.tracker.Complete(order, outcome)
 		})
 	}
 	w.after(n.trueWait(limit-limit/20), func() {
@@ -322,7 +324,7 @@
 }
 
 // run is the work at the upstream.
-func (u *Upstream) run(servingProxy *Node, order backend.Order, stream *upstreamStream, end func(outcome message.Outcome, broke bool), lost func()) {
+func (u *Upstream) run(servingProxy *Node, order backend.Decision, stream *upstreamStream, end func(outcome message.Outcome, broke bool), lost func()) {
 	w := u.world
 	u.running++
 	u.most = max(u.most, u.running)
@@ -430,7 +432,7 @@
 func (w *World) requestWith(id string, kind loadgen.Kind, tenant loadgen.Tenant) {
 	proxies := w.of(message.RoleProxy)
 	header := http.Header{}
-	header.Set(frontend.KeyHeader, tenant.Key)
+	header.Set(frontend.APIKeyHeader, tenant.Key)
 	header.Set(backend.CallerHeader, kind.Caller)
 	if w.random.IntN(8) == 0 {
 		// Some callers claim to be others, and show their key in more places.
@@ -443,9 +445,9 @@
 }
 
 // callOn is an upstream's further call, with the pass of the request that it runs.
-func (w *World) callOn(servingProxy *Node, order backend.Order, from string, kind loadgen.Kind, id string, then func()) {
+func (w *World) callOn(servingProxy *Node, order backend.Decision, from string, kind loadgen.Kind, id string, then func()) {
 	header := http.Header{}
-	header.Set(backend.PassHeader, order.Target.Pass)
+	header.Set(backend.DelegationHeader, order.Target.DelegationToken)
 	header.Set(backend.CallerHeader, "somebody")
 	key := ""
 	for _, tenant := range w.options.Deployment.Tenants() {
@@ -482,7 +484,7 @@
 			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestLimit()}
 		sentLife := life
 		chosenProxy.inside++
-		going := chosenProxy.tracker.Arrive(request, func(time.Duration) {}, func(final *frontend.Final) {
+		going := chosenProxy.tracker.Submit(request, func(time.Duration) {}, func(final *frontend.Response) {
 			w.after(100*time.Microsecond, func() {
 				if !chosenProxy.up || chosenProxy.life != sentLife {
 					return
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -82,24 +82,24 @@
 }
 
 // namedCallers name each request, as callers on the users' platform do.
-type namedCallers struct{ frontend.Node }
+type namedCallers struct{ frontend.NativeProtocol }
 
-// Claims adds the name.
-func (c namedCallers) Claims(request *frontend.Request) frontend.Claims {
-	claims := c.Node.Claims(request)
-	claims.Name = request.Header.Get(stubserver.IDHeader)
+// Metadata adds the name.
+func (c namedCallers) Metadata(request *frontend.Request) frontend.Metadata {
+	claims := c.NativeProtocol.Metadata(request)
+	claims.AttemptName = request.Header.Get(stubserver.IDHeader)
 	return claims
 }
 
 // namedUpstreams name in each answer the request that it belongs to.
-type namedUpstreams struct{ backend.Node }
+type namedUpstreams struct{ backend.NativeProtocol }
 
-// NameOf gives that name.
-func (namedUpstreams) NameOf(answer *http.Response) string { return answer.Header.Get(strayName) }
+// RequestName gives that name.
+func (namedUpstreams) RequestName(answer *http.Response) string { return answer.Header.Get(strayName) }
 
 // Interpret reads whose answer it is.
-func (u namedUpstreams) Interpret(answer *http.Response, forward message.Forward, _ backend.Target) backend.Received {
-	return backend.Received{Other: u.NameOf(answer) != "" && u.NameOf(answer) != forward.Name}
+func (u namedUpstreams) Interpret(answer *http.Response, forward message.Forward, _ backend.Target) backend.ResponseMetadata {
+	return backend.ResponseMetadata{OtherRequest: u.RequestName(answer) != "" && u.RequestName(answer) != forward.Name}
 }
 
 // upstreamStream is what an upstream has put on one connection and nobody has read.
@@ -152,7 +152,7 @@
 
 // say puts a run's whole answer on the connection and has the serving proxy read it. It
 // gives the outcome as the proxy has it, and whether the answer went out whole.
-func (s *upstreamStream) say(w *World, strays bool, order backend.Order, outcome message.Outcome) (read message.Outcome, whole bool) {
+func (s *upstreamStream) say(w *World, strays bool, order backend.Decision, outcome message.Outcome) (read message.Outcome, whole bool) {
 	name := order.Forward.Name
 	own := answerBytes(name, outcome)
 	stray := answerBytes(name, message.Outcome{Status: http.StatusOK, Body: []byte("a stray answer of " + name)})
@@ -176,8 +176,8 @@
 	default:
 		s.pieces = append(s.pieces, own)
 	}
-	pairing := backend.Pairing{Protocol: namedUpstreams{}, Forward: order.Forward, Target: order.Target, Named: true}
-	found, err := pairing.Read(backend.NewAnswers(s))
+	pairing := backend.ResponseMatcher{Protocol: namedUpstreams{}, Forward: order.Forward, Target: order.Target, NamedResponses: true}
+	found, err := pairing.Read(backend.NewResponseReader(s))
 	s.kept = err == nil && found.Keep
 	if err != nil {
 		return message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.CodeOf(err))}, whole
@@ -211,7 +211,7 @@
 			if !connection.attached || connection.closed || w.random.Float64() >= brokenShare {
 				continue
 			}
-			w.dangers[dangerAsked] += nodeName.tracker.OutOn(connection)
+			w.dangers[dangerAsked] += nodeName.tracker.AttemptsOn(connection)
 			connection.drop()
 			w.record.Held = append(w.record.Held, checker.Span{Name: connection.to.machine, From: w.now, To: w.now + brokenHold})
 		}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -54,7 +54,7 @@
 
 	underway []statemachine.Write
 
-	tracker       *frontend.Tracker
+	tracker       *frontend.Dispatcher
 	frontend      *frontend.Frontend
 	serving       *backend.Backend
 	snapshot      *proxy.Snapshot
@@ -178,12 +178,12 @@
 
 func (n *Node) bootProxy(self message.Member) {
 	n.pools, n.guards, n.connections, n.snapshot = map[backend.Target][]upConnection{}, map[backend.Target]upConnection{}, nil, nil
-	n.serving = backend.New(n.settings, func(forward message.Forward) errcode.Code { return n.frontend.Allowed(forward) })
-	n.serving.UsePasses(func() string { return strconv.FormatUint(n.world.random.Uint64(), 36) })
-	n.frontend = frontend.New(n.settings, n.serving.PassOf)
+	n.serving = backend.New(n.settings, func(forward message.Forward) errcode.Code { return n.frontend.AuthorizeForward(forward) })
+	n.serving.UseTokenSource(func() string { return strconv.FormatUint(n.world.random.Uint64(), 36) })
+	n.frontend = frontend.New(n.settings, n.serving.LookupDelegation)
 	n.frontend.UseProtocol(namedCallers{})
 	n.control = proxy.New(n.settings, self)
-	n.tracker = frontend.NewTracker(n.settings, n.frontend, n.serving, &environment{n, n.life}, self)
+	n.tracker = frontend.NewDispatcher(n.settings, n.frontend, n.serving, &environment{n, n.life}, self)
 	life := n.life
 	n.every(life, n.settings.UpdatesEvery()/4, func() { n.run(life, n.sweep) })
 	n.every(life, n.settings.CountEvery(), func() { n.run(life, n.count) })
@@ -202,13 +202,13 @@
 func (n *Node) sweep() {
 	n.tracker.Expire()
 	for target := range n.pools {
-		if !n.serving.Usable(n.Now(), target) {
+		if !n.serving.ConnectionsUsable(n.Now(), target) {
 			delete(n.pools, target)
 		}
 	}
 	for target, guard := range n.guards {
 		if !guard.quiet() {
-			n.serving.Broke(n.Now(), target)
+			n.serving.MarkBroken(n.Now(), target)
 			delete(n.guards, target)
 		}
 	}
@@ -276,7 +276,7 @@
 		}
 	case statemachine.Publish:
 		n.snapshot = done.Snapshot.(*proxy.Snapshot)
-		n.tracker.Show(n.snapshot)
+		n.tracker.UpdateSnapshot(n.snapshot)
 	case statemachine.Event:
 		n.logEvent(done)
 	case statemachine.Probe:
@@ -375,7 +375,7 @@
 	switch n.role {
 	case message.RoleProxy:
 		n.apply(statemachine.Asked{Question: proxy.Stop{}})
-		n.tracker.Leave()
+		n.tracker.Drain()
 		var wait func()
 		wait = func() {
 			running, queue := n.serving.Running()
@@ -487,28 +487,28 @@
 // Random returns the random source of the run.
 func (b *environment) Random() *rand.Rand { return b.node.world.random }
 
-// Tell hands a notice to the control machine.
-func (b *environment) Tell(notice any) { b.node.apply(statemachine.Asked{Question: notice}) }
+// Notify hands a notice to the control machine.
+func (b *environment) Notify(notice any) { b.node.apply(statemachine.Asked{Question: notice}) }
 
-// Queue passes an item to its stage a moment later, as the workers would.
-func (b *environment) Queue(env frontend.Env, item any) bool {
+// Enqueue passes an item to its stage a moment later, as the workers would.
+func (b *environment) Enqueue(env frontend.Stage, item any) bool {
 	n := b.node
 	n.world.after(20*time.Microsecond, func() {
 		n.run(b.life, func() {
 			switch env {
 			case frontend.StageAdmit:
-				n.tracker.Admit(item.(*frontend.Trip))
-			case frontend.StageChoose:
-				trip := item.(*frontend.Trip)
+				n.tracker.Admit(item.(*frontend.PendingRequest))
+			case frontend.StageSelect:
+				trip := item.(*frontend.PendingRequest)
 				before := trip.Request.Attempts
-				n.tracker.Choose(trip)
+				n.tracker.SelectUpstream(trip)
 				if trip.Request.Attempts > before {
 					n.world.record.Attempts = append(n.world.record.Attempts, checker.Attempt{Service: trip.Request.Route.Service, At: n.world.now, Again: before > 0})
 				}
-			case frontend.StageJudge:
-				n.tracker.Judge(item.(frontend.Judged))
+			case frontend.StageOutcome:
+				n.tracker.HandleOutcome(item.(frontend.AttemptOutcome))
 			case frontend.StageStart:
-				n.call(b.life, item.(backend.Order))
+				n.call(b.life, item.(backend.Decision))
 			}
 		})
 	})
@@ -616,7 +616,7 @@
 	arrival := max(w.now+w.transit(), s.lastTo)
 	s.lastTo = arrival
 	s.deliverLater(arrival, s.from, s.to, s.lifeTo, func() {
-		s.to.tracker.Inbound(reread(msg), func(reply any) error {
+		s.to.tracker.HandleFrame(reread(msg), func(reply any) error {
 			if s.closed {
 				return errcode.Wrap("simulation.back", errcode.ConnectionLost, nil)
 			}
--- a/internal/stubserver/stubserver.go
+++ b/internal/stubserver/stubserver.go
@@ -210,7 +210,7 @@
 		return
 	}
 	request.Header.Set(IDHeader, asked.ID)
-	request.Header.Set(backend.PassHeader, pass)
+	request.Header.Set(backend.DelegationHeader, pass)
 	request.Header.Set(backend.CallerHeader, "somebody")
 	if response, err := u.caller.Do(request); err == nil {
 		body, err := io.ReadAll(response.Body)
@@ -259,7 +259,7 @@
 	defer timer.Stop()
 	<-timer.C
 	if call, calls := u.Calls[in.URL.Path]; calls && rand.Float64() < u.Share {
-		u.callOn(call, ran, index, in.Header.Get(backend.PassHeader))
+		u.callOn(call, ran, index, in.Header.Get(backend.DelegationHeader))
 	}
 	answer := fmt.Sprintf("%s ran at %s as run %d, %d bytes", ran.ID, ran.Instance, index, len(body))
 	if raw, faulty := faults.draw(answer); faulty {
