--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -48,16 +48,16 @@
 	serving := servingProxy(c)
 	started := []Decision{}
 	for _, id := range []string{"a", "b"} {
-		orders := serving.Forwarded(time.Second, forwardOf(id, "one", 5))
+		orders := serving.HandleForward(time.Second, forwardOf(id, "one", 5))
 		c.Assert(codes(orders), qt.DeepEquals, []errcode.Code{errcode.OK})
 		started = append(started, orders...)
 	}
-	c.Assert(serving.Forwarded(time.Second, forwardOf("c", "one", 5)), qt.HasLen, 0)
-	c.Assert(serving.Forwarded(time.Second, forwardOf("d", "one", 5)), qt.HasLen, 0)
-	c.Assert(codes(serving.Forwarded(time.Second, forwardOf("e", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusySlotsFull})
-	_, next := serving.Finish(time.Second, started[0], message.Outcome{Kind: message.StartedWhole})
+	c.Assert(serving.HandleForward(time.Second, forwardOf("c", "one", 5)), qt.HasLen, 0)
+	c.Assert(serving.HandleForward(time.Second, forwardOf("d", "one", 5)), qt.HasLen, 0)
+	c.Assert(codes(serving.HandleForward(time.Second, forwardOf("e", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusySlotsFull})
+	_, next := serving.Complete(time.Second, started[0], message.Outcome{Kind: message.StartedWhole})
 	c.Assert(codes(next), qt.DeepEquals, []errcode.Code{errcode.OK})
-	_, next = serving.Finish(time.Second, started[1], message.Outcome{Kind: message.StartedNoWhole})
+	_, next = serving.Complete(time.Second, started[1], message.Outcome{Kind: message.StartedNoWhole})
 	c.Assert(next, qt.HasLen, 0)
 	c.Assert(codes(serving.Expire(4*time.Second)), qt.HasLen, 0)
 	c.Assert(codes(serving.Expire(5*time.Second)), qt.DeepEquals, []errcode.Code{errcode.BusyDeadline})
@@ -68,16 +68,16 @@
 	c := qt.New(t)
 	serving := servingProxy(c)
 	for _, id := range []string{"a", "b", "c"} {
-		serving.Forwarded(time.Second, forwardOf(id, "one", 5))
+		serving.HandleForward(time.Second, forwardOf(id, "one", 5))
 	}
 	gone := response("one", "a:1", 5)
 	gone.Leaving = true
 	_, _, orders := serving.Announce(2*time.Second, gone)
 	c.Assert(codes(orders), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
 	serving.Announce(3*time.Second, response("one", "a:1", 5))
-	c.Assert(codes(serving.Forwarded(3*time.Second, forwardOf("d", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
+	c.Assert(codes(serving.HandleForward(3*time.Second, forwardOf("d", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
 	serving.Announce(4*time.Second, response("one", "a:1", 6))
-	c.Assert(codes(serving.Forwarded(4*time.Second, forwardOf("e", "one", 6))), qt.DeepEquals, []errcode.Code{errcode.OK})
+	c.Assert(codes(serving.HandleForward(4*time.Second, forwardOf("e", "one", 6))), qt.DeepEquals, []errcode.Code{errcode.OK})
 }
 
 // Another announcement from the address ends the old one; a break bars dials until a
@@ -91,13 +91,13 @@
 	serving.MarkAlive(time.Second, target)
 	c.Assert(serving.Dialable(time.Second, target), qt.IsTrue)
 	serving.MarkBroken(2*time.Second, target)
-	c.Assert(codes(serving.Forwarded(2*time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	serving.Announce(2*time.Second+1, response("one", "a:1", 5))
 	c.Assert(serving.Dialable(2*time.Second+1, target), qt.IsTrue)
 	_, endings, _ := serving.Announce(3*time.Second, response("two", "a:1", 1))
 	c.Assert(endings, qt.HasLen, 1)
 	c.Assert(serving.Dialable(3*time.Second, target), qt.IsFalse)
-	c.Assert(codes(serving.Forwarded(3*time.Second, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(codes(serving.HandleForward(3*time.Second, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	accepted, _, _ := serving.Announce(4*time.Second, response("two", "a:1", 0))
 	c.Assert(accepted, qt.IsFalse)
 }
@@ -107,24 +107,24 @@
 	c := qt.New(t)
 	serving := servingProxy(c)
 	serving.Expire(time.Second)
-	c.Assert(codes(serving.Forwarded(time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
-	c.Assert(codes(serving.Forwarded(2*time.Second, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(codes(serving.HandleForward(time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
+	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	serving.Expire(2 * time.Second)
-	c.Assert(codes(serving.Forwarded(2*time.Second, forwardOf("c", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("c", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	serving.Announce(2*time.Second+1, response("one", "a:1", 5))
-	c.Assert(codes(serving.Forwarded(2*time.Second+1, forwardOf("d", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
+	c.Assert(codes(serving.HandleForward(2*time.Second+1, forwardOf("d", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
 }
 
 // A outcome is kept for the asker; an id never seen is barred from starting later.
 func TestOutcomesAreKept(t *testing.T) {
 	c := qt.New(t)
 	serving := servingProxy(c)
-	orders := serving.Forwarded(time.Second, forwardOf("a", "one", 5))
+	orders := serving.HandleForward(time.Second, forwardOf("a", "one", 5))
 	c.Assert(serving.Outcome(time.Second, "a").Kind, qt.Equals, message.StillRunning)
-	serving.Finish(time.Second, orders[0], message.Outcome{Kind: message.StartedWhole, Status: 200, Body: []byte("x")})
+	serving.Complete(time.Second, orders[0], message.Outcome{Kind: message.StartedWhole, Status: 200, Body: []byte("x")})
 	c.Assert(string(serving.Outcome(2*time.Second, "a").Body), qt.Equals, "x")
 	c.Assert(serving.Outcome(2*time.Second, "b").Kind, qt.Equals, message.NotStarted)
-	c.Assert(codes(serving.Forwarded(2*time.Second, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyServingProxyLost})
+	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyServingProxyLost})
 }
 
 // A process that vanished without closing its connections, and another one at its address:
@@ -136,17 +136,17 @@
 	old := newScripted(c, members, "127.0.0.1:0", func(int64) string { return good })
 	b := newBench(c, members, old.listener.Addr().String())
 	target := Target{Key: "pay/one", Address: b.address, Incarnation: 1}
-	old.waitAccepted(c, b.guards+len(b.caller.idle[target]))
+	old.waitAccepted(c, b.guards+len(b.caller.pool.idle[target]))
 	old.listener.Close()
 	heir := newScripted(c, members, b.address, func(int64) string { return good })
-	c.Assert(len(b.caller.idle[target]), qt.Equals, b.serving.WarmConnections(target))
+	c.Assert(len(b.caller.pool.idle[target]), qt.Equals, b.serving.WarmConnections(target))
 	c.Assert(b.request(c, "a", http.MethodPost).Kind, qt.Equals, message.StartedWhole)
 	c.Assert(old.reads.Load(), qt.Equals, int64(1))
 	// Every kept connection is used up, and the last sign of life is a moment too old.
-	b.caller.lock.Lock()
-	delete(b.caller.idle, target)
-	b.caller.lock.Unlock()
-	b.serving.upstreams["pay/one"].aliveAt -= settings.Default().DialFresh() + 1
+	b.caller.pool.lock.Lock()
+	delete(b.caller.pool.idle, target)
+	b.caller.pool.lock.Unlock()
+	b.serving.upstreams["pay/one"].lastSeenAt -= settings.Default().DialFresh() + 1
 	outcome := b.request(c, "b", http.MethodPost)
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.BusyUnproven)
@@ -160,11 +160,11 @@
 	cfg := settings.Default()
 	serving := servingProxy(c)
 	left := message.Registration{Service: "pay", Instance: "one", Incarnation: 5, State: message.StateLeaving}
-	c.Assert(codes(serving.Forwarded(cfg.ServingProxyBound(), forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
-	c.Assert(codes(serving.Forwarded(cfg.ServingProxyBound()+1, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(codes(serving.HandleForward(cfg.ServingProxyBound(), forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
+	c.Assert(codes(serving.HandleForward(cfg.ServingProxyBound()+1, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	serving.Announce(3*time.Second, response("one", "a:1", 5))
-	serving.Roster(map[string][]message.Registration{"pay": {left}})
-	c.Assert(codes(serving.Forwarded(3*time.Second, forwardOf("c", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
+	serving.UpdateRoster(map[string][]message.Registration{"pay": {left}})
+	c.Assert(codes(serving.HandleForward(3*time.Second, forwardOf("c", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
 }
 
 // What is kept of an answer for a proxy that lost its connection goes soon, and that it ran
@@ -175,9 +175,9 @@
 	g := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	response := Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "a:1", Slots: 2}
 	g.Announce(time.Second, response)
-	orders := g.Forwarded(time.Second, message.Forward{ID: "q", Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second)})
+	orders := g.HandleForward(time.Second, message.Forward{ID: "q", Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second)})
 	c.Assert(orders, qt.HasLen, 1)
-	g.Finish(time.Second, orders[0], message.Outcome{Kind: message.StartedWhole, Status: 200, Body: []byte("answer")})
+	g.Complete(time.Second, orders[0], message.Outcome{Kind: message.StartedWhole, Status: 200, Body: []byte("answer")})
 	c.Check(string(g.Outcome(time.Second, "q").Body), qt.Equals, "answer")
 	later := time.Second + cfg.AnswerKept() + time.Millisecond
 	g.Announce(later, response)
--- a/internal/backend/calling_test.go
+++ b/internal/backend/calling_test.go
@@ -98,9 +98,9 @@
 
 // kept is how many proven connections are ready.
 func (b *bench) kept(target Target) int {
-	b.caller.lock.Lock()
-	defer b.caller.lock.Unlock()
-	return len(b.caller.idle[target])
+	b.caller.pool.lock.Lock()
+	defer b.caller.pool.lock.Unlock()
+	return len(b.caller.pool.idle[target])
 }
 
 func (b *bench) announce(c *qt.C, service, instance string, incarnation int64) {
@@ -118,13 +118,13 @@
 	if method == http.MethodPost {
 		forward.Body = []byte("body")
 	}
-	orders := b.serving.Forwarded(b.members.Now(), forward)
+	orders := b.serving.HandleForward(b.members.Now(), forward)
 	c.Assert(orders, qt.HasLen, 1)
 	outcome := message.Outcome{Kind: message.NotStarted, Code: int64(orders[0].Code)}
 	if orders[0].Start {
 		outcome = b.caller.Call(orders[0])
 	}
-	outcome, _ = b.serving.Finish(b.members.Now(), orders[0], outcome)
+	outcome, _ = b.serving.Complete(b.members.Now(), orders[0], outcome)
 	return outcome
 }
 
@@ -219,9 +219,9 @@
 				c.Assert(string(outcome.Body), qt.Equals, tried.body)
 				c.Assert(upstream.reads.Load(), qt.Equals, number+1)
 				b.announce(c, "pay", "one", 1)
-				b.caller.lock.Lock()
-				delete(b.caller.idle, Target{Key: "pay/one", Address: b.address, Incarnation: 1})
-				b.caller.lock.Unlock()
+				b.caller.pool.lock.Lock()
+				delete(b.caller.pool.idle, Target{Key: "pay/one", Address: b.address, Incarnation: 1})
+				b.caller.pool.lock.Unlock()
 			}
 		})
 	}
@@ -289,16 +289,18 @@
 	c.Assert(b.request(c, "a", http.MethodPost).Kind, qt.Equals, message.StartedWhole)
 	// The old process ends: its listener and every connection of it close.
 	old.listener.Close()
-	b.caller.lock.Lock()
-	for _, list := range b.caller.idle {
+	b.caller.pool.lock.Lock()
+	for _, list := range b.caller.pool.idle {
 		for _, connection := range list {
 			connection.conn.Close()
 		}
 	}
-	for _, guard := range b.caller.guards {
+	b.caller.pool.lock.Unlock()
+	b.caller.guards.lock.Lock()
+	for _, guard := range b.caller.guards.guards {
 		guard.conn.(*net.TCPConn).CloseRead()
 	}
-	b.caller.lock.Unlock()
+	b.caller.guards.lock.Unlock()
 	heir := newScripted(c, members, address, func(int64) string { return good })
 	outcome := b.request(c, "b", http.MethodPost)
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
--- a/internal/backend/cancel_test.go
+++ b/internal/backend/cancel_test.go
@@ -73,7 +73,7 @@
 	defer members.Stop(0)
 	upstream := newSilent(c, members)
 	b := targetBench(c, members, upstream.listener.Addr().String())
-	orders := b.serving.Forwarded(members.Now(), repeatableOrNot("a", false))
+	orders := b.serving.HandleForward(members.Now(), repeatableOrNot("a", false))
 	c.Assert(orders, qt.HasLen, 1)
 	ended := make(chan message.Outcome, 1)
 	members.Go("call", func(context.Context) { ended <- b.caller.Call(orders[0]) })
@@ -86,7 +86,7 @@
 	c.Assert(outcome.Kind, qt.Equals, message.StartedNoWhole)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.UnknownOutcome)
 	// Behind its end a call can't be cancelled: its connection may serve another by then.
-	c.Assert(b.caller.calls, qt.HasLen, 0)
+	c.Assert(b.caller.calls.active, qt.HasLen, 0)
 }
 
 // A call that is cancelled before it has a connection sends nothing.
@@ -101,7 +101,7 @@
 		b.caller.Cancel("a")
 		return dial(address, until)
 	})
-	orders := b.serving.Forwarded(members.Now(), repeatableOrNot("a", false))
+	orders := b.serving.HandleForward(members.Now(), repeatableOrNot("a", false))
 	outcome := b.caller.Call(orders[0])
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
 	c.Assert(stand.seen, qt.HasLen, 0)
@@ -113,9 +113,9 @@
 	cfg.Proof = settings.ProofTarget
 	serving := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	_, _, _ = serving.Announce(0, Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "a:1", Zone: "d", Slots: 2})
-	c.Assert(serving.Forwarded(0, repeatableOrNot("repeatable", false)), qt.HasLen, 1)
-	c.Assert(serving.Forwarded(0, repeatableOrNot("once", true)), qt.HasLen, 1)
-	c.Assert(serving.Forwarded(0, repeatableOrNot("queued", false)), qt.HasLen, 0)
+	c.Assert(serving.HandleForward(0, repeatableOrNot("repeatable", false)), qt.HasLen, 1)
+	c.Assert(serving.HandleForward(0, repeatableOrNot("once", true)), qt.HasLen, 1)
+	c.Assert(serving.HandleForward(0, repeatableOrNot("queued", false)), qt.HasLen, 0)
 	for id, wanted := range map[string]struct {
 		refused int
 		cancel  bool
--- /dev/null
+++ b/internal/backend/exchange.go
@@ -0,0 +1,115 @@
+package backend
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"net/url"
+	"time"
+
+	"beaconvane/internal/errcode"
+	"beaconvane/internal/message"
+)
+
+// Headers that the mesh sets itself towards an upstream.
+const (
+	TenantHeader     = "X-Tenant"
+	CallerHeader     = "X-Calling-Service"
+	DelegationHeader = "X-Beacon-Pass"
+	RequestHeader    = "X-Request-Id"
+)
+
+// exchange sends a request once and reads one whole answer. The standard library's Transport is
+// not used, since it sends some requests a second time by itself. It reports whether the
+// connection may carry another request.
+func (c *UpstreamClient) exchange(
+	connection *upstreamConnection,
+	decision Decision,
+	deadline time.Time,
+) (outcome message.Outcome, reusable bool, err error) {
+	request, err := c.newRequest(decision.Forward, decision.Target, deadline)
+	if err != nil {
+		return notStarted(errcode.RequestBadPath), false, nil
+	}
+	// Fails only on a connection that has ended, on which writing fails too.
+	_ = connection.conn.SetDeadline(deadline)
+	// The whole request is built first, so that what fails here never went out.
+	text := bytes.Buffer{}
+	if err := request.Write(&text); err != nil {
+		return notStarted(errcode.RequestUnreadable), false, nil
+	}
+	if _, err := connection.conn.Write(text.Bytes()); err != nil {
+		return message.Outcome{}, false, errcode.Wrap("backend.write", errcode.UnknownOutcome, err)
+	}
+	matcher := ResponseMatcher{
+		Protocol:       c.protocol,
+		Forward:        decision.Forward,
+		Target:         decision.Target,
+		NamedResponses: c.settings.ByTarget(),
+		request:        request,
+	}
+	matched, err := matcher.Read(connection.responses)
+	connection.keepAlive = matched.Metadata.KeepAlive
+	return matched.Outcome, matched.Keep, err
+}
+
+// newRequest builds the request that goes to the upstream.
+func (c *UpstreamClient) newRequest(forward message.Forward, target Target, deadline time.Time) (*http.Request, error) {
+	path, err := url.PathUnescape(forward.Path)
+	if err != nil {
+		return nil, err
+	}
+	request := &http.Request{
+		Method:        forward.Method,
+		URL:           &url.URL{Scheme: "http", Host: target.Address, Path: path, RawPath: forward.Path, RawQuery: forward.RawQuery},
+		Host:          target.Address,
+		Header:        http.Header{},
+		ProtoMajor:    1,
+		ProtoMinor:    1,
+		Body:          http.NoBody,
+		ContentLength: int64(len(forward.Body)),
+	}
+	for _, line := range forward.Headers {
+		request.Header.Add(line.Name, line.Value)
+	}
+	if _, given := request.Header["User-Agent"]; !given {
+		// Keeps net/http from sending its own.
+		request.Header.Set("User-Agent", "")
+	}
+	if forward.Host != "" {
+		request.Host = forward.Host
+	}
+	if c.settings.ByTarget() && len(forward.Path) > 1 && forward.Path[1] != '/' {
+		// The path as it came, to the byte.
+		request.URL.Opaque = forward.Path
+	}
+	c.protocol.SetHeaders(request.Header, forward, target, time.Until(deadline))
+	if len(forward.Body) > 0 {
+		request.Body = io.NopCloser(bytes.NewReader(forward.Body))
+	}
+	return request.WithContext(context.Background()), nil
+}
+
+// HopByHopHeaders returns the names of headers that end at this hop: the standard ones, and those
+// that the Connection header lists.
+func HopByHopHeaders(header http.Header) map[string]bool {
+	names := map[string]bool{
+		"Connection":          true,
+		"Content-Length":      true,
+		"Keep-Alive":          true,
+		"Proxy-Authenticate":  true,
+		"Proxy-Authorization": true,
+		"Proxy-Connection":    true,
+		"Te":                  true,
+		"Trailer":             true,
+		"Transfer-Encoding":   true,
+		"Upgrade":             true,
+	}
+	for _, value := range header["Connection"] {
+		for _, name := range bytes.Split([]byte(value), []byte(",")) {
+			names[http.CanonicalHeaderKey(string(bytes.TrimSpace(name)))] = true
+		}
+	}
+	return names
+}
--- a/internal/backend/heartbeats_test.go
+++ b/internal/backend/heartbeats_test.go
@@ -29,7 +29,7 @@
 	forwarded := func(id string, priority int64) []Decision {
 		forward := forwardOf(id, "one", 5)
 		forward.Priority = priority
-		return serving.Forwarded(time.Second, forward)
+		return serving.HandleForward(time.Second, forward)
 	}
 	running := append(forwarded("a", 9), forwarded("b", 9)...)
 	c.Assert(codes(running), qt.DeepEquals, []errcode.Code{errcode.OK, errcode.OK})
@@ -43,7 +43,7 @@
 	c.Assert(write[0].Forward.ID, qt.Equals, "mid too")
 	started := []string{}
 	for _, order := range running {
-		_, next := serving.Finish(time.Second, order, message.Outcome{Kind: message.StartedWhole})
+		_, next := serving.Complete(time.Second, order, message.Outcome{Kind: message.StartedWhole})
 		c.Assert(next, qt.HasLen, 1)
 		started = append(started, next[0].Forward.ID)
 	}
@@ -62,13 +62,13 @@
 	c.Assert(accepted, qt.IsTrue)
 	c.Assert(endings, qt.HasLen, 0)
 	c.Assert(orders, qt.HasLen, 0)
-	held, _ := serving.Held("pay", "one")
+	held, _ := serving.Lookup("pay", "one")
 	c.Assert(held, qt.DeepEquals, numbered(7, nil))
 	c.Assert(serving.Dialable(settings.Default().DialFresh()+1, Target{Key: "pay/one", Address: "a:1", Incarnation: 5}), qt.IsFalse)
-	c.Assert(codes(serving.Forwarded(time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
+	c.Assert(codes(serving.HandleForward(time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
 	// A later life counts anew; what numbers nothing is taken as it comes.
 	serving.Announce(time.Second, numbered(1, func(response *Announcement) { response.Incarnation = 6 }))
-	held, _ = serving.Held("pay", "one")
+	held, _ = serving.Lookup("pay", "one")
 	c.Assert(held.Incarnation, qt.Equals, int64(6))
 }
 
@@ -78,9 +78,9 @@
 	c := qt.New(t)
 	serving := New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
 	serving.Announce(0, numbered(7, nil))
-	serving.Forwarded(0, forwardOf("a", "one", 5))
-	serving.Forwarded(0, forwardOf("b", "one", 5))
-	serving.Forwarded(0, forwardOf("c", "one", 5))
+	serving.HandleForward(0, forwardOf("a", "one", 5))
+	serving.HandleForward(0, forwardOf("b", "one", 5))
+	serving.HandleForward(0, forwardOf("c", "one", 5))
 	ending, found, orders := serving.RetireInstance(time.Second, "one")
 	c.Assert(found, qt.IsTrue)
 	c.Assert(ending.Service, qt.Equals, "pay")
@@ -88,15 +88,15 @@
 	for number := int64(6); number < 10; number++ {
 		accepted, _, _ := serving.Announce(2*time.Second, numbered(number, func(response *Announcement) { response.Incarnation = number }))
 		c.Assert(accepted, qt.IsTrue)
-		c.Assert(serving.Holds("one"), qt.IsFalse)
+		c.Assert(serving.HasInstance("one"), qt.IsFalse)
 	}
-	c.Assert(codes(serving.Forwarded(2*time.Second, forwardOf("d", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("d", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	_, found, _ = serving.RetireInstance(2*time.Second, "one")
 	c.Assert(found, qt.IsFalse)
 	// One that was never heard of here may not come after its last word either.
 	serving.RetireInstance(2*time.Second, "unheard")
 	serving.Announce(2*time.Second, response("unheard", "a:3", 1))
-	c.Assert(serving.Holds("unheard"), qt.IsFalse)
+	c.Assert(serving.HasInstance("unheard"), qt.IsFalse)
 	serving.Announce(2*time.Second, response("two", "a:1", 1))
-	c.Assert(serving.Holds("two"), qt.IsTrue)
+	c.Assert(serving.HasInstance("two"), qt.IsTrue)
 }
--- /dev/null
+++ b/internal/backend/liveness.go
@@ -0,0 +1,85 @@
+package backend
+
+import (
+	"time"
+)
+
+// maxWarmConnections bounds the connections that are kept ready for one upstream.
+const maxWarmConnections = 16
+
+// lookupTarget returns the upstream that a target names, and whether it is still registered as it
+// was.
+func (b *Backend) lookupTarget(target Target) (held *upstream, same bool) {
+	held, known := b.upstreams[target.Key]
+	if !known {
+		return nil, false
+	}
+	return held, held.announcement.Incarnation == target.Incarnation && held.announcement.Address == target.Address
+}
+
+// IsRegistered reports whether the target is still registered as it was.
+func (b *Backend) IsRegistered(target Target) bool {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	_, same := b.lookupTarget(target)
+	return same
+}
+
+// ConnectionsUsable reports whether the target is still what it was, so that connections which
+// were proven to reach it serve on.
+func (b *Backend) ConnectionsUsable(now time.Duration, target Target) bool {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	held, same := b.lookupTarget(target)
+	return same && !held.broken && now-held.announcedAt <= b.settings.ServingProxyBound()
+}
+
+// Dialable reports, before and after a dial, whether a new connection is proven to reach the
+// target. It gave a sign of life a moment ago, so nobody else can be at its address yet.
+func (b *Backend) Dialable(now time.Duration, target Target) bool {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	held, same := b.lookupTarget(target)
+	return same && !held.broken && now-held.lastSeenAt <= b.settings.DialFresh()
+}
+
+// MarkAlive notes bytes that came on a proven connection to the target.
+func (b *Backend) MarkAlive(now time.Duration, target Target) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if held, same := b.lookupTarget(target); same && !held.broken {
+		held.lastSeenAt = now
+	}
+}
+
+// MarkDoubtful notes that a connection to the target broke with a request on it. No new connection
+// is proven until the next sign of life, but the guard and the connections that stand still are.
+func (b *Backend) MarkDoubtful(target Target) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if held, same := b.lookupTarget(target); same {
+		held.lastSeenAt = never
+	}
+}
+
+// MarkBroken notes a refused, reset or closed connection. Nothing is dialled until a newer
+// heartbeat.
+func (b *Backend) MarkBroken(now time.Duration, target Target) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	held, known := b.upstreams[target.Key]
+	if known && held.announcement.Incarnation == target.Incarnation {
+		held.broken, held.brokenAt = true, now
+	}
+}
+
+// WarmConnections is how many proven connections are kept ready for a target.
+func (b *Backend) WarmConnections(target Target) int {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	held, same := b.lookupTarget(target)
+	if !same {
+		return 0
+	}
+	return int(min(max(held.announcement.Slots/2, 1), maxWarmConnections))
+}
--- a/internal/backend/queue.go
+++ b/internal/backend/queue.go
@@ -1,8 +1,5 @@
 package backend
 
-// This file is an upstream's queue: what waits for a slot, in which order, and what is refused
-// because it would be answered too late.
-
 import (
 	"slices"
 	"time"
@@ -11,25 +8,34 @@
 	"beaconvane/internal/message"
 )
 
-type waiting struct {
-	forward message.Forward
-	until   time.Duration
-	aim     time.Duration // until when its answer has its full worth; 0: not told
+// latencyDivisor is the part by which one request moves the usual times.
+const latencyDivisor = 16
+
+// queuedRequest is a request that waits for a slot.
+type queuedRequest struct {
+	forward  message.Forward
+	deadline time.Duration
+	aim      time.Duration // until when its answer has its full worth; 0: not told
+}
+
+// runningRequest is a request that an upstream works on.
+type runningRequest struct {
+	once bool // it must not run twice, so it isn't broken off either
 }
 
-// push puts a request behind those of its own priority and better.
-func (u *upstream) push(item waiting) {
-	at := len(u.queue)
-	for at > 0 && u.queue[at-1].forward.Priority > item.forward.Priority {
-		at--
+// enqueue puts a request behind those of its own priority and better.
+func (u *upstream) enqueue(item queuedRequest) {
+	position := len(u.queue)
+	for position > 0 && u.queue[position-1].forward.Priority > item.forward.Priority {
+		position--
 	}
-	u.queue = slices.Insert(u.queue, at, item)
+	u.queue = slices.Insert(u.queue, position, item)
 }
 
-// hopeless: behind those that go before it, a request would be answered after its aim,
-// and a slot that it took would be wasted on it while others can still be in time.
-func (u *upstream) hopeless(now time.Duration, item waiting) bool {
-	usual := u.usual[item.forward.Route]
+// cannotMeetAim reports whether a request would be answered after its aim, behind those that go
+// before it. A slot that it took would be wasted on it while others can still be in time.
+func (u *upstream) cannotMeetAim(now time.Duration, item queuedRequest) bool {
+	usual := u.routeLatency[item.forward.Route]
 	if item.aim == 0 || usual == 0 || int64(len(u.running)) < u.announcement.Slots {
 		return false
 	}
@@ -39,61 +45,104 @@
 			ahead++
 		}
 	}
-	wait := u.whole * time.Duration(ahead) / time.Duration(max(1, u.announcement.Slots))
+	wait := u.meanLatency * time.Duration(ahead) / time.Duration(max(1, u.announcement.Slots))
 	return now+wait+usual > item.aim
 }
 
-// late: it has waited so long that even a quick answer would miss its aim.
-func (u *upstream) late(now time.Duration, item waiting) bool {
-	return item.aim > 0 && now+u.usual[item.forward.Route]/2 > item.aim
+// missesAim reports whether a request has waited so long that even a quick answer would miss its
+// aim.
+func (u *upstream) missesAim(now time.Duration, item queuedRequest) bool {
+	return item.aim > 0 && now+u.routeLatency[item.forward.Route]/2 > item.aim
 }
 
-// learn takes how long a request took.
-func (u *upstream) learn(route string, took time.Duration) {
-	if u.usual[route] == 0 {
-		u.usual[route] = took
+// observeLatency takes how long a request took.
+func (u *upstream) observeLatency(route string, took time.Duration) {
+	if u.routeLatency[route] == 0 {
+		u.routeLatency[route] = took
+	}
+	if u.meanLatency == 0 {
+		u.meanLatency = took
 	}
-	if u.whole == 0 {
-		u.whole = took
+	u.routeLatency[route] += (took - u.routeLatency[route]) / latencyDivisor
+	u.meanLatency += (took - u.meanLatency) / latencyDivisor
+}
+
+// refuseQueued refuses everything that waits for a slot.
+func (u *upstream) refuseQueued(code errcode.Code) []Decision {
+	decisions := []Decision{}
+	for _, item := range u.queue {
+		decisions = append(decisions, refusal(item.forward, code))
 	}
-	u.usual[route] += (took - u.usual[route]) / 16
-	u.whole += (took - u.whole) / 16
+	u.queue = nil
+	return decisions
 }
 
-// fill starts pending requests while slots are free.
-func (g *Backend) fill(now time.Duration, held *upstream) []Decision {
-	orders := []Decision{}
-	ghosts := held.ghosts[:0]
-	for _, until := range held.ghosts {
-		if now < until {
-			ghosts = append(ghosts, until)
+// refuseOverdue refuses what has waited past its deadline.
+func (u *upstream) refuseOverdue(now time.Duration) []Decision {
+	decisions := []Decision{}
+	kept := []queuedRequest{}
+	for _, item := range u.queue {
+		if now >= item.deadline {
+			decisions = append(decisions, refusal(item.forward, errcode.BusyDeadline))
+		} else {
+			kept = append(kept, item)
 		}
 	}
-	held.ghosts = ghosts
-	for len(held.queue) > 0 && int64(len(held.running)+len(held.ghosts)) < held.announcement.Slots {
+	u.queue = kept
+	return decisions
+}
+
+// dropLingering frees the slots of ended requests that can no longer run.
+func (u *upstream) dropLingering(now time.Duration) {
+	u.lingering = slices.DeleteFunc(u.lingering, func(until time.Duration) bool { return now >= until })
+}
+
+// hasFreeSlot reports whether another request may start.
+func (u *upstream) hasFreeSlot() bool {
+	return int64(len(u.running)+len(u.lingering)) < u.announcement.Slots
+}
+
+// startQueued starts waiting requests while slots are free, and refuses those of them that can't
+// be started any more.
+func (b *Backend) startQueued(now time.Duration, held *upstream) []Decision {
+	decisions := []Decision{}
+	held.dropLingering(now)
+	for len(held.queue) > 0 && held.hasFreeSlot() {
 		next := held.queue[0]
 		held.queue = held.queue[1:]
-		if now >= next.until {
-			orders = append(orders, g.refuse(next.forward, errcode.BusyDeadline))
-			continue
-		}
-		if len(held.queue) > 0 && held.late(now, next) {
-			orders = append(orders, g.refuse(next.forward, errcode.BusySlotsFull))
+		if code := b.checkQueued(now, held, next); code != errcode.OK {
+			decisions = append(decisions, refusal(next.forward, code))
 			continue
 		}
-		if code := g.admits(now, held, true, next.forward); code != errcode.OK {
-			orders = append(orders, g.refuse(next.forward, code))
-			continue
-		}
-		held.running[next.forward.ID] = started{once: next.forward.Once}
-		g.noteStart(next.forward.Repeat, next.forward.Once)
-		g.remember(next.forward.ID, &kept{at: now, began: now})
-		pass := g.newPass()
-		g.passes[pass] = Delegation{next.forward.Tenant, next.forward.Service, next.forward.ID}
-		forward := next.forward
-		forward.Remaining = int64(next.until - now)
-		orders = append(orders, Decision{Forward: forward, Start: true,
-			Target: Target{held.announcement.key(), held.announcement.Address, held.announcement.Incarnation, pass}})
+		decisions = append(decisions, b.start(now, held, next))
 	}
-	return orders
+	return decisions
 }
+
+// checkQueued checks whether a request that was taken from the queue may be started.
+func (b *Backend) checkQueued(now time.Duration, held *upstream, item queuedRequest) errcode.Code {
+	switch {
+	case now >= item.deadline:
+		return errcode.BusyDeadline
+	case len(held.queue) > 0 && held.missesAim(now, item):
+		return errcode.BusySlotsFull
+	}
+	return b.checkForward(now, held, true, item.forward)
+}
+
+// start takes a slot for a request.
+func (b *Backend) start(now time.Duration, held *upstream, item queuedRequest) Decision {
+	forward := item.forward
+	held.running[forward.ID] = runningRequest{once: forward.Once}
+	b.observeStart(forward.Repeat, forward.Once)
+	b.record(forward.ID, &attemptRecord{updatedAt: now, startedAt: now})
+	token := b.newToken()
+	b.delegations[token] = Delegation{Tenant: forward.Tenant, Service: forward.Service, Key: forward.ID}
+	forward.Remaining = int64(item.deadline - now)
+	target := held.target()
+	target.DelegationToken = token
+	return Decision{Forward: forward, Start: true, Target: target}
+}
+
+// target is the upstream as it is registered now.
+func (u *upstream) target() Target { return u.announcement.target() }
--- /dev/null
+++ b/internal/backend/registration.go
@@ -0,0 +1,161 @@
+package backend
+
+import (
+	"time"
+
+	"beaconvane/internal/errcode"
+	"beaconvane/internal/message"
+)
+
+// Announce takes a heartbeat. It returns the registrations that it ended, and decisions on
+// requests that waited. It is not accepted when a higher incarnation is registered.
+func (b *Backend) Announce(now time.Duration, announcement Announcement) (accepted bool, ended []Announcement, decisions []Decision) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	held, known := b.upstreams[announcement.key()]
+	if b.isLate(announcement, held) {
+		return true, nil, nil
+	}
+	if known && announcement.Incarnation < held.announcement.Incarnation {
+		return false, nil, nil
+	}
+	ended, decisions = b.endReplaced(announcement)
+	held = b.register(announcement.key())
+	if held.announcement.Leaving {
+		announcement.Leaving = true
+	}
+	held.announcement, held.announcedAt, held.lastSeenAt = announcement, now, now
+	if held.broken && now > held.brokenAt {
+		held.broken = false
+	}
+	if announcement.Leaving {
+		decisions = append(decisions, held.refuseQueued(errcode.BusyLeaving)...)
+	}
+	return true, ended, append(decisions, b.startQueued(now, held)...)
+}
+
+// isLate reports whether an announcement comes behind its instance's retirement, or behind a newer
+// one of the same incarnation. It then alters nothing.
+func (b *Backend) isLate(announcement Announcement, held *upstream) bool {
+	if _, retired := b.retired[announcement.Instance]; retired {
+		return true
+	}
+	return held != nil &&
+		announcement.Sequence < held.announcement.Sequence &&
+		announcement.Incarnation == held.announcement.Incarnation
+}
+
+// endReplaced ends the registrations that an announcement replaces: an older incarnation or
+// another address of the same upstream, and any other upstream at its address. Those of other
+// upstreams are returned.
+func (b *Backend) endReplaced(announcement Announcement) (ended []Announcement, decisions []Decision) {
+	for _, key := range b.sortedKeys() {
+		held := b.upstreams[key]
+		sameUpstream := key == announcement.key()
+		if !replaces(announcement, held.announcement, sameUpstream) {
+			continue
+		}
+		if !sameUpstream {
+			ended = append(ended, held.announcement)
+		}
+		decisions = append(decisions, held.refuseQueued(errcode.BusyUpstreamGone)...)
+		delete(b.upstreams, key)
+	}
+	return ended, decisions
+}
+
+func replaces(announcement, registered Announcement, sameUpstream bool) bool {
+	sameAddress := announcement.Address == registered.Address
+	if sameUpstream {
+		return announcement.Incarnation > registered.Incarnation || !sameAddress
+	}
+	return sameAddress
+}
+
+// register returns the upstream of a key, new if there is none.
+func (b *Backend) register(key string) *upstream {
+	held, known := b.upstreams[key]
+	if !known {
+		held = &upstream{running: map[string]runningRequest{}, routeLatency: map[string]time.Duration{}}
+		b.upstreams[key] = held
+	}
+	return held
+}
+
+// Deregister ends a registration. It returns false when there is none of this incarnation here.
+func (b *Backend) Deregister(service, instance string, incarnation int64) (found bool, decisions []Decision) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	key := upstreamKey(service, instance)
+	held, known := b.upstreams[key]
+	if !known || held.announcement.Incarnation != incarnation {
+		return false, nil
+	}
+	delete(b.upstreams, key)
+	return true, held.refuseQueued(errcode.BusyLeaving)
+}
+
+// RetireInstance ends whatever an instance has registered here, and takes no announcement of its
+// name any more. It returns false when the instance was not registered.
+func (b *Backend) RetireInstance(now time.Duration, instance string) (former Announcement, found bool, decisions []Decision) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	b.retired[instance] = now
+	for _, key := range b.sortedKeys() {
+		if held := b.upstreams[key]; held.announcement.Instance == instance {
+			delete(b.upstreams, key)
+			return held.announcement, true, held.refuseQueued(errcode.BusyLeaving)
+		}
+	}
+	return Announcement{}, false, nil
+}
+
+// Lookup returns an upstream's announcement as it counts here.
+func (b *Backend) Lookup(service, instance string) (Announcement, bool) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	held, known := b.upstreams[upstreamKey(service, instance)]
+	if !known {
+		return Announcement{}, false
+	}
+	return held.announcement, true
+}
+
+// HasInstance reports whether an instance is registered here.
+func (b *Backend) HasInstance(instance string) bool {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	for _, held := range b.upstreams {
+		if held.announcement.Instance == instance {
+			return true
+		}
+	}
+	return false
+}
+
+// UpdateRoster takes what the roster says of the upstreams here. One that told another proxy that
+// it leaves gets nothing more.
+func (b *Backend) UpdateRoster(upstreams map[string][]message.Registration) []Decision {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	decisions := []Decision{}
+	for _, key := range b.sortedKeys() {
+		held := b.upstreams[key]
+		for _, registration := range upstreams[held.announcement.Service] {
+			if held.isToldToLeave(key, registration) {
+				held.announcement.Leaving = true
+				decisions = append(decisions, held.refuseQueued(errcode.BusyLeaving)...)
+			}
+		}
+	}
+	return decisions
+}
+
+// isToldToLeave reports whether a registration of the roster says of this upstream, for the first
+// time, that it leaves.
+func (u *upstream) isToldToLeave(key string, registration message.Registration) bool {
+	return registration.Key() == key &&
+		registration.Incarnation == u.announcement.Incarnation &&
+		registration.State == message.StateLeaving &&
+		!u.announcement.Leaving
+}
--- a/internal/backend/target_test.go
+++ b/internal/backend/target_test.go
@@ -109,10 +109,10 @@
 	b.forwarded++
 	forward := message.Forward{ID: fmt.Sprint(name, b.forwarded), Name: name, Service: "pay", Instance: "one", Incarnation: 1, Method: http.MethodPost, Path: path, Headers: []message.HeaderLine{},
 		Body: []byte("body"), Remaining: int64(2 * time.Second), AnswerCap: 1000, Host: "shop.example"}
-	orders := b.serving.Forwarded(b.members.Now(), forward)
+	orders := b.serving.HandleForward(b.members.Now(), forward)
 	c.Assert(orders, qt.HasLen, 1)
 	c.Assert(orders[0].Start, qt.IsTrue, qt.Commentf("%v", orders[0].Code))
-	outcome, _ := b.serving.Finish(b.members.Now(), orders[0], b.caller.Call(orders[0]))
+	outcome, _ := b.serving.Complete(b.members.Now(), orders[0], b.caller.Call(orders[0]))
 	return outcome
 }
 
@@ -134,7 +134,7 @@
 		case "/late":
 			return answerOf("a", "not yours") + answerOf("b", "yours")
 		case "/others":
-			return strings.Repeat(answerOf("a", "not yours"), othersPassed)
+			return strings.Repeat(answerOf("a", "not yours"), maxSkippedResponses)
 		}
 		return answerOf("a", "first")
 	})
@@ -225,8 +225,8 @@
 	c.Assert(outcome.Sent, qt.IsFalse)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.BusyUpstreamGone)
 	now, fresh := members.Now(), b.caller.settings.DialFresh()
-	c.Assert(codes(b.serving.Forwarded(now, forwardOf("x", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
-	c.Assert(codes(b.serving.Forwarded(now+fresh+1, forwardOf("y", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.OK})
+	c.Assert(codes(b.serving.HandleForward(now, forwardOf("x", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(codes(b.serving.HandleForward(now+fresh+1, forwardOf("y", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.OK})
 }
 
 // The path goes out as it came, to the byte, with the host that the caller named and
--- a/internal/frontend/adopt_test.go
+++ b/internal/frontend/adopt_test.go
@@ -98,8 +98,8 @@
 		p.now += 100 * time.Millisecond
 		p.tracker.UpdateSnapshot(snapshot)
 		c.Assert(p.words(), qt.HasLen, 0)
-		c.Assert(serving.Holds("old"), qt.IsFalse)
-		c.Assert(serving.Holds("new"), qt.IsTrue)
+		c.Assert(serving.HasInstance("old"), qt.IsFalse)
+		c.Assert(serving.HasInstance("new"), qt.IsTrue)
 	}
 }
 
@@ -152,7 +152,7 @@
 	p.tracker.Announce(announced("one", "up:1", 8))
 	p.tracker.UpdateSnapshot(rosterOf(beside("one", "up:1", message.StateReady, 6)))
 	c.Assert(p.words(), qt.HasLen, 0)
-	c.Assert(serving.Holds("one"), qt.IsFalse)
+	c.Assert(serving.HasInstance("one"), qt.IsFalse)
 }
 
 // Usage of what upstreams began: counted as a request begins, in the window in which it
--- /dev/null
+++ b/internal/frontend/authorize.go
@@ -0,0 +1,35 @@
+package frontend
+
+import (
+	"beaconvane/internal/errcode"
+	"beaconvane/internal/message"
+	"beaconvane/internal/routeconfig"
+)
+
+// AuthorizeForward is the serving proxy's check of a forwarded request against its own
+// configurations, which may be older or newer than those of the proxy that admitted it.
+func (f *Frontend) AuthorizeForward(forward message.Forward) errcode.Code {
+	snapshot := f.currentSnapshot()
+	if snapshot == nil || !snapshot.Known {
+		return errcode.BusyNotReady
+	}
+	for _, configuration := range snapshot.Configurations {
+		if configuration.ConfigName == forward.ConfigName && f.permits(configuration, forward) {
+			return errcode.OK
+		}
+	}
+	return errcode.BusyConfigurationDiffers
+}
+
+// permits reports whether a configuration lets a forwarded request reach its upstream.
+func (f *Frontend) permits(configuration *routeconfig.Configuration, forward message.Forward) bool {
+	if f.settings.ByTarget() && configuration.Version <= forward.Version {
+		// The configuration by which it was admitted is no older than this one.
+		return true
+	}
+	route, found := configuration.Find(forward.Host, forward.Method, forward.Path)
+	if !found || !route.Leads(forward.Service) || !route.Allows(forward.Tenant, forward.Caller) {
+		return false
+	}
+	return route.Open || configuration.Honours(forward.Tenant) || route.Host != "" && configuration.Keyless()
+}
--- a/internal/frontend/callerlimits.go
+++ b/internal/frontend/callerlimits.go
@@ -1,6 +1,3 @@
-// This file holds the limits for callers that are in force: those of the configurations,
-// within what the machine can hold, and where they don't say, the product's own.
-
 package frontend
 
 import (
@@ -11,101 +8,104 @@
 	"beaconvane/internal/settings"
 )
 
-// The product's own limits, where the configurations tell none.
+// The limits for callers where the configurations set none.
 const (
 	defaultHeadBytes = 64 << 10
 	defaultHeadTime  = 10 * time.Second
 	defaultIdleTime  = 2 * time.Minute
 )
 
-// idleSlack is how much longer than told a connection may rest here: callers go by clocks
+// idleGrace is how much longer than configured a connection may idle here: callers go by clocks
 // of their own, and what they send is a while on its way.
-const idleSlack = time.Second
+const idleGrace = time.Second
 
-// callerLimits are the limits in force. A connection may rest as long as any figure says
-// that was in force when it began to; so a figure that was lowered counts on for its span.
+// callerLimits are the limits in force for callers: those of the configurations, within what the
+// machine can hold. A connection may idle as long as any limit says that was in force when it
+// began to, so a limit that was lowered counts on for its span.
 type callerLimits struct {
-	lock    sync.Mutex
-	told    routeconfig.CallerLimits
-	lowered []loweredIdle
+	lock       sync.Mutex
+	configured routeconfig.CallerLimits
+	lowered    []loweredIdleTime
 }
 
-type loweredIdle struct {
-	figure time.Duration
-	until  time.Duration
+// loweredIdleTime is an idle time that was in force before.
+type loweredIdleTime struct {
+	idleTime time.Duration
+	expires  time.Duration
 }
 
-// take takes the limits of a new snapshot's configurations.
-func (c *callerLimits) take(now time.Duration, configurations []*routeconfig.Configuration) {
+// update takes the limits of a new snapshot's configurations: the widest of each.
+func (c *callerLimits) update(now time.Duration, configurations []*routeconfig.Configuration) {
 	if len(configurations) == 0 {
 		return
 	}
-	told := configurations[0].CallerLimits
+	configured := configurations[0].CallerLimits
 	for _, configuration := range configurations[1:] {
-		told = told.Widest(configuration.CallerLimits)
+		configured = configured.Widest(configuration.CallerLimits)
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if before := idleOr(c.told.IdleTime); before > idleOr(told.IdleTime) {
-		c.lowered = append(c.lowered, loweredIdle{before, now + before + idleSlack})
+	before := idleTimeOrDefault(c.configured.IdleTime)
+	if before > idleTimeOrDefault(configured.IdleTime) {
+		c.lowered = append(c.lowered, loweredIdleTime{before, now + before + idleGrace})
 	}
-	c.told = told
+	c.configured = configured
 }
 
-func idleOr(told time.Duration) time.Duration {
-	if told == 0 {
+func idleTimeOrDefault(configured time.Duration) time.Duration {
+	if configured == 0 {
 		return defaultIdleTime
 	}
-	return told
+	return configured
 }
 
-// idle is how long a connection may rest.
-func (c *callerLimits) idle(now time.Duration) time.Duration {
+// idleTime is how long a connection may idle.
+func (c *callerLimits) idleTime(now time.Duration) time.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	longest, kept := idleOr(c.told.IdleTime), c.lowered[:0]
+	longest, kept := idleTimeOrDefault(c.configured.IdleTime), c.lowered[:0]
 	for _, lowered := range c.lowered {
-		if now < lowered.until {
+		if now < lowered.expires {
 			kept = append(kept, lowered)
-			longest = max(longest, lowered.figure)
+			longest = max(longest, lowered.idleTime)
 		}
 	}
 	c.lowered = kept
-	return longest + idleSlack
+	return longest + idleGrace
 }
 
 // headTime is how long a request's head may take from its first byte.
 func (c *callerLimits) headTime() time.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.told.HeadTime == 0 {
+	if c.configured.HeadTime == 0 {
 		return defaultHeadTime
 	}
-	return c.told.HeadTime
+	return c.configured.HeadTime
 }
 
 // headBytes is how large a request's head may be.
 func (c *callerLimits) headBytes() int64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.told.HeadBytes == 0 {
+	if c.configured.HeadBytes == 0 {
 		return defaultHeadBytes
 	}
-	return c.told.HeadBytes
+	return c.configured.HeadBytes
 }
 
-// bodyBytes is how large a request's body may be: as told, within what this machine holds.
+// bodyBytes is how large a request's body may be: as configured, within what this machine holds.
 func (c *callerLimits) bodyBytes(cfg settings.Settings) int64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.told.BodyBytes == 0 {
+	if c.configured.BodyBytes == 0 {
 		return cfg.Limits.Body
 	}
-	return min(c.told.BodyBytes, cfg.Limits.Body)
+	return min(c.configured.BodyBytes, cfg.Limits.Body)
 }
 
-// IdleTime is how long a caller's connection may rest now.
-func (f *Frontend) IdleTime(now time.Duration) time.Duration { return f.limits.idle(now) }
+// IdleTime is how long a caller's connection may idle now.
+func (f *Frontend) IdleTime(now time.Duration) time.Duration { return f.callerLimits.idleTime(now) }
 
-// HeadTime is how long a caller's head may take.
-func (f *Frontend) HeadTime() time.Duration { return f.limits.headTime() }
+// HeadTime is how long the head of a caller's request may take.
+func (f *Frontend) HeadTime() time.Duration { return f.callerLimits.headTime() }
--- a/internal/frontend/callerlimits_test.go
+++ b/internal/frontend/callerlimits_test.go
@@ -51,7 +51,7 @@
 	select {
 	case <-done:
 		return recorder.Code
-	case <-stages.admit:
+	case <-stages.admitQueue:
 		return 0 // passed on
 	}
 }
@@ -123,7 +123,7 @@
 func TestASlowBody(t *testing.T) {
 	c := qt.New(t)
 	stages := limitedStages(`{}`, func(*settings.Settings) {})
-	before := stages.bodies.left
+	before := stages.bodies.available
 	for _, length := range []int64{10, -1} {
 		request := httptest.NewRequest(http.MethodPost, "/x", io.NopCloser(stuck{}))
 		request.ContentLength = length
@@ -131,7 +131,7 @@
 		stages.ServeHTTP(recorder, request)
 		c.Check(recorder.Code, qt.Equals, http.StatusRequestTimeout)
 		c.Check(recorder.Header().Get("Retry-After"), qt.Not(qt.Equals), "")
-		c.Check(stages.bodies.left, qt.Equals, before)
+		c.Check(stages.bodies.available, qt.Equals, before)
 	}
 }
 
@@ -141,20 +141,20 @@
 	c := qt.New(t)
 	limits := callerLimits{}
 	show := func(now time.Duration, idle int) {
-		limits.take(now, []*routeconfig.Configuration{limited(fmt.Sprintf(`{"idle_ms":%d}`, idle))})
+		limits.update(now, []*routeconfig.Configuration{limited(fmt.Sprintf(`{"idle_ms":%d}`, idle))})
 	}
-	c.Assert(limits.idle(0), qt.Equals, defaultIdleTime+idleSlack)
+	c.Assert(limits.idleTime(0), qt.Equals, defaultIdleTime+idleGrace)
 	show(0, 15000)
-	c.Assert(limits.idle(defaultIdleTime), qt.Equals, defaultIdleTime+idleSlack)
+	c.Assert(limits.idleTime(defaultIdleTime), qt.Equals, defaultIdleTime+idleGrace)
 	now := 1000 * time.Second
-	c.Assert(limits.idle(now), qt.Equals, 15*time.Second+idleSlack)
+	c.Assert(limits.idleTime(now), qt.Equals, 15*time.Second+idleGrace)
 	show(now, 5000)
-	c.Assert(limits.idle(now), qt.Equals, 15*time.Second+idleSlack)
+	c.Assert(limits.idleTime(now), qt.Equals, 15*time.Second+idleGrace)
 	show(now+time.Second, 3000)
-	c.Assert(limits.idle(now+15*time.Second), qt.Equals, 15*time.Second+idleSlack)
-	c.Assert(limits.idle(now+17*time.Second), qt.Equals, 3*time.Second+idleSlack)
+	c.Assert(limits.idleTime(now+15*time.Second), qt.Equals, 15*time.Second+idleGrace)
+	c.Assert(limits.idleTime(now+17*time.Second), qt.Equals, 3*time.Second+idleGrace)
 	show(now+20*time.Second, 30000)
-	c.Assert(limits.idle(now+20*time.Second), qt.Equals, 30*time.Second+idleSlack)
+	c.Assert(limits.idleTime(now+20*time.Second), qt.Equals, 30*time.Second+idleGrace)
 }
 
 // A request's time begins with its first byte: one that waited behind another on its
@@ -164,6 +164,6 @@
 	f := hostedFrontend(c, upstream("one", "here"))
 	request := asked("/pay/x", "secret")
 	request.ArrivedAt = old - time.Second
-	c.Assert(f.Admit(old, time.Now(), request), qt.IsNil)
+	c.Assert(f.admit(old, time.Now(), request), qt.IsNil)
 	c.Assert(request.Deadline, qt.Equals, old+2*time.Second)
 }
--- /dev/null
+++ b/internal/frontend/forward.go
@@ -0,0 +1,65 @@
+package frontend
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"beaconvane/internal/message"
+)
+
+// The serving proxy gets a little less time than the request has left, so that its answer comes
+// back in time: less by a twentieth, and by a tenth of the update interval at most.
+const (
+	answerTimeDivisor    = 20
+	answerTimeMaxDivisor = 10
+)
+
+// forwardFrame makes the frame that takes an attempt to the chosen serving proxy.
+func (f *Frontend) forwardFrame(now time.Duration, request *Request, self string, attempt string) message.Forward {
+	remaining := request.Deadline - now
+	reserve := min(remaining/answerTimeDivisor, f.settings.UpdatesEvery()/answerTimeMaxDivisor)
+	forward := message.Forward{
+		ID:                request.ID + "." + attempt,
+		Proxy:             self,
+		ServingProxyBirth: request.Target.ServingProxyBirth,
+		ConfigName:        request.Configuration.ConfigName,
+		Version:           request.Configuration.Version,
+		Route:             request.Route.Name,
+		Service:           request.Service,
+		Instance:          request.Target.Instance,
+		Incarnation:       request.Target.Incarnation,
+		Tenant:            request.Tenant,
+		Caller:            request.Caller,
+		Method:            request.Method,
+		Path:              request.Path,
+		RawQuery:          request.RawQuery,
+		Headers:           headerLines(request),
+		Body:              request.Body,
+		AnswerCap:         f.settings.Limits.Answer,
+		Host:              request.Host,
+		Name:              request.AttemptName,
+		Priority:          request.Priority,
+		Once:              request.Route.Once,
+		Repeat:            request.UpstreamAttempts > 0,
+		Remaining:         int64(remaining - reserve),
+	}
+	if request.Route.Aim > 0 && !request.nested() {
+		forward.Aim = max(int64(request.ArrivedAt+request.Route.Aim-now), 1)
+	}
+	if forward.Body == nil {
+		forward.Body = []byte{}
+	}
+	return forward
+}
+
+// headerLines lists a request's headers in a steady order.
+func headerLines(request *Request) []message.HeaderLine {
+	lines := []message.HeaderLine{}
+	for _, name := range slices.Sorted(maps.Keys(request.Header)) {
+		for _, value := range request.Header[name] {
+			lines = append(lines, message.HeaderLine{Name: name, Value: value})
+		}
+	}
+	return lines
+}
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -71,11 +71,11 @@
 		{request("POST", "/other", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestNoRoute},
 		{request("POST", "/pay/%2e%2e/x", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestBadPath},
 	} {
-		c.Check(code(f.Admit(time.Second, time.Now(), tried.request)), qt.Equals, tried.code, qt.Commentf("%v", tried.request.Header))
+		c.Check(code(f.admit(time.Second, time.Now(), tried.request)), qt.Equals, tried.code, qt.Commentf("%v", tried.request.Header))
 	}
 	large := request("GET", "/look", APIKeyHeader, "secret", backend.CallerHeader, "shop")
 	large.Body = []byte("12345")
-	c.Assert(code(f.Admit(time.Second, time.Now(), large)), qt.Equals, errcode.RequestTooLarge)
+	c.Assert(code(f.admit(time.Second, time.Now(), large)), qt.Equals, errcode.RequestTooLarge)
 }
 
 // Where key withdrawal is bound, a node that can't know refuses in time by itself.
@@ -84,7 +84,7 @@
 	for withdrawal, wanted := range map[int64]errcode.Code{0: errcode.OK, 5000: errcode.BusyStale} {
 		f := ready(c, withdrawal)
 		asked := func(now time.Duration) errcode.Code {
-			return code(f.Admit(now, time.Now(), request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")))
+			return code(f.admit(now, time.Now(), request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")))
 		}
 		c.Assert(asked(4400*time.Millisecond), qt.Equals, errcode.OK)
 		c.Assert(asked(4600*time.Millisecond), qt.Equals, wanted)
@@ -97,11 +97,11 @@
 	asked := request("POST", "/pay?a=1&api_key=secret&b=secret&c=%73ecret&e=%2573ecret&d=2&api_key=extra", APIKeyHeader, "secret", "Authorization", "bearer other", "Cookie", "x=secret",
 		"Cookie", "y=SECRET", "Referer", "/x?k=%53ecret", "X-Note", "an other one", "X-More", "extra", "X-Second", "a=second",
 		"X-Tenant", "other", "X_tenant", "other", backend.CallerHeader, "shop", "X-Request-Id", "mine", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "yes")
-	c.Assert(f.Admit(time.Second, time.Now(), asked), qt.IsNil)
+	c.Assert(f.admit(time.Second, time.Now(), asked), qt.IsNil)
 	c.Assert(asked.Header, qt.DeepEquals, http.Header{"X-Kept": {"yes"}})
 	c.Assert(asked.RawQuery, qt.Equals, "a=1&d=2")
 	for _, path := range []string{"/pay/secret", "/pay/%73ecret", "/pay/SECRET/x", "/pay/second"} {
-		c.Assert(code(f.Admit(time.Second, time.Now(), request("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop"))), qt.Equals, errcode.RequestBadPath)
+		c.Assert(code(f.admit(time.Second, time.Now(), request("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop"))), qt.Equals, errcode.RequestBadPath)
 	}
 }
 
@@ -117,9 +117,9 @@
 	chosen := map[string]int{}
 	for range 6 {
 		asked := request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")
-		c.Assert(f.Admit(10*time.Second, time.Now(), asked), qt.IsNil)
+		c.Assert(f.admit(10*time.Second, time.Now(), asked), qt.IsNil)
 		asked.Deadline = 20 * time.Second
-		c.Assert(f.SelectUpstream(10*time.Second, asked, random), qt.IsNil)
+		c.Assert(f.selectUpstream(10*time.Second, asked, random), qt.IsNil)
 		chosen[asked.Target.Instance]++
 	}
 	c.Assert(chosen["near"] > chosen["far"], qt.IsTrue)
@@ -147,9 +147,9 @@
 		asked := request(method, tried.path, APIKeyHeader, "secret", backend.CallerHeader, "shop")
 		begin := 10 * time.Second // a life as old as the retry window has its allowance
 		asked.Deadline += begin
-		c.Assert(f.Admit(begin, time.Now(), asked), qt.IsNil)
-		c.Assert(f.SelectUpstream(begin, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
-		final := f.EvaluateOutcome(begin+time.Millisecond, asked, tried.outcome)
+		c.Assert(f.admit(begin, time.Now(), asked), qt.IsNil)
+		c.Assert(f.selectUpstream(begin, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
+		final := f.evaluateOutcome(begin+time.Millisecond, asked, tried.outcome)
 		c.Check(final == nil, qt.Equals, tried.again, qt.Commentf("%+v", tried))
 		c.Check(code(final), qt.Equals, tried.final, qt.Commentf("%+v", tried))
 		if final != nil {
@@ -158,8 +158,8 @@
 		}
 		// Once something may have run, no later refusal says that nothing did.
 		if final == nil && tried.outcome.Kind == message.StartedNoWhole {
-			c.Assert(f.SelectUpstream(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
-			last := f.EvaluateOutcome(begin+6*time.Second, asked, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)})
+			c.Assert(f.selectUpstream(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
+			last := f.evaluateOutcome(begin+6*time.Second, asked, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)})
 			c.Check(code(last), qt.Equals, errcode.UnknownOutcome)
 		}
 	}
@@ -173,8 +173,8 @@
 	for number := range 1000 {
 		now := time.Duration(number) * 10 * time.Millisecond
 		f.lock.Lock()
-		f.first(now, "pay")
-		if f.mayRetry(now, "pay") {
+		f.countFirstAttempt(now, "pay")
+		if f.spendRetry(now, "pay") {
 			granted++
 		}
 		f.lock.Unlock()
@@ -185,6 +185,6 @@
 	young := ready(c, 0)
 	young.lock.Lock()
 	defer young.lock.Unlock()
-	c.Assert(young.mayRetry(time.Second, "pay"), qt.IsFalse)
-	c.Assert(young.mayRetry(10*time.Second, "pay"), qt.IsTrue)
+	c.Assert(young.spendRetry(time.Second, "pay"), qt.IsFalse)
+	c.Assert(young.spendRetry(10*time.Second, "pay"), qt.IsTrue)
 }
--- a/internal/frontend/full_test.go
+++ b/internal/frontend/full_test.go
@@ -40,13 +40,13 @@
 func forwards(c *qt.C, f *Frontend, now time.Duration, random *rand.Rand, path, key string) int {
 	request := asked(path, key)
 	request.Deadline = now + 3*time.Second
-	c.Assert(f.Admit(now, time.Now(), request), qt.IsNil)
+	c.Assert(f.admit(now, time.Now(), request), qt.IsNil)
 	for sent := 0; ; sent++ {
-		if final := f.SelectUpstream(now, request, random); final != nil {
+		if final := f.selectUpstream(now, request, random); final != nil {
 			c.Assert(final.Code, qt.Equals, errcode.BusySlotsFull)
 			return sent
 		}
-		if final := f.EvaluateOutcome(now, request, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}); final != nil {
+		if final := f.evaluateOutcome(now, request, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}); final != nil {
 			return sent + 1
 		}
 	}
@@ -78,13 +78,13 @@
 		forwards(c, f, old, random, "/pay/x", "secret")
 	}
 	c.Assert(forwards(c, f, old, random, "/pay/x", "secret"), qt.Equals, 0)
-	for _, held := range f.peers {
-		c.Assert(held.fullUntil > old, qt.IsTrue)
+	for _, held := range f.upstreams {
+		c.Assert(held.saturatedUntil > old, qt.IsTrue)
 	}
 	request := asked("/check/x", "")
-	c.Assert(f.Admit(old, time.Now(), request), qt.IsNil)
-	c.Assert(f.SelectUpstream(old, request, random), qt.IsNil)
-	f.EvaluateOutcome(old, request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(time.Millisecond)})
+	c.Assert(f.admit(old, time.Now(), request), qt.IsNil)
+	c.Assert(f.selectUpstream(old, request, random), qt.IsNil)
+	f.evaluateOutcome(old, request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(time.Millisecond)})
 	c.Assert(forwards(c, f, old, random, "/pay/x", "secret") > 0, qt.IsTrue)
 }
 
@@ -103,9 +103,9 @@
 	nested, own := asked("/check/x", ""), asked("/pay/x", "secret")
 	f = crowded(77)
 	for _, request := range []*Request{nested, own} {
-		c.Assert(f.Admit(old, time.Now(), request), qt.IsNil)
-		c.Assert(f.SelectUpstream(old, request, random), qt.IsNil)
+		c.Assert(f.admit(old, time.Now(), request), qt.IsNil)
+		c.Assert(f.selectUpstream(old, request, random), qt.IsNil)
 	}
-	c.Assert(f.Forward(old, nested, "proxy/me", "1").Aim, qt.Equals, int64(0))
-	c.Assert(f.Forward(old, own, "proxy/me", "1").Aim > 0, qt.IsTrue)
+	c.Assert(f.forwardFrame(old, nested, "proxy/me", "1").Aim, qt.Equals, int64(0))
+	c.Assert(f.forwardFrame(old, own, "proxy/me", "1").Aim > 0, qt.IsTrue)
 }
--- a/internal/frontend/lag_test.go
+++ b/internal/frontend/lag_test.go
@@ -40,25 +40,25 @@
 			ends := item.at + lagWork + lag
 			switch {
 			case lag < 0:
-				f.Release(item.request)
-				f.Unanswered(now, item.request)
+				f.release(item.request)
+				f.abandonAttempt(now, item.request)
 			case ends > now:
 				rest = append(rest, item)
 			default:
-				f.EvaluateOutcome(ends, item.request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(lagWork)})
+				f.evaluateOutcome(ends, item.request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(lagWork)})
 			}
 		}
 		waiting = rest
 		going := asked("/pay/x", "secret")
 		going.Deadline = now + 3*time.Second
-		c.Assert(f.Admit(now, time.Now(), going), qt.IsNil)
-		c.Assert(f.SelectUpstream(now, going, random), qt.IsNil)
+		c.Assert(f.admit(now, time.Now(), going), qt.IsNil)
+		c.Assert(f.selectUpstream(now, going, random), qt.IsNil)
 		sent[going.Target.Instance]++
 		total++
 		waiting = append(waiting, out{going, now})
 	}
 	for _, item := range waiting {
-		f.Release(item.request)
+		f.release(item.request)
 	}
 	for name := range sent {
 		sent[name] /= total
--- a/internal/frontend/link_test.go
+++ b/internal/frontend/link_test.go
@@ -51,8 +51,8 @@
 		c.Check(final.Code, qt.Equals, errcode.BusyQueueFull, qt.Commentf(tried.name))
 		c.Check(final.RetryAfter > 0, qt.IsTrue, qt.Commentf(tried.name))
 		c.Check(back.connections, qt.HasLen, 0, qt.Commentf(tried.name))
-		for _, held := range f.peers {
-			c.Check(held.mine, qt.Equals, int64(0), qt.Commentf(tried.name))
+		for _, held := range f.upstreams {
+			c.Check(held.inFlight, qt.Equals, int64(0), qt.Commentf(tried.name))
 		}
 	}
 }
--- a/internal/frontend/repeats_test.go
+++ b/internal/frontend/repeats_test.go
@@ -21,8 +21,8 @@
 	barred time.Duration
 }
 
-func (r *fixedRepeats) RepeatShare() float64           { return r.share }
-func (r *fixedRepeats) BarRepeats(until time.Duration) { r.barred = until }
+func (r *fixedRepeats) RetryShare() float64              { return r.share }
+func (r *fixedRepeats) PauseRetries(until time.Duration) { r.barred = until }
 
 // callsLet counts how many calls of running requests get as far as an upstream.
 func callsLet(c *qt.C, share float64, key string) int {
@@ -32,11 +32,11 @@
 	random, let := rand.New(rand.NewPCG(1, 2)), 0
 	for range 200 {
 		going := asked("/free/x", key)
-		c.Assert(f.Admit(time.Second, time.Now(), going), qt.IsNil)
-		final := f.SelectUpstream(time.Second, going, random)
+		c.Assert(f.admit(time.Second, time.Now(), going), qt.IsNil)
+		final := f.selectUpstream(time.Second, going, random)
 		if final == nil {
 			let++
-			f.Release(going)
+			f.release(going)
 			continue
 		}
 		c.Assert(final.Code, qt.Equals, errcode.BusyBudget)
@@ -62,37 +62,37 @@
 	f := hostedFrontend(c, upstream("one", "here"), upstream("two", "here"))
 	random := rand.New(rand.NewPCG(1, 2))
 	going := asked("/pay/x", "secret")
-	c.Assert(f.Admit(old, time.Now(), going), qt.IsNil)
-	c.Assert(f.SelectUpstream(old, going, random), qt.IsNil)
-	c.Assert(f.Forward(old, going, "me", "1").Repeat, qt.IsFalse)
-	c.Assert(f.EvaluateOutcome(old, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: true}), qt.IsNil)
-	c.Assert(f.SelectUpstream(old, going, random), qt.IsNil)
-	repeat := f.Forward(old, going, "me", "2")
+	c.Assert(f.admit(old, time.Now(), going), qt.IsNil)
+	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
+	c.Assert(f.forwardFrame(old, going, "me", "1").Repeat, qt.IsFalse)
+	c.Assert(f.evaluateOutcome(old, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: true}), qt.IsNil)
+	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
+	repeat := f.forwardFrame(old, going, "me", "2")
 	c.Assert(repeat.Repeat, qt.IsTrue)
 
 	serving := backend.New(f.settings, func(message.Forward) errcode.Code { return errcode.OK })
 	for _, name := range []string{"one", "two"} {
 		serving.Announce(old, backend.Announcement{Service: "pay", Instance: name, Incarnation: 1, Address: name, Zone: "here", Slots: 4})
 	}
-	c.Assert(serving.RepeatShare(), qt.Equals, 0.0)
+	c.Assert(serving.RetryShare(), qt.Equals, 0.0)
 	start := func(number int, again, once bool) {
 		made := repeat
 		made.ID, made.Repeat, made.Once = fmt.Sprint(number, again, once), again, once
-		orders := serving.Forwarded(old, made)
+		orders := serving.HandleForward(old, made)
 		c.Assert(orders, qt.HasLen, 1)
 		c.Assert(orders[0].Start, qt.IsTrue)
-		serving.Finish(old, orders[0], message.Outcome{Kind: message.StartedWhole, Status: 200})
+		serving.Complete(old, orders[0], message.Outcome{Kind: message.StartedWhole, Status: 200})
 	}
 	for number := range 300 {
 		start(number, number%3 == 0, false)
 		start(number, false, true) // makes no repeats, and hides none
 	}
-	share := serving.RepeatShare()
+	share := serving.RetryShare()
 	c.Assert(share > 0.25 && share < 0.42, qt.IsTrue, qt.Commentf("%v", share))
 	for number := range 300 {
 		start(1000+number, false, false)
 	}
-	c.Assert(serving.RepeatShare() < 0.001, qt.IsTrue)
+	c.Assert(serving.RetryShare() < 0.001, qt.IsTrue)
 }
 
 // While the services called have no room for the calls of repeats, none starts; first
@@ -101,9 +101,9 @@
 	c := qt.New(t)
 	serving := backend.New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
 	serving.Announce(old, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "one", Zone: "here", Slots: 4})
-	serving.BarRepeats(old + time.Second)
+	serving.PauseRetries(old + time.Second)
 	start := func(id string, now time.Duration, repeat bool) backend.Decision {
-		orders := serving.Forwarded(now, message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Repeat: repeat})
+		orders := serving.HandleForward(now, message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Repeat: repeat})
 		c.Assert(orders, qt.HasLen, 1)
 		return orders[0]
 	}
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -1,17 +1,14 @@
 package frontend
 
-// This file is a caller's request and its final answer.
-
 import (
 	"net/http"
 	"time"
 
-	"beaconvane/internal/errcode"
 	"beaconvane/internal/message"
 	"beaconvane/internal/routeconfig"
 )
 
-// Request is one caller's request on its way.
+// Request is one caller's request, with what each step has found out about it.
 type Request struct {
 	ID        string
 	Method    string
@@ -20,67 +17,57 @@
 	Header    http.Header
 	Host      string
 	Body      []byte
-	ArrivedAt time.Duration // when its first byte was here
+	ArrivedAt time.Duration // when its first byte came; 0: not known
 	Deadline  time.Duration
 
+	// Found at admission.
 	Path          string
-	Name          string
-	Service       string // the one that the route's split fell on
+	AttemptName   string // the caller's own name of this try; "" for none
 	Priority      int64
-	Sent          int64 // attempts that reached an upstream, or may have
 	Configuration *routeconfig.Configuration
 	Route         routeconfig.Route
 	Tenant        string
-	Caller        string
-	Tried         map[string]bool
-	Attempts      int
-	Target        message.Registration
-	chosenAt      time.Duration // when the target was
-	Started       bool          // some attempt may have started
-	begun         bool          // counted as open
+	Caller        string // the calling service
+	countedOpen   bool   // for the usage report
+
+	// The state of its attempts.
+	Service          string // the one that the route's split fell on
+	Tried            map[string]bool
+	Attempts         int   // made so far
+	UpstreamAttempts int64 // of these, those that reached an upstream, or may have
+	MayHaveRun       bool  // by one of these attempts; never taken back
+	Target           message.Registration
+	selectedAt       time.Duration // when the target was selected
 }
 
-// nested says that a running request's upstream makes this one. Refusing it, be it too
-// late for its own aim, would waste the work of the running one.
+// nested reports whether the upstream of a running request makes this one. Refusing it, even
+// where it is too late for its own aim, would waste the work of the running one.
 func (r *Request) nested() bool {
 	return r.Tenant == "" && r.Configuration != nil && !r.Configuration.Keyless()
 }
 
-// since is when the request's time began: with its first byte, where that is known.
-func (r *Request) since(now time.Duration) time.Duration {
+// startedAt is when the request's time began: with its first byte, where that is known.
+func (r *Request) startedAt(now time.Duration) time.Duration {
 	if r.ArrivedAt > 0 {
 		return r.ArrivedAt
 	}
 	return now
 }
 
-// Response is the answer to the caller.
-type Response struct {
-	Code       errcode.Code
-	Status     int
-	Headers    []message.HeaderLine
-	Body       []byte
-	RetryAfter time.Duration
-}
-
-// NewRefusal makes a final answer of a code; busy ones say when to come back.
-func NewRefusal(code errcode.Code) *Response {
-	final := &Response{Code: code, Status: code.Status()}
-	if final.Status == http.StatusServiceUnavailable || final.Status == http.StatusRequestTimeout {
-		final.RetryAfter = time.Second
+// callerTimeout is how long a caller waits at most, before its route's own deadline is known.
+func (f *Frontend) callerTimeout(request *Request) time.Duration {
+	limit := f.settings.RequestLimit()
+	if timeout := f.protocol.Metadata(request).Timeout; timeout > 0 {
+		limit = min(limit, timeout)
 	}
-	return final
+	return limit
 }
 
-// soon says when a busy answer's cause will most likely be over: updates is some askings
-// away, a slot is free after a part of a request's time.
-func (f *Frontend) soon(final *Response) *Response {
-	switch {
-	case final.RetryAfter == 0 || !f.settings.ByTarget() || final.Code == errcode.RequestRouteClosed:
-	case final.Code == errcode.BusyNotReady || final.Code == errcode.BusyStale:
-		final.RetryAfter = f.settings.UpdatesEvery() * 2
-	default:
-		final.RetryAfter = f.settings.UpdatesEvery() * 3 / 2
+// startupGrace is how long a request may wait for the first snapshot of a proxy that has only
+// just started.
+func (f *Frontend) startupGrace(request *Request) time.Duration {
+	if f.settings.ByTarget() {
+		return min(f.settings.UpdatesEvery()*4, f.callerTimeout(request)/2)
 	}
-	return final
+	return f.settings.UpdatesEvery() * 2
 }
--- a/internal/frontend/retry.go
+++ b/internal/frontend/retry.go
@@ -1,9 +1,3 @@
-// This file is the one place that decides, after an attempt, what becomes of a request:
-// its final answer, or another attempt. It mirrors the table "After an attempt" of
-// docs/request-safety.md. An attempt has one of four endings. Two of them say that the
-// request did not run, and never will, by that attempt; one is the upstream's answer;
-// after the last nobody knows.
-
 package frontend
 
 import (
@@ -15,95 +9,108 @@
 	"beaconvane/internal/safeguard"
 )
 
-// Ending is what a proxy knows of a request after one attempt.
-type Ending int
+// freeAttempts is how many attempts a request has that no upstream has seen before retries of it
+// draw on the retry budget.
+const freeAttempts = 4
+
+// attemptStatus is what a proxy knows of a request after one attempt.
+type attemptStatus int
 
-// The endings of an attempt.
 const (
-	// NeverOffered: no upstream has seen the attempt, and none will.
-	NeverOffered Ending = iota
-	// TurnedAway: an upstream has seen it, and said that it has not run it.
-	TurnedAway
-	// Answered: the upstream's own whole answer is here.
-	Answered
-	// Unsure: it has run, runs, or may yet run.
-	Unsure
+	// statusNotSent: no upstream has seen the attempt, and none will.
+	statusNotSent attemptStatus = iota
+	// statusRejected: an upstream has seen it, and said that it has not run it.
+	statusRejected
+	// statusAnswered: the upstream's own whole answer is here.
+	statusAnswered
+	// statusUnknown: it has run, runs, or may yet run.
+	statusUnknown
 )
 
-// EndingOf reads an outcome; whatever it does not know counts as unsure.
-func EndingOf(outcome message.Outcome) Ending {
+// attemptStatusOf reads an outcome. Whatever it does not know counts as unknown.
+func attemptStatusOf(outcome message.Outcome) attemptStatus {
 	switch {
 	case outcome.Kind == message.StartedWhole:
-		return Answered
+		return statusAnswered
 	case outcome.Kind == message.NotStarted && outcome.Sent:
-		return TurnedAway
+		return statusRejected
 	case outcome.Kind == message.NotStarted:
-		return NeverOffered
+		return statusNotSent
 	}
-	return Unsure
+	return statusUnknown
 }
 
-// consequence is what an ending means for the attempts that may follow.
-type consequence struct {
-	offered bool // it has used up one of the upstreams that the route allows
-	mayRun  bool // from now on nobody may be told that the request has not run
-	once    bool // a request that may run only once may go on
+// attemptEffect is what the status of an attempt means for those that may follow.
+type attemptEffect struct {
+	usesUpstream bool // it has used up one of the upstreams that the route allows
+	mayHaveRun   bool // from now on nobody may be told that the request has not run
 }
 
-var consequences = map[Ending]consequence{
-	NeverOffered: {once: true},
-	TurnedAway:   {offered: true, once: true},
-	Answered:     {offered: true, mayRun: true},
-	Unsure:       {offered: true, mayRun: true},
+var attemptEffects = map[attemptStatus]attemptEffect{
+	statusNotSent:  {},
+	statusRejected: {usesUpstream: true},
+	statusAnswered: {usesUpstream: true, mayHaveRun: true},
+	statusUnknown:  {usesUpstream: true, mayHaveRun: true},
 }
 
-// note takes an ending into the request.
-func (r *Request) note(ending Ending) {
-	meaning := consequences[ending]
-	if meaning.offered {
-		r.Sent++
+// recordAttempt notes the status of an attempt in the request.
+func (r *Request) recordAttempt(status attemptStatus) {
+	effect := attemptEffects[status]
+	if effect.usesUpstream {
+		r.UpstreamAttempts++
 	}
-	r.Started = r.Started || meaning.mayRun
+	r.MayHaveRun = r.MayHaveRun || effect.mayHaveRun
 }
 
-// promised: the request may still be told that it has not run.
-func (r *Request) promised() bool { return !r.Started || !safeguard.NoPromiseAfterRun.On() }
+// provablyNotRun reports whether the caller may still be told that the request has not run.
+func (r *Request) provablyNotRun() bool { return !r.MayHaveRun || !safeguard.NoPromiseAfterRun.On() }
 
-// mostReached: no further upstream may be offered the request.
-func (r *Request) mostReached() bool {
-	return r.Route.Attempts > 0 && r.Sent >= r.Route.Attempts && safeguard.MostUpstreams.On()
+// upstreamLimitReached reports whether no further upstream may be offered the request.
+func (r *Request) upstreamLimitReached() bool {
+	return r.Route.Attempts > 0 && r.UpstreamAttempts >= r.Route.Attempts && safeguard.MostUpstreams.On()
 }
 
-// afterAttempt gives the final answer after an attempt that brought none, or nil for
-// another attempt.
-func (f *Frontend) afterAttempt(now time.Duration, request *Request, ending Ending, code errcode.Code) *Response {
-	unsure := code
-	if code == errcode.OK || ending != Unsure || code.Status() == http.StatusServiceUnavailable {
-		// Nothing that promises "not run" is said of a request that may have run.
-		unsure = errcode.UnknownOutcome
+// decideRetry returns the final answer after an attempt that brought none, or nil for another
+// attempt. It is the only place that decides on another attempt; the table "After an attempt" of
+// docs/request-safety.md says the same.
+func (f *Frontend) decideRetry(now time.Duration, request *Request, status attemptStatus, code errcode.Code) *Response {
+	if status == statusUnknown {
+		if request.Route.Once && safeguard.OnceOnly.On() || now >= request.Deadline {
+			return NewRefusal(unknownStatusCode(code))
+		}
+	} else {
+		if now >= request.Deadline || code == errcode.BusyDeadline {
+			return request.refuse(errcode.BusyDeadline)
+		}
+		if code.Status() != http.StatusServiceUnavailable {
+			return request.refuse(code)
+		}
 	}
 	switch {
-	case ending == Unsure && (request.Route.Once && safeguard.OnceOnly.On() || now >= request.Deadline):
-		return NewRefusal(unsure)
-	case ending != Unsure && (now >= request.Deadline || code == errcode.BusyDeadline):
-		return f.giveUp(request, errcode.BusyDeadline)
-	case ending != Unsure && code.Status() != http.StatusServiceUnavailable:
-		return f.giveUp(request, code)
-	case request.mostReached():
-		return f.giveUp(request, code)
-	case f.settings.ByTarget() && request.Sent == 0 && request.Attempts < looks:
+	case request.upstreamLimitReached():
+		return request.refuse(code)
+	case f.settings.ByTarget() && request.UpstreamAttempts == 0 && request.Attempts < freeAttempts:
 		// No upstream has seen it, so nothing is spent.
 		return nil
-	case !f.mayRetry(now, request.Service):
-		return f.giveUp(request, errcode.BusyBudget)
+	case !f.spendRetry(now, request.Service):
+		return request.refuse(errcode.BusyBudget)
 	}
 	return nil
 }
 
-// giveUp ends a request that gets no further attempt: with a promise that it has not run
-// only while that is so.
-func (f *Frontend) giveUp(request *Request, code errcode.Code) *Response {
-	if !request.promised() {
+// unknownStatusCode is what the caller of a request that may have run is told. A code that
+// promises that it has not run is replaced.
+func unknownStatusCode(code errcode.Code) errcode.Code {
+	if code == errcode.OK || code.Status() == http.StatusServiceUnavailable {
+		return errcode.UnknownOutcome
+	}
+	return code
+}
+
+// refuse ends a request that gets no further attempt. Its answer promises that the request has
+// not run only while that is so.
+func (r *Request) refuse(code errcode.Code) *Response {
+	if !r.provablyNotRun() {
 		return NewRefusal(errcode.UnknownOutcome)
 	}
 	return NewRefusal(code)
--- a/internal/frontend/target_test.go
+++ b/internal/frontend/target_test.go
@@ -49,30 +49,30 @@
 	f := hostedFrontend(c, upstream("one", "here"), upstream("two", "here"))
 	random := rand.New(rand.NewPCG(1, 2))
 	going := asked("/pay/x", "secret")
-	c.Assert(f.Admit(old, time.Now(), going), qt.IsNil)
-	c.Assert(f.SelectUpstream(old, going, random), qt.IsNil)
+	c.Assert(f.admit(old, time.Now(), going), qt.IsNil)
+	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
 	first := going.Target.Instance
 	misdirected := message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyUpstreamGone), Sent: true}
-	c.Assert(f.EvaluateOutcome(old, going, misdirected), qt.IsNil)
-	c.Assert(f.SelectUpstream(old, going, random), qt.IsNil)
+	c.Assert(f.evaluateOutcome(old, going, misdirected), qt.IsNil)
+	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
 	c.Assert(going.Target.Instance, qt.Not(qt.Equals), first)
 	// The configuration allows two upstreams: then it is refused, and may be asked again.
-	final := f.EvaluateOutcome(old, going, misdirected)
+	final := f.evaluateOutcome(old, going, misdirected)
 	c.Assert(code(final), qt.Equals, errcode.BusyUpstreamGone)
 	c.Assert(final.Status, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(final.RetryAfter > 0, qt.IsTrue)
 	// Neither is chosen again for a moment; then both are.
 	later := asked("/pay/x", "secret")
-	c.Assert(f.Admit(old, time.Now(), later), qt.IsNil)
-	c.Assert(code(f.SelectUpstream(old, later, random)), qt.Equals, errcode.BusySlotsFull)
-	c.Assert(f.SelectUpstream(old+f.settings.HeartbeatEvery()*2, later, random), qt.IsNil)
+	c.Assert(f.admit(old, time.Now(), later), qt.IsNil)
+	c.Assert(code(f.selectUpstream(old, later, random)), qt.Equals, errcode.BusySlotsFull)
+	c.Assert(f.selectUpstream(old+f.settings.HeartbeatEvery()*2, later, random), qt.IsNil)
 }
 
 // Homes that turn a request away which no upstream has seen cost no retries, up to a
 // number of looks; what an upstream has seen does.
 func TestLooksCostNothing(t *testing.T) {
 	c := qt.New(t)
-	for sent, wanted := range map[bool]int{false: looks, true: 1} {
+	for sent, wanted := range map[bool]int{false: freeAttempts, true: 1} {
 		list := []message.Registration{}
 		for _, name := range strings.Split("abcdefgh", "") {
 			list = append(list, upstream(name, "here"))
@@ -81,12 +81,12 @@
 		random := rand.New(rand.NewPCG(1, 2))
 		now := time.Second // too young for an allowance
 		going := asked("/free/x", "")
-		c.Assert(f.Admit(now, time.Now(), going), qt.IsNil)
+		c.Assert(f.admit(now, time.Now(), going), qt.IsNil)
 		tries := 0
 		for {
-			c.Assert(f.SelectUpstream(now, going, random), qt.IsNil)
+			c.Assert(f.selectUpstream(now, going, random), qt.IsNil)
 			tries++
-			if final := f.EvaluateOutcome(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: sent}); final != nil {
+			if final := f.evaluateOutcome(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: sent}); final != nil {
 				c.Assert(final.Code, qt.Equals, errcode.BusyBudget)
 				break
 			}
@@ -116,7 +116,7 @@
 	} {
 		going := asked(tried.path, tried.key)
 		going.Header.Set(backend.CallerHeader, tried.caller)
-		c.Check(code(f.Admit(time.Second, time.Now(), going)), qt.Equals, tried.code, qt.Commentf("%+v", tried))
+		c.Check(code(f.admit(time.Second, time.Now(), going)), qt.Equals, tried.code, qt.Commentf("%+v", tried))
 		if tried.code == errcode.OK {
 			c.Check(going.Caller, qt.Equals, "clinic")
 			c.Check(going.Tenant, qt.Equals, tried.tenant)
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/tracker_test.go
@@ -91,7 +91,7 @@
 	second.broken = true
 	second.closed(second)
 	c.Assert(back.judged, qt.HasLen, 1)
-	c.Assert(back.judged[0].Trip.Request.ID, qt.Equals, "later")
+	c.Assert(back.judged[0].Pending.Request.ID, qt.Equals, "later")
 	c.Assert(back.judged[0].Outcome.Kind, qt.Equals, message.NotStarted)
 	// The first connection's end is asked about at the serving proxy, and unknown when that fails.
 	first.closed(first)
@@ -99,7 +99,7 @@
 	c.Assert(back.connections[2].posted, qt.HasLen, 1)
 	back.connections[2].closed(back.connections[2])
 	c.Assert(back.judged, qt.HasLen, 2)
-	c.Assert(back.judged[1].Trip.Request.ID, qt.Equals, "sent")
+	c.Assert(back.judged[1].Pending.Request.ID, qt.Equals, "sent")
 	c.Assert(errcode.Code(back.judged[1].Outcome.Code), qt.Equals, errcode.UnknownOutcome)
 }
 
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -1,7 +1,5 @@
 package frontend
 
-// This file counts requests for the usage report, and answers by their codes.
-
 import (
 	"maps"
 	"sort"
@@ -11,96 +9,110 @@
 	"beaconvane/internal/message"
 )
 
-// begin counts a request that has passed the gate as open, for the usage report.
-func (f *Frontend) begin(request *Request) {
+// maxUsageWindows is how many windows are kept for which nobody has said that they are sealed.
+const maxUsageWindows = 720
+
+// countOpen counts an admitted request as open, for the usage report.
+func (f *Frontend) countOpen(request *Request) {
 	if f.settings.CountsBegun() {
 		return
 	}
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	request.begun = true
-	f.open[request.Tenant]++
+	request.countedOpen = true
+	f.openRequests[request.Tenant]++
 }
 
-// Began counts a request that its serving proxy has begun, where the usage is of those; Unbegun
-// takes it back when the upstream says that it did not run.
-func (f *Frontend) Began(wall time.Duration, tenant string) (window int64) {
-	window = int64(wall / f.settings.UsageWindow())
-	f.tally(window, tenant, 1)
+// countStarted counts a request that its serving proxy has started, where the usage is of those,
+// and returns the window in which it counts. uncountStarted takes the count back when the upstream
+// says that it did not run.
+func (f *Frontend) countStarted(wall time.Duration, tenant string) (window int64) {
+	window = f.usageWindow(wall)
+	f.addUsage(window, tenant, 1)
 	return window
 }
 
-// Unbegun takes a count back.
-func (f *Frontend) Unbegun(window int64, tenant string) { f.tally(window, tenant, -1) }
+func (f *Frontend) uncountStarted(window int64, tenant string) { f.addUsage(window, tenant, -1) }
+
+// usageWindow numbers the window in which a time of day falls.
+func (f *Frontend) usageWindow(wall time.Duration) int64 {
+	return int64(wall / f.settings.UsageWindow())
+}
 
-func (f *Frontend) tally(window int64, tenant string, count int64) {
+func (f *Frontend) addUsage(window int64, tenant string, count int64) {
 	if tenant == "" {
 		return
 	}
 	f.lock.Lock()
 	defer f.lock.Unlock()
+	f.usageOf(window)[tenant] += count
+}
+
+// usageOf returns the counts by tenant of a window, which begin with the first asking.
+func (f *Frontend) usageOf(window int64) map[string]int64 {
 	if f.usage[window] == nil {
 		f.usage[window] = map[string]int64{}
 	}
-	f.usage[window][tenant] += count
+	return f.usage[window]
 }
 
-// Count notes a final answer: for the counters by code, and for the usage report when
-// it is the upstream's own.
-func (f *Frontend) Count(wall time.Duration, request *Request, final *Response) {
+// countResponse counts a final answer by its code, and for the usage report when it is the
+// upstream's own.
+func (f *Frontend) countResponse(wall time.Duration, request *Request, response *Response) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.tallies[final.Code]++
-	if request.begun && !f.settings.CountsBegun() {
-		request.begun = false
-		if f.open[request.Tenant]--; f.open[request.Tenant] == 0 {
-			delete(f.open, request.Tenant)
-		}
-	}
-	if final.Code != errcode.OK || request.Tenant == "" || f.settings.CountsBegun() {
+	f.resultCounts[response.Code]++
+	if f.settings.CountsBegun() {
 		return
 	}
-	window := int64(wall / f.settings.UsageWindow())
-	if f.usage[window] == nil {
-		f.usage[window] = map[string]int64{}
+	if request.countedOpen {
+		f.uncountOpen(request)
+	}
+	if response.Code == errcode.OK && request.Tenant != "" {
+		f.usageOf(f.usageWindow(wall))[request.Tenant]++
 	}
-	f.usage[window][request.Tenant]++
 }
 
-// Usage gives the windows not sealed yet; those below closed won't change any more.
+func (f *Frontend) uncountOpen(request *Request) {
+	request.countedOpen = false
+	f.openRequests[request.Tenant]--
+	if f.openRequests[request.Tenant] == 0 {
+		delete(f.openRequests, request.Tenant)
+	}
+}
+
+// Usage returns the windows that are not sealed yet. The counts of those below closed won't change
+// any more.
 func (f *Frontend) Usage(wall time.Duration, sealedBelow int64) (usage []message.UsageCount, closed int64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	closed = int64(wall / f.settings.UsageWindow())
-	if len(f.open) > 0 && f.usage[closed] == nil {
-		f.usage[closed] = map[string]int64{}
+	closed = f.usageWindow(wall)
+	if len(f.openRequests) > 0 {
+		f.usageOf(closed)
 	}
 	for window, counts := range f.usage {
-		if window < sealedBelow || window < closed-720 {
+		if window < sealedBelow || window < closed-maxUsageWindows {
 			delete(f.usage, window)
 			continue
 		}
-		copied := map[string]int64{}
-		for tenant, count := range counts {
-			copied[tenant] = count
-		}
-		response := message.UsageCount{Window: window, Counts: copied, Open: map[string]int64{}}
+		report := message.UsageCount{Window: window, Counts: maps.Clone(counts), Open: map[string]int64{}}
 		if window == closed {
-			response.Open = maps.Clone(f.open)
+			report.Open = maps.Clone(f.openRequests)
 		}
-		usage = append(usage, response)
+		usage = append(usage, report)
 	}
 	sort.Slice(usage, func(i, j int) bool { return usage[i].Window < usage[j].Window })
 	return usage, closed
 }
 
-// ResultCounts gives the counters.
-func (f *Frontend) ResultCounts() (map[string]int64, int64) {
+// ResultCounts returns how many answers were given, by the names of their codes, and how many
+// retries were made.
+func (f *Frontend) ResultCounts() (answers map[string]int64, retries int64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	tallies := map[string]int64{}
-	for code, count := range f.tallies {
-		tallies[code.String()] = count
+	answers = map[string]int64{}
+	for code, count := range f.resultCounts {
+		answers[code.String()] = count
 	}
-	return tallies, f.again
+	return answers, f.retries
 }
