--- /dev/null
+++ b/internal/transport/framing_golden_test.go
@@ -0,0 +1,158 @@
+// The bytes on connections and in datagrams, against plain sockets.
+package transport
+
+import (
+	"encoding/binary"
+	"encoding/hex"
+	"hash/crc32"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"beaconvane/internal/goroutine"
+	"beaconvane/internal/message"
+)
+
+const (
+	goldenFrameLimit = 1 << 20 // bytes
+	goldenQueue      = 16      // frames
+	goldenDial       = 2 * time.Second
+	goldenWait       = 5 * time.Second
+	// goldenHelloKind is the kind byte of the first frame on a connection.
+	goldenHelloKind = 41
+)
+
+// goldenWithdraw and goldenOutcomeRequest are messages with their frames, without the length
+// that stands before a frame on a connection.
+var (
+	goldenWithdraw            = message.Withdraw{ID: "try-1"}
+	goldenWithdrawFrame       = "280a7472792d31ac70cc4a"
+	goldenOutcomeRequest      = message.OutcomeRequest{ID: "try-2", ServingProxyBirth: 300}
+	goldenOutcomeRequestFrame = "270a7472792d32d804ce4b62c1"
+)
+
+// goldenArrival is a message that a transport has taken.
+type goldenArrival struct {
+	from string
+	msg  any
+	back func(msg any) error
+}
+
+// startGolden starts a transport, and returns it with what arrives at it.
+func startGolden(c *qt.C) (*Transport, <-chan goldenArrival) {
+	group := goroutine.New()
+	arrivals := make(chan goldenArrival, goldenQueue)
+	inbound := func(from string, msg any, back func(msg any) error) { arrivals <- goldenArrival{from, msg, back} }
+	network, err := New(group, "127.0.0.1:0", goldenFrameLimit, goldenQueue, goldenDial, inbound)
+	c.Assert(err, qt.IsNil)
+	network.Start()
+	c.Cleanup(func() {
+		network.Close()
+		group.Stop(goldenWait)
+	})
+	return network, arrivals
+}
+
+// fromHex returns the bytes of a golden text.
+func fromHex(c *qt.C, text string) []byte {
+	body, err := hex.DecodeString(text)
+	c.Assert(err, qt.IsNil)
+	return body
+}
+
+// behindLength returns a frame as it stands on a connection: behind its length.
+func behindLength(frame []byte) []byte {
+	return append(binary.BigEndian.AppendUint32(nil, uint32(len(frame))), frame...)
+}
+
+// helloFrame spells out the first frame of a connection: the kind, the length of the sender's
+// address as a zigzag number, the address, and the CRC-32C of these.
+func helloFrame(address string) []byte {
+	frame := append([]byte{goldenHelloKind, byte(2 * len(address))}, address...)
+	return binary.BigEndian.AppendUint32(frame, crc32.Checksum(frame, crc32.MakeTable(crc32.Castagnoli)))
+}
+
+// assertReads reads from a connection as many bytes as are wanted and compares them.
+func assertReads(c *qt.C, conn net.Conn, want []byte) {
+	c.Assert(conn.SetReadDeadline(time.Now().Add(goldenWait)), qt.IsNil)
+	got := make([]byte, len(want))
+	_, err := io.ReadFull(conn, got)
+	c.Assert(err, qt.IsNil)
+	c.Assert(hex.EncodeToString(got), qt.Equals, hex.EncodeToString(want))
+}
+
+func awaitArrival(c *qt.C, arrivals <-chan goldenArrival) goldenArrival {
+	select {
+	case arrival := <-arrivals:
+		return arrival
+	case <-time.After(goldenWait):
+		c.Fatal("nothing arrived")
+		return goldenArrival{}
+	}
+}
+
+// A connection begins with the sender's address, and each frame stands behind its length in
+// four bytes, highest first.
+func TestSentFramesStayAsTheyAre(t *testing.T) {
+	c := qt.New(t)
+	network, _ := startGolden(c)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	c.Assert(err, qt.IsNil)
+	defer listener.Close()
+
+	c.Assert(network.Send(listener.Addr().String(), goldenWithdraw), qt.IsNil)
+	c.Assert(network.Send(listener.Addr().String(), goldenOutcomeRequest), qt.IsNil)
+	conn, err := listener.Accept()
+	c.Assert(err, qt.IsNil)
+	defer conn.Close()
+	assertReads(c, conn, behindLength(helloFrame(network.address)))
+	assertReads(c, conn, fromHex(c, "0000000b"+goldenWithdrawFrame))
+	assertReads(c, conn, fromHex(c, "0000000d"+goldenOutcomeRequestFrame))
+}
+
+// Bytes as an earlier build sends them are taken, and the answer goes back on the connection.
+func TestReceivedFramesStayReadable(t *testing.T) {
+	c := qt.New(t)
+	network, arrivals := startGolden(c)
+	conn, err := net.Dial("tcp", network.address)
+	c.Assert(err, qt.IsNil)
+	defer conn.Close()
+
+	const peerAddress = "127.0.0.1:4321"
+	stream := append(behindLength(helloFrame(peerAddress)), fromHex(c, "0000000b"+goldenWithdrawFrame)...)
+	_, err = conn.Write(stream)
+	c.Assert(err, qt.IsNil)
+	arrival := awaitArrival(c, arrivals)
+	c.Assert(arrival.from, qt.Equals, peerAddress)
+	c.Assert(arrival.msg, qt.DeepEquals, any(goldenWithdraw))
+	c.Assert(arrival.back(goldenOutcomeRequest), qt.IsNil)
+	assertReads(c, conn, fromHex(c, "0000000d"+goldenOutcomeRequestFrame))
+}
+
+// A datagram is one frame without a length.
+func TestDatagramsStayAsTheyAre(t *testing.T) {
+	c := qt.New(t)
+	network, arrivals := startGolden(c)
+	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
+	c.Assert(err, qt.IsNil)
+	defer socket.Close()
+
+	c.Assert(network.Datagram(socket.LocalAddr().String(), goldenOutcomeRequest), qt.IsNil)
+	c.Assert(socket.SetReadDeadline(time.Now().Add(goldenWait)), qt.IsNil)
+	buffer := make([]byte, maxDatagram)
+	size, _, err := socket.ReadFrom(buffer)
+	c.Assert(err, qt.IsNil)
+	c.Assert(hex.EncodeToString(buffer[:size]), qt.Equals, goldenOutcomeRequestFrame)
+
+	target, err := net.ResolveUDPAddr("udp", network.address)
+	c.Assert(err, qt.IsNil)
+	_, err = socket.WriteTo(fromHex(c, goldenWithdrawFrame), target)
+	c.Assert(err, qt.IsNil)
+	arrival := awaitArrival(c, arrivals)
+	c.Assert(arrival.from, qt.Equals, socket.LocalAddr().String())
+	c.Assert(arrival.msg, qt.DeepEquals, any(goldenWithdraw))
+	c.Assert(arrival.back, qt.IsNil)
+}
