--- /dev/null
+++ b/cmd/configstore/golden_test.go
@@ -0,0 +1,24 @@
+package main
+
+import (
+	"strings"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"beaconvane/internal/golden"
+)
+
+// The names of commands and flags with their types and defaults.
+func TestCommandLine(t *testing.T) {
+	c := qt.New(t)
+	text := strings.Builder{}
+	for _, arguments := range [][]string{
+		{"configstore", "--help"},
+		{"configstore", "voter", "--help"},
+		{"configstore", "voter", "force-recover", "--help"},
+	} {
+		text.WriteString("=== " + strings.Join(arguments, " ") + "\n" + golden.CommandLine(golden.Output(c, main, arguments...)))
+	}
+	golden.Check(c, "command-line.txt", text.String())
+}
