--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -136,8 +136,8 @@
 	until := now + time.Duration(forward.Remaining)
 	g.remember(forward.ID, &kept{at: until, queue: true})
 	item := waiting{forward: forward, until: until}
-	if forward.Aim > 0 {
-		item.aim = now + time.Duration(forward.Aim)
+	if forward.TargetRemaining > 0 {
+		item.aim = now + time.Duration(forward.TargetRemaining)
 	}
 	if held.hopeless(now, item) {
 		delete(g.outcomes, forward.ID)
@@ -173,7 +173,7 @@
 		return errcode.BusyNotReady
 	case forward.Remaining <= 0:
 		return errcode.BusyDeadline
-	case forward.Repeat && now < g.repeatsFrom:
+	case forward.Retried && now < g.repeatsFrom:
 		return errcode.BusyBudget
 	}
 	return g.allows(forward)
--- a/internal/backend/calling.go
+++ b/internal/backend/calling.go
@@ -151,7 +151,7 @@
 	case code == errcode.UnknownOutcome && !cancelled:
 		c.serving.Doubt(order.Target)
 	}
-	return message.Outcome{Kind: message.StartedNoWhole, Code: int64(code)}
+	return message.Outcome{Kind: message.OutcomeUnknown, Code: int64(code)}
 }
 
 // begin notes a call that may be cancelled from now on.
--- a/internal/backend/calling_test.go
+++ b/internal/backend/calling_test.go
@@ -114,7 +114,7 @@
 // ask carries one request and gives its outcome, with the backend told of the end.
 func (b *bench) request(c *qt.C, id, method string, headers ...message.HeaderLine) message.Outcome {
 	forward := message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Method: method, Path: "/pay", Headers: headers, Body: []byte{},
-		Remaining: int64(2 * time.Second), AnswerCap: 1000, Tenant: "t", Caller: "shop"}
+		Remaining: int64(2 * time.Second), MaxResponseBytes: 1000, Tenant: "t", Caller: "shop"}
 	if method == http.MethodPost {
 		forward.Body = []byte("body")
 	}
@@ -143,9 +143,9 @@
 		return ""
 	})
 	b := newBench(c, members, upstream.listener.Addr().String())
-	c.Assert(b.request(c, "a", http.MethodGet).Kind, qt.Equals, message.StartedWhole)
+	c.Assert(b.request(c, "a", http.MethodGet).Kind, qt.Equals, message.Completed)
 	outcome := b.request(c, "b", http.MethodGet, message.HeaderLine{Name: "Idempotency-Key", Value: "x"})
-	c.Assert(outcome.Kind, qt.Equals, message.StartedNoWhole)
+	c.Assert(outcome.Kind, qt.Equals, message.OutcomeUnknown)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.UnknownOutcome)
 	c.Assert(upstream.reads.Load(), qt.Equals, int64(2))
 	// One more connection was kept, and broke; then no dial until a newer sign of life.
@@ -154,7 +154,7 @@
 	c.Assert(errcode.Code(b.request(c, "d", http.MethodPost).Code), qt.Equals, errcode.BusyUnproven)
 	c.Assert(upstream.reads.Load(), qt.Equals, int64(3))
 	b.announce(c, "pay", "one", 1)
-	c.Assert(b.request(c, "e", http.MethodPost).Kind, qt.Equals, message.StartedNoWhole)
+	c.Assert(b.request(c, "e", http.MethodPost).Kind, qt.Equals, message.OutcomeUnknown)
 	c.Assert(upstream.reads.Load(), qt.Equals, int64(4))
 }
 
@@ -181,7 +181,7 @@
 			upstream := newScripted(c, members, "127.0.0.1:0", func(int64) string { return wanted.answer })
 			b := newBench(c, members, upstream.listener.Addr().String())
 			outcome := b.request(c, "q", http.MethodPost)
-			c.Assert(outcome.Kind, qt.Equals, message.StartedNoWhole)
+			c.Assert(outcome.Kind, qt.Equals, message.OutcomeUnknown)
 			c.Assert(errcode.Code(outcome.Code), qt.Equals, wanted.code)
 		})
 	}
@@ -214,7 +214,7 @@
 			// next request must not be lost on it, nor sent twice.
 			for number := range int64(2) {
 				outcome := b.request(c, fmt.Sprint("q", number), tried.method)
-				c.Assert(outcome.Kind, qt.Equals, message.StartedWhole, qt.Commentf("%s", errcode.Code(outcome.Code)))
+				c.Assert(outcome.Kind, qt.Equals, message.Completed, qt.Commentf("%s", errcode.Code(outcome.Code)))
 				c.Assert(outcome.Status, qt.Equals, tried.status)
 				c.Assert(string(outcome.Body), qt.Equals, tried.body)
 				c.Assert(upstream.reads.Load(), qt.Equals, number+1)
@@ -253,7 +253,7 @@
 	})
 	b := newBench(c, members, listener.Addr().String())
 	outcome := b.request(c, "q", http.MethodPost)
-	c.Assert(outcome.Kind, qt.Equals, message.StartedWhole)
+	c.Assert(outcome.Kind, qt.Equals, message.Completed)
 	c.Assert(outcome.Status, qt.Equals, int64(413))
 }
 
@@ -265,7 +265,7 @@
 	upstream := newScripted(c, members, "127.0.0.1:0", func(int64) string { return "HTTP/1.1 103 Early Hints\r\n\r\n" + good })
 	b := newBench(c, members, upstream.listener.Addr().String())
 	outcome := b.request(c, "q", http.MethodPost, message.HeaderLine{Name: "X-Color", Value: "red"})
-	c.Assert(outcome.Kind, qt.Equals, message.StartedWhole)
+	c.Assert(outcome.Kind, qt.Equals, message.Completed)
 	c.Assert(string(outcome.Body), qt.Equals, "ok")
 	request := <-upstream.seen
 	c.Assert(request.Header.Get(TenantHeader), qt.Equals, "t")
@@ -286,7 +286,7 @@
 	old := newScripted(c, elders, "127.0.0.1:0", func(int64) string { return good })
 	address := old.listener.Addr().String()
 	b := newBench(c, members, address)
-	c.Assert(b.request(c, "a", http.MethodPost).Kind, qt.Equals, message.StartedWhole)
+	c.Assert(b.request(c, "a", http.MethodPost).Kind, qt.Equals, message.Completed)
 	// The old process ends: its listener and every connection of it close.
 	old.listener.Close()
 	b.caller.lock.Lock()
--- a/internal/backend/cancel_test.go
+++ b/internal/backend/cancel_test.go
@@ -64,7 +64,7 @@
 
 func repeatableOrNot(id string, once bool) message.Forward {
 	return message.Forward{ID: id, Name: id, Service: "pay", Instance: "one", Incarnation: 1, Method: http.MethodGet, Path: "/pay",
-		Headers: []message.HeaderLine{}, Body: []byte{}, Remaining: int64(time.Hour), AnswerCap: 1000, Once: once}
+		Headers: []message.HeaderLine{}, Body: []byte{}, Remaining: int64(time.Hour), MaxResponseBytes: 1000, AtMostOnce: once}
 }
 
 func TestCancelledCallEndsItsConnection(t *testing.T) {
@@ -83,7 +83,7 @@
 	b.caller.Cancel("a")
 	within(c, upstream.left, "the end of the connection")
 	outcome := <-ended
-	c.Assert(outcome.Kind, qt.Equals, message.StartedNoWhole)
+	c.Assert(outcome.Kind, qt.Equals, message.OutcomeUnknown)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.UnknownOutcome)
 	// Behind its end a call can't be cancelled: its connection may serve another by then.
 	c.Assert(b.caller.calls, qt.HasLen, 0)
--- a/internal/backend/heartbeats_test.go
+++ b/internal/backend/heartbeats_test.go
@@ -43,7 +43,7 @@
 	c.Assert(write[0].Forward.ID, qt.Equals, "mid too")
 	started := []string{}
 	for _, order := range running {
-		_, next := serving.Finish(time.Second, order, message.Outcome{Kind: message.StartedWhole})
+		_, next := serving.Finish(time.Second, order, message.Outcome{Kind: message.Completed})
 		c.Assert(next, qt.HasLen, 1)
 		started = append(started, next[0].Forward.ID)
 	}
--- a/internal/backend/outcomes.go
+++ b/internal/backend/outcomes.go
@@ -48,7 +48,7 @@
 	orders := []Order{}
 	if _, runs := held.runs(outcome.ID); runs {
 		delete(held.running, outcome.ID)
-		if code := errcode.Code(outcome.Code); outcome.Kind == message.StartedNoWhole && code != errcode.AnswerMalformed && code != errcode.AnswerTooLarge {
+		if code := errcode.Code(outcome.Code); outcome.Kind == message.OutcomeUnknown && code != errcode.AnswerMalformed && code != errcode.AnswerTooLarge {
 			until := now + g.settings.RequestLimit()
 			if code == errcode.UnknownOutcome {
 				// It closed the connection itself: most likely it has done with the request.
@@ -60,7 +60,7 @@
 			}
 			held.ghosts = append(held.ghosts, until)
 		}
-		if outcome.Kind == message.NotStarted && outcome.Sent && errcode.Code(outcome.Code) == errcode.BusySlotsFull {
+		if outcome.Kind == message.NotStarted && outcome.ReachedUpstream && errcode.Code(outcome.Code) == errcode.BusySlotsFull {
 			// It has work that this serving proxy does not know of.
 			held.ghosts = append(held.ghosts, now+g.settings.DialFresh())
 		}
@@ -74,8 +74,8 @@
 		}
 	}
 	if old, seen := g.outcomes[outcome.ID]; order.Start && seen {
-		outcome.Took = int64(now - old.began)
-		if known && outcome.Kind == message.StartedWhole {
+		outcome.ServiceTime = int64(now - old.began)
+		if known && outcome.Kind == message.Completed {
 			held.learn(order.Forward.Route, now-old.began)
 		}
 	}
@@ -83,7 +83,7 @@
 		light := outcome
 		if len(light.Body) > keptBody {
 			// Too large to hold for the rare second asking: it then counts as lost.
-			light = message.Outcome{ID: outcome.ID, Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}
+			light = message.Outcome{ID: outcome.ID, Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}
 		}
 		g.remember(outcome.ID, &kept{outcome: light, at: now, done: true})
 		if len(light.Body) > 0 {
@@ -105,7 +105,7 @@
 		}
 		if known {
 			// Nobody asks for the answer itself so late; that it ran stays known.
-			held.outcome = message.Outcome{ID: held.outcome.ID, Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}
+			held.outcome = message.Outcome{ID: held.outcome.ID, Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}
 		}
 		g.heavy = g.heavy[1:]
 	}
--- a/internal/backend/pairing.go
+++ b/internal/backend/pairing.go
@@ -52,7 +52,7 @@
 // Read gives this request's own answer, or an error where it is not known to have run or not.
 func (p Pairing) Read(answers *Answers) (Paired, error) {
 	for range othersPassed {
-		answers.limit.N = p.Forward.AnswerCap + headCap
+		answers.limit.N = p.Forward.MaxResponseBytes + headCap
 		found, err := p.next(answers)
 		if err != nil || !found.Received.Other {
 			return found, err
@@ -88,7 +88,7 @@
 	found.Keep = !response.Close && !behind
 	switch {
 	case found.Received.Refuse != errcode.OK:
-		found.Outcome = message.Outcome{Kind: message.NotStarted, Code: int64(found.Received.Refuse), Sent: true}
+		found.Outcome = message.Outcome{Kind: message.NotStarted, Code: int64(found.Received.Refuse), ReachedUpstream: true}
 		return found, nil
 	case found.Received.Spoilt, found.Received.Hides && safeguard.HiddenPromise.On():
 		return Paired{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errors.New("not the upstream's own whole answer"))
@@ -119,14 +119,14 @@
 	if !framed(response, p.Forward.Method) && safeguard.WholeAnswer.On() {
 		return fail("backend.body", errcode.AnswerMalformed, errors.New("neither length nor chunks"))
 	}
-	if response.ContentLength > p.Forward.AnswerCap {
+	if response.ContentLength > p.Forward.MaxResponseBytes {
 		return fail("backend.body", errcode.AnswerTooLarge, nil)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, p.Forward.AnswerCap+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, p.Forward.MaxResponseBytes+1))
 	if err != nil && safeguard.WholeAnswer.On() {
 		return fail("backend.body", errcode.AnswerMalformed, err)
 	}
-	if int64(len(body)) > p.Forward.AnswerCap {
+	if int64(len(body)) > p.Forward.MaxResponseBytes {
 		return fail("backend.body", errcode.AnswerTooLarge, nil)
 	}
 	return response, body, nil
@@ -134,7 +134,7 @@
 
 // ownAnswer is the upstream's whole answer, less what ends at this hop.
 func ownAnswer(response *http.Response, body []byte, received Received) message.Outcome {
-	outcome := message.Outcome{Kind: message.StartedWhole, Status: int64(response.StatusCode), Headers: []message.HeaderLine{}, Body: body}
+	outcome := message.Outcome{Kind: message.Completed, Status: int64(response.StatusCode), Headers: []message.HeaderLine{}, Body: body}
 	if received.Loaded && received.Load[2] > 0 {
 		outcome.Load = float64(received.Load[0]+received.Load[1]) / float64(received.Load[2])
 	}
--- a/internal/backend/queue.go
+++ b/internal/backend/queue.go
@@ -85,8 +85,8 @@
 			orders = append(orders, g.refuse(next.forward, code))
 			continue
 		}
-		held.running[next.forward.ID] = started{once: next.forward.Once}
-		g.noteStart(next.forward.Repeat, next.forward.Once)
+		held.running[next.forward.ID] = started{once: next.forward.AtMostOnce}
+		g.noteStart(next.forward.Retried, next.forward.AtMostOnce)
 		g.remember(next.forward.ID, &kept{at: now, began: now})
 		pass := g.newPass()
 		g.passes[pass] = Pass{next.forward.Tenant, next.forward.Service, next.forward.ID}
--- a/internal/backend/target_test.go
+++ b/internal/backend/target_test.go
@@ -108,7 +108,7 @@
 func (b *bench) requestNamed(c *qt.C, name, path string) message.Outcome {
 	b.forwarded++
 	forward := message.Forward{ID: fmt.Sprint(name, b.forwarded), Name: name, Service: "pay", Instance: "one", Incarnation: 1, Method: http.MethodPost, Path: path, Headers: []message.HeaderLine{},
-		Body: []byte("body"), Remaining: int64(2 * time.Second), AnswerCap: 1000, Host: "shop.example"}
+		Body: []byte("body"), Remaining: int64(2 * time.Second), MaxResponseBytes: 1000, Host: "shop.example"}
 	orders := b.serving.Forwarded(b.members.Now(), forward)
 	c.Assert(orders, qt.HasLen, 1)
 	c.Assert(orders[0].Start, qt.IsTrue, qt.Commentf("%v", orders[0].Code))
@@ -141,11 +141,11 @@
 	b := targetBench(c, members, upstream.listener.Addr().String())
 	c.Assert(string(b.requestNamed(c, "a", "/first").Body), qt.Equals, "first")
 	outcome := b.requestNamed(c, "b", "/late")
-	c.Assert(outcome.Kind, qt.Equals, message.StartedWhole)
+	c.Assert(outcome.Kind, qt.Equals, message.Completed)
 	c.Assert(string(outcome.Body), qt.Equals, "yours")
 	c.Assert(upstream.connections.Load(), qt.Equals, int64(1))
 	outcome = b.requestNamed(c, "c", "/others")
-	c.Assert(outcome.Kind, qt.Equals, message.StartedNoWhole)
+	c.Assert(outcome.Kind, qt.Equals, message.OutcomeUnknown)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.AnswerMalformed)
 	c.Assert(string(b.requestNamed(c, "a", "/first").Body), qt.Equals, "first")
 	c.Assert(upstream.connections.Load(), qt.Equals, int64(2))
@@ -163,7 +163,7 @@
 			b := targetBench(c, members, upstream.listener.Addr().String())
 			for number, request := range []string{"a", "b"} {
 				outcome := b.requestNamed(c, request, "/"+request)
-				c.Assert(outcome.Kind, qt.Equals, message.StartedWhole)
+				c.Assert(outcome.Kind, qt.Equals, message.Completed)
 				c.Assert(string(outcome.Body), qt.Equals, "whole")
 				c.Assert(upstream.connections.Load(), qt.Equals, int64(number+1))
 			}
@@ -183,13 +183,13 @@
 	}{
 		"full and says so":            {"HTTP/1.1 503 Full\r\nUnrun: full\r\nContent-Length: 4\r\n\r\nfull", message.NotStarted, errcode.BusySlotsFull, true, 1},
 		"says so, and closes":         {"HTTP/1.1 503 Full\r\nUnrun: full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", message.NotStarted, errcode.BusySlotsFull, true, 2},
-		"says so of another":          {"HTTP/1.1 503 Full\r\nName: z\r\nUnrun: full\r\nContent-Length: 0\r\n\r\n" + answerOf("q", "ran"), message.StartedWhole, errcode.OK, false, 1},
+		"says so of another":          {"HTTP/1.1 503 Full\r\nName: z\r\nUnrun: full\r\nContent-Length: 0\r\n\r\n" + answerOf("q", "ran"), message.Completed, errcode.OK, false, 1},
 		"another is at its place":     {"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n", message.NotStarted, errcode.BusyUpstreamGone, true, 1},
-		"promises in silence":         {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", message.StartedNoWhole, errcode.AnswerMalformed, false, 2},
-		"a success without seal":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", message.StartedNoWhole, errcode.AnswerMalformed, false, 2},
-		"its own failure":             {"HTTP/1.1 500 Oh\r\nSeal: x\r\nContent-Length: 2\r\n\r\nno", message.StartedWhole, errcode.OK, false, 1},
-		"says so, broken off":         {breaksOff + "HTTP/1.1 503 Full\r\nUnrun: full\r\nContent-Length: 9\r\n\r\nfull", message.StartedNoWhole, errcode.AnswerMalformed, false, 2},
-		"a connection not to be kept": {answerOf("q", "ok", "Idle: none"), message.StartedWhole, errcode.OK, false, 2},
+		"promises in silence":         {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", message.OutcomeUnknown, errcode.AnswerMalformed, false, 2},
+		"a success without seal":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", message.OutcomeUnknown, errcode.AnswerMalformed, false, 2},
+		"its own failure":             {"HTTP/1.1 500 Oh\r\nSeal: x\r\nContent-Length: 2\r\n\r\nno", message.Completed, errcode.OK, false, 1},
+		"says so, broken off":         {breaksOff + "HTTP/1.1 503 Full\r\nUnrun: full\r\nContent-Length: 9\r\n\r\nfull", message.OutcomeUnknown, errcode.AnswerMalformed, false, 2},
+		"a connection not to be kept": {answerOf("q", "ok", "Idle: none"), message.Completed, errcode.OK, false, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -204,7 +204,7 @@
 			outcome := b.requestNamed(c, "q", "/pay")
 			c.Assert(outcome.Kind, qt.Equals, tried.kind)
 			c.Assert(errcode.Code(outcome.Code), qt.Equals, tried.code)
-			c.Assert(outcome.Sent, qt.Equals, tried.sent)
+			c.Assert(outcome.ReachedUpstream, qt.Equals, tried.sent)
 			c.Assert(string(b.requestNamed(c, "more", "/more").Body), qt.Equals, "more")
 			c.Assert(upstream.connections.Load(), qt.Equals, tried.connections)
 		})
@@ -222,7 +222,7 @@
 	b := targetBench(c, members, address)
 	outcome := b.requestNamed(c, "q", "/pay")
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
-	c.Assert(outcome.Sent, qt.IsFalse)
+	c.Assert(outcome.ReachedUpstream, qt.IsFalse)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.BusyUpstreamGone)
 	now, fresh := members.Now(), b.caller.settings.DialFresh()
 	c.Assert(codes(b.serving.Forwarded(now, forwardOf("x", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
@@ -238,7 +238,7 @@
 	b := targetBench(c, members, upstream.listener.Addr().String())
 	for _, path := range []string{"/pay/%7Ea/b%2fc//d", "/", "//double", "/a;b=c", "/a|b\"c"} {
 		outcome := b.requestNamed(c, path, path)
-		c.Assert(outcome.Kind, qt.Equals, message.StartedWhole)
+		c.Assert(outcome.Kind, qt.Equals, message.Completed)
 		request := <-upstream.seen
 		c.Check(request.RequestURI, qt.Equals, path)
 		c.Check(request.Host, qt.Equals, "shop.example")
--- a/internal/configstore/commit.go
+++ b/internal/configstore/commit.go
@@ -38,7 +38,7 @@
 }
 
 // handlePacked takes an append on its way: content that stands here already isn't rebuilt.
-func (m *Machine) handlePacked(s *statemachine.Env, from string, packed message.LogAppendPacked) {
+func (m *Machine) handlePacked(s *statemachine.Env, from string, packed message.LogAppendDelta) {
 	commit := message.LogAppend{Epoch: packed.Epoch, Seq: packed.Seq}
 	follows := m.epoch == packed.Epoch && m.seq < packed.Seq
 	if follows {
--- a/internal/configstore/configstore.go
+++ b/internal/configstore/configstore.go
@@ -58,7 +58,7 @@
 	acks      map[string]string
 	followers map[string]message.LogAppended // what each voter confirmed of this term
 	inFlight  *message.StoredConfiguration
-	packed    message.LogAppendPacked // inFlight, as it travels
+	packed    message.LogAppendDelta // inFlight, as it travels
 	packer    packer
 	asker     queuedWrite
 	writes    []queuedWrite
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{settings: cfg, membership: membership.New(cfg, self, kept.Seen)}
+	m := &Machine{settings: cfg, membership: membership.New(cfg, self, kept.KnownAddresses)}
 	m.absorb(kept)
 	restored := quorum.Restored{Voter: kept.Voter, Votes: kept.Votes}
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
@@ -208,7 +208,7 @@
 		if valid(received.Voter, received.Identity, received.Epoch) {
 			m.handleCommit(s, from, received)
 		}
-	case message.LogAppendPacked:
+	case message.LogAppendDelta:
 		if valid(received.Voter, received.Identity, received.Epoch) {
 			m.handlePacked(s, from, received)
 		}
--- a/internal/configstore/packing.go
+++ b/internal/configstore/packing.go
@@ -136,16 +136,16 @@
 }
 
 // packedAppend is the append of the version in flight, as it travels.
-func (m *Machine) packedAppend(configuration message.StoredConfiguration) message.LogAppendPacked {
+func (m *Machine) packedAppend(configuration message.StoredConfiguration) message.LogAppendDelta {
 	base := m.appendBase(configuration.ConfigName)
 	_, difference := m.packer.difference(base.Body, configuration.Body)
-	return message.LogAppendPacked{Epoch: configuration.Epoch, Seq: configuration.Seq, Voter: m.quorum.Voter, ConfigName: configuration.ConfigName,
+	return message.LogAppendDelta{Epoch: configuration.Epoch, Seq: configuration.Seq, Voter: m.quorum.Voter, ConfigName: configuration.ConfigName,
 		Version: configuration.Version, Base: base.Version, Difference: difference, Digest: contentDigest(configuration.Body)}
 }
 
 // unpackAppend rebuilds the append that follows this voter's log; false where the log isn't
 // what the difference was made from.
-func (m *Machine) unpackAppend(packed message.LogAppendPacked) (message.LogAppend, bool) {
+func (m *Machine) unpackAppend(packed message.LogAppendDelta) (message.LogAppend, bool) {
 	base := m.appendBase(packed.ConfigName)
 	if base.Version != packed.Base {
 		return message.LogAppend{}, false
--- a/internal/distribution/children.go
+++ b/internal/distribution/children.go
@@ -16,7 +16,7 @@
 	address    string
 	name       string
 	receivedAt time.Duration
-	marks      map[string]message.Mark
+	marks      map[string]message.Position
 	round      int64                // of its last ask; a lower one is another life's
 	sent       map[string]sentWhole // snapshots on their way to it
 }
@@ -24,7 +24,7 @@
 // sentWhole is a snapshot, or as long a difference, that was sent: a child on a narrow
 // link asks again before it is there, and must not be sent it anew each time.
 type sentWhole struct {
-	mark message.Mark
+	mark message.Position
 	at   time.Duration
 }
 
@@ -38,18 +38,18 @@
 	if !large || item.Offset > 0 {
 		return false
 	}
-	last, sent := known.sent[item.Mark.Topic]
-	if sent && last.mark.Same(item.Mark) && now-last.at < c.settings.UpdatesEvery()*4 {
+	last, sent := known.sent[item.Position.Topic]
+	if sent && last.mark.Same(item.Position) && now-last.at < c.settings.UpdatesEvery()*4 {
 		return true
 	}
-	known.sent[item.Mark.Topic] = sentWhole{item.Mark, now}
+	known.sent[item.Position.Topic] = sentWhole{item.Position, now}
 	return false
 }
 
 func (c *Distribution) handleRequest(s *statemachine.Env, from string, request message.UpdatesRequest) {
 	self := c.membership.Self()
 	refuse := func(reason string, try []string) {
-		s.Send(from, message.UpdatesResponse{Round: request.Round, Parent: self.Name, Path: []string{}, Refused: true, Reason: reason, Try: try, Items: []message.UpdateItem{}})
+		s.Send(from, message.UpdatesResponse{Round: request.Round, Parent: self.Name, Path: []string{}, Refused: true, Reason: reason, Alternatives: try, Items: []message.UpdateItem{}})
 	}
 	path := []string{self.Name}
 	if self.Role == message.RoleProxy {
@@ -71,17 +71,17 @@
 	}
 	known, isChild := c.children[request.Child]
 	full := int64(len(c.children)) >= c.settings.Limits.Fanout
-	if !isChild && full && self.Role != message.RoleConfigStore && !(request.Resort && self.Role == message.RoleRegistry) {
+	if !isChild && full && self.Role != message.RoleConfigStore && !(request.LastResort && self.Role == message.RoleRegistry) {
 		refuse(message.RefusedFull, c.childNames())
 		return
 	}
 	if request.PartOf != "" {
-		if held, found := c.topicStates[request.PartOf]; found && held.known && len(request.Marks) == 1 {
+		if held, found := c.topicStates[request.PartOf]; found && held.known && len(request.Positions) == 1 {
 			offset := request.Part
-			if !held.at().Same(request.Marks[0]) {
+			if !held.at().Same(request.Positions[0]) {
 				offset = 0
 			}
-			s.Send(from, message.UpdatesResponse{Round: -1, Parent: self.Name, Path: path, Try: []string{}, Items: []message.UpdateItem{c.snapshotItem(held, offset)}})
+			s.Send(from, message.UpdatesResponse{Round: -1, Parent: self.Name, Path: path, Alternatives: []string{}, Items: []message.UpdateItem{c.snapshotItem(held, offset)}})
 		}
 		return
 	}
@@ -94,9 +94,9 @@
 	}
 	known.round = request.Round
 	known.address, known.receivedAt = from, s.Now
-	known.marks = map[string]message.Mark{}
-	response := message.UpdatesResponse{Round: request.Round, Parent: self.Name, Path: path, Try: []string{}, Items: []message.UpdateItem{}}
-	for _, mark := range request.Marks {
+	known.marks = map[string]message.Position{}
+	response := message.UpdatesResponse{Round: request.Round, Parent: self.Name, Path: path, Alternatives: []string{}, Items: []message.UpdateItem{}}
+	for _, mark := range request.Positions {
 		known.marks[mark.Topic] = mark
 		item := c.itemFor(s, mark)
 		if c.underway(s.Now, known, item) {
@@ -110,13 +110,13 @@
 func (c *Distribution) childNames() []string { return slices.Sorted(maps.Keys(c.children)) }
 
 // itemFor: what a child at a position needs to be where this node is.
-func (c *Distribution) itemFor(s *statemachine.Env, mark message.Mark) message.UpdateItem {
+func (c *Distribution) itemFor(s *statemachine.Env, mark message.Position) message.UpdateItem {
 	held := c.topicState(mark.Topic)
-	item := message.UpdateItem{Mark: message.Mark{Topic: mark.Topic}, Age: -1, Body: []byte{}, Changes: []message.RosterChange{}, Patches: []message.ConfigurationPatch{}}
+	item := message.UpdateItem{Position: message.Position{Topic: mark.Topic}, Age: -1, Body: []byte{}, Changes: []message.RosterChange{}, Patches: []message.ConfigurationPatch{}}
 	if !held.known {
 		return item
 	}
-	item.Known, item.Mark = true, held.at()
+	item.Known, item.Position = true, held.at()
 	if held.freshAt != never {
 		item.Age = int64(s.Now - held.freshAt)
 	}
@@ -151,7 +151,7 @@
 		}
 		body = encoded
 	}
-	item := message.UpdateItem{Mark: held.at(), Age: -1, Known: true, Snapshot: true, Total: int64(len(body)), Offset: offset, Changes: []message.RosterChange{}, Patches: []message.ConfigurationPatch{}}
+	item := message.UpdateItem{Position: held.at(), Age: -1, Known: true, Snapshot: true, Total: int64(len(body)), Offset: offset, Changes: []message.RosterChange{}, Patches: []message.ConfigurationPatch{}}
 	end := min(int64(len(body)), offset+int64(c.partBytes))
 	item.Body = body[min(offset, end):end]
 	return item
@@ -171,9 +171,9 @@
 			continue
 		}
 		path := append(append([]string{}, c.path...), c.membership.Self().Name)
-		s.Send(known.address, message.UpdatesResponse{Round: 0, Parent: c.membership.Self().Name, Path: path, Try: []string{}, Items: []message.UpdateItem{item}})
+		s.Send(known.address, message.UpdatesResponse{Round: 0, Parent: c.membership.Self().Name, Path: path, Alternatives: []string{}, Items: []message.UpdateItem{item}})
 		if !item.Snapshot || item.Total == int64(len(item.Body)) {
-			known.marks[topic] = item.Mark
+			known.marks[topic] = item.Position
 		}
 	}
 }
--- a/internal/distribution/cutoff_test.go
+++ b/internal/distribution/cutoff_test.go
@@ -19,7 +19,7 @@
 	for seed := range uint64(10) {
 		l := newTestTree(c, seed, "near", "far")
 		l.committed("near")
-		l.members.Handle(l.s, "", message.JoinResponse{From: message.Member{Name: "proxy/other", Role: message.RoleProxy, Zone: "e", Address: "proxy/other", Birth: 1}})
+		l.members.Handle(l.s, "", message.JoinResponse{From: message.Member{Name: "proxy/other", Role: message.RoleProxy, Zone: "e", Address: "proxy/other", StartTime: 1}})
 		cutAt := l.s.Now
 		joined := false
 		for end := l.s.Now + l.settings.Reparent()*4; l.s.Now < end && !joined; l.s.Now += l.settings.TickEvery() {
@@ -32,8 +32,8 @@
 				}
 				body := []byte("a configuration")
 				packed := delta.Encode(nil, body)
-				l.distribution.Handle(l.s, sent.To, message.UpdatesResponse{Round: request.Round, Parent: sent.To, Path: []string{"near", sent.To}, Try: []string{},
-					Items: []message.UpdateItem{{Mark: configurationMark(ConfigurationTopic("main"), 2, body), Known: true, Snapshot: true, Body: packed, Total: int64(len(packed))}}})
+				l.distribution.Handle(l.s, sent.To, message.UpdatesResponse{Round: request.Round, Parent: sent.To, Path: []string{"near", sent.To}, Alternatives: []string{},
+					Items: []message.UpdateItem{{Position: configurationMark(ConfigurationTopic("main"), 2, body), Known: true, Snapshot: true, Body: packed, Total: int64(len(packed))}}})
 			}
 			version, _, _ := l.distribution.ConfigName("main")
 			joined = version == 2
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -37,7 +37,7 @@
 type topicState struct {
 	known   bool
 	slice   *Slice
-	mark    message.Mark
+	mark    message.Position
 	body    []byte
 	history history // of a configuration
 	freshAt time.Duration
@@ -46,7 +46,7 @@
 	mismatched bool
 }
 
-func (h *topicState) at() message.Mark {
+func (h *topicState) at() message.Position {
 	if h.slice != nil {
 		return h.slice.Mark
 	}
@@ -111,7 +111,7 @@
 func (c *Distribution) topicState(topic string) *topicState {
 	held, found := c.topicStates[topic]
 	if !found {
-		held = &topicState{mark: message.Mark{Topic: topic}, freshAt: never}
+		held = &topicState{mark: message.Position{Topic: topic}, freshAt: never}
 		if !IsConfiguration(topic) {
 			held.slice = NewSlice(topic)
 		}
@@ -132,10 +132,10 @@
 	c.push(s, topic)
 }
 
-func configurationMark(topic string, version int64, body []byte) message.Mark {
+func configurationMark(topic string, version int64, body []byte) message.Position {
 	hash := fnv.New64a()
 	hash.Write(body)
-	return message.Mark{Topic: topic, Seq: version, Count: 1, Hash: int64(hash.Sum64())}
+	return message.Position{Topic: topic, Seq: version, Count: 1, Hash: int64(hash.Sum64())}
 }
 
 // ShareSlice makes a slice that another part changes a source here.
@@ -190,8 +190,8 @@
 }
 
 // Marks lists the positions of this node's own topics.
-func (c *Distribution) Marks() []message.Mark {
-	marks := []message.Mark{}
+func (c *Distribution) Marks() []message.Position {
+	marks := []message.Position{}
 	for _, topic := range c.topics() {
 		if held := c.topicStates[topic]; held.known && c.own[topic] {
 			marks = append(marks, held.at())
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -39,7 +39,7 @@
 		if index > 0 {
 			zone = "e"
 		}
-		l.members.Handle(l.s, "", message.JoinResponse{From: message.Member{Name: root, Role: message.RoleRegistry, Zone: zone, Address: root, Birth: 1}})
+		l.members.Handle(l.s, "", message.JoinResponse{From: message.Member{Name: root, Role: message.RoleRegistry, Zone: zone, Address: root, StartTime: 1}})
 		l.ages[root] = func() time.Duration { return 0 }
 	}
 	l.distribution = New(cfg, l.members, func(*statemachine.Env, string) {})
@@ -68,7 +68,7 @@
 			if len(l.asked) == 0 || l.asked[len(l.asked)-1] != sent.To {
 				l.asked = append(l.asked, sent.To)
 			}
-			if request.Resort {
+			if request.LastResort {
 				l.resorts = append(l.resorts, sent.To)
 			}
 			l.answer(sent.To, request)
@@ -81,15 +81,15 @@
 }
 
 func (l *testTree) answer(parent string, request message.UpdatesRequest) {
-	response := message.UpdatesResponse{Round: request.Round, Parent: parent, Path: []string{parent}, Try: []string{}}
-	if l.full[parent] && !request.Resort {
+	response := message.UpdatesResponse{Round: request.Round, Parent: parent, Path: []string{parent}, Alternatives: []string{}}
+	if l.full[parent] && !request.LastResort {
 		response.Refused, response.Reason, response.Path = true, message.RefusedFull, []string{}
 		l.distribution.Handle(l.s, parent, response)
 		return
 	}
 	body := []byte("a configuration")
 	packed := delta.Encode(nil, body)
-	response.Items = []message.UpdateItem{{Mark: configurationMark(ConfigurationTopic("main"), max(1, l.version[parent]), body), Age: int64(l.ages[parent]()), Known: true, Snapshot: true, Body: packed, Total: int64(len(packed))}}
+	response.Items = []message.UpdateItem{{Position: configurationMark(ConfigurationTopic("main"), max(1, l.version[parent]), body), Age: int64(l.ages[parent]()), Known: true, Snapshot: true, Body: packed, Total: int64(len(packed))}}
 	l.distribution.Handle(l.s, parent, response)
 }
 
--- a/internal/distribution/drift.go
+++ b/internal/distribution/drift.go
@@ -16,7 +16,7 @@
 
 // drift is a position of a configuration that others have and this node lacks.
 type drift struct {
-	mark  message.Mark
+	mark  message.Position
 	from  string        // the member that told last, of those that answer requests
 	since time.Duration // when the position was first told of, or the parent changed for it
 }
@@ -27,7 +27,7 @@
 
 // HeardNewer takes the positions of configurations that a registry has and this node, by
 // its heartbeat, has not.
-func (c *Distribution) HeardNewer(s *statemachine.Env, registry string, marks []message.Mark) {
+func (c *Distribution) HeardNewer(s *statemachine.Env, registry string, marks []message.Position) {
 	for _, mark := range marks {
 		held, known := c.topicStates[mark.Topic]
 		if !known || !c.own[mark.Topic] || !held.at().Before(mark) {
@@ -56,7 +56,7 @@
 }
 
 // parentHas notes what the parent knows: what it has it will bring.
-func (c *Distribution) parentHas(mark message.Mark) {
+func (c *Distribution) parentHas(mark message.Position) {
 	if told, behind := c.drifts[mark.Topic]; behind && !mark.Before(told.mark) {
 		delete(c.drifts, mark.Topic)
 	}
@@ -99,8 +99,8 @@
 
 // NewerThan lists the positions of the configurations of which this node has a newer
 // version than the marks of another, which has some version of them.
-func (c *Distribution) NewerThan(marks []message.Mark) []message.Mark {
-	newer := []message.Mark{}
+func (c *Distribution) NewerThan(marks []message.Position) []message.Position {
+	newer := []message.Position{}
 	for _, mark := range marks {
 		held, known := c.topicStates[mark.Topic]
 		if known && held.known && IsConfiguration(mark.Topic) && mark.Before(held.at()) {
--- a/internal/distribution/drift_test.go
+++ b/internal/distribution/drift_test.go
@@ -13,7 +13,7 @@
 // hear is a registry's answer to a heartbeat: it has a version of the configuration.
 func (l *testTree) hear(registry string, version int64) {
 	mark := configurationMark(ConfigurationTopic("main"), version, []byte("a configuration"))
-	l.distribution.HeardNewer(l.s, registry, []message.Mark{mark})
+	l.distribution.HeardNewer(l.s, registry, []message.Position{mark})
 }
 
 func (l *testTree) inForce() int64 {
--- a/internal/distribution/history.go
+++ b/internal/distribution/history.go
@@ -34,7 +34,7 @@
 
 // since gives the differences that lead from a version to the current one; false where
 // the history does not reach back to it.
-func (h *history) since(from message.Mark) ([]message.ConfigurationPatch, bool) {
+func (h *history) since(from message.Position) ([]message.ConfigurationPatch, bool) {
 	for index, patch := range h.patches {
 		if patch.From.Same(from) {
 			return h.patches[index:len(h.patches):len(h.patches)], true
@@ -61,7 +61,7 @@
 }
 
 // moveTo sets a configuration's content to a version that is here whole.
-func (h *topicState) moveTo(mark message.Mark, body []byte) {
+func (h *topicState) moveTo(mark message.Position, body []byte) {
 	if h.known {
 		h.history.add(message.ConfigurationPatch{From: h.mark, To: mark, Difference: delta.Encode(h.body, body)})
 	}
@@ -90,9 +90,9 @@
 }
 
 // asked is the position that a parent is told, so that it answers with what is missing.
-func (h *topicState) asked() message.Mark {
+func (h *topicState) asked() message.Position {
 	if h.mismatched {
-		return message.Mark{Topic: h.mark.Topic}
+		return message.Position{Topic: h.mark.Topic}
 	}
 	return h.at()
 }
--- a/internal/distribution/history_test.go
+++ b/internal/distribution/history_test.go
@@ -30,11 +30,11 @@
 func newChain(c *qt.C, proxies ...string) *chain {
 	n := &chain{c: c, env: statemachine.NewEnv(1), nodes: map[string]*Distribution{}, bytes: map[string]int{}, held: map[string]bool{}}
 	members := []message.Member{
-		{Name: "store", Role: message.RoleConfigStore, Zone: "z", Address: "store", Birth: 1},
-		{Name: "registry", Role: message.RoleRegistry, Zone: "z", Address: "registry", Birth: 1},
+		{Name: "store", Role: message.RoleConfigStore, Zone: "z", Address: "store", StartTime: 1},
+		{Name: "registry", Role: message.RoleRegistry, Zone: "z", Address: "registry", StartTime: 1},
 	}
 	for _, name := range proxies {
-		members = append(members, message.Member{Name: name, Role: message.RoleProxy, Zone: "z", Address: name, Birth: 1})
+		members = append(members, message.Member{Name: name, Role: message.RoleProxy, Zone: "z", Address: name, StartTime: 1})
 	}
 	for _, self := range members {
 		cfg := settings.Default()
--- a/internal/distribution/late_test.go
+++ b/internal/distribution/late_test.go
@@ -35,8 +35,8 @@
 			if !isRequest {
 				continue
 			}
-			due = append(due, answer{l.s.Now + slow, message.UpdatesResponse{Round: request.Round, Parent: sent.To, Path: []string{sent.To}, Try: []string{},
-				Items: []message.UpdateItem{{Mark: configurationMark(ConfigurationTopic("main"), 2, body), Known: true, Snapshot: true, Body: packed, Total: int64(len(packed))}}}})
+			due = append(due, answer{l.s.Now + slow, message.UpdatesResponse{Round: request.Round, Parent: sent.To, Path: []string{sent.To}, Alternatives: []string{},
+				Items: []message.UpdateItem{{Position: configurationMark(ConfigurationTopic("main"), 2, body), Known: true, Snapshot: true, Body: packed, Total: int64(len(packed))}}}})
 		}
 		_, current = l.distribution.FreshAt(ConfigurationTopic("main"))
 	}
--- a/internal/distribution/orphans_test.go
+++ b/internal/distribution/orphans_test.go
@@ -16,7 +16,7 @@
 	for seed := range uint64(10) {
 		l := newTestTree(c, seed, "near", "far")
 		for _, name := range []string{"one", "two", "three", "four"} {
-			l.members.Handle(l.s, "", message.JoinResponse{From: message.Member{Name: name, Role: message.RoleProxy, Zone: "d", Address: name, Birth: 1}})
+			l.members.Handle(l.s, "", message.JoinResponse{From: message.Member{Name: name, Role: message.RoleProxy, Zone: "d", Address: name, StartTime: 1}})
 			l.ages[name] = func() time.Duration { return l.ages["near"]() }
 		}
 		l.committed("near")
--- a/internal/distribution/parents.go
+++ b/internal/distribution/parents.go
@@ -102,14 +102,14 @@
 // noFresher: what a new parent tells at first is no updates of any configuration.
 func (c *Distribution) noFresher(now, askedAt time.Duration, items []message.UpdateItem) bool {
 	for _, item := range items {
-		if held, known := c.topicStates[item.Mark.Topic]; known && IsConfiguration(item.Mark.Topic) && held.at().Before(item.Mark) {
+		if held, known := c.topicStates[item.Position.Topic]; known && IsConfiguration(item.Position.Topic) && held.at().Before(item.Position) {
 			// It knows a newer one, however long ago that was known current.
 			return false
 		}
 	}
 	for _, item := range items {
-		held, known := c.topicStates[item.Mark.Topic]
-		if !IsConfiguration(item.Mark.Topic) || !known || held.freshAt != never && now-held.freshAt <= c.settings.Reparent() {
+		held, known := c.topicStates[item.Position.Topic]
+		if !IsConfiguration(item.Position.Topic) || !known || held.freshAt != never && now-held.freshAt <= c.settings.Reparent() {
 			continue
 		}
 		if item.Age < 0 || now-askedAt+time.Duration(item.Age) > c.settings.Reparent() {
@@ -230,12 +230,12 @@
 	c.round++
 	c.requests[c.round] = s.Now
 	delete(c.requests, c.round-64)
-	marks := []message.Mark{}
+	marks := []message.Position{}
 	for _, topic := range c.wanted() {
 		marks = append(marks, c.topicStates[topic].asked())
 	}
 	self := c.membership.Self()
-	s.Send(c.parentAt, message.UpdatesRequest{Round: c.round, Child: self.Name, Role: self.Role, Resort: c.resort, Marks: marks})
+	s.Send(c.parentAt, message.UpdatesRequest{Round: c.round, Child: self.Name, Role: self.Role, LastResort: c.resort, Positions: marks})
 	for _, topic := range c.topics() {
 		if held, under := c.collects[topic]; under && s.Now-held.movedAt > c.settings.UpdatesEvery()*2 {
 			held.movedAt = s.Now
@@ -256,7 +256,7 @@
 
 func (c *Distribution) requestPart(s *statemachine.Env, topic string, held *collecting) {
 	self := c.membership.Self()
-	s.Send(c.parentAt, message.UpdatesRequest{Round: -1, Child: self.Name, Role: self.Role, Marks: []message.Mark{held.mark}, PartOf: topic, Part: int64(len(held.buffer))})
+	s.Send(c.parentAt, message.UpdatesRequest{Round: -1, Child: self.Name, Role: self.Role, Positions: []message.Position{held.mark}, PartOf: topic, Part: int64(len(held.buffer))})
 }
 
 // ConnectionBroke leaves a parent whose process has ended, without waiting for its silence.
@@ -270,8 +270,8 @@
 // behind: the parent lacks a configuration that is known here, or has an older one.
 func (c *Distribution) behind(items []message.UpdateItem) bool {
 	for _, item := range items {
-		held, known := c.topicStates[item.Mark.Topic]
-		if known && held.known && IsConfiguration(item.Mark.Topic) && (!item.Known || item.Mark.Before(held.at())) {
+		held, known := c.topicStates[item.Position.Topic]
+		if known && held.known && IsConfiguration(item.Position.Topic) && (!item.Known || item.Position.Before(held.at())) {
 			return true
 		}
 	}
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -12,7 +12,7 @@
 )
 
 type collecting struct {
-	mark    message.Mark
+	mark    message.Position
 	buffer  []byte
 	total   int64
 	movedAt time.Duration
@@ -31,8 +31,8 @@
 		switch response.Reason {
 		case message.RefusedNoLease:
 			c.leaveQuietly(s, c.settings.UpdatesEvery()*2)
-			if len(response.Try) > 0 {
-				if member, found := c.membership.Find(response.Try[0]); found && member.State <= message.Suspect && member.Name != response.Parent {
+			if len(response.Alternatives) > 0 {
+				if member, found := c.membership.Find(response.Alternatives[0]); found && member.State <= message.Suspect && member.Name != response.Parent {
 					delete(c.avoid, member.Name)
 					c.parent, c.parentAt = member.Name, member.Address
 					c.answered, c.joinedAt = s.Now, s.Now
@@ -90,25 +90,25 @@
 		c.path = response.Path
 	}
 	for _, item := range response.Items {
-		c.parentHas(item.Mark)
+		c.parentHas(item.Position)
 		c.take(s, item, askedAt, isAnswer)
 	}
 }
 
 func (c *Distribution) take(s *statemachine.Env, item message.UpdateItem, askedAt time.Duration, isAnswer bool) {
-	topic := item.Mark.Topic
+	topic := item.Position.Topic
 	held := c.topicState(topic)
 	if !item.Known {
 		return
 	}
-	if item.Snapshot && held.at().Same(item.Mark) {
+	if item.Snapshot && held.at().Same(item.Position) {
 		held.mismatched = false
 	}
 	moved := false
 	switch {
-	case item.Snapshot && (!held.known || held.at().Before(item.Mark) || held.slice != nil && !item.Mark.Before(held.at()) && !item.Mark.Same(held.at())):
+	case item.Snapshot && (!held.known || held.at().Before(item.Position) || held.slice != nil && !item.Position.Before(held.at()) && !item.Position.Same(held.at())):
 		if whole, done := c.collect(s, topic, item); done {
-			moved = c.replace(held, item.Mark, whole)
+			moved = c.replace(held, item.Position, whole)
 		}
 	case len(item.Patches) > 0 && held.slice == nil && held.known:
 		moved = held.follow(item.Patches, c.settings.Limits.Configuration)
@@ -118,10 +118,10 @@
 				moved = true
 			}
 		}
-	case item.Mark.Seq == 0 && item.Mark.Epoch == 0 && item.Mark.Count == 0 && held.slice != nil && !held.known:
+	case item.Position.Seq == 0 && item.Position.Epoch == 0 && item.Position.Count == 0 && held.slice != nil && !held.known:
 		held.known, moved = true, true
 	}
-	if isAnswer && item.Age >= 0 && held.known && !held.at().Before(item.Mark) {
+	if isAnswer && item.Age >= 0 && held.known && !held.at().Before(item.Position) {
 		if held.freshAt == never && !moved {
 			c.changed(s, topic)
 		}
@@ -139,11 +139,11 @@
 		return item.Body, true
 	}
 	held, under := c.collects[topic]
-	if !under || !held.mark.Same(item.Mark) {
+	if !under || !held.mark.Same(item.Position) {
 		if item.Offset != 0 {
 			return nil, false
 		}
-		held = &collecting{mark: item.Mark, total: item.Total}
+		held = &collecting{mark: item.Position, total: item.Total}
 		c.collects[topic] = held
 	}
 	if item.Offset != int64(len(held.buffer)) {
@@ -159,7 +159,7 @@
 	return nil, false
 }
 
-func (c *Distribution) replace(held *topicState, mark message.Mark, body []byte) bool {
+func (c *Distribution) replace(held *topicState, mark message.Position, body []byte) bool {
 	if held.slice == nil {
 		whole, err := delta.Apply(nil, body, c.settings.Limits.Configuration)
 		if err != nil || !configurationMark(mark.Topic, mark.Seq, whole).Same(mark) {
--- a/internal/distribution/slice.go
+++ b/internal/distribution/slice.go
@@ -16,14 +16,14 @@
 
 // Slice is one zone's registrations.
 type Slice struct {
-	Mark          message.Mark
+	Mark          message.Position
 	Registrations map[string]message.Registration
 	changes       []message.RosterChange
 }
 
 // NewSlice makes an empty slice.
 func NewSlice(topic string) *Slice {
-	return &Slice{Mark: message.Mark{Topic: topic}, Registrations: map[string]message.Registration{}}
+	return &Slice{Mark: message.Position{Topic: topic}, Registrations: map[string]message.Registration{}}
 }
 
 func digest(registration message.Registration) int64 {
@@ -44,7 +44,7 @@
 	}
 	l.write(registration, gone)
 	l.Mark.Seq++
-	change := message.RosterChange{Mark: l.Mark, Registration: registration, Gone: gone, Cause: cause}
+	change := message.RosterChange{Position: l.Mark, Registration: registration, Removed: gone, Cause: cause}
 	l.keep(change)
 	return change
 }
@@ -57,17 +57,17 @@
 
 // Follow applies another's change; false when it does not continue this position.
 func (l *Slice) Follow(change message.RosterChange) bool {
-	if change.Mark.Epoch != l.Mark.Epoch || change.Mark.Seq != l.Mark.Seq+1 {
+	if change.Position.Epoch != l.Mark.Epoch || change.Position.Seq != l.Mark.Seq+1 {
 		return false
 	}
-	l.write(change.Registration, change.Gone)
+	l.write(change.Registration, change.Removed)
 	l.Mark.Seq++
 	l.keep(change)
-	return l.Mark.Same(change.Mark)
+	return l.Mark.Same(change.Position)
 }
 
 // Replace takes a whole snapshot.
-func (l *Slice) Replace(mark message.Mark, registrations []message.Registration) {
+func (l *Slice) Replace(mark message.Position, registrations []message.Registration) {
 	l.Registrations = map[string]message.Registration{}
 	l.Mark.Count, l.Mark.Hash = 0, 0
 	for _, registration := range registrations {
@@ -88,11 +88,11 @@
 }
 
 // Since gives the changes after a position, or false when the snapshot is needed.
-func (l *Slice) Since(mark message.Mark) ([]message.RosterChange, bool) {
-	if mark.Epoch != l.Mark.Epoch || mark.Seq > l.Mark.Seq || len(l.changes) == 0 || l.changes[0].Mark.Seq > mark.Seq+1 {
+func (l *Slice) Since(mark message.Position) ([]message.RosterChange, bool) {
+	if mark.Epoch != l.Mark.Epoch || mark.Seq > l.Mark.Seq || len(l.changes) == 0 || l.changes[0].Position.Seq > mark.Seq+1 {
 		return nil, false
 	}
-	return append([]message.RosterChange{}, l.changes[mark.Seq+1-l.changes[0].Mark.Seq:]...), true
+	return append([]message.RosterChange{}, l.changes[mark.Seq+1-l.changes[0].Position.Seq:]...), true
 }
 
 func (l *Slice) write(registration message.Registration, gone bool) {
--- a/internal/explore/chain.go
+++ b/internal/explore/chain.go
@@ -132,7 +132,7 @@
 		return false
 	}
 	switch next.message.(type) {
-	case message.LogAppend, message.LogAppendPacked, message.LogRecommit, message.LogSnapshot:
+	case message.LogAppend, message.LogAppendDelta, message.LogRecommit, message.LogSnapshot:
 		return true
 	}
 	return false
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -74,18 +74,18 @@
 	lives    map[int64]string // by fence: the life that used it
 	acts     []act            // the first of each holder in a row
 	attempts int64
-	deafTo   map[[2]int]int          // by process and proxy: the round until which nothing comes through
-	changes  map[message.Mark]string // by position: what was broadcast as the change to it
+	deafTo   map[[2]int]int              // by process and proxy: the round until which nothing comes through
+	changes  map[message.Position]string // by position: what was broadcast as the change to it
 }
 
 func newFleet() *fleet {
-	f := &fleet{windows: map[int64]report{}, lives: map[int64]string{}, deafTo: map[[2]int]int{}, changes: map[message.Mark]string{}}
+	f := &fleet{windows: map[int64]report{}, lives: map[int64]string{}, deafTo: map[[2]int]int{}, changes: map[message.Position]string{}}
 	for number := range fleetProxies {
 		proxy := &fleetProxy{name: fmt.Sprintf("proxy/p%d", number), address: fmt.Sprintf("10.9.1.%d:1", number+1), counts: map[int64]int64{}}
 		for index := range upstreamsPerProxy {
 			proxy.upstreams = append(proxy.upstreams, &fleetUpstream{there: true, registration: message.Registration{
 				Service: "service", Instance: fmt.Sprintf("i%d-%d", number, index), Incarnation: 1, Address: fmt.Sprintf("10.8.%d.%d:1", number, index),
-				Zone: fleetZone, Slots: 4, State: message.StateReady, ServingProxy: proxy.name, ServingProxyAddress: proxy.address, ServingProxyBirth: 1}})
+				Zone: fleetZone, Slots: 4, State: message.StateReady, ServingProxy: proxy.name, ServingProxyAddress: proxy.address, ServingProxyStartTime: 1}})
 		}
 		f.proxies = append(f.proxies, proxy)
 	}
@@ -139,10 +139,10 @@
 }
 
 func (x *fleetProxy) heartbeat(window int64) message.HeartbeatBatch {
-	batch := message.HeartbeatBatch{Proxy: x.name, Birth: 1, Ready: true, Window: window, Heartbeats: []message.Heartbeat{}, Ends: []message.SignOff{}, Marks: []message.Mark{}, Path: []string{}}
+	batch := message.HeartbeatBatch{Proxy: x.name, StartTime: 1, Ready: true, Window: window, Heartbeats: []message.Heartbeat{}, Deregistrations: []message.Deregistration{}, Positions: []message.Position{}, Path: []string{}}
 	for _, upstream := range x.upstreams {
 		if upstream.there {
-			batch.Heartbeats = append(batch.Heartbeats, message.Heartbeat{Registration: upstream.registration, Probed: upstream.probed})
+			batch.Heartbeats = append(batch.Heartbeats, message.Heartbeat{Registration: upstream.registration, ProbeResult: upstream.probed})
 		}
 	}
 	return batch
@@ -151,7 +151,7 @@
 // usage tells the counts of the windows that are not sealed; like a real proxy it names the
 // closed ones only in updates that hold them.
 func (x *fleetProxy) usage(current int64) message.UsageUpdate {
-	update := message.UsageUpdate{Proxy: x.name, Birth: 1, Number: x.number, Counts: []message.UsageCount{}, Closed: current}
+	update := message.UsageUpdate{Proxy: x.name, StartTime: 1, Number: x.number, Counts: []message.UsageCount{}, Closed: current}
 	if x.number%wholeUpdates != 0 {
 		update.Closed = 0
 	}
@@ -217,8 +217,8 @@
 	if w.fleet == nil {
 		return
 	}
-	place := message.Mark{Topic: change.Mark.Topic, Epoch: change.Mark.Epoch, Seq: change.Mark.Seq}
-	content := fmt.Sprintf("%+v gone %t to %d", change.Registration, change.Gone, change.Mark.Hash)
+	place := message.Position{Topic: change.Position.Topic, Epoch: change.Position.Epoch, Seq: change.Position.Seq}
+	content := fmt.Sprintf("%+v gone %t to %d", change.Registration, change.Removed, change.Position.Hash)
 	if other, known := w.fleet.changes[place]; known && other != content {
 		w.violate("one-change", "%s broadcasts %s as (%d,%d), which was %s", p.name(), content, place.Epoch, place.Seq, other)
 	}
--- a/internal/explore/process.go
+++ b/internal/explore/process.go
@@ -57,7 +57,7 @@
 	p.requests, p.contacts = map[int64]request{}, map[string]int64{}
 	p.env = statemachine.NewEnv(w.plan.Seed*1000 + uint64(p.index*100+p.life))
 	self := message.Member{Name: p.role + "/" + p.name(), Role: p.role, Voter: p.settings.Voter,
-		Zone: p.settings.Zone, Address: p.address, Birth: int64(epoch + w.now + p.wall)}
+		Zone: p.settings.Zone, Address: p.address, StartTime: int64(epoch + w.now + p.wall)}
 	store, snapshot, records, err := storage.Open(p.disk)
 	if err == nil {
 		p.store = store
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -96,7 +96,7 @@
 		return true
 	}
 	switch next.message.(type) {
-	case message.LogAppend, message.LogAppendPacked, message.LogAppended, message.LogRecommit, message.LogPositionResponse, message.LogSnapshot,
+	case message.LogAppend, message.LogAppendDelta, message.LogAppended, message.LogRecommit, message.LogPositionResponse, message.LogSnapshot,
 		message.WriteRequest, message.ReadRequest, message.VoterClaim, message.VoterGrant,
 		message.UsageSeal, message.UsageSealResponse, message.UsageReadResponse, message.RosterChange, message.RosterSnapshot:
 		return true
--- a/internal/frontend/adopt_test.go
+++ b/internal/frontend/adopt_test.go
@@ -65,13 +65,13 @@
 	cfg.Zone, cfg.Proof, cfg.Counted = "here", proof, settings.CountBegun
 	serving := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	p := &recordingEnvironment{}
-	p.tracker = NewTracker(cfg, New(cfg, serving.PassOf), serving, p, message.Member{Name: "proxy/me", Address: "here:1", Birth: 7})
+	p.tracker = NewTracker(cfg, New(cfg, serving.PassOf), serving, p, message.Member{Name: "proxy/me", Address: "here:1", StartTime: 7})
 	return p, serving, cfg
 }
 
 func beside(instance, address, state string, birth int64) message.Registration {
 	return message.Registration{Service: "pay", Instance: instance, Incarnation: 1, Address: address, Zone: "here", Slots: 2, State: state,
-		ServingProxy: "proxy/me", ServingProxyAddress: "here:1", ServingProxyBirth: birth}
+		ServingProxy: "proxy/me", ServingProxyAddress: "here:1", ServingProxyStartTime: birth}
 }
 
 func rosterOf(registrations ...message.Registration) *proxy.Snapshot {
@@ -184,9 +184,9 @@
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 2})
 	// The outcomes come in the next window; so does the start of the one that waited.
 	p.wall = p.wall.Add(cfg.UsageWindow())
-	p.tracker.Conclude(p.starts[0], message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: true})
+	p.tracker.Conclude(p.starts[0], message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: true})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
-	p.tracker.Conclude(p.starts[1], message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)})
+	p.tracker.Conclude(p.starts[1], message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
 	c.Assert(outcomes, qt.HasLen, 2)
 	p.now += cfg.DialFresh()
@@ -194,7 +194,7 @@
 	c.Assert(p.starts, qt.HasLen, 3)
 	c.Assert(counts(window+1), qt.DeepEquals, map[string]int64{"u": 1})
 	// One that finds no room before it is sent was not begun.
-	p.tracker.Conclude(p.starts[2], message.Outcome{Kind: message.StartedWhole, Status: 200})
+	p.tracker.Conclude(p.starts[2], message.Outcome{Kind: message.Completed, Status: 200})
 	p.full = true
 	forward("late", "t")
 	c.Assert(counts(window + 1)["t"], qt.Equals, int64(0))
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -198,12 +198,12 @@
 	if outcome.Slots > 0 {
 		held.reported, held.slots, held.load, held.reportedAt, held.mineThen = outcome.Outstanding, outcome.Slots, outcome.Load, now, held.mine
 	}
-	held.learnLag(now, now-request.chosenAt-time.Duration(outcome.Took))
+	held.learnLag(now, now-request.chosenAt-time.Duration(outcome.ServiceTime))
 	switch ending {
 	case Answered:
 		held.notFull()
 		held.learnFailure(false)
-		f.learnPace(held, request.Route.Name, time.Duration(outcome.Took))
+		f.learnPace(held, request.Route.Name, time.Duration(outcome.ServiceTime))
 		return &Final{Code: errcode.OK, Status: int(outcome.Status), Headers: notOwn(outcome.Headers), Body: outcome.Body}
 	case Unsure:
 		held.notFull()
@@ -296,14 +296,14 @@
 
 // Forward makes the frame for the chosen serving proxy.
 func (f *Frontend) Forward(now time.Duration, request *Request, self string, attempt string) message.Forward {
-	forward := message.Forward{ID: request.ID + "." + attempt, Proxy: self, ServingProxyBirth: request.Target.ServingProxyBirth, ConfigName: request.Configuration.ConfigName,
+	forward := message.Forward{ID: request.ID + "." + attempt, Proxy: self, ServingProxyStartTime: request.Target.ServingProxyStartTime, ConfigName: request.Configuration.ConfigName,
 		Version: request.Configuration.Version, Route: request.Route.Name, Service: request.Service, Instance: request.Target.Instance,
 		Incarnation: request.Target.Incarnation, Tenant: request.Tenant, Caller: request.Caller, Method: request.Method, Path: request.Path,
-		RawQuery: request.RawQuery, Headers: []message.HeaderLine{}, Body: request.Body, AnswerCap: f.settings.Limits.Answer,
-		Host: request.Host, Name: request.Name, Priority: request.Priority, Once: request.Route.Once, Repeat: request.Sent > 0}
+		RawQuery: request.RawQuery, Headers: []message.HeaderLine{}, Body: request.Body, MaxResponseBytes: f.settings.Limits.Answer,
+		Host: request.Host, Name: request.Name, Priority: request.Priority, AtMostOnce: request.Route.Once, Retried: request.Sent > 0}
 	remaining := request.Deadline - now
 	if request.Route.Aim > 0 && !request.nested() {
-		forward.Aim = max(int64(request.Came+request.Route.Aim-now), 1)
+		forward.TargetRemaining = max(int64(request.Came+request.Route.Aim-now), 1)
 	}
 	forward.Remaining = int64(remaining - min(remaining/20, f.settings.UpdatesEvery()/10))
 	names := make([]string, 0, len(request.Header))
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -135,12 +135,12 @@
 		final   errcode.Code
 		again   bool
 	}{
-		{"/pay", message.Outcome{Kind: message.StartedWhole, Status: 200}, errcode.OK, false},
+		{"/pay", message.Outcome{Kind: message.Completed, Status: 200}, errcode.OK, false},
 		{"/pay", message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}, errcode.OK, true},
 		{"/pay", message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyDeadline)}, errcode.BusyDeadline, false},
-		{"/pay", message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}, errcode.UnknownOutcome, false},
-		{"/pay", message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.AnswerMalformed)}, errcode.AnswerMalformed, false},
-		{"/look", message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}, errcode.OK, true},
+		{"/pay", message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}, errcode.UnknownOutcome, false},
+		{"/pay", message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.AnswerMalformed)}, errcode.AnswerMalformed, false},
+		{"/look", message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}, errcode.OK, true},
 	} {
 		f := ready(c, 0, upstream("one", "here"), upstream("two", "here"))
 		method := map[string]string{"/pay": "POST", "/look": "GET"}[tried.path]
@@ -157,7 +157,7 @@
 			c.Check(final.RetryAfter > 0, qt.Equals, busy)
 		}
 		// Once something may have run, no later refusal says that nothing did.
-		if final == nil && tried.outcome.Kind == message.StartedNoWhole {
+		if final == nil && tried.outcome.Kind == message.OutcomeUnknown {
 			c.Assert(f.Choose(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
 			last := f.Judge(begin+6*time.Second, asked, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)})
 			c.Check(code(last), qt.Equals, errcode.UnknownOutcome)
--- a/internal/frontend/full_test.go
+++ b/internal/frontend/full_test.go
@@ -84,7 +84,7 @@
 	request := asked("/check/x", "")
 	c.Assert(f.Admit(old, time.Now(), request), qt.IsNil)
 	c.Assert(f.Choose(old, request, random), qt.IsNil)
-	f.Judge(old, request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(time.Millisecond)})
+	f.Judge(old, request, message.Outcome{Kind: message.Completed, Status: 200, ServiceTime: int64(time.Millisecond)})
 	c.Assert(forwards(c, f, old, random, "/pay/x", "secret") > 0, qt.IsTrue)
 }
 
@@ -106,6 +106,6 @@
 		c.Assert(f.Admit(old, time.Now(), request), qt.IsNil)
 		c.Assert(f.Choose(old, request, random), qt.IsNil)
 	}
-	c.Assert(f.Forward(old, nested, "proxy/me", "1").Aim, qt.Equals, int64(0))
-	c.Assert(f.Forward(old, own, "proxy/me", "1").Aim > 0, qt.IsTrue)
+	c.Assert(f.Forward(old, nested, "proxy/me", "1").TargetRemaining, qt.Equals, int64(0))
+	c.Assert(f.Forward(old, own, "proxy/me", "1").TargetRemaining > 0, qt.IsTrue)
 }
--- a/internal/frontend/lag_test.go
+++ b/internal/frontend/lag_test.go
@@ -45,7 +45,7 @@
 			case ends > now:
 				rest = append(rest, item)
 			default:
-				f.Judge(ends, item.request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(lagWork)})
+				f.Judge(ends, item.request, message.Outcome{Kind: message.Completed, Status: 200, ServiceTime: int64(lagWork)})
 			}
 		}
 		waiting = rest
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -250,7 +250,7 @@
 	p.caller.UseDialer(func(address string, _ time.Time) (net.Conn, error) {
 		return &modelUpstreamConn{world: w, upstream: address}, nil
 	})
-	p.tracker = NewTracker(cfg, p.front, p.serving, &modelEnvironment{p, life, rand.New(rand.NewPCG(1, 2))}, message.Member{Name: p.address, Address: p.address, Birth: life})
+	p.tracker = NewTracker(cfg, p.front, p.serving, &modelEnvironment{p, life, rand.New(rand.NewPCG(1, 2))}, message.Member{Name: p.address, Address: p.address, StartTime: life})
 	list := []message.Registration{}
 	for _, name := range []string{"one", "two", "three"} {
 		if modelHomes[name] == p.address {
@@ -261,7 +261,7 @@
 			}
 		}
 		list = append(list, message.Registration{Service: "pay", Instance: name, Incarnation: 1, Address: name, Zone: "here", Slots: 4, State: message.StateReady,
-			ServingProxy: modelHomes[name], ServingProxyAddress: modelHomes[name], ServingProxyBirth: w.proxies[modelHomes[name]].lifeOr(life)})
+			ServingProxy: modelHomes[name], ServingProxyAddress: modelHomes[name], ServingProxyStartTime: w.proxies[modelHomes[name]].lifeOr(life)})
 	}
 	p.front.Show(w.now, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(modelRoutes), cfg.ConfigurationLimits())},
 		Known: true, RosterHere: true, Joined: true, Proxies: 1, Upstreams: map[string][]message.Registration{"pay": list}})
@@ -334,7 +334,7 @@
 	p.running[order.Forward.ID] = true
 	p.world.after(modelWork, b.alive(func() {
 		if !p.running[order.Forward.ID] {
-			outcome = message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}
+			outcome = message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}
 		}
 		delete(p.running, order.Forward.ID)
 		p.tracker.Conclude(order, outcome)
--- a/internal/frontend/question.go
+++ b/internal/frontend/question.go
@@ -38,7 +38,7 @@
 	q.connection = connection
 	q.lock.Unlock()
 	for _, id := range ids {
-		connection.Post(message.OutcomeRequest{ID: id, ServingProxyBirth: births[id]})
+		connection.Post(message.OutcomeRequest{ID: id, ServingProxyStartTime: births[id]})
 	}
 	d.back.After(d.settings.UpdatesEvery()*2, func() { q.patience(ids) })
 }
@@ -121,5 +121,5 @@
 }
 
 func unknownOutcome(id string) message.Outcome {
-	return message.Outcome{ID: id, Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}
+	return message.Outcome{ID: id, Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}
 }
--- a/internal/frontend/repeats_test.go
+++ b/internal/frontend/repeats_test.go
@@ -64,11 +64,11 @@
 	going := asked("/pay/x", "secret")
 	c.Assert(f.Admit(old, time.Now(), going), qt.IsNil)
 	c.Assert(f.Choose(old, going, random), qt.IsNil)
-	c.Assert(f.Forward(old, going, "me", "1").Repeat, qt.IsFalse)
-	c.Assert(f.Judge(old, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: true}), qt.IsNil)
+	c.Assert(f.Forward(old, going, "me", "1").Retried, qt.IsFalse)
+	c.Assert(f.Judge(old, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: true}), qt.IsNil)
 	c.Assert(f.Choose(old, going, random), qt.IsNil)
 	repeat := f.Forward(old, going, "me", "2")
-	c.Assert(repeat.Repeat, qt.IsTrue)
+	c.Assert(repeat.Retried, qt.IsTrue)
 
 	serving := backend.New(f.settings, func(message.Forward) errcode.Code { return errcode.OK })
 	for _, name := range []string{"one", "two"} {
@@ -77,11 +77,11 @@
 	c.Assert(serving.RepeatShare(), qt.Equals, 0.0)
 	start := func(number int, again, once bool) {
 		made := repeat
-		made.ID, made.Repeat, made.Once = fmt.Sprint(number, again, once), again, once
+		made.ID, made.Retried, made.AtMostOnce = fmt.Sprint(number, again, once), again, once
 		orders := serving.Forwarded(old, made)
 		c.Assert(orders, qt.HasLen, 1)
 		c.Assert(orders[0].Start, qt.IsTrue)
-		serving.Finish(old, orders[0], message.Outcome{Kind: message.StartedWhole, Status: 200})
+		serving.Finish(old, orders[0], message.Outcome{Kind: message.Completed, Status: 200})
 	}
 	for number := range 300 {
 		start(number, number%3 == 0, false)
@@ -103,7 +103,7 @@
 	serving.Announce(old, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "one", Zone: "here", Slots: 4})
 	serving.BarRepeats(old + time.Second)
 	start := func(id string, now time.Duration, repeat bool) backend.Order {
-		orders := serving.Forwarded(now, message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Repeat: repeat})
+		orders := serving.Forwarded(now, message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Retried: repeat})
 		c.Assert(orders, qt.HasLen, 1)
 		return orders[0]
 	}
--- a/internal/frontend/retry.go
+++ b/internal/frontend/retry.go
@@ -33,9 +33,9 @@
 // EndingOf reads an outcome; whatever it does not know counts as unsure.
 func EndingOf(outcome message.Outcome) Ending {
 	switch {
-	case outcome.Kind == message.StartedWhole:
+	case outcome.Kind == message.Completed:
 		return Answered
-	case outcome.Kind == message.NotStarted && outcome.Sent:
+	case outcome.Kind == message.NotStarted && outcome.ReachedUpstream:
 		return TurnedAway
 	case outcome.Kind == message.NotStarted:
 		return NeverOffered
--- a/internal/frontend/target_test.go
+++ b/internal/frontend/target_test.go
@@ -52,7 +52,7 @@
 	c.Assert(f.Admit(old, time.Now(), going), qt.IsNil)
 	c.Assert(f.Choose(old, going, random), qt.IsNil)
 	first := going.Target.Instance
-	misdirected := message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyUpstreamGone), Sent: true}
+	misdirected := message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyUpstreamGone), ReachedUpstream: true}
 	c.Assert(f.Judge(old, going, misdirected), qt.IsNil)
 	c.Assert(f.Choose(old, going, random), qt.IsNil)
 	c.Assert(going.Target.Instance, qt.Not(qt.Equals), first)
@@ -86,7 +86,7 @@
 		for {
 			c.Assert(f.Choose(now, going, random), qt.IsNil)
 			tries++
-			if final := f.Judge(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: sent}); final != nil {
+			if final := f.Judge(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: sent}); final != nil {
 				c.Assert(final.Code, qt.Equals, errcode.BusyBudget)
 				break
 			}
--- a/internal/frontend/tracker.go
+++ b/internal/frontend/tracker.go
@@ -118,7 +118,7 @@
 
 // NewTracker makes the desk of a proxy.
 func NewTracker(cfg settings.Settings, front *Frontend, serving *backend.Backend, back Environment, self message.Member) *Tracker {
-	return &Tracker{settings: cfg, frontend: front, serving: serving, back: back, address: self.Address, node: self.Name, life: self.Birth, born: back.Now(),
+	return &Tracker{settings: cfg, frontend: front, serving: serving, back: back, address: self.Address, node: self.Name, life: self.StartTime, born: back.Now(),
 		connections: map[string]Connection{}, waiting: map[string]*Trip{}, replies: map[string]func(msg any) error{}}
 }
 
@@ -137,7 +137,7 @@
 func (d *Tracker) adopt(snapshot *proxy.Snapshot) {
 	for _, list := range snapshot.Upstreams {
 		for _, registration := range list {
-			if registration.ServingProxy == d.node && registration.ServingProxyBirth < d.life && !d.serving.Holds(registration.Instance) {
+			if registration.ServingProxy == d.node && registration.ServingProxyStartTime < d.life && !d.serving.Holds(registration.Instance) {
 				d.take(backend.Announcement{Service: registration.Service, Instance: registration.Instance, Incarnation: registration.Incarnation,
 					Address: registration.Address, Zone: registration.Zone, Slots: registration.Slots, Leaving: registration.State == message.StateLeaving})
 			}
@@ -293,7 +293,7 @@
 	}
 	births := map[string]int64{}
 	for _, id := range ids {
-		births[id] = out[id].Request.Target.ServingProxyBirth
+		births[id] = out[id].Request.Target.ServingProxyStartTime
 	}
 	d.question(servingProxy, births, questionsMost)
 }
@@ -354,7 +354,7 @@
 		d.lock.Unlock()
 		d.frontend.Release(trip.Request)
 		d.frontend.Unanswered(d.back.Now(), trip.Request)
-		if withdraw := (message.Withdraw{ID: forwarded}); connection != nil {
+		if withdraw := (message.Cancel{ID: forwarded}); connection != nil {
 			connection.Post(withdraw)
 		} else {
 			d.local(withdraw)
@@ -375,8 +375,8 @@
 		d.lock.Unlock()
 		d.ForwardOut(d.serving.Forwarded(d.back.Now(), received))
 	case message.OutcomeRequest:
-		if received.ServingProxyBirth != d.life && safeguard.OtherLife.On() {
-			back(whole(message.Outcome{ID: received.ID, Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}))
+		if received.ServingProxyStartTime != d.life && safeguard.OtherLife.On() {
+			back(whole(message.Outcome{ID: received.ID, Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}))
 			return true
 		}
 		// Whoever asks gets the outcome later, if there is none yet: noted first, since it
@@ -391,7 +391,7 @@
 			d.lock.Unlock()
 		}
 		back(whole(outcome))
-	case message.Withdraw:
+	case message.Cancel:
 		orders, cancel := d.serving.Withdraw(received.ID)
 		d.ForwardOut(orders)
 		if cancel {
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/tracker_test.go
@@ -114,8 +114,8 @@
 	back.tracker = NewTracker(cfg, f, serving, back, message.Member{Name: "me", Address: "here:1"})
 	_, _, _ = serving.Announce(time.Second, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "up:1", Zone: "here", Slots: 4})
 	for _, id := range []string{"once", "repeatable"} {
-		back.tracker.Inbound(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Once: id == "once"}, func(any) error { return nil })
-		back.tracker.Inbound(message.Withdraw{ID: id}, func(any) error { return nil })
+		back.tracker.Inbound(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), AtMostOnce: id == "once"}, func(any) error { return nil })
+		back.tracker.Inbound(message.Cancel{ID: id}, func(any) error { return nil })
 	}
 	c.Assert(back.cancelled, qt.DeepEquals, []string{"repeatable"})
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -266,7 +266,7 @@
 	state.round, state.askedAt, state.renewAt = t.round, s.Now, s.Now+t.settings.RenewEvery()
 	state.acks, state.asking, state.again = map[string]string{}, true, false
 	request := message.LeaseRequest{Group: t.quorum.Group, Tag: tag, Epoch: state.epoch, Voter: t.quorum.Voter,
-		Identity: t.quorum.Signature(), Round: state.round, Trial: state.trial}
+		Identity: t.quorum.Signature(), Round: state.round, PreVote: state.trial}
 	for _, peer := range t.host.Peers() {
 		if peer.Voter != t.quorum.Voter {
 			s.Send(peer.Address, request)
--- a/internal/lease/rest.go
+++ b/internal/lease/rest.go
@@ -20,7 +20,7 @@
 
 // resting says that a voter held a tag too lately to hold it again.
 func (t *Leases) resting(tag string, state *tagState, voter string, now time.Duration) bool {
-	if voter == state.vote.Former && now-state.changedAt < t.settings.HolderRest() {
+	if voter == state.vote.PreviousHolder && now-state.changedAt < t.settings.HolderRest() {
 		return true
 	}
 	left, known := state.leftAt[voter]
@@ -29,19 +29,19 @@
 
 // leave writes down that the holder voted for so far holds no more.
 func (t *Leases) leave(tag string, state *tagState, now time.Duration) {
-	state.vote.Former = state.vote.Holder
+	state.vote.PreviousHolder = state.vote.Holder
 	if tag != settings.UsageTag {
 		return
 	}
 	maps.DeleteFunc(state.leftAt, func(_ string, left time.Duration) bool { return now-left >= t.settings.HolderRest() })
 	state.leftAt[state.vote.Holder] = now
-	state.vote.Resting = strings.Join(slices.Sorted(maps.Keys(state.leftAt)), restSeparator)
+	state.vote.RecentHolders = strings.Join(slices.Sorted(maps.Keys(state.leftAt)), restSeparator)
 }
 
 // restAnew takes all that a vote from disk or from a grant lists to have held until now.
 func (t *Leases) restAnew(state *tagState, now time.Duration) {
 	state.leftAt = map[string]time.Duration{}
-	for _, voter := range strings.Split(state.vote.Resting, restSeparator) {
+	for _, voter := range strings.Split(state.vote.RecentHolders, restSeparator) {
 		if voter != "" {
 			state.leftAt[voter] = now
 		}
--- a/internal/lease/votes.go
+++ b/internal/lease/votes.go
@@ -33,14 +33,14 @@
 
 func (t *Leases) handleRequest(s *statemachine.Env, from string, request message.LeaseRequest) {
 	state, known := t.tags[request.Tag]
-	if known && !request.Trial && request.Voter != t.quorum.Voter && request.Voter != state.rival && request.Epoch >= state.vote.Epoch && t.quorum.Holds(request.Voter, request.Identity) {
+	if known && !request.PreVote && request.Voter != t.quorum.Voter && request.Voter != state.rival && request.Epoch >= state.vote.Epoch && t.quorum.Holds(request.Voter, request.Identity) {
 		state.rival, state.rivalAt = request.Voter, s.Now
 	}
 	if !known || !t.quorum.Voting() || t.votesAt < 0 || s.Now < t.votesAt && !t.promisedTo(state, request.Voter, request.Identity) && !guardsOff.restartWait {
 		return
 	}
 	answer := message.LeaseVote{Group: request.Group, Tag: request.Tag, Epoch: request.Epoch, Round: request.Round,
-		Voter: t.quorum.Voter, Identity: t.quorum.Signature(), Trial: request.Trial, Seen: max(state.vote.Epoch, state.seen)}
+		Voter: t.quorum.Voter, Identity: t.quorum.Signature(), PreVote: request.PreVote, HighestEpoch: max(state.vote.Epoch, state.seen)}
 	reply := func(s *statemachine.Env) {
 		answer.Identity = t.quorum.Signature()
 		if from == "" {
@@ -57,7 +57,7 @@
 		answer.Reason = "lower epoch"
 	case request.Epoch == state.vote.Epoch && !same && !guardsOff.oneHolder:
 		answer.Reason = "epoch given to another"
-	case request.Epoch == state.vote.Epoch && request.Trial:
+	case request.Epoch == state.vote.Epoch && request.PreVote:
 		answer.Reason = "epoch in use"
 	case request.Epoch == state.vote.Epoch:
 		// A renewal counts as synced only once the vote itself is.
@@ -76,9 +76,9 @@
 		answer.Reason = "handed over to another"
 	case !same && t.resting(request.Tag, state, request.Voter, s.Now):
 		answer.Reason = "holder rest"
-	case request.Trial && !same && state.trial && s.Now < state.tryAt && state.trials <= 2 && t.goesBefore(request.Tag, request.Voter):
+	case request.PreVote && !same && state.trial && s.Now < state.tryAt && state.trials <= 2 && t.goesBefore(request.Tag, request.Voter):
 		answer.Reason = "goes first here"
-	case request.Trial:
+	case request.PreVote:
 		answer.Granted = true
 		if from != "" && state.trial {
 			// Another goes first: this voter's own trial is off, for a while.
@@ -121,19 +121,19 @@
 	if !known {
 		return
 	}
-	state.seen = max(state.seen, vote.Seen)
+	state.seen = max(state.seen, vote.HighestEpoch)
 	if vote.Epoch != state.epoch || vote.Epoch <= state.spent && !guardsOff.spentEpoch || !t.quorum.Holds(vote.Voter, vote.Identity) {
 		return
 	}
 	if !vote.Granted {
-		if state.holding && vote.Seen >= state.epoch && vote.Reason != "another holds it" && s.Now >= state.raiseAt && t.fit(vote.Tag) {
+		if state.holding && vote.HighestEpoch >= state.epoch && vote.Reason != "another holds it" && s.Now >= state.raiseAt && t.fit(vote.Tag) {
 			state.raiseAt = s.Now + t.settings.Lease()
 			t.drop(s, vote.Tag, "raises its epoch: "+vote.Voter+" is bound to another")
 			t.campaign(s, vote.Tag, state)
 		}
 		return
 	}
-	if vote.Round != state.round || vote.Trial != state.trial {
+	if vote.Round != state.round || vote.PreVote != state.trial {
 		return
 	}
 	state.acks[vote.Voter] = vote.Identity
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -33,7 +33,7 @@
 		if state == message.Suspect {
 			state = message.Alive
 		}
-		fmt.Fprintf(hash, "%s|%s|%d|%d|%s", member.Name, member.Address, member.Birth, state, member.Voter)
+		fmt.Fprintf(hash, "%s|%s|%d|%d|%s", member.Name, member.Address, member.StartTime, state, member.Voter)
 		sums[partOf(member.Name)] += int64(hash.Sum64())
 	}
 	for _, known := range m.members {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -59,7 +59,7 @@
 		}
 	}
 	if known, found := m.members[member.Name]; found && known.member.State != message.Alive &&
-		member.State == message.Alive && known.member.Birth == member.Birth && known.member.Incarnation >= member.Incarnation {
+		member.State == message.Alive && known.member.StartTime == member.StartTime && known.member.Incarnation >= member.Incarnation {
 		// It speaks, yet is held for lost: tell it, so that it refutes.
 		known.sends = 0
 	}
@@ -80,7 +80,7 @@
 	if !newer(stated, known.member) {
 		return
 	}
-	if stated.State != known.member.State || stated.Address != known.member.Address || stated.Birth != known.member.Birth {
+	if stated.State != known.member.State || stated.Address != known.member.Address || stated.StartTime != known.member.StartTime {
 		m.edition++
 		env.Event(stateEvents[stated.State&3], 0, stated.Incarnation, stated.Name)
 	}
@@ -109,25 +109,25 @@
 // mergeSelf refutes what others say wrongly of this node.
 func (m *Membership) mergeSelf(env *statemachine.Env, stated message.Member) {
 	switch {
-	case stated.Birth > m.self.Birth && stated.Address == m.self.Address:
+	case stated.StartTime > m.self.StartTime && stated.Address == m.self.Address:
 		// An earlier life here had a clock ahead of this one's: outbid it.
-		m.self.Birth = stated.Birth + 1
+		m.self.StartTime = stated.StartTime + 1
 		m.edition++
-	case stated.Birth > m.self.Birth:
+	case stated.StartTime > m.self.StartTime:
 		// The name lives on at another address; this life is the older one.
 		if !m.superseded {
 			env.Event("member-superseded", 0, stated.Incarnation, stated.Name+" at "+stated.Address)
 		}
 		m.superseded = true
-	case stated.Birth == m.self.Birth && stated.State != message.Alive && stated.Incarnation >= m.self.Incarnation && !m.left:
+	case stated.StartTime == m.self.StartTime && stated.State != message.Alive && stated.Incarnation >= m.self.Incarnation && !m.left:
 		m.self.Incarnation = stated.Incarnation + 1
 	}
 }
 
 // newer reports whether a statement overrides what is known: by life, then incarnation, then state.
 func newer(stated, known message.Member) bool {
-	if stated.Birth != known.Birth {
-		return stated.Birth > known.Birth
+	if stated.StartTime != known.StartTime {
+		return stated.StartTime > known.StartTime
 	}
 	if stated.Incarnation != known.Incarnation {
 		return stated.Incarnation > known.Incarnation
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -188,7 +188,7 @@
 		m.handlePing(env, received)
 	case message.Ack:
 		m.handleAck(env, received)
-	case message.PingFor:
+	case message.IndirectPing:
 		m.handlePingFor(env, received)
 	case message.JoinRequest:
 		m.meet(env, received.From)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -41,7 +41,7 @@
 		c.Assert(joined(s, nodeName, cfg.JoinEvery()*4), qt.DeepEquals, map[string]bool{"10.0.0.1:1": true, "10.0.0.2:1": true})
 		wanted := map[string]bool{"10.0.0.3:1": true, "10.0.0.4:1": true}
 		if meets {
-			nodeName.Handle(s, "", message.JoinResponse{From: message.Member{Name: "proxy/other", Address: "10.0.0.8:1", Birth: 1}})
+			nodeName.Handle(s, "", message.JoinResponse{From: message.Member{Name: "proxy/other", Address: "10.0.0.8:1", StartTime: 1}})
 			wanted["10.0.0.8:1"] = true
 		}
 		given := []string{"10.0.0.3:1", "10.0.0.4:1"}
@@ -54,10 +54,10 @@
 
 // crowd makes a node that knows so many others.
 func crowd(s *statemachine.Env, name string, count int) *Membership {
-	node := New(settings.Default(), message.Member{Name: "proxy/" + name, Role: message.RoleProxy, Address: name, Birth: 1}, nil)
+	node := New(settings.Default(), message.Member{Name: "proxy/" + name, Role: message.RoleProxy, Address: name, StartTime: 1}, nil)
 	for number := range count {
 		other := fmt.Sprintf("proxy/%d", number)
-		node.Handle(s, "", message.JoinResponse{From: message.Member{Name: other, Role: message.RoleProxy, Zone: "z", Address: fmt.Sprintf("10.0.0.%d:7000", number), Birth: 1}})
+		node.Handle(s, "", message.JoinResponse{From: message.Member{Name: other, Role: message.RoleProxy, Zone: "z", Address: fmt.Sprintf("10.0.0.%d:7000", number), StartTime: 1}})
 	}
 	s.Drain()
 	return node
@@ -90,7 +90,7 @@
 	members, _ := answers(c, s, asker, asked)
 	c.Assert(len(members), qt.Equals, 0)
 
-	reborn := message.Member{Name: "proxy/17", Role: message.RoleProxy, Zone: "z", Address: "10.0.0.17:7000", Birth: 2}
+	reborn := message.Member{Name: "proxy/17", Role: message.RoleProxy, Zone: "z", Address: "10.0.0.17:7000", StartTime: 2}
 	asked.Handle(s, "", message.JoinResponse{From: reborn})
 	s.Drain()
 	members, bytes := answers(c, s, asker, asked)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -95,7 +95,7 @@
 			continue
 		}
 		asked++
-		env.Datagram(helper.Address, message.PingFor{Number: m.current.number, Target: m.current.target,
+		env.Datagram(helper.Address, message.IndirectPing{Number: m.current.number, Target: m.current.target,
 			Address: target.member.Address, From: m.self, Gossip: m.gossip()})
 	}
 }
@@ -158,7 +158,7 @@
 }
 
 // handlePingFor probes a member for another one.
-func (m *Membership) handlePingFor(env *statemachine.Env, request message.PingFor) {
+func (m *Membership) handlePingFor(env *statemachine.Env, request message.IndirectPing) {
 	m.meet(env, request.From)
 	m.mergeAll(env, request.Gossip)
 	m.number++
--- a/internal/message/configuration.go
+++ b/internal/message/configuration.go
@@ -120,9 +120,9 @@
 	Configuration StoredConfiguration
 }
 
-// LogAppendPacked is a LogAppend on its way to another voter: the content is the difference
+// LogAppendDelta is a LogAppend on its way to another voter: the content is the difference
 // from the version that ends the log before it.
-type LogAppendPacked struct {
+type LogAppendDelta struct {
 	Epoch      int64
 	Seq        int64
 	Voter      string
--- a/internal/message/kinds.go
+++ b/internal/message/kinds.go
@@ -22,15 +22,15 @@
 // The order gives the kind bytes: new types go to the end.
 func init() {
 	for index, sample := range []any{
-		Ping{}, Ack{}, PingFor{}, JoinRequest{}, JoinResponse{},
+		Ping{}, Ack{}, IndirectPing{}, JoinRequest{}, JoinResponse{},
 		VoterStatus{}, VoterClaim{}, VoterGrant{},
 		LeaseRequest{}, LeaseVote{}, LeaseYield{},
 		HeartbeatBatch{}, HeartbeatResponse{}, RosterChange{}, RosterCheck{}, RosterDigest{}, RosterPull{}, RosterSnapshot{}, ProbeRequest{},
 		UsageRead{}, UsageReadResponse{}, UsageSeal{}, UsageSealResponse{},
 		WriteRequest{}, ReadRequest{}, StoreResponse{}, ConfigurationCommitted{}, LogPositionRequest{}, LogPositionResponse{}, LogSnapshotRequest{}, LogSnapshot{}, LogRecommit{}, LogAppend{}, LogAppended{},
 		UpdatesRequest{}, UpdatesResponse{},
-		Forward{}, Outcome{}, OutcomeRequest{}, Withdraw{}, Hello{}, RosterSlice{}, Registration{},
-		VoterState{}, Vote{}, RegistryState{}, ConfigStoreState{}, UsageUpdate{}, UsageHeld{}, SeenState{}, UsageSealed{}, UsageReported{}, LogAppendPacked{},
+		Forward{}, Outcome{}, OutcomeRequest{}, Cancel{}, Hello{}, RosterSlice{}, Registration{},
+		VoterState{}, Vote{}, RegistryState{}, ConfigStoreState{}, UsageUpdate{}, UnreportedUsage{}, KnownAddresses{}, UsageSealed{}, UsageReported{}, LogAppendDelta{},
 	} {
 		register(byte(index+1), sample)
 	}
--- a/internal/message/lease.go
+++ b/internal/message/lease.go
@@ -2,12 +2,12 @@
 
 // Vote is a voter's promise for one lease, as it is kept on disk.
 type Vote struct {
-	Tag      string // the lease: a zone's slice, the usage reports, the configuration log
-	Epoch    int64
-	Holder   string // voter
-	Identity string // of the holder's disk
-	Former   string // holder before this one
-	Resting  string // holders of the last rest before this one, a comma between; of the usage tag only
+	Tag            string // the lease: a zone's slice, the usage reports, the configuration log
+	Epoch          int64
+	Holder         string // voter
+	Identity       string // of the holder's disk
+	PreviousHolder string // holder before this one
+	RecentHolders  string // holders of the last rest before this one, a comma between; of the usage tag only
 }
 
 // LeaseRequest asks the voters for a lease, or to renew it.
@@ -18,21 +18,21 @@
 	Voter    string
 	Identity string
 	Round    int64 // counts the requests of one candidate
-	Trial    bool  // asks whether the lease would be granted; nothing is written
+	PreVote  bool  // asks whether the lease would be granted; nothing is written
 }
 
 // LeaseVote answers a LeaseRequest. A granted vote has been written to disk before.
 type LeaseVote struct {
-	Group    string
-	Tag      string
-	Epoch    int64
-	Round    int64
-	Voter    string
-	Identity string
-	Granted  bool
-	Trial    bool
-	Seen     int64  // highest epoch that the voter has promised
-	Reason   string // of a refusal, for the journal
+	Group        string
+	Tag          string
+	Epoch        int64
+	Round        int64
+	Voter        string
+	Identity     string
+	Granted      bool
+	PreVote      bool
+	HighestEpoch int64  // highest epoch that the voter has promised
+	Reason       string // of a refusal, for the journal
 }
 
 // LeaseYield hands a lease over: the holder has stopped acting under it.
--- a/internal/message/member.go
+++ b/internal/message/member.go
@@ -19,7 +19,7 @@
 	Left int64 = 3
 )
 
-// Member describes one node of the fleet. Name is unique in the fleet; Birth differs between two
+// Member describes one node of the fleet. Name is unique in the fleet; StartTime differs between two
 // lives of one name, so that an address that passed to another node is never taken for its old
 // owner.
 type Member struct {
@@ -28,8 +28,8 @@
 	Voter       string // the place in the quorum that it holds; empty for none
 	Zone        string
 	Address     string // for the other processes
-	Outside     string // for HTTP
-	Birth       int64  // start of this life in nanoseconds since 1970, by its own clock
+	HTTPAddress string // for HTTP
+	StartTime   int64  // start of this life in nanoseconds since 1970, by its own clock
 	Incarnation int64  // raised by the member itself, to refute or to change what it says of itself
 	State       int64  // Alive, Suspect, Dead or Left
 }
@@ -55,8 +55,8 @@
 	Gossip []Member
 }
 
-// PingFor asks a third member to ping Target on the sender's behalf.
-type PingFor struct {
+// IndirectPing asks a third member to ping Target on the sender's behalf.
+type IndirectPing struct {
 	Number  int64
 	Target  string
 	Address string // of the target
--- a/internal/message/quorum.go
+++ b/internal/message/quorum.go
@@ -9,10 +9,10 @@
 	Voting     bool              // the sender may vote
 	Proposal   map[string]string // proposed members of a group that is not formed yet, identity by voter
 	MemberList map[string]string // members of the formed group, identity by voter
-	Answer     bool              // answers another VoterStatus, and isn't answered itself
+	IsReply    bool              // answers another VoterStatus, and isn't answered itself
 	Founder    bool              // takes part in forming the group
 	Round      int64             // of the proposal
-	Free       []string          // voters whose holders are dead or have left, as far as the sender knows
+	FreeVoters []string          // voters whose holders are dead or have left, as far as the sender knows
 	Successor  string            // the node to which this voter hands its place over, as it leaves
 	// NonVoter: the teller never holds a voter.
 	NonVoter bool
@@ -38,13 +38,13 @@
 
 // VoterState is what a voter keeps on disk of its place in the quorum.
 type VoterState struct {
-	Identity   string
-	Formed     bool
-	Voting     bool
-	Proposal   map[string]string
-	MemberList map[string]string
-	Former     []string // identities that were replaced
-	Voter      string   // held or claimed, where the settings name none
-	Founder    bool     // made at a start that may form the group
-	Round      int64    // of the proposal; each round is proposed once
+	Identity           string
+	Formed             bool
+	Voting             bool
+	Proposal           map[string]string
+	MemberList         map[string]string
+	ReplacedIdentities []string // identities that were replaced
+	Voter              string   // held or claimed, where the settings name none
+	Founder            bool     // made at a start that may form the group
+	Round              int64    // of the proposal; each round is proposed once
 }
--- a/internal/message/roster.go
+++ b/internal/message/roster.go
@@ -10,23 +10,23 @@
 
 // Registration is one upstream instance in the roster.
 type Registration struct {
-	Service             string
-	Instance            string
-	Incarnation         int64
-	Address             string
-	Zone                string
-	Slots               int64 // requests that it runs at one time
-	State               string
-	ServingProxy        string // member name of the proxy beside it
-	ServingProxyAddress string
-	ServingProxyBirth   int64
+	Service               string
+	Instance              string
+	Incarnation           int64
+	Address               string
+	Zone                  string
+	Slots                 int64 // requests that it runs at one time
+	State                 string
+	ServingProxy          string // member name of the proxy beside it
+	ServingProxyAddress   string
+	ServingProxyStartTime int64
 }
 
 // Key names a registration within the roster.
 func (r Registration) Key() string { return r.Service + "/" + r.Instance }
 
-// Mark is a position in a topic: (epoch, sequence) and a digest of the content there.
-type Mark struct {
+// Position is a position in a topic: (epoch, sequence) and a digest of the content there.
+type Position struct {
 	Topic string
 	Epoch int64
 	Seq   int64
@@ -35,12 +35,12 @@
 }
 
 // Before orders two marks of one topic.
-func (m Mark) Before(other Mark) bool {
+func (m Position) Before(other Position) bool {
 	return m.Epoch < other.Epoch || m.Epoch == other.Epoch && m.Seq < other.Seq
 }
 
 // Same says whether two marks name the same content.
-func (m Mark) Same(other Mark) bool {
+func (m Position) Same(other Position) bool {
 	return m.Epoch == other.Epoch && m.Seq == other.Seq && m.Hash == other.Hash && m.Count == other.Count
 }
 
@@ -55,11 +55,11 @@
 type Heartbeat struct {
 	Registration Registration
 	Age          int64 // nanoseconds since the announcement
-	Probed       int64 // NotProbed, ProbeAnswered or ProbeRefused, of this incarnation
+	ProbeResult  int64 // NotProbed, ProbeAnswered or ProbeRefused, of this incarnation
 }
 
-// SignOff ends an incarnation of an instance.
-type SignOff struct {
+// Deregistration ends an incarnation of an instance.
+type Deregistration struct {
 	Service     string
 	Instance    string
 	Incarnation int64
@@ -68,45 +68,45 @@
 // HeartbeatBatch is what a proxy sends to the registries once a heartbeat interval and after each
 // change.
 type HeartbeatBatch struct {
-	Proxy      string
-	Birth      int64
-	Ready      bool // the proxy takes traffic
-	Heartbeats []Heartbeat
-	Ends       []SignOff
-	Marks      []Mark   // what configurations and slices the proxy has in force
-	Path       []string // the relays between the source and this proxy
-	Window     int64    // usage window under way, by the proxy's time of day
+	Proxy           string
+	StartTime       int64
+	Ready           bool // the proxy takes traffic
+	Heartbeats      []Heartbeat
+	Deregistrations []Deregistration
+	Positions       []Position // what configurations and slices the proxy has in force
+	Path            []string   // the relays between the source and this proxy
+	Window          int64      // usage window under way, by the proxy's time of day
 }
 
 // HeartbeatResponse answers a HeartbeatBatch.
 type HeartbeatResponse struct {
 	Registry string
-	Sealed   int64  // all usage windows below this number are sealed
-	Newer    []Mark // configurations of which the registry has a newer version than the proxy
+	Sealed   int64      // all usage windows below this number are sealed
+	Newer    []Position // configurations of which the registry has a newer version than the proxy
 }
 
 // RosterChange is one change of a slice, sent by the slice's lease holder.
 type RosterChange struct {
-	Mark         Mark // position after the change
+	Position     Position // position after the change
 	Registration Registration
-	Gone         bool
+	Removed      bool
 	Cause        string
 }
 
 // RosterCheck asks the other registries for their position in a slice.
 type RosterCheck struct {
-	Tag   string
-	Round int64
-	Voter string
-	Mark  Mark
+	Tag      string
+	Round    int64
+	Voter    string
+	Position Position
 }
 
 // RosterDigest answers a RosterCheck.
 type RosterDigest struct {
-	Tag   string
-	Round int64
-	Voter string
-	Mark  Mark
+	Tag      string
+	Round    int64
+	Voter    string
+	Position Position
 }
 
 // RosterPull asks for a whole slice.
@@ -119,9 +119,9 @@
 type RosterSnapshot struct {
 	Tag           string
 	Voter         string
-	Whole         bool // the sender's slice is complete
-	Holder        bool // the sender holds the slice's lease
-	Mark          Mark
+	Complete      bool // the sender's slice is complete
+	HoldsLease    bool // the sender holds the slice's lease
+	Position      Position
 	Registrations []Registration
 }
 
--- a/internal/message/storage.go
+++ b/internal/message/storage.go
@@ -2,13 +2,13 @@
 
 // RegistryState is the snapshot that a registry writes to disk.
 type RegistryState struct {
-	Voter    VoterState
-	Votes    []Vote
-	Slices   []RosterSnapshot
-	Sealed   []UsageSealed
-	Reported int64
-	Seen     []string
-	Usage    UsageHeld
+	Voter          VoterState
+	Votes          []Vote
+	Slices         []RosterSnapshot
+	Sealed         []UsageSealed
+	Reported       int64
+	KnownAddresses []string
+	Usage          UnreportedUsage
 }
 
 // ConfigStoreState is the snapshot that a configstore writes to disk.
@@ -19,11 +19,11 @@
 	Seq            int64
 	Configurations []StoredConfiguration
 	History        []VersionDigest
-	Seen           []string
+	KnownAddresses []string
 }
 
-// SeenState records the addresses that a process looks for its fleet at in its next life.
-type SeenState struct {
+// KnownAddresses records the addresses that a process looks for its fleet at in its next life.
+type KnownAddresses struct {
 	Addresses []string
 }
 
--- a/internal/message/updates.go
+++ b/internal/message/updates.go
@@ -2,25 +2,25 @@
 
 // UpdatesRequest asks a parent of the distribution tree for what has changed.
 type UpdatesRequest struct {
-	Round  int64  // counts the requests of one child
-	Child  string // member name
-	Role   string
-	Resort bool   // the last resort: a registry asked so may not refuse
-	Marks  []Mark // what the child has
-	Part   int64  // offset wanted of the snapshot of topic PartOf
-	PartOf string
+	Round      int64  // counts the requests of one child
+	Child      string // member name
+	Role       string
+	LastResort bool       // the last resort: a registry asked so may not refuse
+	Positions  []Position // what the child has
+	Part       int64      // offset wanted of the snapshot of topic PartOf
+	PartOf     string
 }
 
 // ConfigurationPatch turns one version of a configuration into a later one.
 type ConfigurationPatch struct {
-	From       Mark
-	To         Mark
+	From       Position
+	To         Position
 	Difference []byte // as package delta encodes it
 }
 
 // UpdateItem is what a parent has of one topic.
 type UpdateItem struct {
-	Mark     Mark
+	Position Position
 	Age      int64  // nanoseconds since the parent's content was known current; negative: not known
 	Known    bool   // the parent has content of the topic
 	Snapshot bool   // Body is a snapshot, or a part of one
@@ -33,13 +33,13 @@
 
 // UpdatesResponse answers an UpdatesRequest, or pushes a change.
 type UpdatesResponse struct {
-	Round   int64
-	Parent  string
-	Path    []string // the relays between the source and the parent
-	Refused bool
-	Reason  string   // one of the Refused constants
-	Try     []string // members that may take the child instead
-	Items   []UpdateItem
+	Round        int64
+	Parent       string
+	Path         []string // the relays between the source and the parent
+	Refused      bool
+	Reason       string   // one of the Refused constants
+	Alternatives []string // members that may take the child instead
+	Items        []UpdateItem
 }
 
 // Reasons for which a parent refuses a child.
--- a/internal/message/usage.go
+++ b/internal/message/usage.go
@@ -9,11 +9,11 @@
 
 // UsageUpdate carries a proxy's counts to the registries.
 type UsageUpdate struct {
-	Proxy  string
-	Birth  int64
-	Number int64        // of the update, in this life
-	Counts []UsageCount // cumulative, of the windows that are not sealed yet
-	Closed int64        // counts of windows below this number won't change any more
+	Proxy     string
+	StartTime int64
+	Number    int64        // of the update, in this life
+	Counts    []UsageCount // cumulative, of the windows that are not sealed yet
+	Closed    int64        // counts of windows below this number won't change any more
 }
 
 // UsageSealed is a window whose counts are final.
@@ -32,12 +32,12 @@
 
 // UsageReadResponse answers a UsageRead.
 type UsageReadResponse struct {
-	Epoch    int64
-	Voter    string
-	Identity string
-	Sealed   []UsageSealed
-	Reported int64     // newest window that the collector took
-	Held     UsageHeld // counts of windows that are not reported yet, as this voter knows them
+	Epoch      int64
+	Voter      string
+	Identity   string
+	Sealed     []UsageSealed
+	Reported   int64           // newest window that the collector took
+	Unreported UnreportedUsage // counts of windows that are not reported yet, as this voter knows them
 }
 
 // UsageSeal asks a voter to write a sealed window.
@@ -56,16 +56,16 @@
 	Epoch    int64
 }
 
-// UsageHeld is the counts of windows that are not reported yet.
-type UsageHeld struct {
-	Lives []UsageLife
+// UnreportedUsage is the counts of windows that are not reported yet.
+type UnreportedUsage struct {
+	Proxies []ProxyUsage
 }
 
-// UsageLife is what one life of a proxy counted in one window.
-type UsageLife struct {
-	Window int64
-	Life   string
-	Number int64 // of the newest update taken
-	Counts map[string]int64
-	Open   map[string]int64
+// ProxyUsage is what one life of a proxy counted in one window.
+type ProxyUsage struct {
+	Window   int64
+	ProxyRun string
+	Number   int64 // of the newest update taken
+	Counts   map[string]int64
+	Open     map[string]int64
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,7 +74,7 @@
 		voter = ""
 	}
 	return message.Member{Name: role + "/" + cfg.Node, Role: role, Voter: voter, Zone: cfg.Zone,
-		Address: cfg.Address, Outside: cfg.Outside, Birth: time.Now().UnixNano()}
+		Address: cfg.Address, HTTPAddress: cfg.Outside, StartTime: time.Now().UnixNano()}
 }
 
 // New returns a node; Run gives it its machine.
--- a/internal/proxy/change_test.go
+++ b/internal/proxy/change_test.go
@@ -37,7 +37,7 @@
 	cfg.Zones = []string{"north"}
 	cfg.Seeds = []string{"10.0.0.1:1"}
 	const configName = "main"
-	m := New(cfg, message.Member{Name: "proxy/p", Role: message.RoleProxy, Zone: "north", Address: "10.0.0.9:1", Birth: 1})
+	m := New(cfg, message.Member{Name: "proxy/p", Role: message.RoleProxy, Zone: "north", Address: "10.0.0.9:1", StartTime: 1})
 	env := statemachine.NewEnv(1)
 	version := 1
 	changes := func() {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -37,7 +37,7 @@
 
 // New makes the machine; a proxy keeps nothing on disk.
 func New(cfg settings.Settings, self message.Member) *Machine {
-	m := &Machine{settings: cfg, locals: map[string]*local{}, ends: map[string]signOff{}, configurations: map[string]*routeconfig.Configuration{}, begun: map[string]bool{}, inForce: map[string]int64{}, sealed: map[string]int64{}, birth: self.Birth}
+	m := &Machine{settings: cfg, locals: map[string]*local{}, ends: map[string]signOff{}, configurations: map[string]*routeconfig.Configuration{}, begun: map[string]bool{}, inForce: map[string]int64{}, sealed: map[string]int64{}, birth: self.StartTime}
 	m.membership = membership.New(cfg, self, nil)
 	m.distribution = distribution.New(cfg, m.membership, m.changed)
 	for _, configName := range cfg.ConfigNames {
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -98,7 +98,7 @@
 // have ended or left.
 func (m *Machine) orphaned(registration message.Registration) bool {
 	servingProxy, known := m.membership.Find(registration.ServingProxy)
-	return known && servingProxy.State >= message.Dead && servingProxy.Birth >= registration.ServingProxyBirth
+	return known && servingProxy.State >= message.Dead && servingProxy.StartTime >= registration.ServingProxyStartTime
 }
 
 // proxies returns how many proxies there are, with those that seem lost: behind a cut each side still
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -21,21 +21,21 @@
 
 // signOff is an end that is repeated to the registries for a while.
 type signOff struct {
-	end message.SignOff
+	end message.Deregistration
 	at  time.Duration
 }
 
 // heartbeat sends what is known of the upstreams beside this proxy to every registry.
 func (m *Machine) heartbeat(env *statemachine.Env) {
 	batch := message.HeartbeatBatch{
-		Proxy:      m.membership.Self().Name,
-		Birth:      m.birth,
-		Ready:      m.published.Ready(env.Now, m.settings.StaleReady()),
-		Heartbeats: m.heartbeats(env),
-		Ends:       m.recentEnds(env),
-		Marks:      m.distribution.Marks(),
-		Path:       []string{},
-		Window:     int64(env.Wall / m.settings.UsageWindow()),
+		Proxy:           m.membership.Self().Name,
+		StartTime:       m.birth,
+		Ready:           m.published.Ready(env.Now, m.settings.StaleReady()),
+		Heartbeats:      m.heartbeats(env),
+		Deregistrations: m.recentEnds(env),
+		Positions:       m.distribution.Marks(),
+		Path:            []string{},
+		Window:          int64(env.Wall / m.settings.UsageWindow()),
 	}
 	if _, path, _ := m.distribution.Parent(); path != nil {
 		batch.Path = path
@@ -55,14 +55,14 @@
 			delete(m.locals, key)
 			continue
 		}
-		heartbeats = append(heartbeats, message.Heartbeat{Registration: held.registration, Age: int64(age), Probed: held.probed})
+		heartbeats = append(heartbeats, message.Heartbeat{Registration: held.registration, Age: int64(age), ProbeResult: held.probed})
 	}
 	return heartbeats
 }
 
 // recentEnds returns the ends of upstreams that are still repeated, and forgets older ones.
-func (m *Machine) recentEnds(env *statemachine.Env) []message.SignOff {
-	ends := []message.SignOff{}
+func (m *Machine) recentEnds(env *statemachine.Env) []message.Deregistration {
+	ends := []message.Deregistration{}
 	for _, key := range slices.Sorted(maps.Keys(m.ends)) {
 		if env.Now-m.ends[key].at > m.settings.HeartbeatBound()*keptBounds {
 			delete(m.ends, key)
@@ -78,7 +78,7 @@
 	self := m.membership.Self()
 	registration.ServingProxy = self.Name
 	registration.ServingProxyAddress = self.Address
-	registration.ServingProxyBirth = m.birth
+	registration.ServingProxyStartTime = m.birth
 	key := registration.Key()
 	held, known := m.locals[key]
 	if known && held.registration == registration {
@@ -96,7 +96,7 @@
 // signedOff takes the end of an incarnation, and tells the registries at once.
 func (m *Machine) signedOff(env *statemachine.Env, ended SignedOff) {
 	key := ended.Service + "/" + ended.Instance
-	m.ends[key] = signOff{message.SignOff{Service: ended.Service, Instance: ended.Instance, Incarnation: ended.Incarnation}, env.Now}
+	m.ends[key] = signOff{message.Deregistration{Service: ended.Service, Instance: ended.Instance, Incarnation: ended.Incarnation}, env.Now}
 	if held, known := m.locals[key]; known && held.registration.Incarnation <= ended.Incarnation {
 		delete(m.locals, key)
 	}
--- a/internal/proxy/usage.go
+++ b/internal/proxy/usage.go
@@ -36,7 +36,7 @@
 	}
 	sent.number++
 	sent.running = running
-	update := message.UsageUpdate{Proxy: m.membership.Self().Name, Birth: m.birth, Number: sent.number, Counts: running}
+	update := message.UsageUpdate{Proxy: m.membership.Self().Name, StartTime: m.birth, Number: sent.number, Counts: running}
 	if whole {
 		// Only what holds a window's last counts may say that the window is over.
 		update.Counts, update.Closed = append(append([]message.UsageCount{}, over...), running...), counted.Closed
--- a/internal/proxy/usage_test.go
+++ b/internal/proxy/usage_test.go
@@ -25,10 +25,10 @@
 	cfg := settings.Default()
 	cfg.Zone, cfg.Zones, cfg.Seeds, cfg.Counted = "z", []string{"z"}, []string{"10.0.0.1:1"}, settings.CountBegun
 	cfg.Voters = settings.VoterNames(5)
-	p := &counting{c: c, machine: New(cfg, message.Member{Name: "proxy/me", Role: message.RoleProxy, Zone: "z", Address: "me", Birth: 7}), env: statemachine.NewEnv(1)}
+	p := &counting{c: c, machine: New(cfg, message.Member{Name: "proxy/me", Role: message.RoleProxy, Zone: "z", Address: "me", StartTime: 7}), env: statemachine.NewEnv(1)}
 	for number := range 5 {
 		name := fmt.Sprintf("registry/%d", number)
-		p.machine.Handle(p.env, "", message.JoinResponse{From: message.Member{Name: name, Role: message.RoleRegistry, Zone: "z", Address: name, Birth: 1}})
+		p.machine.Handle(p.env, "", message.JoinResponse{From: message.Member{Name: name, Role: message.RoleRegistry, Zone: "z", Address: name, StartTime: 1}})
 	}
 	p.env.Drain()
 	return p
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -139,6 +139,6 @@
 	c.seenAt = s.Now + c.settings.HolderRest()
 	if seen := c.membership.Seen(); len(seen) > 0 && !slices.Equal(seen, c.seen) {
 		c.seen = seen
-		c.Persist(s, message.SeenState{Addresses: seen}, func(*statemachine.Env, error) {})
+		c.Persist(s, message.KnownAddresses{Addresses: seen}, func(*statemachine.Env, error) {})
 	}
 }
--- a/internal/quorum/discovery.go
+++ b/internal/quorum/discovery.go
@@ -140,7 +140,7 @@
 
 func (g *Quorum) begin(s *statemachine.Env, founder bool) {
 	g.State = message.VoterState{Identity: g.newIdentity(s, 0), Founder: founder,
-		Proposal: map[string]string{}, MemberList: map[string]string{}, Former: []string{}}
+		Proposal: map[string]string{}, MemberList: map[string]string{}, ReplacedIdentities: []string{}}
 	g.Voter, g.proposed, g.rolling = "", false, 0
 	g.writing = true
 	g.host.CompactNow(s, func(s *statemachine.Env, failure error) { g.writing = failure != nil })
@@ -226,7 +226,7 @@
 	if response.Successor == g.settings.Node {
 		g.nextAt = s.Now
 	}
-	if response.Answer {
+	if response.IsReply {
 		s.Send(from, g.response(s, false))
 	}
 	if response.NonVoter {
@@ -450,7 +450,7 @@
 	for _, voter := range g.voterNames() {
 		count := 0
 		for _, received := range tellers {
-			if slices.Contains(received.response.Free, voter) {
+			if slices.Contains(received.response.FreeVoters, voter) {
 				count++
 			}
 		}
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -140,7 +140,7 @@
 
 func (g *Quorum) response(s *statemachine.Env, answer bool) message.VoterStatus {
 	response := message.VoterStatus{Group: g.Group, Voter: g.Voter, Identity: g.State.Identity, Formed: g.State.Formed,
-		Voting: g.Voting(), Proposal: map[string]string{}, MemberList: map[string]string{}, Answer: answer, Founder: g.State.Founder && !g.State.Formed, Round: g.State.Round, Free: g.free(s), NonVoter: g.settings.NonVoter, Successor: g.successor}
+		Voting: g.Voting(), Proposal: map[string]string{}, MemberList: map[string]string{}, IsReply: answer, Founder: g.State.Founder && !g.State.Formed, Round: g.State.Round, FreeVoters: g.free(s), NonVoter: g.settings.NonVoter, Successor: g.successor}
 	if g.rolling > 0 {
 		response.Formed = false
 		response.Founder = false
@@ -247,7 +247,7 @@
 	if g.State.Identity == "" || g.writing {
 		return
 	}
-	if response.Answer {
+	if response.IsReply {
 		s.Send(from, g.response(s, false))
 	}
 	if g.State.Formed && !g.Holds(response.Voter, response.Identity) {
@@ -318,7 +318,7 @@
 	if !g.Voting() {
 		return
 	}
-	for _, former := range g.State.Former {
+	for _, former := range g.State.ReplacedIdentities {
 		if former == claim.Identity {
 			s.Send(from, message.VoterGrant{Group: g.Group, Voter: g.Voter, Identity: g.State.Identity, To: claim.Identity, Refused: true, MemberList: map[string]string{}})
 			return
@@ -329,7 +329,7 @@
 	}
 	if g.State.MemberList[claim.Voter] != claim.Identity {
 		if old := g.State.MemberList[claim.Voter]; old != "" {
-			g.State.Former = append(g.State.Former, old)
+			g.State.ReplacedIdentities = append(g.State.ReplacedIdentities, old)
 		}
 		g.State.MemberList[claim.Voter] = claim.Identity
 		delete(g.received, claim.Voter)
@@ -439,7 +439,7 @@
 			memberList[voter] = identity
 		} else {
 			memberList[voter] = ""
-			state.Former = append(state.Former, identity)
+			state.ReplacedIdentities = append(state.ReplacedIdentities, identity)
 		}
 	}
 	state.MemberList = memberList
--- a/internal/quorum/replay.go
+++ b/internal/quorum/replay.go
@@ -30,7 +30,7 @@
 			r.Voter = held
 		case message.Vote:
 			r.Votes = append(r.Votes, held)
-		case message.SeenState:
+		case message.KnownAddresses:
 			members.Remember(held.Addresses)
 		default:
 			own(decoded)
--- a/internal/registry/backup.go
+++ b/internal/registry/backup.go
@@ -25,7 +25,7 @@
 			if !m.whole[tag] {
 				s.Send(peer.Address, message.RosterPull{Tag: tag, Voter: m.quorum.Voter})
 			} else {
-				s.Send(peer.Address, message.RosterCheck{Tag: tag, Round: m.round, Voter: m.quorum.Voter, Mark: m.slices[tag].Mark})
+				s.Send(peer.Address, message.RosterCheck{Tag: tag, Round: m.round, Voter: m.quorum.Voter, Position: m.slices[tag].Mark})
 			}
 		}
 		if !m.whole[tag] && (len(m.unwhole[tag]) >= m.quorum.Size()-1 || s.Now-m.bootAt > m.settings.TakeOver()) {
@@ -35,28 +35,28 @@
 }
 
 func (m *Machine) handleChange(s *statemachine.Env, from string, change message.RosterChange) {
-	tag := tagOf(change.Mark.Topic)
+	tag := tagOf(change.Position.Topic)
 	slice, known := m.slices[tag]
-	if !known || change.Mark.Epoch < m.leases.Epoch(tag) || change.Mark.Epoch < slice.Mark.Epoch || m.keeps(s, tag) {
+	if !known || change.Position.Epoch < m.leases.Epoch(tag) || change.Position.Epoch < slice.Mark.Epoch || m.keeps(s, tag) {
 		return
 	}
 	if !slice.Follow(change) {
-		if slice.Mark.Before(change.Mark) || !slice.Mark.Same(change.Mark) && slice.Mark.Epoch == change.Mark.Epoch && slice.Mark.Seq == change.Mark.Seq {
+		if slice.Mark.Before(change.Position) || !slice.Mark.Same(change.Position) && slice.Mark.Epoch == change.Position.Epoch && slice.Mark.Seq == change.Position.Seq {
 			m.pull(s, tag, "gap in broadcasts")
 		}
 		return
 	}
 	m.Persist(s, change, func(*statemachine.Env, error) {})
-	m.distribution.SliceMoved(s, change.Mark.Topic)
+	m.distribution.SliceMoved(s, change.Position.Topic)
 }
 
 func (m *Machine) handleDigest(s *statemachine.Env, from string, response message.RosterDigest) {
 	slice, known := m.slices[response.Tag]
 	askedAt, ours := m.checks[response.Round]
-	if !known || !ours || response.Mark.Epoch < m.leases.Epoch(response.Tag) || m.keeps(s, response.Tag) {
+	if !known || !ours || response.Position.Epoch < m.leases.Epoch(response.Tag) || m.keeps(s, response.Tag) {
 		return
 	}
-	if slice.Mark.Same(response.Mark) {
+	if slice.Mark.Same(response.Position) {
 		m.distribution.Fresh(distribution.SliceTopic(response.Tag), askedAt)
 		return
 	}
@@ -83,7 +83,7 @@
 	if !known || m.keeps(s, snapshot.Tag) {
 		return
 	}
-	if !snapshot.Whole && !snapshot.Holder {
+	if !snapshot.Complete && !snapshot.HoldsLease {
 		if !m.whole[snapshot.Tag] && snapshot.Voter != "" {
 			if m.unwhole[snapshot.Tag] == nil {
 				m.unwhole[snapshot.Tag] = map[string]bool{}
@@ -92,9 +92,9 @@
 		}
 		return
 	}
-	sameHash := slice.Mark.Same(snapshot.Mark)
-	if slice.Mark.Before(snapshot.Mark) || snapshot.Holder && snapshot.Mark.Epoch >= m.leases.Epoch(snapshot.Tag) && !sameHash {
-		slice.Replace(snapshot.Mark, snapshot.Registrations)
+	sameHash := slice.Mark.Same(snapshot.Position)
+	if slice.Mark.Before(snapshot.Position) || snapshot.HoldsLease && snapshot.Position.Epoch >= m.leases.Epoch(snapshot.Tag) && !sameHash {
+		slice.Replace(snapshot.Position, snapshot.Registrations)
 		m.dirty = true
 		m.distribution.SliceMoved(s, slice.Mark.Topic)
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -68,7 +68,7 @@
 		proxies: map[string]proxySeen{}, writing: map[string]bool{}, probedAt: map[string]time.Duration{}, takenAt: map[string]time.Duration{},
 		whole: map[string]bool{}, unwhole: map[string]map[string]bool{}, checks: map[int64]time.Duration{}, pullAt: map[string]time.Duration{}}
 	m.restoreSlices(kept.Slices)
-	m.membership = membership.New(cfg, self, kept.Seen)
+	m.membership = membership.New(cfg, self, kept.KnownAddresses)
 	m.distribution = distribution.New(cfg, m.membership, func(s *statemachine.Env, topic string) {})
 	for _, configName := range cfg.ConfigNames {
 		m.distribution.Want(distribution.ConfigurationTopic(configName))
@@ -98,7 +98,7 @@
 	}
 	for _, slice := range kept {
 		if held, known := m.slices[slice.Tag]; known {
-			held.Replace(slice.Mark, slice.Registrations)
+			held.Replace(slice.Position, slice.Registrations)
 		}
 	}
 }
@@ -107,12 +107,12 @@
 func (m *Machine) replay(record any) {
 	switch held := record.(type) {
 	case message.RosterChange:
-		if slice, known := m.slices[tagOf(held.Mark.Topic)]; known {
-			slice.Change(held.Mark.Epoch, held.Registration, held.Gone, held.Cause)
+		if slice, known := m.slices[tagOf(held.Position.Topic)]; known {
+			slice.Change(held.Position.Epoch, held.Registration, held.Removed, held.Cause)
 		}
 	case message.UsageSealed:
 		m.usage.restore(held)
-	case message.UsageHeld:
+	case message.UnreportedUsage:
 		m.usage.regain(held)
 	case message.UsageReported:
 		m.usage.reported = max(m.usage.reported, held.Window)
@@ -131,10 +131,10 @@
 
 func (m *Machine) snapshot() []byte {
 	state := message.RegistryState{Voter: m.quorum.State, Votes: m.leases.Votes(), Slices: []message.RosterSnapshot{},
-		Sealed: m.usage.list(), Reported: m.usage.reported, Seen: m.membership.Seen(), Usage: m.usage.held()}
+		Sealed: m.usage.list(), Reported: m.usage.reported, KnownAddresses: m.membership.Seen(), Usage: m.usage.held()}
 	for _, zone := range m.settings.Zones {
 		slice := m.slices[zone]
-		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Mark: slice.Mark, Registrations: slice.List()})
+		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Position: slice.Mark, Registrations: slice.List()})
 	}
 	body, err := message.Encode(state)
 	if err != nil {
@@ -160,8 +160,8 @@
 		}
 		m.usage.reported = max(m.usage.reported, state.Reported)
 		for _, snapshot := range state.Slices {
-			if held, known := m.slices[snapshot.Tag]; known && held.Mark.Before(snapshot.Mark) {
-				held.Replace(snapshot.Mark, snapshot.Registrations)
+			if held, known := m.slices[snapshot.Tag]; known && held.Mark.Before(snapshot.Position) {
+				held.Replace(snapshot.Position, snapshot.Registrations)
 			}
 		}
 	}
@@ -249,14 +249,14 @@
 		m.handleChange(s, from, received)
 	case message.RosterCheck:
 		if slice, known := m.slices[received.Tag]; known && m.keeps(s, received.Tag) {
-			s.Send(from, message.RosterDigest{Tag: received.Tag, Round: received.Round, Voter: m.quorum.Voter, Mark: slice.Mark})
+			s.Send(from, message.RosterDigest{Tag: received.Tag, Round: received.Round, Voter: m.quorum.Voter, Position: slice.Mark})
 		}
 	case message.RosterDigest:
 		m.handleDigest(s, from, received)
 	case message.RosterPull:
 		if slice, known := m.slices[received.Tag]; known {
-			s.Send(from, message.RosterSnapshot{Tag: received.Tag, Voter: m.quorum.Voter, Whole: m.whole[received.Tag],
-				Holder: m.keeps(s, received.Tag), Mark: slice.Mark, Registrations: slice.List()})
+			s.Send(from, message.RosterSnapshot{Tag: received.Tag, Voter: m.quorum.Voter, Complete: m.whole[received.Tag],
+				HoldsLease: m.keeps(s, received.Tag), Position: slice.Mark, Registrations: slice.List()})
 		}
 	case message.RosterSnapshot:
 		m.handleSnapshot(s, received)
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -261,7 +261,7 @@
 	for _, proxyNode := range m.membership.Alive(message.RoleProxy) {
 		inForce[proxyNode.Name] = 0
 		if seen, heartbeats := m.proxies[proxyNode.Name]; heartbeats {
-			for _, mark := range seen.batch.Marks {
+			for _, mark := range seen.batch.Positions {
 				if mark.Topic == distribution.ConfigurationTopic(configName) {
 					inForce[proxyNode.Name] = mark.Seq
 				}
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -121,7 +121,7 @@
 		case !fresh && held.State == message.StateLeaving:
 			wanted.State = message.StateLeaving
 		case response.State == message.StateLeaving:
-		case seen.heartbeat.Probed != 1 && (fresh || held.State == message.StateCreated):
+		case seen.heartbeat.ProbeResult != 1 && (fresh || held.State == message.StateCreated):
 			wanted.State = message.StateCreated
 		}
 		if !registered || held != wanted {
@@ -157,7 +157,7 @@
 	}
 	epoch := m.leases.Epoch(tag)
 	m.writing[key] = true
-	record := message.RosterChange{Mark: message.Mark{Topic: distribution.SliceTopic(tag), Epoch: epoch}, Registration: registration, Gone: gone, Cause: cause}
+	record := message.RosterChange{Position: message.Position{Topic: distribution.SliceTopic(tag), Epoch: epoch}, Registration: registration, Removed: gone, Cause: cause}
 	m.Persist(s, record, func(s *statemachine.Env, failure error) {
 		delete(m.writing, key)
 		if failure != nil || !m.keeps(s, tag) || m.leases.Epoch(tag) != epoch {
@@ -173,13 +173,13 @@
 }
 
 func (m *Machine) handleHeartbeats(s *statemachine.Env, from string, batch message.HeartbeatBatch) {
-	if last, known := m.proxies[batch.Proxy]; known && batch.Birth < last.batch.Birth {
+	if last, known := m.proxies[batch.Proxy]; known && batch.StartTime < last.batch.StartTime {
 		return
 	}
 	m.proxies[batch.Proxy] = proxySeen{batch, s.Now}
 	s.Send(from, message.HeartbeatResponse{Registry: m.membership.Self().Name, Sealed: m.usage.sealedBelow(),
-		Newer: m.distribution.NewerThan(batch.Marks)})
-	for _, end := range batch.Ends {
+		Newer: m.distribution.NewerThan(batch.Positions)})
+	for _, end := range batch.Deregistrations {
 		key := end.Service + "/" + end.Instance
 		if known, signed := m.ended[key]; !signed || known.incarnation < end.Incarnation {
 			m.ended[key] = ended{end.Incarnation, s.Now}
@@ -195,7 +195,7 @@
 		m.seen[key] = heartbeatSeen{heartbeat, at, batch.Proxy}
 		m.consider(s, key)
 	}
-	for _, mark := range batch.Marks {
+	for _, mark := range batch.Positions {
 		if slice, known := m.slices[tagOf(mark.Topic)]; known && !distribution.IsConfiguration(mark.Topic) && slice.Mark.Before(mark) {
 			m.pull(s, tagOf(mark.Topic), "a proxy is ahead")
 		}
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -26,7 +26,7 @@
 	m        *Machine
 	sealed   map[int64]message.UsageSealed
 	final    map[int64]bool
-	counts   map[int64]map[string]message.UsageLife
+	counts   map[int64]map[string]message.ProxyUsage
 	closings map[string]closing      // by proxy
 	overAt   map[int64]time.Duration // by window: when it was first known here to be over
 	changed  map[int64]map[string]bool
@@ -45,7 +45,7 @@
 }
 
 func newUsage(m *Machine, sealed []message.UsageSealed, reported int64) *usage {
-	u := &usage{m: m, sealed: map[int64]message.UsageSealed{}, final: map[int64]bool{}, counts: map[int64]map[string]message.UsageLife{},
+	u := &usage{m: m, sealed: map[int64]message.UsageSealed{}, final: map[int64]bool{}, counts: map[int64]map[string]message.ProxyUsage{},
 		closings: map[string]closing{}, overAt: map[int64]time.Duration{}, changed: map[int64]map[string]bool{}, reported: reported}
 	for _, window := range sealed {
 		u.restore(window)
@@ -99,14 +99,14 @@
 
 // count takes the cumulative counts of a proxy; the newest per life of a proxy holds.
 func (u *usage) count(s *statemachine.Env, response message.UsageUpdate) {
-	life := response.Proxy + "/" + strconv.FormatInt(response.Birth, 36)
+	life := response.Proxy + "/" + strconv.FormatInt(response.StartTime, 36)
 	u.noteClosing(response)
 	for _, window := range response.Counts {
 		held, known := u.counts[window.Window][life]
 		if u.committed(window.Window) || known && response.Number <= held.Number {
 			continue
 		}
-		u.keep(message.UsageLife{Window: window.Window, Life: life, Number: response.Number, Counts: window.Counts, Open: window.Open})
+		u.keep(message.ProxyUsage{Window: window.Window, ProxyRun: life, Number: response.Number, Counts: window.Counts, Open: window.Open})
 		if !known || !maps.Equal(held.Counts, window.Counts) || !maps.Equal(held.Open, window.Open) {
 			if u.changed[window.Window] == nil {
 				u.changed[window.Window] = map[string]bool{}
@@ -117,11 +117,11 @@
 	u.save(s)
 }
 
-func (u *usage) keep(response message.UsageLife) {
+func (u *usage) keep(response message.ProxyUsage) {
 	if u.counts[response.Window] == nil {
-		u.counts[response.Window] = map[string]message.UsageLife{}
+		u.counts[response.Window] = map[string]message.ProxyUsage{}
 	}
-	u.counts[response.Window][response.Life] = response
+	u.counts[response.Window][response.ProxyRun] = response
 }
 
 // save puts changed counts on disk, one write at a time, the next as soon as the last
@@ -130,14 +130,14 @@
 	if u.saving || s.Now < u.saveAt || len(u.changed) == 0 {
 		return
 	}
-	record := message.UsageHeld{Lives: []message.UsageLife{}}
-	for _, life := range u.held().Lives {
-		if u.changed[life.Window][life.Life] {
-			record.Lives = append(record.Lives, life)
+	record := message.UnreportedUsage{Proxies: []message.ProxyUsage{}}
+	for _, life := range u.held().Proxies {
+		if u.changed[life.Window][life.ProxyRun] {
+			record.Proxies = append(record.Proxies, life)
 		}
 	}
 	u.changed = map[int64]map[string]bool{}
-	if len(record.Lives) == 0 {
+	if len(record.Proxies) == 0 {
 		return
 	}
 	u.saving = true
@@ -153,26 +153,26 @@
 }
 
 // held lists the counts of windows not reported yet.
-func (u *usage) held() message.UsageHeld {
-	held := message.UsageHeld{Lives: []message.UsageLife{}}
+func (u *usage) held() message.UnreportedUsage {
+	held := message.UnreportedUsage{Proxies: []message.ProxyUsage{}}
 	for window, lives := range u.counts {
 		if u.committed(window) {
 			continue
 		}
 		for _, life := range lives {
-			held.Lives = append(held.Lives, life)
+			held.Proxies = append(held.Proxies, life)
 		}
 	}
-	sort.Slice(held.Lives, func(i, j int) bool {
-		left, right := held.Lives[i], held.Lives[j]
-		return left.Window < right.Window || left.Window == right.Window && left.Life < right.Life
+	sort.Slice(held.Proxies, func(i, j int) bool {
+		left, right := held.Proxies[i], held.Proxies[j]
+		return left.Window < right.Window || left.Window == right.Window && left.ProxyRun < right.ProxyRun
 	})
 	return held
 }
 
-func (u *usage) regain(held message.UsageHeld) {
-	for _, life := range held.Lives {
-		if life.Number >= u.counts[life.Window][life.Life].Number {
+func (u *usage) regain(held message.UnreportedUsage) {
+	for _, life := range held.Proxies {
+		if life.Number >= u.counts[life.Window][life.ProxyRun].Number {
 			u.keep(life)
 		}
 	}
@@ -341,7 +341,7 @@
 	case message.UsageRead:
 		if u.m.leases.Epoch(settings.UsageTag) == received.Epoch && u.m.quorum.Voting() && u.m.quorum.Holds(received.Voter, received.Identity) {
 			s.Send(from, message.UsageReadResponse{Epoch: received.Epoch, Voter: u.m.quorum.Voter, Identity: u.m.quorum.Signature(),
-				Sealed: u.tail(), Reported: u.reported, Held: u.held()})
+				Sealed: u.tail(), Reported: u.reported, Unreported: u.held()})
 		}
 	case message.UsageReadResponse:
 		if !u.reading || received.Epoch != u.epoch {
@@ -351,8 +351,8 @@
 			u.restore(sealed)
 		}
 		u.reported = max(u.reported, received.Reported)
-		for _, life := range received.Held.Lives {
-			if life.Window > u.reported && life.Number > u.counts[life.Window][life.Life].Number {
+		for _, life := range received.Unreported.Proxies {
+			if life.Window > u.reported && life.Number > u.counts[life.Window][life.ProxyRun].Number {
 				u.keep(life)
 			}
 		}
--- a/internal/registry/windows.go
+++ b/internal/registry/windows.go
@@ -37,9 +37,9 @@
 		return
 	}
 	held, known := u.closings[update.Proxy]
-	newer := update.Birth > held.birth || update.Birth == held.birth && update.Number > held.number
+	newer := update.StartTime > held.birth || update.StartTime == held.birth && update.Number > held.number
 	if !known || newer {
-		u.closings[update.Proxy] = closing{update.Birth, update.Number, update.Closed}
+		u.closings[update.Proxy] = closing{update.StartTime, update.Number, update.Closed}
 	}
 }
 
--- a/internal/scaletest/measure.go
+++ b/internal/scaletest/measure.go
@@ -39,7 +39,7 @@
 
 // partOf is the part of the control work that each message belongs to; all others are voters'.
 var partOf = map[string]string{
-	"Ping": "membership", "Ack": "membership", "PingFor": "membership", "JoinRequest": "membership", "JoinResponse": "membership",
+	"Ping": "membership", "Ack": "membership", "IndirectPing": "membership", "JoinRequest": "membership", "JoinResponse": "membership",
 	"UpdatesRequest": "updates", "UpdatesResponse": "updates", "ConfigurationCommitted": "updates",
 	"HeartbeatBatch": "heartbeats", "HeartbeatResponse": "heartbeats", "ProbeRequest": "heartbeats",
 	"UsageUpdate": "usage", "UsageRead": "usage", "UsageReadResponse": "usage", "UsageSeal": "usage", "UsageSealResponse": "usage",
--- a/internal/simulation/actors.go
+++ b/internal/simulation/actors.go
@@ -287,7 +287,7 @@
 		n.run(life, func() {
 			if broke {
 				n.serving.Doubt(target)
-			} else if outcome.Kind == message.StartedWhole {
+			} else if outcome.Kind == message.Completed {
 				n.serving.Alive(n.Now(), target)
 				if connection.owner.serviceSpec.Closes || !connection.stream.kept {
 					n.fill(target)
@@ -299,12 +299,12 @@
 		})
 	}
 	w.after(n.trueWait(limit-limit/20), func() {
-		end(message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownTimeout)}, false)
+		end(message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownTimeout)}, false)
 	})
 	w.after(w.transit()/2, func() {
 		lost := func() {
 			w.after(w.transit()/2, func() {
-				end(message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}, true)
+				end(message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}, true)
 			})
 		}
 		switch {
@@ -364,7 +364,7 @@
 			lost()
 		case chance < f.Lose+f.Garbage+f.Truncate+f.Excess:
 			w.after(w.transit()/2, func() {
-				end(message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.AnswerMalformed)}, false)
+				end(message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.AnswerMalformed)}, false)
 			})
 		default:
 			// Its own refusals and failures are its own whole answers too, and what it
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -180,7 +180,7 @@
 	found, err := pairing.Read(backend.NewAnswers(s))
 	s.kept = err == nil && found.Keep
 	if err != nil {
-		return message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.CodeOf(err))}, whole
+		return message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.CodeOf(err))}, whole
 	}
 	for index, line := range found.Outcome.Headers {
 		if line.Name == strayName {
--- a/internal/simulation/diskfull.go
+++ b/internal/simulation/diskfull.go
@@ -69,7 +69,7 @@
 // self is this life of the node as the others see it.
 func (n *Node) self() message.Member {
 	return message.Member{Name: n.name, Role: n.role, Voter: n.settings.Voter, Zone: n.settings.Zone, Address: n.settings.Address,
-		Outside: n.settings.Outside, Birth: int64(epoch + n.world.now + n.wallOff)}
+		HTTPAddress: n.settings.Outside, StartTime: int64(epoch + n.world.now + n.wallOff)}
 }
 
 // disksFullInTurn fills the disk of each core machine for some seconds, one after the
--- a/internal/transport/pacer_test.go
+++ b/internal/transport/pacer_test.go
@@ -91,7 +91,7 @@
 		c.Assert(traffic.Post(forward), qt.IsNil)
 	}
 	c.Assert(from.Backlog() > time.Second, qt.IsTrue, qt.Commentf("%v", from.Backlog()))
-	c.Assert(from.Send(to.address, message.UpdatesRequest{Marks: []message.Mark{}}), qt.IsNil)
+	c.Assert(from.Send(to.address, message.UpdatesRequest{Positions: []message.Position{}}), qt.IsNil)
 	select {
 	case <-received.control:
 	case <-time.After(time.Second):
