--- a/internal/api/registry.go
+++ b/internal/api/registry.go
@@ -43,7 +43,7 @@
 	get := func(path string, question func(in *http.Request) any) {
 		router.HandleFunc(path, h.ask(question)).Methods(http.MethodGet)
 	}
-	get("/ready", func(*http.Request) any { return registry.Ready{} })
+	get("/ready", func(*http.Request) any { return registry.ReadReadiness{} })
 	get("/v1/status", func(*http.Request) any { return registry.ReadStatus{} })
 	get("/v1/roster", func(*http.Request) any { return registry.ReadRoster{} })
 	get("/v1/usage/{window:[0-9]+}", func(in *http.Request) any {
@@ -51,17 +51,17 @@
 	})
 	router.HandleFunc("/v1/configurations/check", h.check).Methods(http.MethodPost)
 	get("/v1/configurations/{configuration}", func(in *http.Request) any {
-		return registry.GetConfiguration{ConfigName: configName(in)}
+		return registry.ReadConfiguration{ConfigName: configName(in)}
 	})
 	get("/v1/configurations/{configuration}/versions", func(in *http.Request) any {
-		return registry.GetConfiguration{ConfigName: configName(in), List: true}
+		return registry.ReadConfiguration{ConfigName: configName(in), List: true}
 	})
 	get("/v1/configurations/{configuration}/status", func(in *http.Request) any {
-		return registry.ConfigurationStatus{ConfigName: configName(in)}
+		return registry.ReadConfigurationStatus{ConfigName: configName(in)}
 	})
 	router.HandleFunc("/v1/configurations/{configuration}/{version:[0-9]+}/in-force", h.inForce).Methods(http.MethodGet)
 	get("/v1/configurations/{configuration}/{version:[0-9]+}", func(in *http.Request) any {
-		return registry.GetConfiguration{ConfigName: configName(in), Version: number(in, "version")}
+		return registry.ReadConfiguration{ConfigName: configName(in), Version: number(in, "version")}
 	})
 	router.HandleFunc("/v1/configurations/{configuration}/{version:[0-9]+}", h.write).Methods(http.MethodPut)
 	router.HandleFunc("/v1/configurations/{configuration}", h.write).Methods(http.MethodPut)
@@ -83,7 +83,7 @@
 
 func (h *registryHandler) answer(out http.ResponseWriter, in *http.Request, question any) {
 	write, isWrite := question.(registry.WriteConfiguration)
-	_, isRead := question.(registry.GetConfiguration)
+	_, isRead := question.(registry.ReadConfiguration)
 	limited, cancel := context.WithTimeout(in.Context(), h.settings.AnswerLimit(len(write.Body))+controlSlack)
 	defer cancel()
 	answered, err := h.process.Request(limited, question)
@@ -122,7 +122,7 @@
 		return
 	}
 	h.answer(out, in, registry.WriteConfiguration{ConfigName: configName(in), Version: number(in, "version"), Body: body, Packed: delta.Encode(nil, body),
-		Check: registry.CheckContent(h.settings, body)})
+		Check: registry.CheckConfiguration(h.settings, body)})
 }
 
 // inForce answers once a version is in force on every proxy, or when the caller's time
@@ -132,7 +132,7 @@
 	defer cancel()
 	ticker := time.NewTicker(h.settings.TickEvery())
 	defer ticker.Stop()
-	question := registry.ConfigurationStatus{ConfigName: configName(in), Version: number(in, "version")}
+	question := registry.ReadConfigurationStatus{ConfigName: configName(in), Version: number(in, "version")}
 	for {
 		answered, err := h.process.Request(in.Context(), question)
 		if err != nil {
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -227,7 +227,7 @@
 
 // reports takes a usage report: it reaches the collector at once, and the answer is lost at
 // times.
-func (w *World) reports(p *process, sent registry.Report) {
+func (w *World) reports(p *process, sent registry.UsageReport) {
 	if w.fleet == nil || p.now(w) > sent.Until {
 		return
 	}
@@ -241,12 +241,12 @@
 	life := p.life
 	w.after(1, func() {
 		if p.up && !p.frozen && p.life == life {
-			p.apply(w, statemachine.Asked{Question: registry.Reported{Window: sent.Window}})
+			p.apply(w, statemachine.Asked{Question: registry.UsageDelivered{Window: sent.Window}})
 		}
 	})
 }
 
-func (f *fleet) take(p *process, round int, sent registry.Report) {
+func (f *fleet) take(p *process, round int, sent registry.UsageReport) {
 	f.windows[sent.Window] = report{counts: maps.Clone(sent.Counts), epoch: sent.Epoch, by: p.name()}
 	f.newest = max(f.newest, sent.Window)
 	f.fence = max(f.fence, sent.Epoch)
@@ -262,7 +262,7 @@
 
 // checkReport: a window has one value, a fence one holder, fences don't fall, and no holder
 // comes back within the rest.
-func (w *World) checkReport(p *process, sent registry.Report) {
+func (w *World) checkReport(p *process, sent registry.UsageReport) {
 	f := w.fleet
 	if earlier, known := f.windows[sent.Window]; known && !maps.Equal(earlier.counts, sent.Counts) {
 		w.violate("one-value", "%s reports window %d as %v, and %s has as %v", p.name(), sent.Window, sent.Counts, earlier.by, earlier.counts)
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -301,7 +301,7 @@
 	case statemachine.Event:
 		w.event(p, done)
 	case statemachine.Report:
-		w.reports(p, done.Body.(registry.Report))
+		w.reports(p, done.Body.(registry.UsageReport))
 	case statemachine.Reply:
 		if p.leaving {
 			w.after(1, func() { w.retire(p) })
--- a/internal/frontend/admit.go
+++ b/internal/frontend/admit.go
@@ -59,10 +59,10 @@
 	}
 	known, open, anyRoute := byPass, false, false
 	for _, configuration := range snapshot.Configurations {
-		route, found := configuration.Find(request.Host, request.Method, path)
+		route, found := configuration.MatchHost(request.Host, request.Method, path)
 		_, held := configuration.Tenant(key)
 		anyRoute = anyRoute || found
-		open = open || found && (route.Open || request.Host != "" && configuration.Keyless())
+		open = open || found && (route.Public || request.Host != "" && configuration.Keyless())
 		known = known || held
 	}
 	switch {
@@ -76,7 +76,7 @@
 		return Refusal(errcode.RequestNoRoute)
 	}
 	for _, configuration := range snapshot.Configurations {
-		route, found := configuration.Find(request.Host, request.Method, path)
+		route, found := configuration.MatchHost(request.Host, request.Method, path)
 		if !found {
 			continue
 		}
@@ -84,25 +84,25 @@
 		claimed := claims.Caller
 		if byPass {
 			// A pass is worth what its tenant's keys are: nothing once all are withdrawn.
-			tenant, claimed, held = passed.Tenant, passed.Service, configuration.Honours(passed.Tenant)
+			tenant, claimed, held = passed.Tenant, passed.Service, configuration.TenantHasKey(passed.Tenant)
 		}
 		if f.settings.Service != "" {
 			claimed = f.settings.Service
 		}
-		if !held && !route.Open && !(route.Host != "" && configuration.Keyless()) || !route.Allows(tenant, claimed) {
+		if !held && !route.Public && !(route.Host != "" && configuration.Keyless()) || !route.Allows(tenant, claimed) {
 			return Refusal(errcode.RequestCallerRefused)
 		}
-		if route.Calendar != nil && !route.Calendar.Open(wall) {
+		if route.Calendar != nil && !route.Calendar.IsOpen(wall) {
 			final := Refusal(errcode.RequestRouteClosed)
-			final.RetryAfter = route.Calendar.NextOpen(wall)
+			final.RetryAfter = route.Calendar.UntilOpen(wall)
 			return final
 		}
-		if route.BodyCap > 0 && int64(len(request.Body)) > route.BodyCap {
+		if route.MaxBodyBytes > 0 && int64(len(request.Body)) > route.MaxBodyBytes {
 			return Refusal(errcode.RequestTooLarge)
 		}
 		request.Configuration, request.Route, request.Tenant, request.Caller, request.Name = configuration, route, tenant, claimed, claims.Name
 		request.Priority = configuration.Priority(tenant, route)
-		request.Deadline = min(request.Deadline, request.since(now)+route.Limit)
+		request.Deadline = min(request.Deadline, request.since(now)+route.Timeout)
 		if claims.Wait > 0 {
 			request.Deadline = min(request.Deadline, request.Came+claims.Wait)
 		}
@@ -130,8 +130,8 @@
 			// The configuration that let it in is no older than this one.
 			return errcode.OK
 		}
-		if route, found := configuration.Find(forward.Host, forward.Method, forward.Path); found && route.Leads(forward.Service) && route.Allows(forward.Tenant, forward.Caller) &&
-			(route.Open || configuration.Honours(forward.Tenant) || route.Host != "" && configuration.Keyless()) {
+		if route, found := configuration.MatchHost(forward.Host, forward.Method, forward.Path); found && route.RoutesTo(forward.Service) && route.Allows(forward.Tenant, forward.Caller) &&
+			(route.Public || configuration.TenantHasKey(forward.Tenant) || route.Host != "" && configuration.Keyless()) {
 			return errcode.OK
 		}
 	}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -139,7 +139,7 @@
 		return f.giveUp(request, errcode.BusyDeadline)
 	}
 	if request.Service == "" {
-		request.Service = request.Route.Pick(random.Float64())
+		request.Service = request.Route.PickService(random.Float64())
 	}
 	near, far, known := f.candidates(now, request, false)
 	if len(near)+len(far) == 0 && request.nested() {
@@ -300,10 +300,10 @@
 		Version: request.Configuration.Version, Route: request.Route.Name, Service: request.Service, Instance: request.Target.Instance,
 		Incarnation: request.Target.Incarnation, Tenant: request.Tenant, Caller: request.Caller, Method: request.Method, Path: request.Path,
 		RawQuery: request.RawQuery, Headers: []message.HeaderLine{}, Body: request.Body, AnswerCap: f.settings.Limits.Answer,
-		Host: request.Host, Name: request.Name, Priority: request.Priority, Once: request.Route.Once, Repeat: request.Sent > 0}
+		Host: request.Host, Name: request.Name, Priority: request.Priority, Once: request.Route.AtMostOnce, Repeat: request.Sent > 0}
 	remaining := request.Deadline - now
-	if request.Route.Aim > 0 && !request.nested() {
-		forward.Aim = max(int64(request.Came+request.Route.Aim-now), 1)
+	if request.Route.LatencyTarget > 0 && !request.nested() {
+		forward.Aim = max(int64(request.Came+request.Route.LatencyTarget-now), 1)
 	}
 	forward.Remaining = int64(remaining - min(remaining/20, f.settings.UpdatesEvery()/10))
 	names := make([]string, 0, len(request.Header))
--- a/internal/frontend/protocol.go
+++ b/internal/frontend/protocol.go
@@ -47,7 +47,7 @@
 
 // PathOf is the normalised path; one that shows a key has none.
 func (Node) PathOf(request *Request) (string, errcode.Code) {
-	path, err := routeconfig.NormalPath(request.RawPath)
+	path, err := routeconfig.NormalizePath(request.RawPath)
 	if err != nil {
 		return "", errcode.RequestBadPath
 	}
--- a/internal/frontend/retry.go
+++ b/internal/frontend/retry.go
@@ -71,7 +71,7 @@
 
 // mostReached: no further upstream may be offered the request.
 func (r *Request) mostReached() bool {
-	return r.Route.Attempts > 0 && r.Sent >= r.Route.Attempts && safeguard.MostUpstreams.On()
+	return r.Route.MaxAttempts > 0 && r.Sent >= r.Route.MaxAttempts && safeguard.MostUpstreams.On()
 }
 
 // afterAttempt gives the final answer after an attempt that brought none, or nil for
@@ -83,7 +83,7 @@
 		unsure = errcode.UnknownOutcome
 	}
 	switch {
-	case ending == Unsure && (request.Route.Once && safeguard.OnceOnly.On() || now >= request.Deadline):
+	case ending == Unsure && (request.Route.AtMostOnce && safeguard.OnceOnly.On() || now >= request.Deadline):
 		return Refusal(unsure)
 	case ending != Unsure && (now >= request.Deadline || code == errcode.BusyDeadline):
 		return f.giveUp(request, errcode.BusyDeadline)
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -33,7 +33,7 @@
 	case statemachine.Probe:
 		n.Group.Go("node.probe", func(ctx context.Context) { n.probe(ctx, done) })
 	case statemachine.Report:
-		if report, isReport := done.Body.(registry.Report); isReport {
+		if report, isReport := done.Body.(registry.UsageReport); isReport {
 			n.Group.Go("node.report", func(ctx context.Context) { n.report(ctx, report) })
 		}
 	}
--- a/internal/node/report.go
+++ b/internal/node/report.go
@@ -70,7 +70,7 @@
 }
 
 // post sends a report once. The time is the process clock's.
-func (r *reporter) post(ctx context.Context, report registry.Report, now time.Duration) reportOutcome {
+func (r *reporter) post(ctx context.Context, report registry.UsageReport, now time.Duration) reportOutcome {
 	limit := min(r.limit, report.Until-now)
 	if limit <= 0 {
 		return reportTooLate
@@ -93,7 +93,7 @@
 	return reportTaken
 }
 
-func (r *reporter) request(ctx context.Context, report registry.Report) (*http.Request, error) {
+func (r *reporter) request(ctx context.Context, report registry.UsageReport) (*http.Request, error) {
 	body, err := json.Marshal(usageReport{Counts: report.Counts, Epoch: report.Epoch, From: r.from, Window: report.Window})
 	if err != nil {
 		return nil, err
@@ -112,10 +112,10 @@
 }
 
 // report posts a sealed window and tells the machine once the collector has it.
-func (n *Node) report(ctx context.Context, report registry.Report) {
+func (n *Node) report(ctx context.Context, report registry.UsageReport) {
 	switch n.reporter.post(ctx, report, n.Group.Now()) {
 	case reportTaken:
-		n.Tell(registry.Reported{Window: report.Window})
+		n.Tell(registry.UsageDelivered{Window: report.Window})
 	case reportFailed:
 		n.count("reports_failed")
 	case reportTooLate:
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -31,14 +31,14 @@
 		Packed     []byte // the body compressed by package delta; nil: not made
 		Check      message.ContentCheck
 	}
-	// GetConfiguration asks for a version (0: the current one), or for the list of versions.
-	GetConfiguration struct {
+	// ReadConfiguration asks for a version (0: the current one), or for the list of versions.
+	ReadConfiguration struct {
 		ConfigName string
 		Version    int64
 		List       bool
 	}
-	// ConfigurationStatus asks where a configuration is in force, at least at a version (0: the newest).
-	ConfigurationStatus struct {
+	// ReadConfigurationStatus asks where a configuration is in force, at least at a version (0: the newest).
+	ReadConfigurationStatus struct {
 		ConfigName string
 		Version    int64
 	}
@@ -48,8 +48,8 @@
 	ReadStatus struct{}
 	// ReadRoster asks for the registrations by zone.
 	ReadRoster struct{}
-	// Ready asks whether this process does its part.
-	Ready struct{}
+	// ReadReadiness asks whether this process does its part.
+	ReadReadiness struct{}
 	// Stop asks the machine to hand its leases over, since the process stops.
 	Stop struct{}
 )
@@ -74,9 +74,9 @@
 
 func newOutside(m *Machine) *outside { return &outside{m: m, waiting: map[int64]*outsideRequest{}} }
 
-// CheckContent looks for faults in a configuration, on the caller's thread and not on the one
+// CheckConfiguration looks for faults in a configuration, on the caller's thread and not on the one
 // that renews leases and answers heartbeats.
-func CheckContent(cfg settings.Settings, body []byte) message.ContentCheck {
+func CheckConfiguration(cfg settings.Settings, body []byte) message.ContentCheck {
 	faults, tooLarge := routeconfig.Check(body, cfg.ConfigurationLimits())
 	return message.ContentCheck{Done: true, TooLarge: tooLarge, Faults: faults}
 }
@@ -93,12 +93,12 @@
 		o.waiting[o.lastRequestID] = &outsideRequest{outer: requestID, until: s.Now + m.settings.AnswerLimit(len(asked.Body)), body: asked.Body,
 			write: &message.WriteRequest{RequestID: o.lastRequestID, ConfigName: asked.ConfigName, Version: asked.Version, Body: asked.Packed, Packed: true, Check: asked.Check}}
 		o.tick(s)
-	case GetConfiguration:
+	case ReadConfiguration:
 		o.lastRequestID++
 		o.waiting[o.lastRequestID] = &outsideRequest{outer: requestID, until: s.Now + m.settings.AnswerLimit(0),
 			get: &message.ReadRequest{RequestID: o.lastRequestID, ConfigName: asked.ConfigName, Version: asked.Version, List: asked.List}}
 		o.tick(s)
-	case ConfigurationStatus:
+	case ReadConfigurationStatus:
 		s.Reply(requestID, m.configurationStatus(s, asked.ConfigName, asked.Version))
 	case ReadUsage:
 		s.Reply(requestID, m.usage.read(asked.Window))
@@ -106,9 +106,9 @@
 		s.Reply(requestID, m.status(s))
 	case ReadRoster:
 		s.Reply(requestID, m.roster(s))
-	case Ready:
+	case ReadReadiness:
 		s.Reply(requestID, m.ready(s))
-	case Reported:
+	case UsageDelivered:
 		m.usage.done(s, asked.Window)
 	case statemachine.Reseeded:
 		m.membership.Reseed(asked.Seeds)
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -311,20 +311,20 @@
 	}
 	u.reportAt = s.Now + u.m.settings.ReportEvery()
 	until := min(s.Now+u.m.settings.Lease()/2, u.m.leases.HeldUntil(settings.UsageTag))
-	s.Report(Report{Window: window, Counts: u.sealed[window].Counts, Epoch: u.epoch, Until: until})
+	s.Report(UsageReport{Window: window, Counts: u.sealed[window].Counts, Epoch: u.epoch, Until: until})
 }
 
-// Report is the effect's body: what the collector gets, and until when it may reach it, by
+// UsageReport is the effect's body: what the collector gets, and until when it may reach it, by
 // the process clock. It never outlasts the lease: who holds the next one may act then.
-type Report struct {
+type UsageReport struct {
 	Window int64
 	Counts map[string]int64
 	Epoch  int64
 	Until  time.Duration
 }
 
-// Reported is the question by which the process says that the collector has a window.
-type Reported struct{ Window int64 }
+// UsageDelivered is the question by which the process says that the collector has a window.
+type UsageDelivered struct{ Window int64 }
 
 func (u *usage) done(s *statemachine.Env, window int64) {
 	if window != u.reported+1 {
--- a/internal/routeconfig/allowed_test.go
+++ b/internal/routeconfig/allowed_test.go
@@ -17,7 +17,7 @@
 	generatorSeed = 17
 )
 
-var lenientLimits = Limits{Bytes: 4 << 20, Entries: 20000, Request: 10 * time.Minute, Lenient: true}
+var lenientLimits = Limits{MaxBytes: 4 << 20, MaxEntries: 20000, MaxTimeout: 10 * time.Minute, Lenient: true}
 
 func pick[T any](random *rand.Rand, from ...T) T { return from[random.IntN(len(from))] }
 
@@ -74,9 +74,9 @@
 		c.Assert(faults, qt.HasLen, 0, qt.Commentf("%s", body))
 		c.Assert(tooLarge, qt.IsFalse)
 		for _, route := range Parse("main", 1, body, lenientLimits).Routes {
-			c.Assert(route.Limit > 0 && route.Limit <= lenientLimits.Request, qt.IsTrue, qt.Commentf("%s: %v", route.Name, route.Limit))
-			c.Assert(route.Aim >= 0, qt.IsTrue)
-			c.Assert(route.Leads(route.Pick(0.3)), qt.IsTrue)
+			c.Assert(route.Timeout > 0 && route.Timeout <= lenientLimits.MaxTimeout, qt.IsTrue, qt.Commentf("%s: %v", route.Name, route.Timeout))
+			c.Assert(route.LatencyTarget >= 0, qt.IsTrue)
+			c.Assert(route.RoutesTo(route.PickService(0.3)), qt.IsTrue)
 		}
 	}
 }
--- a/internal/routeconfig/calendar.go
+++ b/internal/routeconfig/calendar.go
@@ -30,8 +30,8 @@
 	length   time.Duration
 }
 
-// CheckCalendar lists the faults of a calendar.
-func CheckCalendar(value gjson.Result) []string {
+// checkCalendar lists the faults of a calendar.
+func checkCalendar(value gjson.Result) []string {
 	faults := []string{}
 	if !value.IsObject() {
 		return []string{"want an object"}
@@ -61,8 +61,8 @@
 	return faults
 }
 
-// ParseCalendar reads a checked calendar.
-func ParseCalendar(value gjson.Result) *Calendar {
+// parseCalendar reads a checked calendar.
+func parseCalendar(value gjson.Result) *Calendar {
 	zone, err := time.LoadLocation(value.Get("zone").String())
 	if err != nil {
 		zone = time.UTC
@@ -76,8 +76,8 @@
 	return calendar
 }
 
-// Open says whether the route is open at a time of day.
-func (c *Calendar) Open(at time.Time) bool {
+// IsOpen says whether the route is open at a time of day.
+func (c *Calendar) IsOpen(at time.Time) bool {
 	local := at.In(c.zone)
 	for _, entry := range c.entries {
 		// The newest opening before now is after now-length, or the route is closed.
@@ -88,8 +88,8 @@
 	return false
 }
 
-// NextOpen says how long it is until the route opens.
-func (c *Calendar) NextOpen(at time.Time) time.Duration {
+// UntilOpen says how long it is until the route opens.
+func (c *Calendar) UntilOpen(at time.Time) time.Duration {
 	soonest := time.Duration(0)
 	for _, entry := range c.entries {
 		if wait := entry.schedule.Next(at.In(c.zone)).Sub(at); soonest == 0 || wait < soonest {
--- a/internal/routeconfig/check.go
+++ b/internal/routeconfig/check.go
@@ -25,8 +25,8 @@
 
 // Check lists the faults of a configuration's bytes; tooLarge tells 413 from 422.
 func Check(body []byte, limits Limits) (faults []string, tooLarge bool) {
-	if int64(len(body)) > limits.Bytes {
-		return []string{fmt.Sprintf("$: %d bytes, the limit is %d", len(body), limits.Bytes)}, true
+	if int64(len(body)) > limits.MaxBytes {
+		return []string{fmt.Sprintf("$: %d bytes, the limit is %d", len(body), limits.MaxBytes)}, true
 	}
 	if !gjson.ValidBytes(body) {
 		return []string{"$: not JSON"}, false
@@ -35,10 +35,10 @@
 	if !root.IsObject() {
 		return []string{"$: want an object"}, false
 	}
-	if entries := countEntries(root); entries > limits.Entries {
-		return []string{fmt.Sprintf("$: %d entries, the limit is %d", entries, limits.Entries)}, true
+	if entries := countEntries(root); entries > limits.MaxEntries {
+		return []string{fmt.Sprintf("$: %d entries, the limit is %d", entries, limits.MaxEntries)}, true
 	}
-	check := &checker{lenient: limits.Lenient, longest: int64(limits.Request / time.Millisecond),
+	check := &checker{lenient: limits.Lenient, longest: int64(limits.MaxTimeout / time.Millisecond),
 		tenants: map[string]bool{}, keyHolders: map[string]keyHolder{}, places: map[string]string{}, names: map[string]bool{}}
 	check.knownFields("", root, configurationKeys)
 	check.number("version", root.Get("version"), 0)
@@ -145,7 +145,7 @@
 	}
 	c.figures(path, route)
 	if calendar := route.Get("calendar"); calendar.Exists() {
-		for _, text := range CheckCalendar(calendar) {
+		for _, text := range checkCalendar(calendar) {
 			c.add(path+".calendar", text)
 		}
 	}
@@ -212,7 +212,7 @@
 // and no two of them could both win.
 func (c *checker) unhosted(path string, route gjson.Result) {
 	wanted := c.text(path+".path", route.Get("path"))
-	if normal, err := NormalPath(wanted); wanted != "" && (err != nil || normal != wanted) {
+	if normal, err := NormalizePath(wanted); wanted != "" && (err != nil || normal != wanted) {
 		c.add(path+".path", "want a normalised path that begins with /")
 	}
 	if len(route.Get("methods").Array()) == 0 {
--- a/internal/routeconfig/fuzz_test.go
+++ b/internal/routeconfig/fuzz_test.go
@@ -32,9 +32,9 @@
 			if route, found := configuration.Match("GET", path); found {
 				route.Allows(host, path)
 			}
-			if route, found := configuration.Find(host, "GET", path); found {
+			if route, found := configuration.MatchHost(host, "GET", path); found {
 				configuration.Priority("t", route)
-				configuration.Service(route.Pick(0.5))
+				configuration.Service(route.PickService(0.5))
 			}
 		}
 	})
@@ -45,11 +45,11 @@
 	f.Add("/%7e/%2f")
 	f.Add("/a/../b")
 	f.Fuzz(func(t *testing.T, raw string) {
-		normal, err := NormalPath(raw)
+		normal, err := NormalizePath(raw)
 		if err != nil {
 			return
 		}
-		again, err := NormalPath(normal)
+		again, err := NormalizePath(normal)
 		if err != nil || again != normal {
 			t.Fatalf("%q becomes %q, and that becomes %q (%v)", raw, normal, again, err)
 		}
--- a/internal/routeconfig/hosted_test.go
+++ b/internal/routeconfig/hosted_test.go
@@ -39,13 +39,13 @@
 		"two.example /x/1": "silent", "two.example /": "silent", "three.example /x/1": "unbound", " /x/1": "unbound", "three.example /big/1": "",
 	} {
 		host, path, _ := strings.Cut(request, " ")
-		route, found := configuration.Find(host, "GET", path)
+		route, found := configuration.MatchHost(host, "GET", path)
 		c.Check(route.Name, qt.Equals, wanted, qt.Commentf(request))
 		c.Check(found, qt.Equals, wanted != "")
 	}
-	_, found := configuration.Find("three.example", "POST", "/x/1")
+	_, found := configuration.MatchHost("three.example", "POST", "/x/1")
 	c.Assert(found, qt.IsFalse)
-	_, found = configuration.Find("one.example", "PROPFIND", "/x/1")
+	_, found = configuration.MatchHost("one.example", "PROPFIND", "/x/1")
 	c.Assert(found, qt.IsTrue)
 }
 
@@ -53,20 +53,20 @@
 func TestSplitsFallByWeight(t *testing.T) {
 	c := qt.New(t)
 	configuration := parsed(c, hosted)
-	long, _ := configuration.Named("long")
+	long, _ := configuration.RouteNamed("long")
 	fallen := map[string]int{}
 	for number := range 1000 {
-		fallen[long.Pick((float64(number)+0.5)/1000)]++
+		fallen[long.PickService((float64(number)+0.5)/1000)]++
 	}
 	c.Assert(fallen, qt.DeepEquals, map[string]int{"a": 900, "b": 100})
-	c.Assert(long.Pick(0), qt.Equals, "a")
+	c.Assert(long.PickService(0), qt.Equals, "a")
 	for service, leads := range map[string]bool{"a": true, "b": true, "c": false, "": false} {
-		c.Check(long.Leads(service), qt.Equals, leads)
+		c.Check(long.RoutesTo(service), qt.Equals, leads)
 	}
-	short, _ := configuration.Named("short")
-	c.Assert(short.Pick(0.99), qt.Equals, "a")
-	c.Assert(short.Leads("a"), qt.IsTrue)
-	c.Assert(short.Leads("b"), qt.IsFalse)
+	short, _ := configuration.RouteNamed("short")
+	c.Assert(short.PickService(0.99), qt.Equals, "a")
+	c.Assert(short.RoutesTo("a"), qt.IsTrue)
+	c.Assert(short.RoutesTo("b"), qt.IsFalse)
 }
 
 // What may be repeated is what the configuration says may be; all else runs at most once.
@@ -74,14 +74,14 @@
 	c := qt.New(t)
 	configuration := parsed(c, hosted)
 	for name, once := range map[string]bool{"short": false, "long": true, "big": true, "silent": true, "unbound": false} {
-		route, _ := configuration.Named(name)
-		c.Check(route.Once, qt.Equals, once, qt.Commentf(name))
+		route, _ := configuration.RouteNamed(name)
+		c.Check(route.AtMostOnce, qt.Equals, once, qt.Commentf(name))
 	}
-	short, _ := configuration.Named("short")
-	c.Assert(short.Attempts, qt.Equals, int64(2))
-	c.Assert(short.Aim, qt.Equals, 500*time.Millisecond)
-	c.Assert(short.Limit, qt.Equals, 1200*time.Millisecond)
-	c.Assert(short.Open, qt.IsFalse)
+	short, _ := configuration.RouteNamed("short")
+	c.Assert(short.MaxAttempts, qt.Equals, int64(2))
+	c.Assert(short.LatencyTarget, qt.Equals, 500*time.Millisecond)
+	c.Assert(short.Timeout, qt.Equals, 1200*time.Millisecond)
+	c.Assert(short.Public, qt.IsFalse)
 	c.Assert(configuration.Service("a"), qt.Equals, Service{Name: "a", Health: "/health", Connections: 130})
 	c.Assert(configuration.Service("c"), qt.Equals, Service{Name: "c"})
 }
@@ -90,19 +90,19 @@
 func TestOpenRoutesAndConfigurationsWithoutTenants(t *testing.T) {
 	c := qt.New(t)
 	configuration := parsed(c, hosted)
-	big, _ := configuration.Named("big")
-	c.Assert(big.Open, qt.IsTrue)
+	big, _ := configuration.RouteNamed("big")
+	c.Assert(big.Public, qt.IsTrue)
 	c.Assert(configuration.Keyless(), qt.IsFalse)
 	for key, wanted := range map[string]string{"k1": "first", "k2": "first", "k3": "silent", "k": "", "": ""} {
 		tenant, known := configuration.Tenant(key)
 		c.Check(tenant, qt.Equals, wanted)
 		c.Check(known, qt.Equals, wanted != "")
 	}
-	c.Assert(configuration.Honours("first"), qt.IsTrue)
-	c.Assert(configuration.Honours(""), qt.IsFalse)
+	c.Assert(configuration.TenantHasKey("first"), qt.IsTrue)
+	c.Assert(configuration.TenantHasKey(""), qt.IsFalse)
 	bare := parsed(c, `{"services":["a"],"routes":[{"name":"r","host":"h","prefix":"/","service":"a","timeout_ms":1}]}`)
 	c.Assert(bare.Keyless(), qt.IsTrue)
-	route, _ := bare.Named("r")
+	route, _ := bare.RouteNamed("r")
 	c.Assert(route.Allows("", "anyone"), qt.IsTrue)
 }
 
@@ -114,12 +114,12 @@
 	last := int64(-1)
 	for _, pair := range []string{"best short", "best long", "first short", "first long", "silent short", "silent long"} {
 		tenant, name, _ := strings.Cut(pair, " ")
-		route, _ := configuration.Named(name)
+		route, _ := configuration.RouteNamed(name)
 		rank := configuration.Priority(tenant, route)
 		c.Check(rank > last, qt.IsTrue, qt.Commentf(pair))
 		last = rank
 	}
-	long, _ := configuration.Named("long")
+	long, _ := configuration.RouteNamed("long")
 	c.Assert(configuration.Priority("", long) < configuration.Priority("first", long), qt.IsTrue)
 }
 
@@ -172,7 +172,7 @@
 		c.Check(strings.Join(faults, "\n"), qt.Contains, "colour: unknown field", qt.Commentf(place))
 		faults, _ = Check([]byte(body), lenient)
 		c.Check(faults, qt.HasLen, 0, qt.Commentf(place))
-		route, found := Parse("main", 7, []byte(body), lenient).Find("one.example", "GET", "/x/y/1")
+		route, found := Parse("main", 7, []byte(body), lenient).MatchHost("one.example", "GET", "/x/y/1")
 		c.Check(found, qt.IsTrue)
 		c.Check(route.Name, qt.Equals, "long")
 	}
--- a/internal/routeconfig/next_test.go
+++ b/internal/routeconfig/next_test.go
@@ -27,7 +27,7 @@
 // Whatever stood before, a version that reuses what did not change is the version read anew.
 func TestNextIsParse(t *testing.T) {
 	c := qt.New(t)
-	limits := Limits{Bytes: 1 << 20, Entries: 1 << 10, Request: time.Minute, Lenient: true}
+	limits := Limits{MaxBytes: 1 << 20, MaxEntries: 1 << 10, MaxTimeout: time.Minute, Lenient: true}
 	for seed := range uint64(300) {
 		dice := rand.New(rand.NewPCG(seed, 1))
 		var current *Configuration
@@ -41,8 +41,8 @@
 			for _, host := range []string{"a.example", "b.example", "other"} {
 				for number := range 4 {
 					path := fmt.Sprintf("/p%d/x", number)
-					route, found := current.Find(host, "GET", path)
-					same, wantedFound := wanted.Find(host, "GET", path)
+					route, found := current.MatchHost(host, "GET", path)
+					same, wantedFound := wanted.MatchHost(host, "GET", path)
 					c.Assert(found, qt.Equals, wantedFound)
 					c.Assert(route, qt.DeepEquals, same)
 				}
--- a/internal/routeconfig/parse.go
+++ b/internal/routeconfig/parse.go
@@ -128,9 +128,9 @@
 func parseRoute(item routeFields, limits Limits) *Route {
 	route := &Route{Name: item["name"].String(), Service: item["service"].String(), Path: item["path"].String(),
 		Prefix: item["match"].String() == "prefix", Methods: nameSet(item["methods"]), Callers: nameSet(item["callers"]),
-		Tenants: nameSet(item["tenants"]), Limit: milliseconds(item["timeout_ms"]), BodyCap: item["body_bytes"].Int(),
-		Host: strings.ToLower(item["host"].String()), Attempts: item["attempts"].Int(), Aim: milliseconds(item["aim_ms"]),
-		Priority: LeastPriority, Open: item["open"].Bool()}
+		Tenants: nameSet(item["tenants"]), Timeout: milliseconds(item["timeout_ms"]), MaxBodyBytes: item["body_bytes"].Int(),
+		Host: strings.ToLower(item["host"].String()), MaxAttempts: item["attempts"].Int(), LatencyTarget: milliseconds(item["aim_ms"]),
+		Priority: LowestPriority, Public: item["open"].Bool()}
 	if route.Host != "" {
 		route.Path, route.Prefix = item["prefix"].String(), true
 	}
@@ -138,14 +138,14 @@
 		route.Priority = rank.Int()
 	}
 	for _, share := range item["split"].Array() {
-		route.Split = append(route.Split, Share{share.Get("service").String(), weightOf(share)})
+		route.Split = append(route.Split, WeightedService{share.Get("service").String(), weightOf(share)})
 	}
-	if route.Limit <= 0 || route.Limit > limits.Request {
-		route.Limit = limits.Request
+	if route.Timeout <= 0 || route.Timeout > limits.MaxTimeout {
+		route.Timeout = limits.MaxTimeout
 	}
-	route.Once = runsOnce(item, route.Methods)
+	route.AtMostOnce = runsOnce(item, route.Methods)
 	if calendar := item["calendar"]; calendar.Exists() {
-		route.Calendar = ParseCalendar(calendar)
+		route.Calendar = parseCalendar(calendar)
 	}
 	return route
 }
--- a/internal/routeconfig/routeconfig.go
+++ b/internal/routeconfig/routeconfig.go
@@ -17,17 +17,17 @@
 
 // Limits bound a configuration. Lenient ones may hold fields that are not known here,
 // which are kept and not read, and are refused only for what would leave in doubt where a
-// request goes: not for a time-out above Request, a figure of 0 that says "not told", a
+// request goes: not for a time-out above MaxTimeout, a figure of 0 that says "not told", a
 // fraction of a millisecond, or a name that stands twice.
 type Limits struct {
-	Bytes   int64
-	Entries int64
-	Request time.Duration
-	Lenient bool
+	MaxBytes   int64
+	MaxEntries int64
+	MaxTimeout time.Duration
+	Lenient    bool
 }
 
-// Share is one service's part of a route's requests.
-type Share struct {
+// WeightedService is one service's part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  int64
 }
@@ -40,28 +40,28 @@
 	Connections int64
 }
 
-// LeastPriority is the rank of a route or tenant that names none; 0 goes first.
-const LeastPriority = 1 << 20
+// LowestPriority is the rank of a route or tenant that names none; 0 goes first.
+const LowestPriority = 1 << 20
 
 // Route is one rule: where a kind of request may go, who may ask it.
 type Route struct {
-	Name     string
-	Host     string
-	Service  string
-	Split    []Share
-	Attempts int64         // upstreams to which one request may be sent; 0: as the budget allows
-	Aim      time.Duration // within which an answer has its full worth; 0: not told
-	Priority int64         // 0 goes first
-	Open     bool          // needs no tenant's key
-	Path     string
-	Prefix   bool
-	Methods  map[string]bool
-	Callers  map[string]bool
-	Tenants  map[string]bool
-	Once     bool
-	Limit    time.Duration
-	BodyCap  int64
-	Calendar *Calendar
+	Name          string
+	Host          string
+	Service       string
+	Split         []WeightedService
+	MaxAttempts   int64         // upstreams to which one request may be sent; 0: as the budget allows
+	LatencyTarget time.Duration // within which an answer has its full worth; 0: not told
+	Priority      int64         // 0 goes first
+	Public        bool          // needs no tenant's key
+	Path          string
+	Prefix        bool
+	Methods       map[string]bool
+	Callers       map[string]bool
+	Tenants       map[string]bool
+	AtMostOnce    bool
+	Timeout       time.Duration
+	MaxBodyBytes  int64
+	Calendar      *Calendar
 }
 
 // Configuration is one version of a configuration, ready to apply.
@@ -88,20 +88,20 @@
 func (l *Configuration) Priority(tenant string, route Route) int64 {
 	rank, response := l.ranks[tenant]
 	if !response && tenant != "" {
-		rank = LeastPriority
+		rank = LowestPriority
 	}
-	return rank*(LeastPriority+1) + min(route.Priority, LeastPriority)
+	return rank*(LowestPriority+1) + min(route.Priority, LowestPriority)
 }
 
 // Service gives what the configuration says of a service.
 func (l *Configuration) Service(name string) Service { return l.kinds[name] }
 
-// Honours says that some key of a tenant is honoured.
-func (l *Configuration) Honours(tenant string) bool { return l.tenants[tenant] }
+// TenantHasKey says that some key of a tenant is honoured.
+func (l *Configuration) TenantHasKey(tenant string) bool { return l.tenants[tenant] }
 
-// Find gives the route of a host with the longest prefix that begins a raw path; a
+// MatchHost gives the route of a host with the longest prefix that begins a raw path; a
 // host without routes of its own has those that are bound to none.
-func (l *Configuration) Find(host, method, path string) (Route, bool) {
+func (l *Configuration) MatchHost(host, method, path string) (Route, bool) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	places, known := l.hosts[host]
 	if !known {
@@ -120,8 +120,8 @@
 	return Route{}, false
 }
 
-// Pick chooses the service of a route's request by a number from 0 to below 1.
-func (r Route) Pick(chance float64) string {
+// PickService chooses the service of a route's request by a number from 0 to below 1.
+func (r Route) PickService(chance float64) string {
 	total := int64(0)
 	for _, share := range r.Split {
 		total += share.Weight
@@ -135,8 +135,8 @@
 	return r.Service
 }
 
-// Leads says that the route may send a request to a service.
-func (r Route) Leads(service string) bool {
+// RoutesTo says that the route may send a request to a service.
+func (r Route) RoutesTo(service string) bool {
 	for _, share := range r.Split {
 		if share.Service == service && share.Weight > 0 {
 			return true
@@ -161,8 +161,8 @@
 	return Route{}, false
 }
 
-// Named finds a route by its name.
-func (l *Configuration) Named(name string) (Route, bool) {
+// RouteNamed finds a route by its name.
+func (l *Configuration) RouteNamed(name string) (Route, bool) {
 	for _, route := range l.Routes {
 		if route.Name == name {
 			return *route, true
@@ -188,10 +188,10 @@
 	return tenantFits && callerFits
 }
 
-// NormalPath gives the one form of a raw path that routes are matched by: escapes of
+// NormalizePath gives the one form of a raw path that routes are matched by: escapes of
 // unreserved characters undone, hex digits in capitals. Dot segments, empty segments,
 // encoded slashes and backslashes, control bytes and bad escapes are refused.
-func NormalPath(raw string) (string, error) {
+func NormalizePath(raw string) (string, error) {
 	if raw == "" || raw[0] != '/' {
 		return "", fmt.Errorf("path must begin with /")
 	}
--- a/internal/routeconfig/routeconfig_test.go
+++ b/internal/routeconfig/routeconfig_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var limits = Limits{Bytes: 4000, Entries: 20, Request: 5 * time.Second}
+var limits = Limits{MaxBytes: 4000, MaxEntries: 20, MaxTimeout: 5 * time.Second}
 
 const configName = `{"services":["a","b"],"tenants":[{"name":"t","keys":["k1"]},{"name":"u","keys":["k2"]}],
 "routes":[{"name":"all","service":"a","path":"/x","match":"prefix","methods":["GET","POST"],"callers":["*"]},
@@ -56,15 +56,15 @@
 		route, _ := configuration.Match(method, path)
 		c.Check(route.Name, qt.Equals, wanted, qt.Commentf(request))
 	}
-	deep, _ := configuration.Named("deep")
+	deep, _ := configuration.RouteNamed("deep")
 	c.Assert(deep.Allows("t", "c"), qt.IsTrue)
 	c.Assert(deep.Allows("u", "c"), qt.IsFalse)
 	c.Assert(deep.Allows("t", "d"), qt.IsFalse)
-	c.Assert(deep.Once, qt.IsFalse)
-	all, _ := configuration.Named("all")
-	c.Assert(all.Once, qt.IsTrue)
-	one, _ := configuration.Named("one")
-	c.Assert(one.Limit, qt.Equals, 700*time.Millisecond)
+	c.Assert(deep.AtMostOnce, qt.IsFalse)
+	all, _ := configuration.RouteNamed("all")
+	c.Assert(all.AtMostOnce, qt.IsTrue)
+	one, _ := configuration.RouteNamed("one")
+	c.Assert(one.Timeout, qt.Equals, 700*time.Millisecond)
 	tenant, known := configuration.Tenant("k2")
 	c.Assert(known, qt.IsTrue)
 	c.Assert(tenant, qt.Equals, "u")
@@ -73,12 +73,12 @@
 func TestOneNormalForm(t *testing.T) {
 	c := qt.New(t)
 	for raw, wanted := range map[string]string{"/a/%7Eb": "/a/~b", "/a%c3%a9": "/a%C3%A9", "/": "/", "/a/": "/a/"} {
-		normal, err := NormalPath(raw)
+		normal, err := NormalizePath(raw)
 		c.Check(err, qt.IsNil)
 		c.Check(normal, qt.Equals, wanted)
 	}
 	for _, raw := range []string{"", "a", "/a/../b", "/a/./b", "/%2e%2e/b", "/a%2fb", "/a%5cb", "/a//b", "/a%00", "/a%0a", "/a%", "/a%zz", "/a b"} {
-		_, err := NormalPath(raw)
+		_, err := NormalizePath(raw)
 		c.Check(err, qt.IsNotNil, qt.Commentf("%q", raw))
 	}
 }
@@ -90,7 +90,7 @@
 	faults, _ := Check([]byte(body), limits)
 	c.Assert(faults, qt.HasLen, 0)
 	configuration := Parse("main", 1, []byte(body), limits)
-	one, _ := configuration.Named("one")
+	one, _ := configuration.RouteNamed("one")
 	for at, open := range map[string]bool{
 		"2026-07-01T05:59:59Z": false, "2026-07-01T06:00:00Z": true, "2026-07-01T08:29:59Z": true, "2026-07-01T08:30:00Z": false,
 		"2026-12-01T06:30:00Z": false, "2026-12-01T07:00:00Z": true, // an hour later in winter
@@ -98,10 +98,10 @@
 	} {
 		when, err := time.Parse(time.RFC3339, at)
 		c.Assert(err, qt.IsNil)
-		c.Check(one.Calendar.Open(when), qt.Equals, open, qt.Commentf(at))
+		c.Check(one.Calendar.IsOpen(when), qt.Equals, open, qt.Commentf(at))
 	}
 	when, _ := time.Parse(time.RFC3339, "2026-07-01T09:00:00Z")
-	c.Assert(one.Calendar.NextOpen(when), qt.Equals, 15*time.Hour+30*time.Minute)
+	c.Assert(one.Calendar.UntilOpen(when), qt.Equals, 15*time.Hour+30*time.Minute)
 	for _, bad := range []string{`{"zone":"Mars/Base","open":[{"at":"0 8 * * *","minutes":1}]}`, `{"zone":"UTC","open":[{"at":"@every 1h","minutes":1}]}`,
 		`{"zone":"UTC","open":[{"at":"0 8 * * *","minutes":0}]}`, `{"zone":"UTC","open":[]}`, `{"zone":"UTC","open":[{"at":"0 8 * *","minutes":5}]}`} {
 		faults, _ := Check([]byte(strings.Replace(configName, `"once":false`, `"once":false,"calendar":`+bad, 1)), limits)
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -301,7 +301,7 @@
 	limited, cancel := context.WithTimeout(n.goroutines.Context, n.part.Settings.InForceWait()*2)
 	defer cancel()
 	write := registry.WriteConfiguration{ConfigName: n.part.Settings.ConfigNames[0], Version: request.Version, Body: request.Body,
-		Check: registry.CheckContent(n.part.Settings, request.Body)}
+		Check: registry.CheckConfiguration(n.part.Settings, request.Body)}
 	answered, err := n.process.Request(limited, write)
 	if err != nil {
 		return err
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -229,7 +229,7 @@
 
 // ConfigurationLimits are what every reader of configurations goes by.
 func (c Settings) ConfigurationLimits() routeconfig.Limits {
-	return routeconfig.Limits{Bytes: c.Limits.Configuration, Entries: c.Limits.Entries, Request: c.RequestLimit(), Lenient: c.Fields == FieldsKeep}
+	return routeconfig.Limits{MaxBytes: c.Limits.Configuration, MaxEntries: c.Limits.Entries, MaxTimeout: c.RequestLimit(), Lenient: c.Fields == FieldsKeep}
 }
 
 func ms(value int64) time.Duration { return time.Duration(value) * time.Millisecond }
--- a/internal/simulation/actors.go
+++ b/internal/simulation/actors.go
@@ -528,7 +528,7 @@
 		w.operations = append(w.operations, operation)
 		w.contents[digest] = version
 	}
-	chosenBoard.request(registry.WriteConfiguration{ConfigName: "main", Version: version, Body: body, Check: registry.CheckContent(chosenBoard.settings, body)}, func(answer any) {
+	chosenBoard.request(registry.WriteConfiguration{ConfigName: "main", Version: version, Body: body, Check: registry.CheckConfiguration(chosenBoard.settings, body)}, func(answer any) {
 		given := answer.(registry.Answer)
 		code := given.Code
 		operation.answer, operation.to, operation.answered = configLogAnswer{code: code}, w.now, true
@@ -562,7 +562,7 @@
 }
 
 // collect takes a usage report; the reporter hears of it unless it died meanwhile.
-func (w *World) collect(from *Node, life int, report registry.Report) {
+func (w *World) collect(from *Node, life int, report registry.UsageReport) {
 	if w.now < w.collectorDown {
 		return
 	}
@@ -579,6 +579,6 @@
 		wait += time.Duration(w.random.Int64N(int64(2 * time.Second)))
 	}
 	w.after(wait, func() {
-		from.run(life, func() { from.apply(statemachine.Asked{Question: registry.Reported{Window: report.Window}}) })
+		from.run(life, func() { from.apply(statemachine.Asked{Question: registry.UsageDelivered{Window: report.Window}}) })
 	})
 }
--- a/internal/simulation/causes.go
+++ b/internal/simulation/causes.go
@@ -49,7 +49,7 @@
 	known := false
 	for _, board := range w.alive(message.RoleRegistry) {
 		if w.linked(from, board) && w.linked(board, from) {
-			board.request(registry.ConfigurationStatus{ConfigName: "main"}, func(answer any) {
+			board.request(registry.ReadConfigurationStatus{ConfigName: "main"}, func(answer any) {
 				age := gjson.GetBytes(answer.(registry.Answer).Body, "age_ms")
 				known = known || age.Exists() && age.Int() <= from.settings.Reparent().Milliseconds()
 			})
--- a/internal/simulation/cutoff.go
+++ b/internal/simulation/cutoff.go
@@ -155,7 +155,7 @@
 	}
 	for _, severed := range []bool{true, false} {
 		if board := w.side(severed); board != nil {
-			w.askBoard(board, registry.GetConfiguration{ConfigName: "main"}, func(registry.Answer) {})
+			w.askBoard(board, registry.ReadConfiguration{ConfigName: "main"}, func(registry.Answer) {})
 			w.readViews(board)
 		}
 	}
@@ -169,7 +169,7 @@
 	if !severed || w.now-since < board.settings.StaleReady()+settleTime {
 		return
 	}
-	for _, question := range []any{registry.ReadRoster{}, registry.ConfigurationStatus{ConfigName: "main"}} {
+	for _, question := range []any{registry.ReadRoster{}, registry.ReadConfigurationStatus{ConfigName: "main"}} {
 		board.request(question, func(answer any) {
 			w.dangers["views asked of a cut-off node"]++
 			if code := answer.(registry.Answer).Code; code == errcode.OK {
--- a/internal/simulation/linear.go
+++ b/internal/simulation/linear.go
@@ -47,7 +47,7 @@
 	}
 	if boards := w.alive(message.RoleRegistry); len(boards) > 0 {
 		operation := &configLogOperation{from: w.now}
-		boards[w.random.IntN(len(boards))].request(registry.GetConfiguration{ConfigName: "main"}, func(answer any) {
+		boards[w.random.IntN(len(boards))].request(registry.ReadConfiguration{ConfigName: "main"}, func(answer any) {
 			got := answer.(registry.Answer)
 			if got.Code == errcode.OK || got.Code == errcode.ConfigurationNotFound {
 				operation.answer = configLogAnswer{code: got.Code, digest: checker.Digest(got.Body)}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -287,7 +287,7 @@
 			})
 		})
 	case statemachine.Report:
-		report := done.Body.(registry.Report)
+		report := done.Body.(registry.UsageReport)
 		if n.Now() > report.Until {
 			return
 		}
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -78,7 +78,7 @@
 	}
 	w.mark("order %d %s at %s", o.version, o.digest, board.name)
 	told := false
-	w.askBoard(board, registry.WriteConfiguration{ConfigName: "main", Version: o.version, Body: o.body, Check: registry.CheckContent(board.settings, o.body)}, func(answer registry.Answer) {
+	w.askBoard(board, registry.WriteConfiguration{ConfigName: "main", Version: o.version, Body: o.body, Check: registry.CheckConfiguration(board.settings, o.body)}, func(answer registry.Answer) {
 		told = true
 		if w.orderAnswered(o, answer) {
 			w.after(min(orderPause*time.Duration(o.tries), orderPauseMax), func() { w.persist(o) })
@@ -169,7 +169,7 @@
 	board.request(question, func(reply any) {
 		answered = true
 		answer := reply.(registry.Answer)
-		if get, isRead := question.(registry.GetConfiguration); isRead && answer.Code == errcode.OK && !get.List && get.Version == 0 {
+		if get, isRead := question.(registry.ReadConfiguration); isRead && answer.Code == errcode.OK && !get.List && get.Version == 0 {
 			w.judgeRead(board, answer, newest)
 		}
 		if since, cut := w.severed[board.machine]; cutBefore && cut && since <= began {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -100,7 +100,7 @@
 	w.options.Deployment.CoreLink = 0
 	for _, nodeName := range w.alive(message.RoleRegistry) {
 		board := nodeName
-		board.request(registry.GetConfiguration{ConfigName: "main", List: true}, func(answer any) {
+		board.request(registry.ReadConfiguration{ConfigName: "main", List: true}, func(answer any) {
 			got := answer.(registry.Answer)
 			if got.Code != errcode.OK {
 				w.fail("%s does not list the versions: %s", board.name, got.Code)
@@ -108,7 +108,7 @@
 			}
 			for _, listed := range gjson.GetBytes(got.Body, "versions").Array() {
 				version := listed.Int()
-				board.request(registry.GetConfiguration{ConfigName: "main", Version: version}, func(answer any) {
+				board.request(registry.ReadConfiguration{ConfigName: "main", Version: version}, func(answer any) {
 					if got := answer.(registry.Answer); got.Code == errcode.OK {
 						w.record.Kept = append(w.record.Kept, checker.Kept{Voter: board.place(), ConfigName: "main", Version: version, Digest: checker.Digest(got.Body)})
 					}
