--- a/internal/cli/proxy.go
+++ b/internal/cli/proxy.go
@@ -161,7 +161,7 @@
 			continue
 		}
 		usage, closed := p.frontend.Usage(p.process.Group.Wall(), sealed)
-		p.process.Tell(proxy.Counted{Usage: usage, Closed: closed})
+		p.process.Tell(proxy.UsageCounted{Usage: usage, Closed: closed})
 	}
 }
 
--- a/internal/configstore/commit.go
+++ b/internal/configstore/commit.go
@@ -106,7 +106,7 @@
 func (m *Machine) publish(s *statemachine.Env, configName string) {
 	if current, known := m.current(configName); known {
 		m.distribution.WriteConfiguration(s, configName, current.Version, current.Body)
-		m.distribution.Fresh(distribution.ConfigurationTopic(configName), s.Now)
+		m.distribution.SetFreshAt(distribution.ConfigurationTopic(configName), s.Now)
 	}
 }
 
--- a/internal/configstore/configstore.go
+++ b/internal/configstore/configstore.go
@@ -128,7 +128,7 @@
 	m.step(s)
 	if m.mode == serving && m.leases.Holding(settings.ConfigLogTag, s.Now) {
 		for _, configName := range m.configNames() {
-			m.distribution.Fresh(distribution.ConfigurationTopic(configName), s.Now)
+			m.distribution.SetFreshAt(distribution.ConfigurationTopic(configName), s.Now)
 		}
 	}
 }
--- a/internal/distribution/cutoff_test.go
+++ b/internal/distribution/cutoff_test.go
@@ -35,7 +35,7 @@
 				l.distribution.Handle(l.s, sent.To, message.UpdatesResponse{Round: request.Round, Parent: sent.To, Path: []string{"near", sent.To}, Try: []string{},
 					Items: []message.UpdateItem{{Mark: configurationMark(ConfigurationTopic("main"), 2, body), Known: true, Snapshot: true, Body: packed, Total: int64(len(packed))}}})
 			}
-			version, _, _ := l.distribution.ConfigName("main")
+			version, _, _ := l.distribution.Configuration("main")
 			joined = version == 2
 		}
 		c.Assert(joined, qt.IsTrue, qt.Commentf("seed %d: nothing heard for %v", seed, l.s.Now-cutAt))
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -36,7 +36,7 @@
 
 type topicState struct {
 	known   bool
-	slice   *Slice
+	slice   *RosterSlice
 	mark    message.Mark
 	body    []byte
 	history history // of a configuration
@@ -95,8 +95,8 @@
 		partBytes: int(cfg.Limits.Frame / 64), changed: changed}
 }
 
-// Want subscribes this node itself.
-func (c *Distribution) Want(topics ...string) {
+// Subscribe subscribes this node itself.
+func (c *Distribution) Subscribe(topics ...string) {
 	for _, topic := range topics {
 		c.own[topic] = true
 		c.topicState(topic)
@@ -113,7 +113,7 @@
 	if !found {
 		held = &topicState{mark: message.Mark{Topic: topic}, freshAt: never}
 		if !IsConfiguration(topic) {
-			held.slice = NewSlice(topic)
+			held.slice = NewRosterSlice(topic)
 		}
 		c.topicStates[topic] = held
 	}
@@ -138,17 +138,17 @@
 	return message.Mark{Topic: topic, Seq: version, Count: 1, Hash: int64(hash.Sum64())}
 }
 
-// ShareSlice makes a slice that another part changes a source here.
-func (c *Distribution) ShareSlice(slice *Slice) {
+// ServeSlice makes a slice that another part changes a source here.
+func (c *Distribution) ServeSlice(slice *RosterSlice) {
 	held := c.topicState(slice.Mark.Topic)
 	held.slice, held.known = slice, true
 }
 
-// SliceMoved pushes after the owner of a shared slice has changed it.
-func (c *Distribution) SliceMoved(s *statemachine.Env, topic string) { c.push(s, topic) }
+// SliceChanged pushes after the owner of a shared slice has changed it.
+func (c *Distribution) SliceChanged(s *statemachine.Env, topic string) { c.push(s, topic) }
 
-// Fresh sets how current a source's content is.
-func (c *Distribution) Fresh(topic string, at time.Duration) {
+// SetFreshAt sets how current a source's content is.
+func (c *Distribution) SetFreshAt(topic string, at time.Duration) {
 	held := c.topicState(topic)
 	held.freshAt = max(held.freshAt, at)
 }
@@ -171,8 +171,8 @@
 	return held.freshAt, true
 }
 
-// ConfigName returns the version and the body of a configuration, and whether there is one.
-func (c *Distribution) ConfigName(configName string) (int64, []byte, bool) {
+// Configuration returns the version and the body of a configuration, and whether there is one.
+func (c *Distribution) Configuration(configName string) (int64, []byte, bool) {
 	held, found := c.topicStates[ConfigurationTopic(configName)]
 	if !found || !held.known {
 		return 0, nil, false
@@ -180,8 +180,8 @@
 	return held.mark.Seq, held.body, true
 }
 
-// Slice gives a zone's registrations.
-func (c *Distribution) Slice(zone string) ([]message.Registration, bool) {
+// Registrations gives a zone's registrations.
+func (c *Distribution) Registrations(zone string) ([]message.Registration, bool) {
 	held, found := c.topicStates[SliceTopic(zone)]
 	if !found || !held.known {
 		return nil, false
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -43,7 +43,7 @@
 		l.ages[root] = func() time.Duration { return 0 }
 	}
 	l.distribution = New(cfg, l.members, func(*statemachine.Env, string) {})
-	l.distribution.Want(ConfigurationTopic("main"))
+	l.distribution.Subscribe(ConfigurationTopic("main"))
 	return l
 }
 
@@ -197,7 +197,7 @@
 			l.version[root] = 2
 		}
 		newer := func() bool {
-			version, _, _ := l.distribution.ConfigName("main")
+			version, _, _ := l.distribution.Configuration("main")
 			return version == 2
 		}
 		c.Assert(l.play(l.settings.Reparent()*2, newer), qt.IsTrue, qt.Commentf("seed %d: asked %v", seed, l.asked))
--- a/internal/distribution/drift.go
+++ b/internal/distribution/drift.go
@@ -25,9 +25,9 @@
 // asked once in that time at least, and a change that is on its way down the tree arrives.
 func (c *Distribution) driftPatience() time.Duration { return c.settings.UpdatesEvery() * 2 }
 
-// HeardNewer takes the positions of configurations that a registry has and this node, by
+// HandleNewerMarks takes the positions of configurations that a registry has and this node, by
 // its heartbeat, has not.
-func (c *Distribution) HeardNewer(s *statemachine.Env, registry string, marks []message.Mark) {
+func (c *Distribution) HandleNewerMarks(s *statemachine.Env, registry string, marks []message.Mark) {
 	for _, mark := range marks {
 		held, known := c.topicStates[mark.Topic]
 		if !known || !c.own[mark.Topic] || !held.at().Before(mark) {
--- a/internal/distribution/drift_test.go
+++ b/internal/distribution/drift_test.go
@@ -13,11 +13,11 @@
 // hear is a registry's answer to a heartbeat: it has a version of the configuration.
 func (l *testTree) hear(registry string, version int64) {
 	mark := configurationMark(ConfigurationTopic("main"), version, []byte("a configuration"))
-	l.distribution.HeardNewer(l.s, registry, []message.Mark{mark})
+	l.distribution.HandleNewerMarks(l.s, registry, []message.Mark{mark})
 }
 
 func (l *testTree) inForce() int64 {
-	version, _, _ := l.distribution.ConfigName("main")
+	version, _, _ := l.distribution.Configuration("main")
 	return version
 }
 
--- a/internal/distribution/history_test.go
+++ b/internal/distribution/history_test.go
@@ -44,7 +44,7 @@
 			known.Handle(n.env, "", message.JoinResponse{From: other})
 		}
 		n.nodes[self.Name] = New(cfg, known, func(*statemachine.Env, string) {})
-		n.nodes[self.Name].Want(ConfigurationTopic("main"))
+		n.nodes[self.Name].Subscribe(ConfigurationTopic("main"))
 		n.order = append(n.order, self.Name)
 	}
 	n.env.Drain()
@@ -54,7 +54,7 @@
 // play lets time pass; the configstore knows its content current all the while.
 func (n *chain) play(length time.Duration) {
 	for end := n.env.Now + length; n.env.Now < end; n.env.Now += 25 * time.Millisecond {
-		n.nodes["store"].Fresh(ConfigurationTopic("main"), n.env.Now)
+		n.nodes["store"].SetFreshAt(ConfigurationTopic("main"), n.env.Now)
 		for _, name := range n.order {
 			n.nodes[name].Tick(n.env)
 			n.deliver(name)
@@ -92,7 +92,7 @@
 
 func (n *chain) holds(name string, version int64, body []byte) {
 	n.c.Helper()
-	held, have, known := n.nodes[name].ConfigName("main")
+	held, have, known := n.nodes[name].Configuration("main")
 	n.c.Assert(known, qt.IsTrue)
 	n.c.Assert(held, qt.Equals, version)
 	n.c.Assert(bytes.Equal(have, body), qt.IsTrue)
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -114,7 +114,7 @@
 		moved = held.follow(item.Patches, c.settings.Limits.Configuration)
 	case len(item.Changes) > 0 && held.slice != nil:
 		for _, change := range item.Changes {
-			if held.slice.Follow(change) {
+			if held.slice.Apply(change) {
 				moved = true
 			}
 		}
--- a/internal/distribution/slice.go
+++ b/internal/distribution/slice.go
@@ -14,16 +14,16 @@
 
 const changesKept = 256
 
-// Slice is one zone's registrations.
-type Slice struct {
+// RosterSlice is one zone's registrations.
+type RosterSlice struct {
 	Mark          message.Mark
 	Registrations map[string]message.Registration
 	changes       []message.RosterChange
 }
 
-// NewSlice makes an empty slice.
-func NewSlice(topic string) *Slice {
-	return &Slice{Mark: message.Mark{Topic: topic}, Registrations: map[string]message.Registration{}}
+// NewRosterSlice makes an empty slice.
+func NewRosterSlice(topic string) *RosterSlice {
+	return &RosterSlice{Mark: message.Mark{Topic: topic}, Registrations: map[string]message.Registration{}}
 }
 
 func digest(registration message.Registration) int64 {
@@ -36,8 +36,8 @@
 	return int64(hash.Sum64())
 }
 
-// Change makes the next change under an epoch, applies and returns it.
-func (l *Slice) Change(epoch int64, registration message.Registration, gone bool, cause string) message.RosterChange {
+// Append makes the next change under an epoch, applies and returns it.
+func (l *RosterSlice) Append(epoch int64, registration message.Registration, gone bool, cause string) message.RosterChange {
 	if epoch != l.Mark.Epoch {
 		l.Mark.Epoch, l.Mark.Seq = epoch, 0
 		l.changes = nil
@@ -49,14 +49,14 @@
 	return change
 }
 
-// Adopt moves the slice to a new epoch with its content as it is.
-func (l *Slice) Adopt(epoch int64) {
+// StartEpoch moves the slice to a new epoch with its content as it is.
+func (l *RosterSlice) StartEpoch(epoch int64) {
 	l.Mark.Epoch, l.Mark.Seq = epoch, 0
 	l.changes = nil
 }
 
-// Follow applies another's change; false when it does not continue this position.
-func (l *Slice) Follow(change message.RosterChange) bool {
+// Apply applies another's change; false when it does not continue this position.
+func (l *RosterSlice) Apply(change message.RosterChange) bool {
 	if change.Mark.Epoch != l.Mark.Epoch || change.Mark.Seq != l.Mark.Seq+1 {
 		return false
 	}
@@ -67,7 +67,7 @@
 }
 
 // Replace takes a whole snapshot.
-func (l *Slice) Replace(mark message.Mark, registrations []message.Registration) {
+func (l *RosterSlice) Replace(mark message.Mark, registrations []message.Registration) {
 	l.Registrations = map[string]message.Registration{}
 	l.Mark.Count, l.Mark.Hash = 0, 0
 	for _, registration := range registrations {
@@ -78,7 +78,7 @@
 }
 
 // List gives the registrations in the order of their keys.
-func (l *Slice) List() []message.Registration {
+func (l *RosterSlice) List() []message.Registration {
 	list := make([]message.Registration, 0, len(l.Registrations))
 	for _, registration := range l.Registrations {
 		list = append(list, registration)
@@ -88,14 +88,14 @@
 }
 
 // Since gives the changes after a position, or false when the snapshot is needed.
-func (l *Slice) Since(mark message.Mark) ([]message.RosterChange, bool) {
+func (l *RosterSlice) Since(mark message.Mark) ([]message.RosterChange, bool) {
 	if mark.Epoch != l.Mark.Epoch || mark.Seq > l.Mark.Seq || len(l.changes) == 0 || l.changes[0].Mark.Seq > mark.Seq+1 {
 		return nil, false
 	}
 	return append([]message.RosterChange{}, l.changes[mark.Seq+1-l.changes[0].Mark.Seq:]...), true
 }
 
-func (l *Slice) write(registration message.Registration, gone bool) {
+func (l *RosterSlice) write(registration message.Registration, gone bool) {
 	key := registration.Key()
 	if old, held := l.Registrations[key]; held {
 		l.Mark.Hash -= digest(old)
@@ -108,7 +108,7 @@
 	l.Mark.Count = int64(len(l.Registrations))
 }
 
-func (l *Slice) keep(change message.RosterChange) {
+func (l *RosterSlice) keep(change message.RosterChange) {
 	l.changes = append(l.changes, change)
 	if len(l.changes) > changesKept {
 		l.changes = append([]message.RosterChange{}, l.changes[len(l.changes)-changesKept:]...)
--- a/internal/distribution/takeover_test.go
+++ b/internal/distribution/takeover_test.go
@@ -32,7 +32,7 @@
 		l.version["near"], l.version["far"] = 2, 2
 		committedAt := l.s.Now
 		l.play(l.settings.TakeOver()*4, func() bool {
-			version, _, _ := l.distribution.ConfigName("main")
+			version, _, _ := l.distribution.Configuration("main")
 			return version == 2
 		})
 		took := l.s.Now - committedAt
--- a/internal/frontend/admit.go
+++ b/internal/frontend/admit.go
@@ -32,10 +32,10 @@
 	f.lock.Lock()
 	snapshot := f.snapshot
 	f.lock.Unlock()
-	if snapshot == nil || !snapshot.Known {
+	if snapshot == nil || !snapshot.ConfigurationsKnown {
 		return Refusal(errcode.BusyNotReady)
 	}
-	if limit := f.settings.StaleAdmit(); limit > 0 && now-snapshot.FreshAt > limit {
+	if limit := f.settings.StaleAdmit(); limit > 0 && now-snapshot.ConfigurationsFreshAt > limit {
 		return Refusal(errcode.BusyStale)
 	}
 	path, code := f.protocol.PathOf(request)
@@ -119,7 +119,7 @@
 	f.lock.Lock()
 	snapshot := f.snapshot
 	f.lock.Unlock()
-	if snapshot == nil || !snapshot.Known {
+	if snapshot == nil || !snapshot.ConfigurationsKnown {
 		return errcode.BusyNotReady
 	}
 	for _, configuration := range snapshot.Configurations {
--- a/internal/frontend/adopt_test.go
+++ b/internal/frontend/adopt_test.go
@@ -75,7 +75,7 @@
 }
 
 func rosterOf(registrations ...message.Registration) *proxy.Snapshot {
-	return &proxy.Snapshot{Known: true, RosterHere: true, Proxies: 1, Upstreams: map[string][]message.Registration{"pay": registrations}}
+	return &proxy.Snapshot{ConfigurationsKnown: true, RosterKnown: true, ProxyCount: 1, Upstreams: map[string][]message.Registration{"pay": registrations}}
 }
 
 func announced(instance, address string, number int64) backend.Announcement {
--- a/internal/frontend/budget.go
+++ b/internal/frontend/budget.go
@@ -89,7 +89,7 @@
 	// proxies that restart in turn would refill it for the fleet.
 	allowance := 0.0
 	if now >= f.settings.RetryWindow() {
-		allowance = float64(f.settings.Bounds.RetryAllowance) / float64(max(1, f.snapshot.Proxies))
+		allowance = float64(f.settings.Bounds.RetryAllowance) / float64(max(1, f.snapshot.ProxyCount))
 	}
 	if float64(retries+1) > f.settings.Bounds.RetryShare*float64(firsts)*0.9+allowance {
 		return false
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -128,7 +128,7 @@
 func (f *Frontend) Here() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.snapshot != nil && f.snapshot.Known && f.snapshot.RosterHere
+	return f.snapshot != nil && f.snapshot.ConfigurationsKnown && f.snapshot.RosterKnown
 }
 
 // Choose picks the upstream for the next attempt.
@@ -230,7 +230,7 @@
 // must not fill its proxy's link only to be refused.
 func (f *Frontend) fullRest(times int) time.Duration {
 	shortest := f.settings.UpdatesEvery() / 4
-	longest := min(shortest*time.Duration(max(1, f.snapshot.Proxies/proxiesPerRest)), f.settings.UpdatesEvery()*4)
+	longest := min(shortest*time.Duration(max(1, f.snapshot.ProxyCount/proxiesPerRest)), f.settings.UpdatesEvery()*4)
 	return min(shortest<<min(times-1, fullDoublings), longest)
 }
 
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -31,8 +31,8 @@
 	f := New(cfg, func(pass string) (backend.Pass, bool) {
 		return backend.Pass{Tenant: "t", Service: "pay"}, pass == "good"
 	})
-	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
-		Proxies: 10, Upstreams: map[string][]message.Registration{"pay": upstreams}})
+	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
+		ProxyCount: 10, Upstreams: map[string][]message.Registration{"pay": upstreams}})
 	return f
 }
 
--- a/internal/frontend/full_test.go
+++ b/internal/frontend/full_test.go
@@ -30,8 +30,8 @@
 		list = append(list, upstream(name, "here"))
 	}
 	f := New(cfg, func(string) (backend.Pass, bool) { return backend.Pass{}, false })
-	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(nestedRoutes), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
-		Proxies: proxies, Upstreams: map[string][]message.Registration{"pay": list}})
+	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(nestedRoutes), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
+		ProxyCount: proxies, Upstreams: map[string][]message.Registration{"pay": list}})
 	return f
 }
 
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -264,7 +264,7 @@
 			ServingProxy: modelHomes[name], ServingProxyAddress: modelHomes[name], ServingProxyBirth: w.proxies[modelHomes[name]].lifeOr(life)})
 	}
 	p.front.Show(w.now, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(modelRoutes), cfg.ConfigurationLimits())},
-		Known: true, RosterHere: true, Joined: true, Proxies: 1, Upstreams: map[string][]message.Registration{"pay": list}})
+		ConfigurationsKnown: true, RosterKnown: true, Joined: true, ProxyCount: 1, Upstreams: map[string][]message.Registration{"pay": list}})
 }
 
 func (p *modelProxy) lifeOr(other int64) int64 {
--- a/internal/frontend/stages.go
+++ b/internal/frontend/stages.go
@@ -158,7 +158,7 @@
 
 // Open makes a traffic connection; closed is called once when it breaks.
 func (t *Stages) Open(servingProxy string, received func(msg any), closed func(connection Connection)) Connection {
-	connection := t.transport.Open(servingProxy, received)
+	connection := t.transport.OpenTraffic(servingProxy, received)
 	t.goroutines.Go("stage.watch", func(ctx context.Context) {
 		select {
 		case <-ctx.Done():
--- a/internal/frontend/target_test.go
+++ b/internal/frontend/target_test.go
@@ -28,8 +28,8 @@
 	faults, _ := routeconfig.Check([]byte(hosted), cfg.ConfigurationLimits())
 	c.Assert(faults, qt.HasLen, 0)
 	f := New(cfg, func(string) (backend.Pass, bool) { return backend.Pass{}, false })
-	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
-		Proxies: 1, Upstreams: map[string][]message.Registration{"pay": upstreams}})
+	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
+		ProxyCount: 1, Upstreams: map[string][]message.Registration{"pay": upstreams}})
 	return f
 }
 
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/tracker_test.go
@@ -72,7 +72,7 @@
 	cfg := settings.Default()
 	cfg.Zone = "here"
 	f := New(cfg, func(string) (backend.Pass, bool) { return backend.Pass{}, false })
-	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Proxies: 2,
+	f.Show(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, ProxyCount: 2,
 		Upstreams: map[string][]message.Registration{"pay": {upstream("one", "here")}}})
 	back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
 	back.tracker = NewTracker(cfg, f, backend.New(cfg, nil), back, message.Member{Name: "me", Address: "here:1"})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -104,9 +104,9 @@
 	if err != nil {
 		return err
 	}
-	network.Pace(n.Settings.LinkShare())
+	network.LimitRate(n.Settings.LinkShare())
 	n.Transport = network
-	network.OnBroke(func(address string) { n.Tell(statemachine.ConnectionBroke{Address: address}) })
+	network.OnConnectionLost(func(address string) { n.Tell(statemachine.ConnectionBroke{Address: address}) })
 	if begin != nil {
 		begin(network)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -41,10 +41,10 @@
 	m.membership = membership.New(cfg, self, nil)
 	m.distribution = distribution.New(cfg, m.membership, m.changed)
 	for _, configName := range cfg.ConfigNames {
-		m.distribution.Want(distribution.ConfigurationTopic(configName))
+		m.distribution.Subscribe(distribution.ConfigurationTopic(configName))
 	}
 	for _, zone := range cfg.Subscribed() {
-		m.distribution.Want(distribution.SliceTopic(zone))
+		m.distribution.Subscribe(distribution.SliceTopic(zone))
 	}
 	return m
 }
@@ -55,7 +55,7 @@
 		if distribution.ConfigurationTopic(configName) != topic {
 			continue
 		}
-		if version, body, known := m.distribution.ConfigName(configName); known {
+		if version, body, known := m.distribution.Configuration(configName); known {
 			m.configurations[configName] = m.configurations[configName].Next(configName, version, body, m.settings.ConfigurationLimits())
 			m.heartbeatAt = env.Now
 		}
@@ -90,7 +90,7 @@
 			m.handleProbeRequest(env, received)
 		case message.HeartbeatResponse:
 			m.sealed[received.Registry] = received.Sealed
-			m.distribution.HeardNewer(env, received.Registry, received.Newer)
+			m.distribution.HandleNewerMarks(env, received.Registry, received.Newer)
 		}
 	}
 	m.sendDue(env)
@@ -105,7 +105,7 @@
 		m.signedOff(env, asked)
 	case Probed:
 		m.probed(env, asked)
-	case Counted:
+	case UsageCounted:
 		m.sendUsage(env, asked)
 	case statemachine.Reseeded:
 		m.membership.Reseed(asked.Seeds)
--- a/internal/proxy/questions.go
+++ b/internal/proxy/questions.go
@@ -23,8 +23,8 @@
 	Answered    bool
 }
 
-// Counted is what the frontend has counted of usage; windows below Closed won't change.
-type Counted struct {
+// UsageCounted is what the frontend has counted of usage; windows below Closed won't change.
+type UsageCounted struct {
 	Usage  []message.UsageCount
 	Closed int64
 }
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -11,21 +11,21 @@
 
 // Snapshot is what traffic sees of the control state. It is never changed after it was published.
 type Snapshot struct {
-	Configurations []*routeconfig.Configuration
-	Upstreams      map[string][]message.Registration // by service
-	Proxies        int                               // in the fleet, this one included
-	FreshAt        time.Duration                     // when all configurations were last known current
-	Known          bool                              // every configuration is here
-	RosterAt       time.Duration                     // when all slices were last known current
-	RosterHere     bool                              // every slice is here
-	Joined         bool                              // any other node is known
-	Stopping       bool
+	Configurations        []*routeconfig.Configuration
+	Upstreams             map[string][]message.Registration // by service
+	ProxyCount            int                               // in the fleet, this one included
+	ConfigurationsFreshAt time.Duration                     // when all configurations were last known current
+	ConfigurationsKnown   bool                              // every configuration is here
+	RosterFreshAt         time.Duration                     // when all slices were last known current
+	RosterKnown           bool                              // every slice is here
+	Joined                bool                              // any other node is known
+	Stopping              bool
 }
 
 // Ready reports whether this node should get traffic; staleAfter is the age past which its
 // configurations or roster are too old.
 func (v *Snapshot) Ready(now time.Duration, staleAfter time.Duration) bool {
-	return v != nil && v.Joined && !v.Stopping && v.Known && v.RosterHere && now-v.FreshAt <= staleAfter && now-v.RosterAt <= staleAfter
+	return v != nil && v.Joined && !v.Stopping && v.ConfigurationsKnown && v.RosterKnown && now-v.ConfigurationsFreshAt <= staleAfter && now-v.RosterFreshAt <= staleAfter
 }
 
 // publish hands the traffic side a snapshot; heartbeats tell the readiness of the last one published.
@@ -37,14 +37,14 @@
 // snapshot returns the control state as traffic is to see it.
 func (m *Machine) snapshot(env *statemachine.Env) *Snapshot {
 	snapshot := &Snapshot{
-		Upstreams:  map[string][]message.Registration{},
-		Known:      true,
-		RosterHere: true,
-		Joined:     m.membership.Joined(),
-		Stopping:   m.stopping,
-		Proxies:    m.proxies(),
-		FreshAt:    env.Now,
-		RosterAt:   env.Now,
+		Upstreams:             map[string][]message.Registration{},
+		ConfigurationsKnown:   true,
+		RosterKnown:           true,
+		Joined:                m.membership.Joined(),
+		Stopping:              m.stopping,
+		ProxyCount:            m.proxies(),
+		ConfigurationsFreshAt: env.Now,
+		RosterFreshAt:         env.Now,
 	}
 	for _, configName := range m.settings.ConfigNames {
 		m.addConfiguration(env, snapshot, configName)
@@ -65,7 +65,7 @@
 		m.begun[configName] = true
 	}
 	if !held || !m.begun[configName] {
-		snapshot.Known = false
+		snapshot.ConfigurationsKnown = false
 		return
 	}
 	if m.inForce[configName] != configuration.Version {
@@ -73,19 +73,19 @@
 		env.Event("configuration-in-force", 0, configuration.Version, configName)
 	}
 	snapshot.Configurations = append(snapshot.Configurations, configuration)
-	snapshot.FreshAt = min(snapshot.FreshAt, freshAt)
+	snapshot.ConfigurationsFreshAt = min(snapshot.ConfigurationsFreshAt, freshAt)
 }
 
 // addSlice adds the upstreams of a zone.
 func (m *Machine) addSlice(snapshot *Snapshot, zone string) {
-	registrations, known := m.distribution.Slice(zone)
+	registrations, known := m.distribution.Registrations(zone)
 	freshAt, fresh := m.distribution.FreshAt(distribution.SliceTopic(zone))
 	if !known || !fresh && !m.settings.ByTarget() {
-		snapshot.RosterHere = false
+		snapshot.RosterKnown = false
 		return
 	}
 	if fresh {
-		snapshot.RosterAt = min(snapshot.RosterAt, freshAt)
+		snapshot.RosterFreshAt = min(snapshot.RosterFreshAt, freshAt)
 	}
 	for _, registration := range registrations {
 		if !m.orphaned(registration) {
--- a/internal/proxy/usage.go
+++ b/internal/proxy/usage.go
@@ -27,7 +27,7 @@
 
 // sendUsage sends the counts to the registries: all windows when a window that is over
 // has changed or the time has come, else the running one where that has changed.
-func (m *Machine) sendUsage(env *statemachine.Env, counted Counted) {
+func (m *Machine) sendUsage(env *statemachine.Env, counted UsageCounted) {
 	over, running := splitUsage(counted)
 	sent := &m.usage
 	whole := counted.Closed != sent.closed || !reflect.DeepEqual(over, sent.over) || env.Now >= sent.wholeAt
@@ -49,7 +49,7 @@
 }
 
 // splitUsage parts the windows that are over from the running one.
-func splitUsage(counted Counted) (over, running []message.UsageCount) {
+func splitUsage(counted UsageCounted) (over, running []message.UsageCount) {
 	over, running = []message.UsageCount{}, []message.UsageCount{}
 	for _, count := range counted.Usage {
 		if count.Window < counted.Closed {
--- a/internal/proxy/usage_test.go
+++ b/internal/proxy/usage_test.go
@@ -36,7 +36,7 @@
 
 // count hands counts over and gives the updates that the first registry is sent.
 func (p *counting) count(closed int64, usage ...message.UsageCount) []message.UsageUpdate {
-	p.machine.Asked(p.env, 0, Counted{Usage: usage, Closed: closed})
+	p.machine.Asked(p.env, 0, UsageCounted{Usage: usage, Closed: closed})
 	updates := []message.UsageUpdate{}
 	for _, effect := range p.env.Drain() {
 		sent, isSend := effect.(statemachine.Send)
--- a/internal/registry/backup.go
+++ b/internal/registry/backup.go
@@ -40,14 +40,14 @@
 	if !known || change.Mark.Epoch < m.leases.Epoch(tag) || change.Mark.Epoch < slice.Mark.Epoch || m.keeps(s, tag) {
 		return
 	}
-	if !slice.Follow(change) {
+	if !slice.Apply(change) {
 		if slice.Mark.Before(change.Mark) || !slice.Mark.Same(change.Mark) && slice.Mark.Epoch == change.Mark.Epoch && slice.Mark.Seq == change.Mark.Seq {
 			m.pull(s, tag, "gap in broadcasts")
 		}
 		return
 	}
 	m.Persist(s, change, func(*statemachine.Env, error) {})
-	m.distribution.SliceMoved(s, change.Mark.Topic)
+	m.distribution.SliceChanged(s, change.Mark.Topic)
 }
 
 func (m *Machine) handleDigest(s *statemachine.Env, from string, response message.RosterDigest) {
@@ -57,7 +57,7 @@
 		return
 	}
 	if slice.Mark.Same(response.Mark) {
-		m.distribution.Fresh(distribution.SliceTopic(response.Tag), askedAt)
+		m.distribution.SetFreshAt(distribution.SliceTopic(response.Tag), askedAt)
 		return
 	}
 	if guardsOff.driftDetection {
@@ -96,7 +96,7 @@
 	if slice.Mark.Before(snapshot.Mark) || snapshot.Holder && snapshot.Mark.Epoch >= m.leases.Epoch(snapshot.Tag) && !sameHash {
 		slice.Replace(snapshot.Mark, snapshot.Registrations)
 		m.dirty = true
-		m.distribution.SliceMoved(s, slice.Mark.Topic)
+		m.distribution.SliceChanged(s, slice.Mark.Topic)
 	}
 	m.whole[snapshot.Tag] = true
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -36,7 +36,7 @@
 	usage        *usage
 	outside      *outside
 
-	slices   map[string]*distribution.Slice
+	slices   map[string]*distribution.RosterSlice
 	seen     map[string]heartbeatSeen
 	ended    map[string]ended
 	proxies  map[string]proxySeen
@@ -64,17 +64,17 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{settings: cfg, slices: map[string]*distribution.Slice{}, seen: map[string]heartbeatSeen{}, ended: map[string]ended{},
+	m := &Machine{settings: cfg, slices: map[string]*distribution.RosterSlice{}, seen: map[string]heartbeatSeen{}, ended: map[string]ended{},
 		proxies: map[string]proxySeen{}, writing: map[string]bool{}, probedAt: map[string]time.Duration{}, takenAt: map[string]time.Duration{},
 		whole: map[string]bool{}, unwhole: map[string]map[string]bool{}, checks: map[int64]time.Duration{}, pullAt: map[string]time.Duration{}}
 	m.restoreSlices(kept.Slices)
 	m.membership = membership.New(cfg, self, kept.Seen)
 	m.distribution = distribution.New(cfg, m.membership, func(s *statemachine.Env, topic string) {})
 	for _, configName := range cfg.ConfigNames {
-		m.distribution.Want(distribution.ConfigurationTopic(configName))
+		m.distribution.Subscribe(distribution.ConfigurationTopic(configName))
 	}
 	for _, zone := range cfg.Zones {
-		m.distribution.ShareSlice(m.slices[zone])
+		m.distribution.ServeSlice(m.slices[zone])
 	}
 	m.Core = quorum.NewCore(cfg, message.RoleRegistry, m.membership, m.snapshot, snapshot == nil)
 	m.usage = newUsage(m, kept.Sealed, kept.Reported)
@@ -94,7 +94,7 @@
 // restoreSlices takes the roster of the snapshot.
 func (m *Machine) restoreSlices(kept []message.RosterSnapshot) {
 	for _, zone := range m.settings.Zones {
-		m.slices[zone] = distribution.NewSlice(distribution.SliceTopic(zone))
+		m.slices[zone] = distribution.NewRosterSlice(distribution.SliceTopic(zone))
 	}
 	for _, slice := range kept {
 		if held, known := m.slices[slice.Tag]; known {
@@ -108,7 +108,7 @@
 	switch held := record.(type) {
 	case message.RosterChange:
 		if slice, known := m.slices[tagOf(held.Mark.Topic)]; known {
-			slice.Change(held.Mark.Epoch, held.Registration, held.Gone, held.Cause)
+			slice.Append(held.Mark.Epoch, held.Registration, held.Gone, held.Cause)
 		}
 	case message.UsageSealed:
 		m.usage.restore(held)
@@ -186,8 +186,8 @@
 		m.usage.took(s, epoch)
 		return
 	}
-	m.slices[tag].Adopt(epoch)
-	m.distribution.SliceMoved(s, distribution.SliceTopic(tag))
+	m.slices[tag].StartEpoch(epoch)
+	m.distribution.SliceChanged(s, distribution.SliceTopic(tag))
 	m.dirty = true
 }
 
@@ -217,7 +217,7 @@
 	m.usage.tick(s)
 	for _, tag := range m.settings.Zones {
 		if m.keeps(s, tag) {
-			m.distribution.Fresh(distribution.SliceTopic(tag), s.Now)
+			m.distribution.SetFreshAt(distribution.SliceTopic(tag), s.Now)
 		}
 	}
 	if s.Now >= m.checkAt {
@@ -266,7 +266,7 @@
 // handleConfigurationCommitted takes a version that a peer was told is committed; one that
 // stands here already isn't unpacked.
 func (m *Machine) handleConfigurationCommitted(s *statemachine.Env, committed message.ConfigurationCommitted) {
-	if version, _, known := m.distribution.ConfigName(committed.ConfigName); known && version >= committed.Version {
+	if version, _, known := m.distribution.Configuration(committed.ConfigName); known && version >= committed.Version {
 		return
 	}
 	body, err := delta.Apply(nil, committed.Body, m.settings.Limits.Configuration)
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -245,7 +245,7 @@
 
 // configurationStatus says which proxy has which version in force, as its heartbeats tell.
 func (m *Machine) configurationStatus(s *statemachine.Env, configName string, wanted int64) Answer {
-	version, _, known := m.distribution.ConfigName(configName)
+	version, _, known := m.distribution.Configuration(configName)
 	code := errcode.OK
 	if wanted == 0 {
 		code = m.vouches(s, distribution.ConfigurationTopic(configName))
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -163,12 +163,12 @@
 		if failure != nil || !m.keeps(s, tag) || m.leases.Epoch(tag) != epoch {
 			return
 		}
-		change := m.slices[tag].Change(epoch, registration, gone, cause)
+		change := m.slices[tag].Append(epoch, registration, gone, cause)
 		s.Event("roster-change", 0, epoch, tag+" "+key+": "+cause)
 		for _, peer := range m.Peers() {
 			s.Send(peer.Address, change)
 		}
-		m.distribution.SliceMoved(s, distribution.SliceTopic(tag))
+		m.distribution.SliceChanged(s, distribution.SliceTopic(tag))
 	})
 }
 
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -57,7 +57,7 @@
 func (m *Machine) configurationAnswers(s *statemachine.Env) map[string]configurationAnswer {
 	answers := map[string]configurationAnswer{}
 	for _, configName := range m.settings.ConfigNames {
-		version, body, known := m.distribution.ConfigName(configName)
+		version, body, known := m.distribution.Configuration(configName)
 		age, _ := m.distribution.Age(distribution.ConfigurationTopic(configName), s.Now)
 		answers[configName] = configurationAnswer{Version: version, Bytes: len(body), Known: known, AgeMS: age.Milliseconds()}
 	}
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -200,7 +200,7 @@
 			counts[current] = map[string]int64{}
 		}
 		counts[current][fmt.Sprintf("tenant-%d", round%part.Tenants)]++
-		counted := proxy.Counted{Closed: current}
+		counted := proxy.UsageCounted{Closed: current}
 		for window := range counts {
 			if window < answer.(int64) || window < current-4 {
 				delete(counts, window)
@@ -257,9 +257,9 @@
 }
 
 func merge(sums map[string]transport.Count, passed transport.Count) {
-	key := fmt.Sprintf("%s %t %s", passed.Way, passed.Out, passed.Kind)
+	key := fmt.Sprintf("%s %t %s", passed.Protocol, passed.Outbound, passed.Kind)
 	sum := sums[key]
-	sums[key] = transport.Count{Way: passed.Way, Out: passed.Out, Kind: passed.Kind, Messages: sum.Messages + passed.Messages, Bytes: sum.Bytes + passed.Bytes}
+	sums[key] = transport.Count{Protocol: passed.Protocol, Outbound: passed.Outbound, Kind: passed.Kind, Messages: sum.Messages + passed.Messages, Bytes: sum.Bytes + passed.Bytes}
 }
 
 // Do answers one question.
@@ -371,7 +371,7 @@
 			for _, list := range snapshot.Upstreams {
 				upstreams += len(list)
 			}
-			known = snapshot.Proxies
+			known = snapshot.ProxyCount
 			if snapshot.Ready(held.goroutines.Now(), held.part.Settings.StaleReady()) {
 				state.Ready++
 			}
--- a/internal/scaletest/measure.go
+++ b/internal/scaletest/measure.go
@@ -99,11 +99,11 @@
 	take := func(reading Reading, sign float64) {
 		for _, passed := range reading.Counts {
 			direction := "in"
-			if passed.Out {
+			if passed.Outbound {
 				direction = "out"
 			}
-			sums[passed.Way+"_"+direction+"_messages"] += sign * float64(passed.Messages)
-			sums[passed.Way+"_"+direction+"_bytes"] += sign * float64(passed.Bytes)
+			sums[passed.Protocol+"_"+direction+"_messages"] += sign * float64(passed.Messages)
+			sums[passed.Protocol+"_"+direction+"_bytes"] += sign * float64(passed.Bytes)
 			sums["bytes_"+partName(passed.Kind)] += sign * float64(passed.Bytes)
 			sums["messages"] += sign * float64(passed.Messages)
 			sums["bytes"] += sign * float64(passed.Bytes)
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -107,7 +107,7 @@
 	c := qt.New(t)
 	before, after := Reading{At: time.Second, Processor: time.Second}, Reading{At: 3 * time.Second, Processor: 1500 * time.Millisecond, Node: map[string]int64{"disk_syncs": 8}}
 	for _, kind := range []string{"Ping", "HeartbeatBatch", "LeaseRequest", "WriteRequest"} {
-		after.Counts = append(after.Counts, transport.Count{Way: "tcp", Out: true, Kind: kind, Messages: 10, Bytes: 100})
+		after.Counts = append(after.Counts, transport.Count{Protocol: "tcp", Outbound: true, Kind: kind, Messages: 10, Bytes: 100})
 	}
 	rate := rates(before, after)
 	for metric, value := range map[string]float64{"processor": 25, "disk_syncs": 4, "tcp_out_messages": 20, "bytes": 200, "bytes_membership": 50, "bytes_heartbeats": 50, "bytes_voters": 50, "bytes_config_log": 50, "udp_in_bytes": 0} {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -216,7 +216,7 @@
 
 func (n *Node) count() {
 	usage, closed := n.frontend.Usage(time.Duration(n.Wall().UnixNano()), n.control.(*proxy.Machine).SealedBelow())
-	n.apply(statemachine.Asked{Question: proxy.Counted{Usage: usage, Closed: closed}})
+	n.apply(statemachine.Asked{Question: proxy.UsageCounted{Usage: usage, Closed: closed}})
 }
 
 // tick is dropped, not kept back, while the process stands still.
--- a/internal/transport/pacer.go
+++ b/internal/transport/pacer.go
@@ -59,8 +59,8 @@
 	return p.free
 }
 
-// Pace bounds what traffic sends to so many bytes a second; before Start.
-func (w *Transport) Pace(bytesPerSecond int64) { w.pacer.rate = bytesPerSecond }
+// LimitRate bounds what traffic sends to so many bytes a second; before Start.
+func (w *Transport) LimitRate(bytesPerSecond int64) { w.pacer.rate = bytesPerSecond }
 
 // Backlog is how long a frame that was posted now would wait for its turn on the link.
 func (w *Transport) Backlog() time.Duration { return w.pacer.backlog() }
--- a/internal/transport/pacer_test.go
+++ b/internal/transport/pacer_test.go
@@ -78,14 +78,14 @@
 	c.Assert(err, qt.IsNil)
 	to, err := New(group, "127.0.0.1:0", frameCap, queue, time.Second, received.inbound)
 	c.Assert(err, qt.IsNil)
-	from.Pace(rate)
+	from.LimitRate(rate)
 	from.Start()
 	to.Start()
 	defer from.Close()
 	defer to.Close()
 
 	began := time.Now()
-	traffic := from.Open(to.address, func(any) {})
+	traffic := from.OpenTraffic(to.address, func(any) {})
 	for range 250 {
 		forward := message.Forward{Headers: []message.HeaderLine{}, Body: make([]byte, body)}
 		c.Assert(traffic.Post(forward), qt.IsNil)
--- a/internal/transport/tally.go
+++ b/internal/transport/tally.go
@@ -12,8 +12,8 @@
 
 // Count is how much of one kind has passed.
 type Count struct {
-	Way      string `json:"way"` // tcp or udp
-	Out      bool   `json:"out"`
+	Protocol string `json:"way"` // tcp or udp
+	Outbound bool   `json:"out"`
 	Kind     string `json:"kind"`
 	Messages int64  `json:"messages"`
 	Bytes    int64  `json:"bytes"`
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -28,8 +28,8 @@
 // frameHead is the bytes of a frame's length, before the frame.
 const frameHead = 4
 
-// Inbound takes what arrives. Back answers on the same connection, for traffic frames.
-type Inbound func(from string, msg any, back func(msg any) error)
+// Handler takes what arrives. Back answers on the same connection, for traffic frames.
+type Handler func(from string, msg any, back func(msg any) error)
 
 // Transport is the transport of one process.
 type Transport struct {
@@ -38,7 +38,7 @@
 	frameCap      int64
 	queue         int
 	dialLimit     time.Duration
-	inbound       Inbound
+	inbound       Handler
 	listener      net.Listener
 	packets       net.PacketConn
 	lock          sync.Mutex
@@ -49,11 +49,11 @@
 	pacer         pacer
 }
 
-// OnBroke is told of control connections that ended.
-func (w *Transport) OnBroke(broke func(address string)) { w.broke = broke }
+// OnConnectionLost is told of control connections that ended.
+func (w *Transport) OnConnectionLost(broke func(address string)) { w.broke = broke }
 
 // New binds the address on TCP and UDP.
-func New(members *goroutine.Group, address string, frameCap int64, queue int, dialLimit time.Duration, inbound Inbound) (*Transport, error) {
+func New(members *goroutine.Group, address string, frameCap int64, queue int, dialLimit time.Duration, inbound Handler) (*Transport, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errcode.Wrap("transport.listen", errcode.ConnectionLost, err)
@@ -195,8 +195,8 @@
 	return connection.Post(msg)
 }
 
-// Open makes a connection of its own for traffic; heard gets what comes back.
-func (w *Transport) Open(to string, received func(msg any)) *Connection {
+// OpenTraffic makes a connection of its own for traffic; heard gets what comes back.
+func (w *Transport) OpenTraffic(to string, received func(msg any)) *Connection {
 	return w.open(to, true, received, nil)
 }
 
