--- a/internal/configstore/catchup.go
+++ b/internal/configstore/catchup.go
@@ -21,7 +21,7 @@
 // keepsUp says that a voter has confirmed everything, as the member this holder knows.
 func (m *Machine) keepsUp(voter string) bool {
 	last, known := m.followers[voter]
-	return known && last.Seq >= m.seq && m.quorum.Holds(voter, last.Identity)
+	return known && last.Seq >= m.seq && m.quorum.Accepts(voter, last.Identity)
 }
 
 // tellLaggards names the log's end to the voters that have not confirmed it.
--- a/internal/configstore/commit.go
+++ b/internal/configstore/commit.go
@@ -23,7 +23,7 @@
 func (m *Machine) sendInFlight(s *statemachine.Env) {
 	m.sentAt = s.Now
 	for _, peer := range m.Peers() {
-		if !m.quorum.Holds(peer.Voter, m.acks[peer.Voter]) {
+		if !m.quorum.Accepts(peer.Voter, m.acks[peer.Voter]) {
 			m.packed.Identity = m.quorum.Signature()
 			s.Send(peer.Address, m.packed)
 		}
--- a/internal/configstore/configstore.go
+++ b/internal/configstore/configstore.go
@@ -86,7 +86,7 @@
 	m.synced = m.position()
 	m.distribution = distribution.New(cfg, m.membership, func(*statemachine.Env, string) {})
 	m.Core = quorum.NewCore(cfg, message.RoleConfigStore, m.membership, m.snapshot, snapshot == nil)
-	m.quorum = quorum.NewQuorum(Group, cfg, m, restored.Voter, func(s *statemachine.Env, fresh bool) { m.leases.BeginVoting(s, fresh) })
+	m.quorum = quorum.New(Group, cfg, m, restored.Voter, func(s *statemachine.Env, fresh bool) { m.leases.BeginVoting(s, fresh) })
 	m.UseVoters(m.quorum)
 	m.leases = lease.NewLeases(cfg, m, m.quorum, []string{settings.ConfigLogTag}, restored.Votes, m.fit, m.took, m.lost)
 	m.distribution.ServeWhen(func(now time.Duration) bool { return m.mode == serving && m.leases.Holding(settings.ConfigLogTag, now) }, func() []string { return []string{m.holderName()} })
@@ -122,7 +122,7 @@
 func (m *Machine) Tick(s *statemachine.Env) {
 	m.membership.Tick(s)
 	m.quorum.Tick(s)
-	m.Keep(s, m.quorum.ShutOut)
+	m.Maintain(s, m.quorum.Removed)
 	m.leases.Tick(s)
 	m.distribution.Tick(s)
 	m.step(s)
@@ -181,7 +181,7 @@
 	promised := m.leases.Epoch(settings.ConfigLogTag)
 	valid := func(voter, identity string, epoch int64) bool {
 		inEpoch := epoch == promised || guardsOff.promisedEpoch
-		return m.quorum.Voting() && m.quorum.Holds(voter, identity) && inEpoch && m.Failure() == nil
+		return m.quorum.Voting() && m.quorum.Accepts(voter, identity) && inEpoch && m.Failure() == nil
 	}
 	switch received := msg.(type) {
 	case message.LogPositionRequest:
--- a/internal/configstore/state.go
+++ b/internal/configstore/state.go
@@ -11,7 +11,6 @@
 	"slices"
 
 	"beaconvane/internal/message"
-	"beaconvane/internal/quorum"
 	"beaconvane/internal/statemachine"
 )
 
@@ -94,12 +93,12 @@
 	return body
 }
 
-// StateForGrant and AbsorbGrants, with the core's methods, make it a quorum.Host. The state
+// StateForGrant and MergeGrantedStates, with the core's methods, make it a quorum.Host. The state
 // travels with differences for versions.
 func (m *Machine) StateForGrant() []byte { return m.encoded(m.packer.pack(m.all())) }
 
-// AbsorbGrants takes the highest position that the two others hold.
-func (m *Machine) AbsorbGrants(s *statemachine.Env, states [][]byte) {
+// MergeGrantedStates takes the highest position that the two others hold.
+func (m *Machine) MergeGrantedStates(s *statemachine.Env, states [][]byte) {
 	for _, body := range states {
 		decoded, err := message.Decode(body)
 		state, isState := decoded.(message.ConfigStoreState)
@@ -118,8 +117,8 @@
 	m.synced = m.position()
 }
 
-// Forget drops what rested on a voter that is another's now.
-func (m *Machine) Forget(s *statemachine.Env) {
+// DiscardState drops what rested on a voter that is another's now.
+func (m *Machine) DiscardState(s *statemachine.Env) {
 	m.leases.Forget(s)
 	m.term, m.mode, m.reads, m.acks = 0, idle, nil, nil
 	m.absorb(message.ConfigStoreState{})
@@ -129,7 +128,7 @@
 // ForceRecover gives the other voters up and returns the snapshot to be written: an operator's
 // deed on the stopped survivor of two lost disks.
 func (m *Machine) ForceRecover() []byte {
-	m.quorum.State = quorum.ForceRecover(m.quorum.State)
+	m.quorum.ForceRecover()
 	m.leases.ForceRecover()
 	return m.snapshot()
 }
--- a/internal/configstore/takeover.go
+++ b/internal/configstore/takeover.go
@@ -47,7 +47,7 @@
 	best := m.reads[m.quorum.Voter]
 	for _, voter := range m.quorum.VoterNames() {
 		response, read := m.reads[voter]
-		if read && !guardsOff.highestPosition && m.quorum.Holds(voter, response.Identity) && (position{best.AtEpoch, best.AtSeq, 0}).before(position{response.AtEpoch, response.AtSeq, 0}) {
+		if read && !guardsOff.highestPosition && m.quorum.Accepts(voter, response.Identity) && (position{best.AtEpoch, best.AtSeq, 0}).before(position{response.AtEpoch, response.AtSeq, 0}) {
 			best = response
 		}
 	}
@@ -68,7 +68,7 @@
 	m.mode, m.acks, m.sentAt = adopting, map[string]string{}, 0
 	m.epoch, m.seq = m.term, 0
 	term, reached := m.term, m.position()
-	m.CompactNow(s, func(s *statemachine.Env, failure error) {
+	m.WriteSnapshot(s, func(s *statemachine.Env, failure error) {
 		if failure != nil {
 			return
 		}
@@ -132,7 +132,7 @@
 	m.absorb(message.ConfigStoreState{Epoch: snapshot.AtEpoch, Seq: snapshot.AtSeq, Configurations: configurations, History: snapshot.History})
 	reached := m.position()
 	asHolder, term := m.mode == pulling, m.term
-	m.CompactNow(s, func(s *statemachine.Env, failure error) {
+	m.WriteSnapshot(s, func(s *statemachine.Env, failure error) {
 		if failure != nil {
 			return
 		}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -130,7 +130,7 @@
 // Holding says that this voter is active for the tag, by its own clock, now.
 func (t *Leases) Holding(tag string, now time.Duration) bool {
 	state := t.tags[tag]
-	return state != nil && state.holding && (now < state.until || guardsOff.leaseEnd) && !t.quorum.ShutOut
+	return state != nil && state.holding && (now < state.until || guardsOff.leaseEnd) && !t.quorum.Removed
 }
 
 // HeldUntil is until when this voter holds the tag, by its own clock, unless it is renewed
@@ -204,7 +204,7 @@
 		if state.freeAt == 0 {
 			state.freeAt = s.Now
 		}
-		if s.Now-state.freeAt < min(t.host.SyncTime()*2, t.settings.Lease()) {
+		if s.Now-state.freeAt < min(t.host.WriteLatency()*2, t.settings.Lease()) {
 			// A voter with a slower disk lets the others go first.
 			continue
 		}
@@ -240,7 +240,7 @@
 // promisedTo: what this disk promised last was to that very holder, so whatever was
 // forgotten in a restart bars it from nothing.
 func (t *Leases) promisedTo(state *tagState, voter, identity string) bool {
-	return t.written && state.synced && state.vote.Holder == voter && state.vote.Identity == quorum.BareIdentity(identity)
+	return t.written && state.synced && state.vote.Holder == voter && state.vote.Identity == quorum.IdentityOf(identity)
 }
 
 func (t *Leases) preferred(tag string) bool { return t.settings.Active[tag] == t.quorum.Voter }
--- a/internal/lease/regrant_test.go
+++ b/internal/lease/regrant_test.go
@@ -69,7 +69,7 @@
 
 func (v *voter) boot() {
 	v.up, v.writes = true, nil
-	v.quorum = quorum.NewQuorum("config-log", v.settings, v, copyState(v.state), func(s *statemachine.Env, fresh bool) { v.leases.BeginVoting(s, fresh) })
+	v.quorum = quorum.New("config-log", v.settings, v, copyState(v.state), func(s *statemachine.Env, fresh bool) { v.leases.BeginVoting(s, fresh) })
 	v.leases = NewLeases(v.settings, v, v.quorum, []string{v.group.tag}, v.votes, func(string) bool { return true },
 		func(*statemachine.Env, string, int64) { v.group.taken = append(v.group.taken, v.voter) }, func(*statemachine.Env, string, int64) {})
 }
@@ -83,15 +83,15 @@
 	})
 }
 
-func (v *voter) CompactNow(s *statemachine.Env, then storage.Then) { v.Persist(s, nil, then) }
-func (v *voter) Failure() error                                    { return v.failure }
-func (v *voter) SyncTime() time.Duration                           { return 0 }
-func (v *voter) StateForGrant() []byte                             { return nil }
-func (v *voter) AbsorbGrants(*statemachine.Env, [][]byte)          {}
-func (v *voter) HoldVoter(string)                                  {}
-func (v *voter) Forget(s *statemachine.Env)                        { v.leases.Forget(s) }
-func (v *voter) Gone(*statemachine.Env, string) bool               { return false }
-func (v *voter) Superseded() bool                                  { return false }
+func (v *voter) WriteSnapshot(s *statemachine.Env, then storage.Then) { v.Persist(s, nil, then) }
+func (v *voter) Failure() error                                       { return v.failure }
+func (v *voter) WriteLatency() time.Duration                          { return 0 }
+func (v *voter) StateForGrant() []byte                                { return nil }
+func (v *voter) MergeGrantedStates(*statemachine.Env, [][]byte)       {}
+func (v *voter) AnnounceVoter(string)                                 {}
+func (v *voter) DiscardState(s *statemachine.Env)                     { v.leases.Forget(s) }
+func (v *voter) NodeGone(*statemachine.Env, string) bool              { return false }
+func (v *voter) Superseded() bool                                     { return false }
 
 func (v *voter) Peers() []message.Member {
 	peers := []message.Member{}
--- a/internal/lease/votes.go
+++ b/internal/lease/votes.go
@@ -33,7 +33,7 @@
 
 func (t *Leases) handleRequest(s *statemachine.Env, from string, request message.LeaseRequest) {
 	state, known := t.tags[request.Tag]
-	if known && !request.Trial && request.Voter != t.quorum.Voter && request.Voter != state.rival && request.Epoch >= state.vote.Epoch && t.quorum.Holds(request.Voter, request.Identity) {
+	if known && !request.Trial && request.Voter != t.quorum.Voter && request.Voter != state.rival && request.Epoch >= state.vote.Epoch && t.quorum.Accepts(request.Voter, request.Identity) {
 		state.rival, state.rivalAt = request.Voter, s.Now
 	}
 	if !known || !t.quorum.Voting() || t.votesAt < 0 || s.Now < t.votesAt && !t.promisedTo(state, request.Voter, request.Identity) && !guardsOff.restartWait {
@@ -49,9 +49,9 @@
 			s.Send(from, answer)
 		}
 	}
-	same := state.vote.Holder == request.Voter && state.vote.Identity == quorum.BareIdentity(request.Identity)
+	same := state.vote.Holder == request.Voter && state.vote.Identity == quorum.IdentityOf(request.Identity)
 	switch {
-	case !t.quorum.Holds(request.Voter, request.Identity):
+	case !t.quorum.Accepts(request.Voter, request.Identity):
 		answer.Reason = "not on the member list"
 	case request.Epoch < state.vote.Epoch && !guardsOff.higherEpoch:
 		answer.Reason = "lower epoch"
@@ -93,7 +93,7 @@
 			state.proven = false
 			state.changedAt = s.Now
 		}
-		state.vote.Epoch, state.vote.Holder, state.vote.Identity = request.Epoch, request.Voter, quorum.BareIdentity(request.Identity)
+		state.vote.Epoch, state.vote.Holder, state.vote.Identity = request.Epoch, request.Voter, quorum.IdentityOf(request.Identity)
 		state.reserved = ""
 		state.promised = s.Now + t.settings.Lease()
 		state.synced = false
@@ -122,7 +122,7 @@
 		return
 	}
 	state.seen = max(state.seen, vote.Seen)
-	if vote.Epoch != state.epoch || vote.Epoch <= state.spent && !guardsOff.spentEpoch || !t.quorum.Holds(vote.Voter, vote.Identity) {
+	if vote.Epoch != state.epoch || vote.Epoch <= state.spent && !guardsOff.spentEpoch || !t.quorum.Accepts(vote.Voter, vote.Identity) {
 		return
 	}
 	if !vote.Granted {
@@ -163,7 +163,7 @@
 
 func (t *Leases) handleYield(s *statemachine.Env, yield message.LeaseYield) {
 	state, known := t.tags[yield.Tag]
-	if !known || yield.Epoch != state.vote.Epoch || state.vote.Holder != yield.Voter || !t.quorum.Holds(yield.Voter, yield.Identity) {
+	if !known || yield.Epoch != state.vote.Epoch || state.vote.Holder != yield.Voter || !t.quorum.Accepts(yield.Voter, yield.Identity) {
 		return
 	}
 	state.promised = 0
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -53,11 +53,11 @@
 	})
 }
 
-// SyncTime is about how long a write takes here, waiting included.
-func (c *Core) SyncTime() time.Duration { return c.sync }
+// WriteLatency is about how long a write takes here, waiting included.
+func (c *Core) WriteLatency() time.Duration { return c.sync }
 
-// CompactNow writes a whole snapshot.
-func (c *Core) CompactNow(s *statemachine.Env, then storage.Then) { c.ledger.Compact(s, then) }
+// WriteSnapshot writes a whole snapshot.
+func (c *Core) WriteSnapshot(s *statemachine.Env, then storage.Then) { c.ledger.Compact(s, then) }
 
 // Failure is set once a write has failed.
 func (c *Core) Failure() error { return c.ledger.Failure() }
@@ -87,8 +87,8 @@
 	}
 }
 
-// HoldVoter tells the members which voter this process holds.
-func (c *Core) HoldVoter(voter string) { c.membership.HoldVoter(voter) }
+// AnnounceVoter tells the members which voter this process holds.
+func (c *Core) AnnounceVoter(voter string) { c.membership.HoldVoter(voter) }
 
 // Superseded says whether a later life of this node's name is at another address.
 func (c *Core) Superseded() bool { return c.membership.Superseded() }
@@ -113,9 +113,9 @@
 	c.departure = nil
 }
 
-// Gone says that a node is dead or has left. One that was never heard of is gone only
+// NodeGone says that a node is dead or has left. One that was never heard of is gone only
 // to a node that has been up, among others, for long enough to have heard of it.
-func (c *Core) Gone(s *statemachine.Env, nodeName string) bool {
+func (c *Core) NodeGone(s *statemachine.Env, nodeName string) bool {
 	member, known := c.membership.Find(c.role + "/" + nodeName)
 	if known {
 		return member.State >= message.Dead
@@ -123,8 +123,8 @@
 	return c.born && s.Now-c.bornAt > c.settings.SuspectFor()*2 && c.membership.Joined()
 }
 
-// Keep is the steady part: remember addresses, and leave when shut out.
-func (c *Core) Keep(s *statemachine.Env, shutOut bool) {
+// Maintain is the steady part: remember addresses, and leave when shut out.
+func (c *Core) Maintain(s *statemachine.Env, shutOut bool) {
 	if !c.born {
 		c.born, c.bornAt = true, s.Now
 	}
--- a/internal/quorum/discovery.go
+++ b/internal/quorum/discovery.go
@@ -63,8 +63,8 @@
 	return nodeName
 }
 
-// BareIdentity is the identity within a signature.
-func BareIdentity(signature string) string {
+// IdentityOf is the identity within a signature.
+func IdentityOf(signature string) string {
 	identity, _, _ := strings.Cut(signature, signatureMark)
 	return identity
 }
@@ -125,8 +125,8 @@
 	return ""
 }
 
-// Spare says whether a whole group is known and this process has no voter in it.
-func (g *Quorum) Spare(s *statemachine.Env) bool {
+// Standby says whether a whole group is known and this process has no voter in it.
+func (g *Quorum) Standby(s *statemachine.Env) bool {
 	if !g.Discovered() || g.State.Formed || g.State.Voter != "" {
 		return false
 	}
@@ -143,7 +143,7 @@
 		Proposal: map[string]string{}, MemberList: map[string]string{}, Former: []string{}}
 	g.Voter, g.proposed, g.rolling = "", false, 0
 	g.writing = true
-	g.host.CompactNow(s, func(s *statemachine.Env, failure error) { g.writing = failure != nil })
+	g.host.WriteSnapshot(s, func(s *statemachine.Env, failure error) { g.writing = failure != nil })
 	s.Event("voter-identity-made", 0, 0, g.settings.Node)
 }
 
@@ -197,7 +197,7 @@
 		return list
 	}
 	for _, voter := range g.voterNames() {
-		if voter != g.Voter && g.host.Gone(s, nodeOf(g.State.MemberList[voter])) {
+		if voter != g.Voter && g.host.NodeGone(s, nodeOf(g.State.MemberList[voter])) {
 			list = append(list, voter)
 		}
 	}
@@ -207,7 +207,7 @@
 func (g *Quorum) handleDiscovered(s *statemachine.Env, from string, msg any) {
 	switch received := msg.(type) {
 	case message.VoterStatus:
-		if BareIdentity(received.Identity) != g.State.Identity {
+		if IdentityOf(received.Identity) != g.State.Identity {
 			g.handleStatusDiscovered(s, from, received)
 		}
 	case message.VoterClaim:
@@ -276,8 +276,8 @@
 	}
 	if joined[g.Voter] != g.State.Identity {
 		s.Event("voter-lost", 0, 0, g.Voter+" to "+nodeOf(joined[g.Voter]))
-		g.host.HoldVoter("")
-		g.host.Forget(s)
+		g.host.AnnounceVoter("")
+		g.host.DiscardState(s)
 		g.received, g.grants, g.freeSince = map[string]receivedVoter{}, map[string]message.VoterGrant{}, map[string]time.Duration{}
 		g.begin(s, false)
 		return false
@@ -545,7 +545,7 @@
 	}
 	g.Voter = g.State.Voter
 	if !guardsOff.grantedState {
-		g.host.AbsorbGrants(s, states)
+		g.host.MergeGrantedStates(s, states)
 	}
 	g.State.Formed, g.State.Voting = true, true
 	g.takeMemberList(maps.Clone(grant.MemberList))
@@ -556,12 +556,12 @@
 // stand writes all down, and only then sits.
 func (g *Quorum) stand(s *statemachine.Env, eventName string, founded bool) {
 	g.writing = !guardsOff.writtenStand
-	g.host.CompactNow(s, func(s *statemachine.Env, failure error) {
+	g.host.WriteSnapshot(s, func(s *statemachine.Env, failure error) {
 		g.writing = failure != nil
 		if failure == nil {
 			s.Event(eventName, 0, 0, g.Voter)
 			if g.Discovered() {
-				g.host.HoldVoter(g.Voter)
+				g.host.AnnounceVoter(g.Voter)
 				g.nextAt = s.Now
 			}
 			g.beginVoting(s, founded)
--- a/internal/quorum/discovery_test.go
+++ b/internal/quorum/discovery_test.go
@@ -82,7 +82,7 @@
 		state = copyState(*p.disk)
 	}
 	p.up, p.writes, p.env = true, nil, statemachine.NewEnv(uint64(len(p.fleet.notes)*100+len(p.address)+int(p.address[len(p.address)-1])))
-	p.quorum = NewQuorum("config-log", cfg, p, state, func(*statemachine.Env, bool) {})
+	p.quorum = New("config-log", cfg, p, state, func(*statemachine.Env, bool) {})
 }
 
 func copyState(state message.VoterState) message.VoterState {
@@ -98,25 +98,25 @@
 	})
 }
 
-func (p *player) CompactNow(s *statemachine.Env, then storage.Then) { p.Persist(s, nil, then) }
-func (p *player) Failure() error                                    { return nil }
-func (p *player) SyncTime() time.Duration                           { return 0 }
-func (p *player) StateForGrant() []byte                             { return []byte(p.data) }
-func (p *player) HoldVoter(voter string)                            { p.sat = voter }
-func (p *player) Superseded() bool                                  { return p.superseded }
+func (p *player) WriteSnapshot(s *statemachine.Env, then storage.Then) { p.Persist(s, nil, then) }
+func (p *player) Failure() error                                       { return nil }
+func (p *player) WriteLatency() time.Duration                          { return 0 }
+func (p *player) StateForGrant() []byte                                { return []byte(p.data) }
+func (p *player) AnnounceVoter(voter string)                           { p.sat = voter }
+func (p *player) Superseded() bool                                     { return p.superseded }
 
-func (p *player) Forget(*statemachine.Env) {
+func (p *player) DiscardState(*statemachine.Env) {
 	p.forgotten++
 	p.data = ""
 }
 
-func (p *player) AbsorbGrants(_ *statemachine.Env, states [][]byte) {
+func (p *player) MergeGrantedStates(_ *statemachine.Env, states [][]byte) {
 	for _, state := range states {
 		p.absorbed = append(p.absorbed, string(state))
 	}
 }
 
-func (p *player) Gone(_ *statemachine.Env, nodeName string) bool {
+func (p *player) NodeGone(_ *statemachine.Env, nodeName string) bool {
 	return p.fleet.state[nodeName] >= message.Dead
 }
 
@@ -219,7 +219,7 @@
 		if made.machines > int(made.count) {
 			last := players[made.machines-1]
 			hollow.run(5 * time.Second)
-			c.Check(last.quorum.Spare(last.env), qt.IsTrue)
+			c.Check(last.quorum.Standby(last.env), qt.IsTrue)
 			c.Check(last.quorum.Signature(), qt.Equals, "")
 			c.Check(last.quorum.Voter, qt.Equals, "")
 		}
@@ -310,13 +310,13 @@
 		players[2].data = "old"
 		players[2].boot(false)
 		c.Assert(players[2].quorum.Voting(), qt.IsTrue)
-		c.Assert(players[0].quorum.Holds("3", players[2].quorum.Signature()), qt.IsFalse)
-		c.Assert(players[2].quorum.Holds("1", players[0].quorum.Signature()), qt.IsFalse)
+		c.Assert(players[0].quorum.Accepts("3", players[2].quorum.Signature()), qt.IsFalse)
+		c.Assert(players[2].quorum.Accepts("1", players[0].quorum.Signature()), qt.IsFalse)
 		hollow.run(4 * time.Second)
 		c.Assert(players[2].quorum.Voting(), qt.IsFalse)
-		c.Assert(players[2].quorum.ShutOut, qt.IsFalse)
+		c.Assert(players[2].quorum.Removed, qt.IsFalse)
 		c.Assert(players[2].forgotten, qt.Equals, 1)
-		c.Assert(players[2].quorum.Spare(players[2].env), qt.IsTrue)
+		c.Assert(players[2].quorum.Standby(players[2].env), qt.IsTrue)
 		c.Assert(hollow.voters()["3"], qt.Equals, "fresh")
 
 		// And takes the next voter that falls free.
@@ -410,7 +410,7 @@
 	c.Assert(holder.Majority(acks), qt.IsFalse, qt.Commentf("1's old yes, 2's own and 3's of the newer member list"))
 	acks["4"] = players[3].quorum.Signature()
 	c.Assert(holder.Majority(acks), qt.IsFalse)
-	c.Assert(players[2].quorum.Holds("2", acks["2"]), qt.IsFalse, qt.Commentf("what the holder asks on the older member list is not answered"))
+	c.Assert(players[2].quorum.Accepts("2", acks["2"]), qt.IsFalse, qt.Commentf("what the holder asks on the older member list is not answered"))
 
 	hollow.cuts["a2"] = false
 	hollow.run(time.Second)
@@ -431,12 +431,12 @@
 	old := p.quorum.Signature()
 	p.quorum.Handle(p.env, "a2", message.VoterStatus{Group: "config-log", Voter: "2", Identity: memberList["2"], Formed: true, Voting: true, MemberList: memberList})
 	c.Assert(p.quorum.Signature(), qt.Equals, "")
-	c.Assert(p.quorum.Holds("2", memberList["2"]+signatureMark+digestOf(memberList)), qt.IsFalse)
+	c.Assert(p.quorum.Accepts("2", memberList["2"]+signatureMark+digestOf(memberList)), qt.IsFalse)
 	for _, write := range p.writes {
 		write()
 	}
 	c.Assert(p.quorum.Signature(), qt.Not(qt.Equals), old)
-	c.Assert(p.quorum.Holds("2", memberList["2"]+signatureMark+digestOf(memberList)), qt.IsTrue)
+	c.Assert(p.quorum.Accepts("2", memberList["2"]+signatureMark+digestOf(memberList)), qt.IsTrue)
 	c.Assert(p.disk.MemberList, qt.DeepEquals, memberList)
 }
 
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -52,7 +52,7 @@
 		received := g.founders[node]
 		told := received.response
 		spread := g.keepsSpread(g.State.MemberList, g.Voter, zoneOf(told.Identity))
-		if told.Voter == "" && !told.Founder && spread && g.fresh(s, received) && !g.host.Gone(s, node) {
+		if told.Voter == "" && !told.Founder && spread && g.fresh(s, received) && !g.host.NodeGone(s, node) {
 			names = append(names, node)
 		}
 	}
@@ -69,7 +69,7 @@
 // claims it again, is gone, or hands it over to the claimant.
 func (g *Quorum) vacated(s *statemachine.Env, holder string, claim message.VoterClaim) bool {
 	claimant := nodeOf(claim.Identity)
-	if claimant == nodeOf(holder) || g.host.Gone(s, nodeOf(holder)) {
+	if claimant == nodeOf(holder) || g.host.NodeGone(s, nodeOf(holder)) {
 		return true
 	}
 	received, known := g.received[claim.Voter]
@@ -125,6 +125,6 @@
 func (g *Quorum) forgetReleased(s *statemachine.Env) {
 	if g.forget {
 		g.forget = false
-		g.host.Forget(s)
+		g.host.DiscardState(s)
 	}
 }
--- a/internal/quorum/handover_test.go
+++ b/internal/quorum/handover_test.go
@@ -85,7 +85,7 @@
 	group.run(2 * time.Second)
 	c.Assert(players[2].quorum.Voting(), qt.IsFalse)
 	c.Assert(players[2].forgotten, qt.Equals, 1)
-	c.Assert(players[2].quorum.Spare(players[2].env), qt.IsTrue)
+	c.Assert(players[2].quorum.Standby(players[2].env), qt.IsTrue)
 	c.Assert(group.voters()["3"], qt.Equals, "fresh")
 }
 
--- a/internal/quorum/metrics.go
+++ b/internal/quorum/metrics.go
@@ -11,6 +11,6 @@
 		metrics.Flag("voter_claimed", c.quorum.State.Voter != "" && !c.quorum.State.Formed),
 		metrics.Of("member_list_writes_pending", float64(c.quorum.rolling)),
 		metrics.Flag("disk_failed", c.Failure() != nil),
-		metrics.Of("disk_write_seconds", metrics.Seconds(c.SyncTime())),
+		metrics.Of("disk_write_seconds", metrics.Seconds(c.WriteLatency())),
 	}
 }
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -141,7 +141,7 @@
 	hollow.state["n4"] = message.Dead
 	hollow.run(8 * time.Second)
 	c.Assert(players[0].quorum.Voting(), qt.IsFalse)
-	c.Assert(players[0].quorum.Spare(players[0].env), qt.IsTrue)
+	c.Assert(players[0].quorum.Standby(players[0].env), qt.IsTrue)
 }
 
 // How many voters there are is the group's own knowledge once it is founded: a newcomer
@@ -171,7 +171,7 @@
 		tolerated := []settings.Tolerated{{Zones: 1}, {Zones: 2}, {Regions: 1}}[random.IntN(3)]
 		cfg := settings.Default()
 		cfg.Tolerated, cfg.Regions = tolerated, regions
-		g := NewQuorum("config-log", cfg, &player{}, message.VoterState{}, nil)
+		g := New("config-log", cfg, &player{}, message.VoterState{}, nil)
 		identities := []string{}
 		for number := range 3 + random.IntN(7) {
 			zone := []string{"x", "y", "z", "w"}[random.IntN(4)]
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -25,17 +25,17 @@
 // Host is the machine around the quorum and the leases.
 type Host interface {
 	Persist(s *statemachine.Env, record any, then storage.Then)
-	CompactNow(s *statemachine.Env, then storage.Then)
+	WriteSnapshot(s *statemachine.Env, then storage.Then)
 	Failure() error
-	SyncTime() time.Duration
+	WriteLatency() time.Duration
 	Peers() []message.Member
 	StateForGrant() []byte
-	AbsorbGrants(s *statemachine.Env, states [][]byte)
+	MergeGrantedStates(s *statemachine.Env, states [][]byte)
 	// Where voters are sought: sit in one ("" for none), drop what rested on one, and
 	// what the membership says of a node and of this one.
-	HoldVoter(voter string)
-	Forget(s *statemachine.Env)
-	Gone(s *statemachine.Env, nodeName string) bool
+	AnnounceVoter(voter string)
+	DiscardState(s *statemachine.Env)
+	NodeGone(s *statemachine.Env, nodeName string) bool
 	Superseded() bool
 }
 
@@ -57,7 +57,7 @@
 	nextAt      time.Duration
 	proposed    bool
 	writing     bool
-	ShutOut     bool
+	Removed     bool
 	beginVoting func(s *statemachine.Env, fresh bool)
 
 	founders  map[string]receivedVoter // by node
@@ -76,9 +76,9 @@
 	forget      bool                // what the disk holds rests on a voter that was handed over
 }
 
-// NewQuorum restores a quorum; an empty state gets a random identity on
+// New restores a quorum; an empty state gets a random identity on
 // the first tick.
-func NewQuorum(group string, cfg settings.Settings, host Host, state message.VoterState, beginVoting func(s *statemachine.Env, fresh bool)) *Quorum {
+func New(group string, cfg settings.Settings, host Host, state message.VoterState, beginVoting func(s *statemachine.Env, fresh bool)) *Quorum {
 	if state.MemberList == nil {
 		state.MemberList = map[string]string{}
 	}
@@ -98,7 +98,7 @@
 			g.takeMemberList(g.State.MemberList)
 		case state.Formed:
 			g.Voter = state.Voter
-			host.HoldVoter(g.Voter)
+			host.AnnounceVoter(g.Voter)
 		}
 	}
 	return g
@@ -106,11 +106,11 @@
 
 // Voting says that this voter may vote; one whose disk has failed may not.
 func (g *Quorum) Voting() bool {
-	return g.State.Voting && !g.ShutOut && !g.writing && g.host.Failure() == nil
+	return g.State.Voting && !g.Removed && !g.writing && g.host.Failure() == nil
 }
 
-// Holds checks an identity against the member list, now.
-func (g *Quorum) Holds(voter, identity string) bool {
+// Accepts checks an identity against the member list, now.
+func (g *Quorum) Accepts(voter, identity string) bool {
 	if g.Discovered() {
 		return g.holdsSignature(voter, identity)
 	}
@@ -130,7 +130,7 @@
 func (g *Quorum) Majority(acks map[string]string) bool {
 	count := 0
 	for voter, identity := range acks {
-		if g.Holds(voter, identity) || g.Discovered() && voter == g.Voter && g.Signature() != "" && BareIdentity(identity) == g.State.Identity {
+		if g.Accepts(voter, identity) || g.Discovered() && voter == g.Voter && g.Signature() != "" && IdentityOf(identity) == g.State.Identity {
 			// What this disk has synced it says again under whatever member list it holds.
 			count++
 		}
@@ -166,7 +166,7 @@
 		clear(g.State.MemberList)
 		clear(g.State.Proposal)
 		g.writing = true
-		g.host.CompactNow(s, func(s *statemachine.Env, failure error) { g.writing = failure != nil })
+		g.host.WriteSnapshot(s, func(s *statemachine.Env, failure error) { g.writing = failure != nil })
 		s.Event("voter-identity-made", 0, 0, g.Voter)
 		return
 	}
@@ -250,7 +250,7 @@
 	if response.Answer {
 		s.Send(from, g.response(s, false))
 	}
-	if g.State.Formed && !g.Holds(response.Voter, response.Identity) {
+	if g.State.Formed && !g.Accepts(response.Voter, response.Identity) {
 		return
 	}
 	g.received[response.Voter] = receivedVoter{from, response, s.Now}
@@ -260,8 +260,8 @@
 			// The founding this voter has proposed to is complete. A member list that merely
 			// lists a newcomer is not enough: it must read both others first.
 			g.form(s, response.MemberList)
-		case response.MemberList[g.Voter] != g.State.Identity && g.State.Voting && !g.ShutOut:
-			g.ShutOut = true
+		case response.MemberList[g.Voter] != g.State.Identity && g.State.Voting && !g.Removed:
+			g.Removed = true
 			s.Event("voter-shut-out", 5001, 0, g.Voter+" by the member list of "+response.Voter)
 		}
 		return
@@ -362,7 +362,7 @@
 }
 
 func (g *Quorum) grant(s *statemachine.Env, to string, claim message.VoterClaim) {
-	if !g.Holds(claim.Voter, claim.Identity) {
+	if !g.Accepts(claim.Voter, claim.Identity) {
 		return
 	}
 	s.Send(to, message.VoterGrant{Group: g.Group, Voter: g.Voter, Identity: g.State.Identity, To: claim.Identity,
@@ -380,10 +380,10 @@
 		return
 	}
 	if grant.Refused {
-		if !g.ShutOut {
+		if !g.Removed {
 			s.Event("voter-shut-out", 5001, 0, g.Voter+" refused by "+grant.Voter)
 		}
-		g.ShutOut = true
+		g.Removed = true
 		return
 	}
 	g.grants[grant.Voter] = grant
@@ -415,7 +415,7 @@
 			}
 		}
 	}
-	g.host.AbsorbGrants(s, states)
+	g.host.MergeGrantedStates(s, states)
 	g.State.Formed, g.State.Voting, g.State.MemberList = true, true, memberList
 	g.stand(s, "voter-recovered", false)
 }
@@ -432,16 +432,15 @@
 
 // ForceRecover marks every other voter vacant: what an operator does, by a command on the
 // stopped survivor's disk, after two disks were lost.
-func ForceRecover(state message.VoterState) message.VoterState {
+func (g *Quorum) ForceRecover() {
 	memberList := map[string]string{}
-	for voter, identity := range state.MemberList {
-		if identity == state.Identity {
+	for voter, identity := range g.State.MemberList {
+		if identity == g.State.Identity {
 			memberList[voter] = identity
 		} else {
 			memberList[voter] = ""
-			state.Former = append(state.Former, identity)
+			g.State.Former = append(g.State.Former, identity)
 		}
 	}
-	state.MemberList = memberList
-	return state
+	g.State.MemberList = memberList
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -84,7 +84,7 @@
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
 		return nil, err
 	}
-	m.quorum = quorum.NewQuorum(Group, cfg, m, restored.Voter, func(s *statemachine.Env, fresh bool) { m.leases.BeginVoting(s, fresh) })
+	m.quorum = quorum.New(Group, cfg, m, restored.Voter, func(s *statemachine.Env, fresh bool) { m.leases.BeginVoting(s, fresh) })
 	m.UseVoters(m.quorum)
 	tags := append(append([]string{}, cfg.Zones...), settings.UsageTag)
 	m.leases = lease.NewLeases(cfg, m, m.quorum, tags, restored.Votes, m.fit, m.took, m.lost)
@@ -143,11 +143,11 @@
 	return body
 }
 
-// StateForGrant and AbsorbGrants, with the core's methods, make it a quorum.Host.
+// StateForGrant and MergeGrantedStates, with the core's methods, make it a quorum.Host.
 func (m *Machine) StateForGrant() []byte { return m.snapshot() }
 
-// AbsorbGrants takes what the granters of this voter know.
-func (m *Machine) AbsorbGrants(s *statemachine.Env, states [][]byte) {
+// MergeGrantedStates takes what the granters of this voter know.
+func (m *Machine) MergeGrantedStates(s *statemachine.Env, states [][]byte) {
 	for _, body := range states {
 		decoded, err := message.Decode(body)
 		state, isState := decoded.(message.RegistryState)
@@ -167,8 +167,8 @@
 	}
 }
 
-// Forget drops what rested on a voter that is another's now; the roster stays, as updates.
-func (m *Machine) Forget(s *statemachine.Env) {
+// DiscardState drops what rested on a voter that is another's now; the roster stays, as updates.
+func (m *Machine) DiscardState(s *statemachine.Env) {
 	m.leases.Forget(s)
 	m.usage.forget()
 }
@@ -210,7 +210,7 @@
 	}
 	m.membership.Tick(s)
 	m.quorum.Tick(s)
-	m.Keep(s, m.quorum.ShutOut)
+	m.Maintain(s, m.quorum.Removed)
 	m.leases.Tick(s)
 	m.distribution.Tick(s)
 	m.outside.tick(s)
@@ -228,7 +228,7 @@
 	if m.dirty && s.Now >= m.seenAt {
 		// Backups fold what they pulled into a slot, at a gentle pace.
 		m.dirty, m.seenAt = false, s.Now+m.settings.HolderRest()
-		m.CompactNow(s, func(*statemachine.Env, error) {})
+		m.WriteSnapshot(s, func(*statemachine.Env, error) {})
 	}
 }
 
@@ -301,7 +301,7 @@
 // ForceRecover gives the other voters up and returns the snapshot to be written: an operator's
 // deed on the stopped survivor of two lost disks.
 func (m *Machine) ForceRecover() []byte {
-	m.quorum.State = quorum.ForceRecover(m.quorum.State)
+	m.quorum.ForceRecover()
 	m.leases.ForceRecover()
 	return m.snapshot()
 }
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -290,9 +290,9 @@
 	switch {
 	case m.Failure() != nil:
 		return answerCode(errcode.DiskFault, "")
-	case m.quorum.ShutOut || m.membership.Superseded():
+	case m.quorum.Removed || m.membership.Superseded():
 		return answerCode(errcode.VoterShutOut, "")
-	case !m.quorum.Voting() && !m.quorum.Spare(s):
+	case !m.quorum.Voting() && !m.quorum.Standby(s):
 		return answerCode(errcode.VoterRecovering, "")
 	case m.stopping || !m.membership.Joined():
 		return answerCode(errcode.BusyNotReady, "")
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -16,7 +16,7 @@
 		Node:           m.settings.Node,
 		Voter:          m.quorum.Voter,
 		Voting:         m.quorum.Voting(),
-		ShutOut:        m.quorum.ShutOut,
+		ShutOut:        m.quorum.Removed,
 		Members:        m.memberAnswers(),
 		Relays:         m.relayAnswers(s),
 		Leases:         m.leaseAnswers(s),
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -339,7 +339,7 @@
 func (u *usage) handle(s *statemachine.Env, from string, msg any) bool {
 	switch received := msg.(type) {
 	case message.UsageRead:
-		if u.m.leases.Epoch(settings.UsageTag) == received.Epoch && u.m.quorum.Voting() && u.m.quorum.Holds(received.Voter, received.Identity) {
+		if u.m.leases.Epoch(settings.UsageTag) == received.Epoch && u.m.quorum.Voting() && u.m.quorum.Accepts(received.Voter, received.Identity) {
 			s.Send(from, message.UsageReadResponse{Epoch: received.Epoch, Voter: u.m.quorum.Voter, Identity: u.m.quorum.Signature(),
 				Sealed: u.tail(), Reported: u.reported, Held: u.held()})
 		}
@@ -380,7 +380,7 @@
 }
 
 func (u *usage) handleSeal(s *statemachine.Env, from string, seal message.UsageSeal) {
-	if seal.Sealed.Epoch < u.m.leases.Epoch(settings.UsageTag) || !u.m.quorum.Voting() || !u.m.quorum.Holds(seal.Voter, seal.Identity) {
+	if seal.Sealed.Epoch < u.m.leases.Epoch(settings.UsageTag) || !u.m.quorum.Voting() || !u.m.quorum.Accepts(seal.Voter, seal.Identity) {
 		return
 	}
 	u.reported = max(u.reported, seal.Reported)
