--- a/internal/cli/reload_test.go
+++ b/internal/cli/reload_test.go
@@ -25,7 +25,7 @@
 func (l *listener) Tick(*statemachine.Env)                 {}
 func (l *listener) Synced(*statemachine.Env, int64, error) {}
 func (l *listener) Asked(_ *statemachine.Env, _ int64, it any) {
-	l.received <- it.(statemachine.Reseeded).Seeds
+	l.received <- it.(statemachine.SeedsChanged).Seeds
 }
 
 func towerOf(c *qt.C, restore int64) (settings.Settings, *node.Node, *listener) {
--- a/internal/configstore/answers.go
+++ b/internal/configstore/answers.go
@@ -71,7 +71,7 @@
 // when the request came.
 func (m *Machine) answerLater(s *statemachine.Env, answer unconfirmedAnswer) {
 	m.answers = append(m.answers, answer)
-	if !m.leases.Confirmed(settings.ConfigLogTag, answer.at) {
+	if !m.leases.ConfirmedSince(settings.ConfigLogTag, answer.at) {
 		m.leases.RenewNow(settings.ConfigLogTag, s)
 	}
 	m.answerConfirmed(s)
@@ -84,7 +84,7 @@
 	}
 	waiting := []unconfirmedAnswer{}
 	for _, answer := range m.answers {
-		if !m.leases.Confirmed(settings.ConfigLogTag, answer.at) && !guardsOff.confirmedAnswers {
+		if !m.leases.ConfirmedSince(settings.ConfigLogTag, answer.at) && !guardsOff.confirmedAnswers {
 			waiting = append(waiting, answer)
 			continue
 		}
--- a/internal/configstore/configstore.go
+++ b/internal/configstore/configstore.go
@@ -41,7 +41,7 @@
 	settings     settings.Settings
 	membership   *membership.Membership
 	quorum       *quorum.Quorum
-	leases       *lease.Leases
+	leases       *lease.Manager
 	distribution *distribution.Distribution
 
 	epoch          int64
@@ -88,7 +88,8 @@
 	m.Core = quorum.NewCore(cfg, message.RoleConfigStore, m.membership, m.snapshot, snapshot == nil)
 	m.quorum = quorum.NewQuorum(Group, cfg, m, restored.Voter, func(s *statemachine.Env, fresh bool) { m.leases.BeginVoting(s, fresh) })
 	m.UseVoters(m.quorum)
-	m.leases = lease.NewLeases(cfg, m, m.quorum, []string{settings.ConfigLogTag}, restored.Votes, m.fit, m.took, m.lost)
+	m.leases = lease.New(cfg, m, m.quorum, []string{settings.ConfigLogTag}, restored.Votes,
+		lease.Callbacks{Eligible: m.fit, OnAcquired: m.took, OnLost: m.lost})
 	m.distribution.ServeWhen(func(now time.Duration) bool { return m.mode == serving && m.leases.Holding(settings.ConfigLogTag, now) }, func() []string { return []string{m.holderName()} })
 	return m, nil
 }
@@ -231,13 +232,13 @@
 // Asked takes the process's own questions.
 func (m *Machine) Asked(s *statemachine.Env, requestID int64, question any) {
 	switch asked := question.(type) {
-	case statemachine.Reseeded:
-		m.membership.Reseed(asked.Seeds)
+	case statemachine.SeedsChanged:
+		m.membership.SetSeeds(asked.Seeds)
 	case metrics.Read:
 		s.Reply(requestID, m.metrics(s))
 	case Stop:
 		m.stopping = true
-		m.leases.Yield(s)
+		m.leases.TransferAll(s)
 		m.Depart(s, requestID, errcode.OK)
 	}
 }
--- a/internal/configstore/state.go
+++ b/internal/configstore/state.go
@@ -86,7 +86,7 @@
 // encoded is the whole state with the given form of the versions.
 func (m *Machine) encoded(configurations []message.StoredConfiguration) []byte {
 	state := message.ConfigStoreState{Voter: m.quorum.State, Votes: m.leases.Votes(), Epoch: m.epoch, Seq: m.seq, Configurations: configurations,
-		History: m.history.entries, Seen: m.membership.Seen()}
+		History: m.history.entries, Seen: m.membership.KnownAddresses()}
 	body, err := message.Encode(state)
 	if err != nil {
 		panic("configstore: snapshot: " + err.Error())
--- a/internal/lease/handover.go
+++ b/internal/lease/handover.go
@@ -8,8 +8,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Yield hands every tag over, at a polite stop: to whom is left open.
-func (t *Leases) Yield(s *statemachine.Env) {
+// TransferAll hands every tag over, at a polite stop: to whom is left open.
+func (t *Manager) TransferAll(s *statemachine.Env) {
 	for _, tag := range t.order {
 		if state := t.tags[tag]; state.holding {
 			t.yieldTo(s, tag, state, t.heir(s, tag, state))
@@ -20,7 +20,7 @@
 
 // giveUp ends all that a process without a vote holds. One whose disk has failed says so,
 // and nobody waits for its leases to run out.
-func (t *Leases) giveUp(s *statemachine.Env) {
+func (t *Manager) giveUp(s *statemachine.Env) {
 	for _, tag := range t.order {
 		state := t.tags[tag]
 		if state.holding && t.host.Failure() != nil {
@@ -34,7 +34,7 @@
 // heir names the voter that a stopping holder hands its tag to, so that nobody waits
 // for a campaign; "" leaves it open. The former holder is passed over within its rest,
 // or the tag would go back and forth.
-func (t *Leases) heir(s *statemachine.Env, tag string, state *tagState) string {
+func (t *Manager) heir(s *statemachine.Env, tag string, state *tagState) string {
 	heirs := []string{}
 	for _, peer := range t.host.Peers() {
 		status, _, told := t.quorum.LastStatus(peer.Voter)
@@ -53,7 +53,7 @@
 	return heirs[s.Random.IntN(len(heirs))]
 }
 
-func (t *Leases) handBack(s *statemachine.Env, tag string, state *tagState) {
+func (t *Manager) handBack(s *statemachine.Env, tag string, state *tagState) {
 	wanted := t.settings.Active[tag]
 	if wanted == "" || wanted == t.quorum.Voter || s.Now-state.heldAt < t.settings.MoveBack() {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-func (t *Leases) yieldTo(s *statemachine.Env, tag string, state *tagState, to string) {
+func (t *Manager) yieldTo(s *statemachine.Env, tag string, state *tagState, to string) {
 	yield := message.LeaseYield{Group: t.quorum.Group, Tag: tag, Epoch: state.epoch, Voter: t.quorum.Voter,
 		Identity: t.quorum.Signature(), To: to}
 	t.drop(s, tag, "handed over to "+to)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -59,27 +59,33 @@
 	tryAt   time.Duration
 }
 
-// Leases is one voter's part in the leases of all tags of its group.
-type Leases struct {
-	settings settings.Settings
-	host     quorum.Host
-	quorum   *quorum.Quorum
-	tags     map[string]*tagState
-	order    []string
-	votesAt  time.Duration
-	written  bool // the votes are this disk's own, with every promise it made
-	round    int64
-	fit      func(tag string) bool
-	took     func(s *statemachine.Env, tag string, epoch int64)
-	lost     func(s *statemachine.Env, tag string, epoch int64)
+// Manager is one voter's part in the leases of all tags of its group.
+type Manager struct {
+	settings  settings.Settings
+	host      quorum.Host
+	quorum    *quorum.Quorum
+	tags      map[string]*tagState
+	order     []string
+	votesAt   time.Duration
+	written   bool // the votes are this disk's own, with every promise it made
+	round     int64
+	callbacks Callbacks
 }
 
-// NewLeases makes the machine. fit says whether this voter may be a candidate; took
-// and lost are called on the change.
-func NewLeases(cfg settings.Settings, host quorum.Host, group *quorum.Quorum, tags []string, votes []message.Vote,
+// Callbacks connect the leases with the machine that uses them.
+type Callbacks struct {
+	// Eligible reports whether this voter may become a candidate for a tag.
+	Eligible func(tag string) bool
+	// OnAcquired is called when this voter has become the holder of a tag.
+	OnAcquired func(env *statemachine.Env, tag string, epoch int64)
+	// OnLost is called when this voter is no longer the holder of a tag.
+	OnLost func(env *statemachine.Env, tag string, epoch int64)
+}
 
-	fit func(tag string) bool, took, lost func(s *statemachine.Env, tag string, epoch int64)) *Leases {
-	t := &Leases{settings: cfg, host: host, quorum: group, tags: map[string]*tagState{}, fit: fit, took: took, lost: lost}
+// New returns the manager of the leases of tags. votes are the votes that this voter's disk holds.
+func New(cfg settings.Settings, host quorum.Host, group *quorum.Quorum, tags []string, votes []message.Vote,
+	callbacks Callbacks) *Manager {
+	t := &Manager{settings: cfg, host: host, quorum: group, tags: map[string]*tagState{}, callbacks: callbacks}
 	for _, tag := range tags {
 		t.tags[tag] = &tagState{vote: message.Vote{Tag: tag}, synced: true, leftAt: map[string]time.Duration{}}
 		t.order = append(t.order, tag)
@@ -91,7 +97,7 @@
 }
 
 // Restore takes votes from disk or from a grant; only a higher epoch counts.
-func (t *Leases) Restore(votes []message.Vote) {
+func (t *Manager) Restore(votes []message.Vote) {
 	for _, vote := range votes {
 		if state, known := t.tags[vote.Tag]; known && vote.Epoch > state.vote.Epoch {
 			state.vote, state.synced = vote, true
@@ -101,7 +107,7 @@
 }
 
 // Votes lists the promises as they stand, for the slot and for grants.
-func (t *Leases) Votes() []message.Vote {
+func (t *Manager) Votes() []message.Vote {
 	votes := []message.Vote{}
 	for _, tag := range t.order {
 		vote := t.tags[tag].vote
@@ -115,7 +121,7 @@
 
 // BeginVoting starts the wait of a full lease before the first vote; a group just
 // founded has no earlier promise to wait for.
-func (t *Leases) BeginVoting(s *statemachine.Env, fresh bool) {
+func (t *Manager) BeginVoting(s *statemachine.Env, fresh bool) {
 	t.votesAt = s.Now + t.settings.Lease()
 	if fresh {
 		t.votesAt = s.Now
@@ -128,14 +134,14 @@
 }
 
 // Holding says that this voter is active for the tag, by its own clock, now.
-func (t *Leases) Holding(tag string, now time.Duration) bool {
+func (t *Manager) Holding(tag string, now time.Duration) bool {
 	state := t.tags[tag]
 	return state != nil && state.holding && (now < state.until || guardsOff.leaseEnd) && !t.quorum.ShutOut
 }
 
 // HeldUntil is until when this voter holds the tag, by its own clock, unless it is renewed
 // before; 0 where it does not hold it.
-func (t *Leases) HeldUntil(tag string) time.Duration {
+func (t *Manager) HeldUntil(tag string) time.Duration {
 	state := t.tags[tag]
 	if state == nil || !state.holding {
 		return 0
@@ -144,21 +150,21 @@
 }
 
 // Epoch is the highest epoch this voter has promised or holds for the tag.
-func (t *Leases) Epoch(tag string) int64 { return t.tags[tag].vote.Epoch }
+func (t *Manager) Epoch(tag string) int64 { return t.tags[tag].vote.Epoch }
 
 // Holder is the voter this one last voted for.
-func (t *Leases) Holder(tag string) string { return t.tags[tag].vote.Holder }
+func (t *Manager) Holder(tag string) string { return t.tags[tag].vote.Holder }
 
-// Confirmed says that a majority renewed in a round begun at or after a given time:
+// ConfirmedSince says that a majority renewed in a round begun at or after a given time:
 // what a read waits for, so that it needs no clock but the holder's own order.
-func (t *Leases) Confirmed(tag string, since time.Duration) bool {
+func (t *Manager) ConfirmedSince(tag string, since time.Duration) bool {
 	state := t.tags[tag]
 	return state.holding && state.until-t.settings.LeaseHeld() >= since
 }
 
 // RenewNow asks for a renewal now. While a round is under way it asks for one behind it: a
 // round that each caller began anew would never end.
-func (t *Leases) RenewNow(tag string, s *statemachine.Env) {
+func (t *Manager) RenewNow(tag string, s *statemachine.Env) {
 	state := t.tags[tag]
 	switch {
 	case !state.holding:
@@ -170,7 +176,7 @@
 }
 
 // Tick campaigns, renews and gives up what ran out.
-func (t *Leases) Tick(s *statemachine.Env) {
+func (t *Manager) Tick(s *statemachine.Env) {
 	if !t.quorum.Voting() {
 		t.giveUp(s)
 		return
@@ -198,7 +204,7 @@
 			state.freeAt = 0
 			continue
 		}
-		if s.Now < t.votesAt && !t.promisedTo(state, t.quorum.Voter, t.quorum.State.Identity) || s.Now < state.tryAt || !t.fit(tag) {
+		if s.Now < t.votesAt && !t.promisedTo(state, t.quorum.Voter, t.quorum.State.Identity) || s.Now < state.tryAt || !t.callbacks.Eligible(tag) {
 			continue
 		}
 		if state.freeAt == 0 {
@@ -239,21 +245,21 @@
 
 // promisedTo: what this disk promised last was to that very holder, so whatever was
 // forgotten in a restart bars it from nothing.
-func (t *Leases) promisedTo(state *tagState, voter, identity string) bool {
+func (t *Manager) promisedTo(state *tagState, voter, identity string) bool {
 	return t.written && state.synced && state.vote.Holder == voter && state.vote.Identity == quorum.BareIdentity(identity)
 }
 
-func (t *Leases) preferred(tag string) bool { return t.settings.Active[tag] == t.quorum.Voter }
+func (t *Manager) preferred(tag string) bool { return t.settings.Active[tag] == t.quorum.Voter }
 
 // goesBefore orders two candidates that try at one time.
-func (t *Leases) goesBefore(tag, other string) bool {
+func (t *Manager) goesBefore(tag, other string) bool {
 	if wanted := t.settings.Active[tag]; wanted == other || wanted == t.quorum.Voter {
 		return wanted == t.quorum.Voter
 	}
 	return t.quorum.Voter < other
 }
 
-func (t *Leases) campaign(s *statemachine.Env, tag string, state *tagState) {
+func (t *Manager) campaign(s *statemachine.Env, tag string, state *tagState) {
 	state.epoch = max(state.vote.Epoch, state.seen, state.epoch) + 1
 	state.trial = true
 	state.trials++
@@ -261,7 +267,7 @@
 	t.request(s, tag, state)
 }
 
-func (t *Leases) request(s *statemachine.Env, tag string, state *tagState) {
+func (t *Manager) request(s *statemachine.Env, tag string, state *tagState) {
 	t.round++
 	state.round, state.askedAt, state.renewAt = t.round, s.Now, s.Now+t.settings.RenewEvery()
 	state.acks, state.asking, state.again = map[string]string{}, true, false
@@ -276,18 +282,18 @@
 }
 
 // drop ends this voter's activity for a tag.
-func (t *Leases) drop(s *statemachine.Env, tag, cause string) {
+func (t *Manager) drop(s *statemachine.Env, tag, cause string) {
 	state := t.tags[tag]
 	if !state.holding {
 		return
 	}
 	state.holding, state.spent = false, state.epoch
 	s.Event("lease-lost", 0, state.epoch, tag+": "+cause)
-	t.lost(s, tag, state.epoch)
+	t.callbacks.OnLost(s, tag, state.epoch)
 }
 
 // Forget drops all that this voter held and promised: the voter is another's now.
-func (t *Leases) Forget(s *statemachine.Env) {
+func (t *Manager) Forget(s *statemachine.Env) {
 	for _, tag := range t.order {
 		t.drop(s, tag, "the voter is another's")
 		t.tags[tag] = &tagState{vote: message.Vote{Tag: tag}, synced: true, leftAt: map[string]time.Duration{}}
@@ -296,7 +302,7 @@
 }
 
 // ForceRecover leaps over whatever epochs the lost disks may have given out.
-func (t *Leases) ForceRecover() {
+func (t *Manager) ForceRecover() {
 	for _, state := range t.tags {
 		state.vote.Epoch += 1 << 20
 	}
--- a/internal/lease/metrics.go
+++ b/internal/lease/metrics.go
@@ -7,7 +7,7 @@
 )
 
 // Metrics are the epoch of each tag, and whether this voter holds it.
-func (t *Leases) Metrics(now time.Duration) []metrics.Sample {
+func (t *Manager) Metrics(now time.Duration) []metrics.Sample {
 	samples := []metrics.Sample{}
 	for _, tag := range t.order {
 		held := 0.0
--- a/internal/lease/regrant_test.go
+++ b/internal/lease/regrant_test.go
@@ -24,7 +24,7 @@
 	up       bool
 	env      *statemachine.Env
 	quorum   *quorum.Quorum
-	leases   *Leases
+	leases   *Manager
 	state    message.VoterState
 	votes    []message.Vote // as the disk holds them
 	writes   []func()
@@ -70,8 +70,11 @@
 func (v *voter) boot() {
 	v.up, v.writes = true, nil
 	v.quorum = quorum.NewQuorum("config-log", v.settings, v, copyState(v.state), func(s *statemachine.Env, fresh bool) { v.leases.BeginVoting(s, fresh) })
-	v.leases = NewLeases(v.settings, v, v.quorum, []string{v.group.tag}, v.votes, func(string) bool { return true },
-		func(*statemachine.Env, string, int64) { v.group.taken = append(v.group.taken, v.voter) }, func(*statemachine.Env, string, int64) {})
+	v.leases = New(v.settings, v, v.quorum, []string{v.group.tag}, v.votes, Callbacks{
+		Eligible:   func(string) bool { return true },
+		OnAcquired: func(*statemachine.Env, string, int64) { v.group.taken = append(v.group.taken, v.voter) },
+		OnLost:     func(*statemachine.Env, string, int64) {},
+	})
 }
 
 func (v *voter) Persist(_ *statemachine.Env, record any, then storage.Then) {
--- a/internal/lease/rest.go
+++ b/internal/lease/rest.go
@@ -19,7 +19,7 @@
 const restSeparator = ","
 
 // resting says that a voter held a tag too lately to hold it again.
-func (t *Leases) resting(tag string, state *tagState, voter string, now time.Duration) bool {
+func (t *Manager) resting(tag string, state *tagState, voter string, now time.Duration) bool {
 	if voter == state.vote.Former && now-state.changedAt < t.settings.HolderRest() {
 		return true
 	}
@@ -28,7 +28,7 @@
 }
 
 // leave writes down that the holder voted for so far holds no more.
-func (t *Leases) leave(tag string, state *tagState, now time.Duration) {
+func (t *Manager) leave(tag string, state *tagState, now time.Duration) {
 	state.vote.Former = state.vote.Holder
 	if tag != settings.UsageTag {
 		return
@@ -39,7 +39,7 @@
 }
 
 // restAnew takes all that a vote from disk or from a grant lists to have held until now.
-func (t *Leases) restAnew(state *tagState, now time.Duration) {
+func (t *Manager) restAnew(state *tagState, now time.Duration) {
 	state.leftAt = map[string]time.Duration{}
 	for _, voter := range strings.Split(state.vote.Resting, restSeparator) {
 		if voter != "" {
--- a/internal/lease/rest_test.go
+++ b/internal/lease/rest_test.go
@@ -40,7 +40,7 @@
 			last[holder] = moment
 			if step%13 == 0 && (step/130)%2 == 0 {
 				v := e.at("a" + holder)
-				v.leases.Yield(v.env)
+				v.leases.TransferAll(v.env)
 				e.run(50*time.Millisecond, false)
 				v.boot()
 			}
--- a/internal/lease/votes.go
+++ b/internal/lease/votes.go
@@ -11,7 +11,7 @@
 )
 
 // Handle takes a lease message; false when it is another part's.
-func (t *Leases) Handle(s *statemachine.Env, from string, msg any) bool {
+func (t *Manager) Handle(s *statemachine.Env, from string, msg any) bool {
 	switch received := msg.(type) {
 	case message.LeaseRequest:
 		if received.Group == t.quorum.Group {
@@ -31,7 +31,7 @@
 	return true
 }
 
-func (t *Leases) handleRequest(s *statemachine.Env, from string, request message.LeaseRequest) {
+func (t *Manager) handleRequest(s *statemachine.Env, from string, request message.LeaseRequest) {
 	state, known := t.tags[request.Tag]
 	if known && !request.Trial && request.Voter != t.quorum.Voter && request.Voter != state.rival && request.Epoch >= state.vote.Epoch && t.quorum.Holds(request.Voter, request.Identity) {
 		state.rival, state.rivalAt = request.Voter, s.Now
@@ -116,7 +116,7 @@
 	reply(s)
 }
 
-func (t *Leases) handleVote(s *statemachine.Env, vote message.LeaseVote) {
+func (t *Manager) handleVote(s *statemachine.Env, vote message.LeaseVote) {
 	state, known := t.tags[vote.Tag]
 	if !known {
 		return
@@ -126,7 +126,7 @@
 		return
 	}
 	if !vote.Granted {
-		if state.holding && vote.Seen >= state.epoch && vote.Reason != "another holds it" && s.Now >= state.raiseAt && t.fit(vote.Tag) {
+		if state.holding && vote.Seen >= state.epoch && vote.Reason != "another holds it" && s.Now >= state.raiseAt && t.callbacks.Eligible(vote.Tag) {
 			state.raiseAt = s.Now + t.settings.Lease()
 			t.drop(s, vote.Tag, "raises its epoch: "+vote.Voter+" is bound to another")
 			t.campaign(s, vote.Tag, state)
@@ -153,7 +153,7 @@
 	if !state.holding && s.Now < state.until {
 		state.holding, state.heldAt, state.mine, state.rival = true, s.Now, true, ""
 		s.Event("lease-taken", 0, state.epoch, vote.Tag+" by "+t.quorum.Voter)
-		t.took(s, vote.Tag, state.epoch)
+		t.callbacks.OnAcquired(s, vote.Tag, state.epoch)
 	}
 	state.asking = false
 	if state.again && state.holding {
@@ -161,7 +161,7 @@
 	}
 }
 
-func (t *Leases) handleYield(s *statemachine.Env, yield message.LeaseYield) {
+func (t *Manager) handleYield(s *statemachine.Env, yield message.LeaseYield) {
 	state, known := t.tags[yield.Tag]
 	if !known || yield.Epoch != state.vote.Epoch || state.vote.Holder != yield.Voter || !t.quorum.Holds(yield.Voter, yield.Identity) {
 		return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -54,8 +54,8 @@
 // Self returns this node as the others see it.
 func (m *Membership) Self() message.Member { return m.self }
 
-// HoldVoter tells the others which voter this node holds from now on.
-func (m *Membership) HoldVoter(voter string) {
+// SetVoter tells the others which voter this node holds from now on.
+func (m *Membership) SetVoter(voter string) {
 	if m.self.Voter != voter {
 		m.self.Voter = voter
 		m.self.Incarnation++
@@ -81,9 +81,9 @@
 	return list
 }
 
-// Lately returns those of a role that are alive or were until a short while ago: a node that was only
+// RecentlyAlive returns those of a role that are alive or were until a short while ago: a node that was only
 // cut off gets what it missed as soon as the link is mended.
-func (m *Membership) Lately(role string, now time.Duration) []message.Member {
+func (m *Membership) RecentlyAlive(role string, now time.Duration) []message.Member {
 	list := m.Alive(role)
 	for _, name := range m.names() {
 		known := m.members[name]
@@ -119,14 +119,14 @@
 	return known.member, true
 }
 
-// Reseed replaces the seeds, when the settings have changed.
-func (m *Membership) Reseed(seeds []string) { m.settings.Seeds = slices.Clone(seeds) }
+// SetSeeds replaces the seeds, when the settings have changed.
+func (m *Membership) SetSeeds(seeds []string) { m.settings.Seeds = slices.Clone(seeds) }
 
-// Remember adds addresses known from an earlier life.
-func (m *Membership) Remember(addresses []string) { m.seen = append(m.seen, addresses...) }
+// AddKnownAddresses adds addresses known from an earlier life.
+func (m *Membership) AddKnownAddresses(addresses []string) { m.seen = append(m.seen, addresses...) }
 
-// Seen returns the addresses worth remembering for the next life.
-func (m *Membership) Seen() []string {
+// KnownAddresses returns the addresses worth remembering for the next life.
+func (m *Membership) KnownAddresses() []string {
 	list := []string{}
 	for _, member := range m.Alive("") {
 		list = append(list, member.Address)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -45,7 +45,7 @@
 			wanted["10.0.0.8:1"] = true
 		}
 		given := []string{"10.0.0.3:1", "10.0.0.4:1"}
-		nodeName.Reseed(given)
+		nodeName.SetSeeds(given)
 		given[0] = "changed by its owner"
 		asked := joined(s, nodeName, cfg.JoinEvery()*40)
 		c.Assert(asked, qt.DeepEquals, wanted)
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -12,7 +12,7 @@
 // counters are the registries that are told the usage: one more than may be lost, so
 // that any majority that a new holder reads has one of them; of three all are told.
 func (m *Machine) counters(now time.Duration) []message.Member {
-	registries := m.membership.Lately(message.RoleRegistry, now)
+	registries := m.membership.RecentlyAlive(message.RoleRegistry, now)
 	enough := len(m.settings.Voters)/2 + 1
 	if !m.settings.CountsBegun() || len(m.settings.Voters) <= tellAllVoters || len(registries) <= enough {
 		return registries
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -107,8 +107,8 @@
 		m.probed(env, asked)
 	case Counted:
 		m.sendUsage(env, asked)
-	case statemachine.Reseeded:
-		m.membership.Reseed(asked.Seeds)
+	case statemachine.SeedsChanged:
+		m.membership.SetSeeds(asked.Seeds)
 	case statemachine.ConnectionBroke:
 		m.distribution.ConnectionBroke(env, asked.Address)
 	case ReadSealed:
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -40,7 +40,7 @@
 	if _, path, _ := m.distribution.Parent(); path != nil {
 		batch.Path = path
 	}
-	for _, registryNode := range m.membership.Lately(message.RoleRegistry, env.Now) {
+	for _, registryNode := range m.membership.RecentlyAlive(message.RoleRegistry, env.Now) {
 		env.Send(registryNode.Address, batch)
 	}
 }
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -88,7 +88,7 @@
 }
 
 // HoldVoter tells the members which voter this process holds.
-func (c *Core) HoldVoter(voter string) { c.membership.HoldVoter(voter) }
+func (c *Core) HoldVoter(voter string) { c.membership.SetVoter(voter) }
 
 // Superseded says whether a later life of this node's name is at another address.
 func (c *Core) Superseded() bool { return c.membership.Superseded() }
@@ -137,7 +137,7 @@
 		return
 	}
 	c.seenAt = s.Now + c.settings.HolderRest()
-	if seen := c.membership.Seen(); len(seen) > 0 && !slices.Equal(seen, c.seen) {
+	if seen := c.membership.KnownAddresses(); len(seen) > 0 && !slices.Equal(seen, c.seen) {
 		c.seen = seen
 		c.Persist(s, message.SeenState{Addresses: seen}, func(*statemachine.Env, error) {})
 	}
--- a/internal/quorum/replay.go
+++ b/internal/quorum/replay.go
@@ -31,7 +31,7 @@
 		case message.Vote:
 			r.Votes = append(r.Votes, held)
 		case message.SeenState:
-			members.Remember(held.Addresses)
+			members.AddKnownAddresses(held.Addresses)
 		default:
 			own(decoded)
 		}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -31,7 +31,7 @@
 	settings     settings.Settings
 	membership   *membership.Membership
 	quorum       *quorum.Quorum
-	leases       *lease.Leases
+	leases       *lease.Manager
 	distribution *distribution.Distribution
 	usage        *usage
 	outside      *outside
@@ -87,7 +87,8 @@
 	m.quorum = quorum.NewQuorum(Group, cfg, m, restored.Voter, func(s *statemachine.Env, fresh bool) { m.leases.BeginVoting(s, fresh) })
 	m.UseVoters(m.quorum)
 	tags := append(append([]string{}, cfg.Zones...), settings.UsageTag)
-	m.leases = lease.NewLeases(cfg, m, m.quorum, tags, restored.Votes, m.fit, m.took, m.lost)
+	m.leases = lease.New(cfg, m, m.quorum, tags, restored.Votes,
+		lease.Callbacks{Eligible: m.fit, OnAcquired: m.took, OnLost: m.lost})
 	return m, nil
 }
 
@@ -131,7 +132,7 @@
 
 func (m *Machine) snapshot() []byte {
 	state := message.RegistryState{Voter: m.quorum.State, Votes: m.leases.Votes(), Slices: []message.RosterSnapshot{},
-		Sealed: m.usage.list(), Reported: m.usage.reported, Seen: m.membership.Seen(), Usage: m.usage.held()}
+		Sealed: m.usage.list(), Reported: m.usage.reported, Seen: m.membership.KnownAddresses(), Usage: m.usage.held()}
 	for _, zone := range m.settings.Zones {
 		slice := m.slices[zone]
 		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Mark: slice.Mark, Registrations: slice.List()})
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -110,15 +110,15 @@
 		s.Reply(requestID, m.ready(s))
 	case Reported:
 		m.usage.done(s, asked.Window)
-	case statemachine.Reseeded:
-		m.membership.Reseed(asked.Seeds)
+	case statemachine.SeedsChanged:
+		m.membership.SetSeeds(asked.Seeds)
 	case statemachine.ConnectionBroke:
 		m.distribution.ConnectionBroke(s, asked.Address)
 	case metrics.Read:
 		s.Reply(requestID, m.metrics(s))
 	case Stop:
 		m.stopping = true
-		m.leases.Yield(s)
+		m.leases.TransferAll(s)
 		m.Depart(s, requestID, answerCode(errcode.OK, "stopping"))
 	}
 }
--- a/internal/statemachine/machine.go
+++ b/internal/statemachine/machine.go
@@ -57,5 +57,5 @@
 // process had opened has ended, as it does at once when the process at the other end stops.
 type ConnectionBroke struct{ Address string }
 
-// Reseeded is the notice, sent as an Asked command, that the settings name other seeds now.
-type Reseeded struct{ Seeds []string }
+// SeedsChanged is the notice, sent as an Asked command, that the settings name other seeds now.
+type SeedsChanged struct{ Seeds []string }
