--- a/internal/configstore/catchup.go
+++ b/internal/configstore/catchup.go
@@ -38,8 +38,8 @@
 	return told.AtEpoch == told.Epoch && m.epoch == told.Epoch && m.seq < told.AtSeq
 }
 
-// Newest is the highest version of a configuration that this disk's log holds, 0 for none.
-func (m *Machine) Newest(configName string) int64 {
+// NewestVersion is the highest version of a configuration that this disk's log holds, 0 for none.
+func (m *Machine) NewestVersion(configName string) int64 {
 	list := m.configurations[configName]
 	if len(list) == 0 {
 		return 0
--- a/internal/lease/regrant_test.go
+++ b/internal/lease/regrant_test.go
@@ -74,7 +74,7 @@
 		func(*statemachine.Env, string, int64) { v.group.taken = append(v.group.taken, v.voter) }, func(*statemachine.Env, string, int64) {})
 }
 
-func (v *voter) Persist(_ *statemachine.Env, record any, then storage.Then) {
+func (v *voter) Persist(_ *statemachine.Env, record any, then storage.SyncCallback) {
 	v.writes = append(v.writes, func() {
 		if vote, isVote := record.(message.Vote); isVote {
 			v.votes = []message.Vote{vote}
@@ -83,15 +83,15 @@
 	})
 }
 
-func (v *voter) CompactNow(s *statemachine.Env, then storage.Then) { v.Persist(s, nil, then) }
-func (v *voter) Failure() error                                    { return v.failure }
-func (v *voter) SyncTime() time.Duration                           { return 0 }
-func (v *voter) StateForGrant() []byte                             { return nil }
-func (v *voter) AbsorbGrants(*statemachine.Env, [][]byte)          {}
-func (v *voter) HoldVoter(string)                                  {}
-func (v *voter) Forget(s *statemachine.Env)                        { v.leases.Forget(s) }
-func (v *voter) Gone(*statemachine.Env, string) bool               { return false }
-func (v *voter) Superseded() bool                                  { return false }
+func (v *voter) CompactNow(s *statemachine.Env, then storage.SyncCallback) { v.Persist(s, nil, then) }
+func (v *voter) Failure() error                                            { return v.failure }
+func (v *voter) SyncTime() time.Duration                                   { return 0 }
+func (v *voter) StateForGrant() []byte                                     { return nil }
+func (v *voter) AbsorbGrants(*statemachine.Env, [][]byte)                  {}
+func (v *voter) HoldVoter(string)                                          {}
+func (v *voter) Forget(s *statemachine.Env)                                { v.leases.Forget(s) }
+func (v *voter) Gone(*statemachine.Env, string) bool                       { return false }
+func (v *voter) Superseded() bool                                          { return false }
 
 func (v *voter) Peers() []message.Member {
 	peers := []message.Member{}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 	Transport *transport.Transport
 	machine   statemachine.Machine
 	store     *storage.Store
-	folder    storage.Folder
+	folder    storage.Directory
 	build     Build // nil: the state is not on disk
 
 	reporter *reporter
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -33,7 +33,7 @@
 // the machine stops voting; as soon as the disk takes writes again it is built anew from
 // what the disk holds, as after a restart of the process.
 func (n *Node) RunFromDisk(build Build) error {
-	folder, err := storage.NewDirFolder(n.Settings.Data)
+	folder, err := storage.NewOSDirectory(n.Settings.Data)
 	if err != nil {
 		return err
 	}
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -20,7 +20,7 @@
 	settings   settings.Settings
 	role       string
 	membership *membership.Membership
-	ledger     *storage.Ledger
+	ledger     *storage.Writer
 	voterAt    func(address string) string
 	bornAt     time.Duration
 	born       bool
@@ -41,11 +41,11 @@
 // NewCore makes the shared part; snapshot gives the machine's whole state; empty says
 // that the disk has never held one.
 func NewCore(cfg settings.Settings, role string, members *membership.Membership, snapshot func() []byte, empty bool) *Core {
-	return &Core{settings: cfg, role: role, membership: members, ledger: storage.NewLedger(1<<20, snapshot, empty)}
+	return &Core{settings: cfg, role: role, membership: members, ledger: storage.NewWriter(1<<20, snapshot, empty)}
 }
 
 // Persist appends a record; CompactNow writes the whole snapshot.
-func (c *Core) Persist(s *statemachine.Env, record any, then storage.Then) {
+func (c *Core) Persist(s *statemachine.Env, record any, then storage.SyncCallback) {
 	began := s.Now
 	c.ledger.Persist(s, record, func(s *statemachine.Env, failure error) {
 		c.sync += (s.Now - began - c.sync) / 4
@@ -57,7 +57,7 @@
 func (c *Core) SyncTime() time.Duration { return c.sync }
 
 // CompactNow writes a whole snapshot.
-func (c *Core) CompactNow(s *statemachine.Env, then storage.Then) { c.ledger.Compact(s, then) }
+func (c *Core) CompactNow(s *statemachine.Env, then storage.SyncCallback) { c.ledger.Compact(s, then) }
 
 // Failure is set once a write has failed.
 func (c *Core) Failure() error { return c.ledger.Failure() }
--- a/internal/quorum/discovery_test.go
+++ b/internal/quorum/discovery_test.go
@@ -90,7 +90,7 @@
 	return state
 }
 
-func (p *player) Persist(s *statemachine.Env, record any, then storage.Then) {
+func (p *player) Persist(s *statemachine.Env, record any, then storage.SyncCallback) {
 	state := copyState(p.quorum.State)
 	p.writes = append(p.writes, func() {
 		p.disk = &state
@@ -98,12 +98,12 @@
 	})
 }
 
-func (p *player) CompactNow(s *statemachine.Env, then storage.Then) { p.Persist(s, nil, then) }
-func (p *player) Failure() error                                    { return nil }
-func (p *player) SyncTime() time.Duration                           { return 0 }
-func (p *player) StateForGrant() []byte                             { return []byte(p.data) }
-func (p *player) HoldVoter(voter string)                            { p.sat = voter }
-func (p *player) Superseded() bool                                  { return p.superseded }
+func (p *player) CompactNow(s *statemachine.Env, then storage.SyncCallback) { p.Persist(s, nil, then) }
+func (p *player) Failure() error                                            { return nil }
+func (p *player) SyncTime() time.Duration                                   { return 0 }
+func (p *player) StateForGrant() []byte                                     { return []byte(p.data) }
+func (p *player) HoldVoter(voter string)                                    { p.sat = voter }
+func (p *player) Superseded() bool                                          { return p.superseded }
 
 func (p *player) Forget(*statemachine.Env) {
 	p.forgotten++
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -24,8 +24,8 @@
 
 // Host is the machine around the quorum and the leases.
 type Host interface {
-	Persist(s *statemachine.Env, record any, then storage.Then)
-	CompactNow(s *statemachine.Env, then storage.Then)
+	Persist(s *statemachine.Env, record any, then storage.SyncCallback)
+	CompactNow(s *statemachine.Env, then storage.SyncCallback)
 	Failure() error
 	SyncTime() time.Duration
 	Peers() []message.Member
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -16,7 +16,7 @@
 	durable bool // its name is in the folder for good
 }
 
-// Disk is a simulated folder; it implements storage.Folder.
+// Disk is a simulated folder; it implements storage.Directory.
 type Disk struct {
 	files map[string]*simFile
 	fail  bool
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// SyncFolder makes the list of files durable.
-func (d *Disk) SyncFolder() error {
+// SyncDirectory makes the list of files durable.
+func (d *Disk) SyncDirectory() error {
 	if !d.works() {
 		return errDisk
 	}
--- a/internal/simulation/hundreds.go
+++ b/internal/simulation/hundreds.go
@@ -80,7 +80,7 @@
 // newestOf is the newest version that a store's log holds.
 func newestOf(store *Node) int64 {
 	if machine, isStore := store.control.(*configstore.Machine); isStore {
-		return machine.Newest("main")
+		return machine.NewestVersion("main")
 	}
 	return 0
 }
--- a/internal/storage/folder.go
+++ b/internal/storage/folder.go
@@ -8,8 +8,8 @@
 	"beaconvane/internal/errcode"
 )
 
-// Folder is the port to the disk: a folder of files. The simulator has another one.
-type Folder interface {
+// Directory is the port to the disk: a folder of files. The simulator has another one.
+type Directory interface {
 	// Read returns a file's content; os.ErrNotExist when there is none.
 	Read(name string) ([]byte, error)
 	// Write replaces a file; nothing is on disk before Sync.
@@ -18,35 +18,35 @@
 	Append(name string, body []byte) error
 	// Sync makes a file's content durable.
 	Sync(name string) error
-	// SyncFolder makes the folder's list of files durable.
-	SyncFolder() error
+	// SyncDirectory makes the folder's list of files durable.
+	SyncDirectory() error
 	// Truncate cuts a file to a size in bytes.
 	Truncate(name string, size int64) error
 }
 
-// DirFolder is a folder of the real disk.
-type DirFolder struct{ Path string }
+// OSDirectory is a folder of the real disk.
+type OSDirectory struct{ Path string }
 
-// NewDirFolder returns the folder at a path, and makes it if need be.
-func NewDirFolder(path string) (DirFolder, error) {
+// NewOSDirectory returns the folder at a path, and makes it if need be.
+func NewOSDirectory(path string) (OSDirectory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return DirFolder{}, errcode.Wrap("storage.folder", errcode.DiskFault, err)
+		return OSDirectory{}, errcode.Wrap("storage.folder", errcode.DiskFault, err)
 	}
-	return DirFolder{path}, nil
+	return OSDirectory{path}, nil
 }
 
 // Read returns a file's content.
-func (f DirFolder) Read(name string) ([]byte, error) {
+func (f OSDirectory) Read(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(f.Path, name))
 }
 
 // Write replaces a file.
-func (f DirFolder) Write(name string, body []byte) error {
+func (f OSDirectory) Write(name string, body []byte) error {
 	return os.WriteFile(filepath.Join(f.Path, name), body, 0o600)
 }
 
 // Append writes behind the end of a file that exists.
-func (f DirFolder) Append(name string, body []byte) error {
+func (f OSDirectory) Append(name string, body []byte) error {
 	file, err := os.OpenFile(filepath.Join(f.Path, name), os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return fmt.Errorf("append: %w", err)
@@ -57,7 +57,7 @@
 }
 
 // Sync makes a file's content durable.
-func (f DirFolder) Sync(name string) error {
+func (f OSDirectory) Sync(name string) error {
 	file, err := os.OpenFile(filepath.Join(f.Path, name), os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("sync: %w", err)
@@ -66,8 +66,8 @@
 	return file.Sync()
 }
 
-// SyncFolder makes the list of files durable.
-func (f DirFolder) SyncFolder() error {
+// SyncDirectory makes the list of files durable.
+func (f OSDirectory) SyncDirectory() error {
 	folder, err := os.Open(f.Path)
 	if err != nil {
 		return fmt.Errorf("sync folder: %w", err)
@@ -77,6 +77,6 @@
 }
 
 // Truncate cuts a file to a size in bytes.
-func (f DirFolder) Truncate(name string, size int64) error {
+func (f OSDirectory) Truncate(name string, size int64) error {
 	return os.Truncate(filepath.Join(f.Path, name), size)
 }
--- a/internal/storage/ledger.go
+++ b/internal/storage/ledger.go
@@ -6,33 +6,33 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Then is called when a write is synced, or with the failure that prevented it.
-type Then func(s *statemachine.Env, failure error)
+// SyncCallback is called when a write is synced, or with the failure that prevented it.
+type SyncCallback func(s *statemachine.Env, failure error)
 
-// Ledger orders a machine's writes, and remembers what is to happen once each is synced. State in
+// Writer orders a machine's writes, and remembers what is to happen once each is synced. State in
 // memory runs ahead of the disk; whatever others may rely on is sent only from a write's Then. One
 // failed write stops the ledger for good: no later write is reported as successful.
-type Ledger struct {
+type Writer struct {
 	snapshot func() []byte
-	waiting  map[int64]Then
+	waiting  map[int64]SyncCallback
 	failure  error
 	bytes    int
 	limit    int
 	begun    bool
 }
 
-// NewLedger returns a ledger. snapshot returns the machine's whole state; the log is replaced by a
+// NewWriter returns a ledger. snapshot returns the machine's whole state; the log is replaced by a
 // snapshot when it would hold more than limit bytes. An empty disk gets a snapshot first, whatever is
 // to be written.
-func NewLedger(limit int, snapshot func() []byte, empty bool) *Ledger {
-	return &Ledger{snapshot: snapshot, waiting: map[int64]Then{}, limit: limit, begun: !empty}
+func NewWriter(limit int, snapshot func() []byte, empty bool) *Writer {
+	return &Writer{snapshot: snapshot, waiting: map[int64]SyncCallback{}, limit: limit, begun: !empty}
 }
 
 // Failure returns the error of the first write that failed; nil for none.
-func (l *Ledger) Failure() error { return l.failure }
+func (l *Writer) Failure() error { return l.failure }
 
 // Persist appends a message as a record, or writes a snapshot, which has to include it already.
-func (l *Ledger) Persist(s *statemachine.Env, record any, then Then) {
+func (l *Writer) Persist(s *statemachine.Env, record any, then SyncCallback) {
 	if l.failure != nil {
 		then(s, l.failure)
 		return
@@ -51,7 +51,7 @@
 }
 
 // Compact writes a whole snapshot.
-func (l *Ledger) Compact(s *statemachine.Env, then Then) {
+func (l *Writer) Compact(s *statemachine.Env, then SyncCallback) {
 	if l.failure != nil {
 		then(s, l.failure)
 		return
@@ -61,7 +61,7 @@
 }
 
 // Synced takes the result of the write with a request id.
-func (l *Ledger) Synced(s *statemachine.Env, requestID int64, failure error) {
+func (l *Writer) Synced(s *statemachine.Env, requestID int64, failure error) {
 	then, found := l.waiting[requestID]
 	if !found {
 		return
--- a/internal/storage/powerloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func (d *unsyncedDisk) SyncFolder() error { return d.step() }
+func (d *unsyncedDisk) SyncDirectory() error { return d.step() }
 
 func (d *unsyncedDisk) copy() *unsyncedDisk {
 	copied := &unsyncedDisk{durable: map[string][]byte{}, changes: map[string][]change{}, stopAfter: d.stopAfter}
--- a/internal/storage/recover.go
+++ b/internal/storage/recover.go
@@ -10,7 +10,7 @@
 // may be readable and yet not durable, so nothing that was read counts until the whole
 // state is in a slot that was written and synced since. While the disk takes no writes an
 // error comes back and Recover is to be called again later.
-func Recover[M Restorable](folder Folder, build func(snapshot []byte, records [][]byte) (M, error)) (*Store, M, error) {
+func Recover[M Restorable](folder Directory, build func(snapshot []byte, records [][]byte) (M, error)) (*Store, M, error) {
 	var none M
 	store, snapshot, records, err := Open(folder)
 	if err != nil {
--- a/internal/storage/recover_test.go
+++ b/internal/storage/recover_test.go
@@ -10,7 +10,7 @@
 // fullFolder is a real folder whose disk may refuse to take more bytes, in the middle of
 // a write.
 type fullFolder struct {
-	DirFolder
+	OSDirectory
 	full bool
 }
 
@@ -18,18 +18,18 @@
 
 func (f *fullFolder) Write(name string, body []byte) error {
 	if f.full {
-		f.DirFolder.Write(name, body[:len(body)/2])
+		f.OSDirectory.Write(name, body[:len(body)/2])
 		return errFull
 	}
-	return f.DirFolder.Write(name, body)
+	return f.OSDirectory.Write(name, body)
 }
 
 func (f *fullFolder) Append(name string, body []byte) error {
 	if f.full {
-		f.DirFolder.Append(name, body[:len(body)/2])
+		f.OSDirectory.Append(name, body[:len(body)/2])
 		return errFull
 	}
-	return f.DirFolder.Append(name, body)
+	return f.OSDirectory.Append(name, body)
 }
 
 // lines is a machine that keeps what it was given.
@@ -54,9 +54,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			directory, err := NewDirFolder(t.TempDir())
+			directory, err := NewOSDirectory(t.TempDir())
 			c.Assert(err, qt.IsNil)
-			folder := &fullFolder{DirFolder: directory}
+			folder := &fullFolder{OSDirectory: directory}
 			store, _, _, err := Open(folder)
 			c.Assert(err, qt.IsNil)
 			c.Assert(store.Compact([]byte("one ")), qt.IsNil)
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (m *memory) SyncFolder() error { return nil }
+func (m *memory) SyncDirectory() error { return nil }
 
 func (m *memory) Truncate(name string, size int64) error {
 	m.files[name] = m.files[name][:size]
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -33,7 +33,7 @@
 
 // Store is an open folder. Once a write or sync has failed, all later ones fail.
 type Store struct {
-	folder     Folder
+	folder     Directory
 	generation uint64
 	format     frameFormat // of the log's frames
 	failure    error
@@ -41,7 +41,7 @@
 
 // Open reads what is kept: the newest snapshot and the records behind it. The snapshot of a folder
 // that never completed its first one is nil. Errors have the code DiskCorrupt or DiskFault.
-func Open(folder Folder) (*Store, []byte, [][]byte, error) {
+func Open(folder Directory) (*Store, []byte, [][]byte, error) {
 	store := &Store{folder: folder}
 	corrupt := func(text string) (*Store, []byte, [][]byte, error) {
 		return nil, nil, nil, errcode.Wrap("storage.open", errcode.DiskCorrupt, errors.New(text))
@@ -137,7 +137,7 @@
 	if err := s.folder.Sync(slotName); err != nil {
 		return s.fail(err)
 	}
-	if err := s.folder.SyncFolder(); err != nil {
+	if err := s.folder.SyncDirectory(); err != nil {
 		return s.fail(err)
 	}
 	s.generation = generation
@@ -156,7 +156,7 @@
 	if err := s.folder.Sync(logName); err != nil {
 		return s.fail(err)
 	}
-	if err := s.folder.SyncFolder(); err != nil {
+	if err := s.folder.SyncDirectory(); err != nil {
 		return s.fail(err)
 	}
 	return nil
