--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -24,8 +24,8 @@
 
 // Host is the machine around the quorum and the leases.
 type Host interface {
-	Persist(s *statemachine.Env, record any, then storage.Then)
-	WriteSnapshot(s *statemachine.Env, then storage.Then)
+	Persist(s *statemachine.Env, record any, then storage.SyncCallback)
+	WriteSnapshot(s *statemachine.Env, then storage.SyncCallback)
 	Failure() error
 	WriteLatency() time.Duration
 	Peers() []message.Member
