--- a/internal/transport/framing_golden_test.go
+++ b/internal/transport/framing_golden_test.go
@@ -28,9 +28,9 @@
 // goldenWithdraw and goldenOutcomeRequest are messages with their frames, without the length
 // that stands before a frame on a connection.
 var (
-	goldenWithdraw            = message.Withdraw{ID: "try-1"}
+	goldenWithdraw            = message.Cancel{ID: "try-1"}
 	goldenWithdrawFrame       = "280a7472792d31ac70cc4a"
-	goldenOutcomeRequest      = message.OutcomeRequest{ID: "try-2", ServingProxyBirth: 300}
+	goldenOutcomeRequest      = message.OutcomeRequest{ID: "try-2", ServingProxyStartTime: 300}
 	goldenOutcomeRequestFrame = "270a7472792d32d804ce4b62c1"
 )
 
