--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -29,7 +29,7 @@
 	return serving
 }
 
-func codes(orders []Order) []errcode.Code {
+func codes(orders []Decision) []errcode.Code {
 	list := []errcode.Code{}
 	for _, order := range orders {
 		if order.Start {
@@ -46,7 +46,7 @@
 func TestSlots(t *testing.T) {
 	c := qt.New(t)
 	serving := servingProxy(c)
-	started := []Order{}
+	started := []Decision{}
 	for _, id := range []string{"a", "b"} {
 		orders := serving.Forwarded(time.Second, forwardOf(id, "one", 5))
 		c.Assert(codes(orders), qt.DeepEquals, []errcode.Code{errcode.OK})
@@ -55,9 +55,9 @@
 	c.Assert(serving.Forwarded(time.Second, forwardOf("c", "one", 5)), qt.HasLen, 0)
 	c.Assert(serving.Forwarded(time.Second, forwardOf("d", "one", 5)), qt.HasLen, 0)
 	c.Assert(codes(serving.Forwarded(time.Second, forwardOf("e", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusySlotsFull})
-	_, next := serving.Finish(time.Second, started[0], message.Outcome{Kind: message.StartedWhole})
+	_, next := serving.Finish(time.Second, started[0], message.Outcome{Kind: message.Completed})
 	c.Assert(codes(next), qt.DeepEquals, []errcode.Code{errcode.OK})
-	_, next = serving.Finish(time.Second, started[1], message.Outcome{Kind: message.StartedNoWhole})
+	_, next = serving.Finish(time.Second, started[1], message.Outcome{Kind: message.OutcomeUnknown})
 	c.Assert(next, qt.HasLen, 0)
 	c.Assert(codes(serving.Expire(4*time.Second)), qt.HasLen, 0)
 	c.Assert(codes(serving.Expire(5*time.Second)), qt.DeepEquals, []errcode.Code{errcode.BusyDeadline})
@@ -88,9 +88,9 @@
 	target := Target{Key: "pay/one", Address: "a:1", Incarnation: 5}
 	c.Assert(serving.Dialable(settings.Default().DialFresh(), target), qt.IsTrue)
 	c.Assert(serving.Dialable(settings.Default().DialFresh()+1, target), qt.IsFalse)
-	serving.Alive(time.Second, target)
+	serving.MarkAlive(time.Second, target)
 	c.Assert(serving.Dialable(time.Second, target), qt.IsTrue)
-	serving.Broke(2*time.Second, target)
+	serving.MarkBroken(2*time.Second, target)
 	c.Assert(codes(serving.Forwarded(2*time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	serving.Announce(2*time.Second+1, response("one", "a:1", 5))
 	c.Assert(serving.Dialable(2*time.Second+1, target), qt.IsTrue)
@@ -121,7 +121,7 @@
 	serving := servingProxy(c)
 	orders := serving.Forwarded(time.Second, forwardOf("a", "one", 5))
 	c.Assert(serving.Outcome(time.Second, "a").Kind, qt.Equals, message.StillRunning)
-	serving.Finish(time.Second, orders[0], message.Outcome{Kind: message.StartedWhole, Status: 200, Body: []byte("x")})
+	serving.Finish(time.Second, orders[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("x")})
 	c.Assert(string(serving.Outcome(2*time.Second, "a").Body), qt.Equals, "x")
 	c.Assert(serving.Outcome(2*time.Second, "b").Kind, qt.Equals, message.NotStarted)
 	c.Assert(codes(serving.Forwarded(2*time.Second, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyServingProxyLost})
@@ -139,8 +139,8 @@
 	old.waitAccepted(c, b.guards+len(b.caller.idle[target]))
 	old.listener.Close()
 	heir := newScripted(c, members, b.address, func(int64) string { return good })
-	c.Assert(len(b.caller.idle[target]), qt.Equals, b.serving.ConnectionsReady(target))
-	c.Assert(b.request(c, "a", http.MethodPost).Kind, qt.Equals, message.StartedWhole)
+	c.Assert(len(b.caller.idle[target]), qt.Equals, b.serving.WarmConnections(target))
+	c.Assert(b.request(c, "a", http.MethodPost).Kind, qt.Equals, message.Completed)
 	c.Assert(old.reads.Load(), qt.Equals, int64(1))
 	// Every kept connection is used up, and the last sign of life is a moment too old.
 	b.caller.lock.Lock()
@@ -177,12 +177,12 @@
 	g.Announce(time.Second, response)
 	orders := g.Forwarded(time.Second, message.Forward{ID: "q", Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second)})
 	c.Assert(orders, qt.HasLen, 1)
-	g.Finish(time.Second, orders[0], message.Outcome{Kind: message.StartedWhole, Status: 200, Body: []byte("answer")})
+	g.Finish(time.Second, orders[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("answer")})
 	c.Check(string(g.Outcome(time.Second, "q").Body), qt.Equals, "answer")
 	later := time.Second + cfg.AnswerKept() + time.Millisecond
 	g.Announce(later, response)
 	g.Expire(later)
 	late := g.Outcome(later, "q")
 	c.Check(late.Body, qt.HasLen, 0)
-	c.Check(late.Kind, qt.Equals, message.StartedNoWhole)
+	c.Check(late.Kind, qt.Equals, message.OutcomeUnknown)
 }
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -20,7 +20,7 @@
 	settings   settings.Settings
 	role       string
 	membership *membership.Membership
-	ledger     *storage.Ledger
+	ledger     *storage.Writer
 	voterAt    func(address string) string
 	bornAt     time.Duration
 	born       bool
@@ -41,11 +41,11 @@
 // NewCore makes the shared part; snapshot gives the machine's whole state; empty says
 // that the disk has never held one.
 func NewCore(cfg settings.Settings, role string, members *membership.Membership, snapshot func() []byte, empty bool) *Core {
-	return &Core{settings: cfg, role: role, membership: members, ledger: storage.NewLedger(1<<20, snapshot, empty)}
+	return &Core{settings: cfg, role: role, membership: members, ledger: storage.NewWriter(1<<20, snapshot, empty)}
 }
 
 // Persist appends a record; CompactNow writes the whole snapshot.
-func (c *Core) Persist(s *statemachine.Env, record any, then storage.Then) {
+func (c *Core) Persist(s *statemachine.Env, record any, then storage.SyncCallback) {
 	began := s.Now
 	c.ledger.Persist(s, record, func(s *statemachine.Env, failure error) {
 		c.sync += (s.Now - began - c.sync) / 4
@@ -53,11 +53,13 @@
 	})
 }
 
-// SyncTime is about how long a write takes here, waiting included.
-func (c *Core) SyncTime() time.Duration { return c.sync }
+// WriteLatency is about how long a write takes here, waiting included.
+func (c *Core) WriteLatency() time.Duration { return c.sync }
 
-// CompactNow writes a whole snapshot.
-func (c *Core) CompactNow(s *statemachine.Env, then storage.Then) { c.ledger.Compact(s, then) }
+// WriteSnapshot writes a whole snapshot.
+func (c *Core) WriteSnapshot(s *statemachine.Env, then storage.SyncCallback) {
+	c.ledger.Compact(s, then)
+}
 
 // Failure is set once a write has failed.
 func (c *Core) Failure() error { return c.ledger.Failure() }
@@ -87,8 +89,8 @@
 	}
 }
 
-// HoldVoter tells the members which voter this process holds.
-func (c *Core) HoldVoter(voter string) { c.membership.HoldVoter(voter) }
+// AnnounceVoter tells the members which voter this process holds.
+func (c *Core) AnnounceVoter(voter string) { c.membership.SetVoter(voter) }
 
 // Superseded says whether a later life of this node's name is at another address.
 func (c *Core) Superseded() bool { return c.membership.Superseded() }
@@ -113,9 +115,9 @@
 	c.departure = nil
 }
 
-// Gone says that a node is dead or has left. One that was never heard of is gone only
+// NodeGone says that a node is dead or has left. One that was never heard of is gone only
 // to a node that has been up, among others, for long enough to have heard of it.
-func (c *Core) Gone(s *statemachine.Env, nodeName string) bool {
+func (c *Core) NodeGone(s *statemachine.Env, nodeName string) bool {
 	member, known := c.membership.Find(c.role + "/" + nodeName)
 	if known {
 		return member.State >= message.Dead
@@ -123,8 +125,8 @@
 	return c.born && s.Now-c.bornAt > c.settings.SuspectFor()*2 && c.membership.Joined()
 }
 
-// Keep is the steady part: remember addresses, and leave when shut out.
-func (c *Core) Keep(s *statemachine.Env, shutOut bool) {
+// Maintain is the steady part: remember addresses, and leave when shut out.
+func (c *Core) Maintain(s *statemachine.Env, shutOut bool) {
 	if !c.born {
 		c.born, c.bornAt = true, s.Now
 	}
@@ -137,8 +139,8 @@
 		return
 	}
 	c.seenAt = s.Now + c.settings.HolderRest()
-	if seen := c.membership.Seen(); len(seen) > 0 && !slices.Equal(seen, c.seen) {
+	if seen := c.membership.KnownAddresses(); len(seen) > 0 && !slices.Equal(seen, c.seen) {
 		c.seen = seen
-		c.Persist(s, message.SeenState{Addresses: seen}, func(*statemachine.Env, error) {})
+		c.Persist(s, message.KnownAddresses{Addresses: seen}, func(*statemachine.Env, error) {})
 	}
 }
