--- a/internal/golden/codes_test.go
+++ b/internal/golden/codes_test.go
@@ -47,7 +47,7 @@
 	text := strings.Builder{}
 	for _, code := range codes() {
 		out := httptest.NewRecorder()
-		frontend.Node{}.Answer(out, frontend.Refusal(code))
+		frontend.NativeProtocol{}.WriteResponse(out, frontend.NewRefusal(code))
 		text.WriteString(golden.Response(out.Code, out.Result().Header, out.Body.String()))
 	}
 	golden.Check(c, "caller-refusals.txt", text.String())
--- a/internal/golden/counters_test.go
+++ b/internal/golden/counters_test.go
@@ -57,7 +57,7 @@
 	cfg.Collector = collector.URL
 	process := runProcess(c, cfg, message.RoleRegistry, &reportingMachine{})
 	sent := func(until time.Duration, counter string) {
-		_, err := process.Request(process.Group.Context, registry.Report{Window: 1, Until: until})
+		_, err := process.Request(process.Group.Context, registry.UsageReport{Window: 1, Until: until})
 		c.Assert(err, qt.IsNil)
 		for deadline := time.Now().Add(settled); process.Counters()[counter] == 0 && time.Now().Before(deadline); {
 			time.Sleep(again)
--- a/internal/golden/deployment_test.go
+++ b/internal/golden/deployment_test.go
@@ -67,7 +67,7 @@
 	c.Assert(faults, qt.HasLen, 0)
 	group := goroutine.New()
 	process := node.New(checked, role, group)
-	protocols := cli.Protocols{Callers: frontend.Node{}, Upstreams: backend.Node{}}
+	protocols := cli.Protocols{Callers: frontend.NativeProtocol{}, Upstreams: backend.NativeProtocol{}}
 	app := fx.New(fx.NopLogger, fx.Supply(checked, group, process, protocols), module)
 	c.Assert(app.Err(), qt.IsNil)
 	c.Assert(app.Start(context.Background()), qt.IsNil)
--- a/internal/golden/proxy_api_test.go
+++ b/internal/golden/proxy_api_test.go
@@ -42,10 +42,10 @@
 func proxyAPI(c *qt.C, cfg settings.Settings) (*api.Proxy, *node.Node) {
 	process := runProcess(c, cfg, message.RoleProxy, standInProxy{})
 	upstreams := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
-	front := frontend.New(cfg, upstreams.PassOf)
-	front.RepeatsOf(upstreams)
-	caller := backend.NewCaller(cfg, upstreams, process.Group)
-	stages := frontend.NewStages(cfg, front, upstreams, caller, process.Group, node.Self(cfg, message.RoleProxy), process.Tell)
+	front := frontend.New(cfg, upstreams.LookupDelegation)
+	front.UseRetryMonitor(upstreams)
+	caller := backend.NewUpstreamClient(cfg, upstreams, process.Group)
+	stages := frontend.NewPipeline(cfg, front, upstreams, caller, process.Group, node.Self(cfg, message.RoleProxy), process.Tell)
 	return api.NewProxy(cfg, process, process.Group, front, upstreams, stages), process
 }
 
--- a/internal/golden/registry_api_test.go
+++ b/internal/golden/registry_api_test.go
@@ -47,9 +47,9 @@
 	switch it := question.(type) {
 	case registry.WriteConfiguration:
 		return fmt.Sprintf("write %s %d %d bytes, checked %t, %d faults", it.ConfigName, it.Version, len(it.Body), it.Check.Done, len(it.Check.Faults))
-	case registry.GetConfiguration:
+	case registry.ReadConfiguration:
 		return fmt.Sprintf("get %s %d list %t", it.ConfigName, it.Version, it.List)
-	case registry.ConfigurationStatus:
+	case registry.ReadConfigurationStatus:
 		return fmt.Sprintf("configuration status %s %d", it.ConfigName, it.Version)
 	case registry.ReadUsage:
 		return fmt.Sprintf("usage %d", it.Window)
@@ -57,7 +57,7 @@
 		return "status"
 	case registry.ReadRoster:
 		return "roster"
-	case registry.Ready:
+	case registry.ReadReadiness:
 		return "ready"
 	}
 	return "unknown"
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -85,7 +85,7 @@
 func TestProtocolNames(t *testing.T) {
 	c := qt.New(t)
 	golden.Check(c, "protocol-names.txt", strings.Join([]string{
-		"code " + frontend.CodeHeader, "key " + frontend.KeyHeader, "key parameter " + frontend.KeyParam, "tenant " + backend.TenantHeader,
-		"caller " + backend.CallerHeader, "pass " + backend.PassHeader, "request " + backend.RequestHeader,
+		"code " + frontend.CodeHeader, "key " + frontend.APIKeyHeader, "key parameter " + frontend.KeyParam, "tenant " + backend.TenantHeader,
+		"caller " + backend.CallerHeader, "pass " + backend.DelegationHeader, "request " + backend.RequestHeader,
 	}, "\n")+"\n")
 }
