--- a/internal/configstore/configstore.go
+++ b/internal/configstore/configstore.go
@@ -41,7 +41,7 @@
 	settings     settings.Settings
 	membership   *membership.Membership
 	quorum       *quorum.Quorum
-	leases       *lease.Leases
+	leases       *lease.Manager
 	distribution *distribution.Distribution
 
 	epoch          int64
@@ -58,7 +58,7 @@
 	acks      map[string]string
 	followers map[string]message.LogAppended // what each voter confirmed of this term
 	inFlight  *message.StoredConfiguration
-	packed    message.LogAppendPacked // inFlight, as it travels
+	packed    message.LogAppendDelta // inFlight, as it travels
 	packer    packer
 	asker     queuedWrite
 	writes    []queuedWrite
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{settings: cfg, membership: membership.New(cfg, self, kept.Seen)}
+	m := &Machine{settings: cfg, membership: membership.New(cfg, self, kept.KnownAddresses)}
 	m.absorb(kept)
 	restored := quorum.Restored{Voter: kept.Voter, Votes: kept.Votes}
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
@@ -86,9 +86,10 @@
 	m.synced = m.position()
 	m.distribution = distribution.New(cfg, m.membership, func(*statemachine.Env, string) {})
 	m.Core = quorum.NewCore(cfg, message.RoleConfigStore, m.membership, m.snapshot, snapshot == nil)
-	m.quorum = quorum.NewQuorum(Group, cfg, m, restored.Voter, func(s *statemachine.Env, fresh bool) { m.leases.BeginVoting(s, fresh) })
+	m.quorum = quorum.New(Group, cfg, m, restored.Voter, func(s *statemachine.Env, fresh bool) { m.leases.BeginVoting(s, fresh) })
 	m.UseVoters(m.quorum)
-	m.leases = lease.NewLeases(cfg, m, m.quorum, []string{settings.ConfigLogTag}, restored.Votes, m.fit, m.took, m.lost)
+	m.leases = lease.New(cfg, m, m.quorum, []string{settings.ConfigLogTag}, restored.Votes,
+		lease.Callbacks{Eligible: m.fit, OnAcquired: m.took, OnLost: m.lost})
 	m.distribution.ServeWhen(func(now time.Duration) bool { return m.mode == serving && m.leases.Holding(settings.ConfigLogTag, now) }, func() []string { return []string{m.holderName()} })
 	return m, nil
 }
@@ -122,13 +123,13 @@
 func (m *Machine) Tick(s *statemachine.Env) {
 	m.membership.Tick(s)
 	m.quorum.Tick(s)
-	m.Keep(s, m.quorum.ShutOut)
+	m.Maintain(s, m.quorum.Removed)
 	m.leases.Tick(s)
 	m.distribution.Tick(s)
 	m.step(s)
 	if m.mode == serving && m.leases.Holding(settings.ConfigLogTag, s.Now) {
 		for _, configName := range m.configNames() {
-			m.distribution.Fresh(distribution.ConfigurationTopic(configName), s.Now)
+			m.distribution.SetFreshAt(distribution.ConfigurationTopic(configName), s.Now)
 		}
 	}
 }
@@ -181,7 +182,7 @@
 	promised := m.leases.Epoch(settings.ConfigLogTag)
 	valid := func(voter, identity string, epoch int64) bool {
 		inEpoch := epoch == promised || guardsOff.promisedEpoch
-		return m.quorum.Voting() && m.quorum.Holds(voter, identity) && inEpoch && m.Failure() == nil
+		return m.quorum.Voting() && m.quorum.Accepts(voter, identity) && inEpoch && m.Failure() == nil
 	}
 	switch received := msg.(type) {
 	case message.LogPositionRequest:
@@ -208,7 +209,7 @@
 		if valid(received.Voter, received.Identity, received.Epoch) {
 			m.handleCommit(s, from, received)
 		}
-	case message.LogAppendPacked:
+	case message.LogAppendDelta:
 		if valid(received.Voter, received.Identity, received.Epoch) {
 			m.handlePacked(s, from, received)
 		}
@@ -231,13 +232,13 @@
 // Asked takes the process's own questions.
 func (m *Machine) Asked(s *statemachine.Env, requestID int64, question any) {
 	switch asked := question.(type) {
-	case statemachine.Reseeded:
-		m.membership.Reseed(asked.Seeds)
+	case statemachine.SeedsChanged:
+		m.membership.SetSeeds(asked.Seeds)
 	case metrics.Read:
 		s.Reply(requestID, m.metrics(s))
 	case Stop:
 		m.stopping = true
-		m.leases.Yield(s)
+		m.leases.TransferAll(s)
 		m.Depart(s, requestID, errcode.OK)
 	}
 }
--- a/internal/quorum/replay.go
+++ b/internal/quorum/replay.go
@@ -30,8 +30,8 @@
 			r.Voter = held
 		case message.Vote:
 			r.Votes = append(r.Votes, held)
-		case message.SeenState:
-			members.Remember(held.Addresses)
+		case message.KnownAddresses:
+			members.AddKnownAddresses(held.Addresses)
 		default:
 			own(decoded)
 		}
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -139,9 +139,9 @@
 	held.goroutines, held.process = members, process
 	self := node.Self(held.part.Settings, held.part.Role)
 	if held.part.Role == message.RoleProxy {
-		tracker := frontend.New(held.part.Settings, func(string) (backend.Pass, bool) { return backend.Pass{}, false })
+		tracker := frontend.New(held.part.Settings, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 		process.OnPublish(func(snapshot any) {
-			tracker.Show(members.Now(), snapshot.(*proxy.Snapshot))
+			tracker.UpdateSnapshot(members.Now(), snapshot.(*proxy.Snapshot))
 			t.shown(held, snapshot.(*proxy.Snapshot))
 		})
 		if err := process.Run(proxy.New(held.part.Settings, self), nil); err != nil {
@@ -200,7 +200,7 @@
 			counts[current] = map[string]int64{}
 		}
 		counts[current][fmt.Sprintf("tenant-%d", round%part.Tenants)]++
-		counted := proxy.Counted{Closed: current}
+		counted := proxy.UsageCounted{Closed: current}
 		for window := range counts {
 			if window < answer.(int64) || window < current-4 {
 				delete(counts, window)
@@ -257,9 +257,9 @@
 }
 
 func merge(sums map[string]transport.Count, passed transport.Count) {
-	key := fmt.Sprintf("%s %t %s", passed.Way, passed.Out, passed.Kind)
+	key := fmt.Sprintf("%s %t %s", passed.Protocol, passed.Outbound, passed.Kind)
 	sum := sums[key]
-	sums[key] = transport.Count{Way: passed.Way, Out: passed.Out, Kind: passed.Kind, Messages: sum.Messages + passed.Messages, Bytes: sum.Bytes + passed.Bytes}
+	sums[key] = transport.Count{Protocol: passed.Protocol, Outbound: passed.Outbound, Kind: passed.Kind, Messages: sum.Messages + passed.Messages, Bytes: sum.Bytes + passed.Bytes}
 }
 
 // Do answers one question.
@@ -301,7 +301,7 @@
 	limited, cancel := context.WithTimeout(n.goroutines.Context, n.part.Settings.InForceWait()*2)
 	defer cancel()
 	write := registry.WriteConfiguration{ConfigName: n.part.Settings.ConfigNames[0], Version: request.Version, Body: request.Body,
-		Check: registry.CheckContent(n.part.Settings, request.Body)}
+		Check: registry.CheckConfiguration(n.part.Settings, request.Body)}
 	answered, err := n.process.Request(limited, write)
 	if err != nil {
 		return err
@@ -371,7 +371,7 @@
 			for _, list := range snapshot.Upstreams {
 				upstreams += len(list)
 			}
-			known = snapshot.Proxies
+			known = snapshot.ProxyCount
 			if snapshot.Ready(held.goroutines.Now(), held.part.Settings.StaleReady()) {
 				state.Ready++
 			}
