--- a/internal/backend/admission.go
+++ b/internal/backend/admission.go
@@ -33,8 +33,8 @@
 		return []Decision{refusal(forward, code)}
 	}
 	item := queuedRequest{forward: forward, deadline: now + time.Duration(forward.Remaining)}
-	if forward.Aim > 0 {
-		item.aim = now + time.Duration(forward.Aim)
+	if forward.TargetRemaining > 0 {
+		item.aim = now + time.Duration(forward.TargetRemaining)
 	}
 	b.record(forward.ID, &attemptRecord{updatedAt: item.deadline})
 	if held.cannotMeetAim(now, item) {
@@ -77,7 +77,7 @@
 		return errcode.BusyNotReady
 	case forward.Remaining <= 0:
 		return errcode.BusyDeadline
-	case forward.Repeat && now < b.retriesPausedUntil:
+	case forward.Retried && now < b.retriesPausedUntil:
 		return errcode.BusyBudget
 	}
 	return b.authorize(forward)
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -111,7 +111,7 @@
 	case code == errcode.UnknownOutcome && !cancelled:
 		c.serving.MarkDoubtful(target)
 	}
-	return message.Outcome{Kind: message.StartedNoWhole, Code: int64(code)}
+	return message.Outcome{Kind: message.OutcomeUnknown, Code: int64(code)}
 }
 
 // notStarted is the outcome of a request that was never sent.
--- a/internal/backend/matcher.go
+++ b/internal/backend/matcher.go
@@ -44,7 +44,7 @@
 // Read returns this request's own answer, or an error where nobody knows whether it ran.
 func (m ResponseMatcher) Read(responses *ResponseReader) (MatchedResponse, error) {
 	for range maxSkippedResponses {
-		responses.limit.N = m.Forward.AnswerCap + maxHeadBytes
+		responses.limit.N = m.Forward.MaxResponseBytes + maxHeadBytes
 		matched, err := m.readNext(responses)
 		if err != nil || !matched.Metadata.OtherRequest {
 			return matched, err
@@ -80,7 +80,7 @@
 	matched.Keep = !response.Close && !bytesBehind
 	switch {
 	case matched.Metadata.Refusal != errcode.OK:
-		matched.Outcome = message.Outcome{Kind: message.NotStarted, Code: int64(matched.Metadata.Refusal), Sent: true}
+		matched.Outcome = message.Outcome{Kind: message.NotStarted, Code: int64(matched.Metadata.Refusal), ReachedUpstream: true}
 		return matched, nil
 	case matched.Metadata.Corrupt, matched.Metadata.AmbiguousRefusal && safeguard.HiddenPromise.On():
 		return MatchedResponse{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errNotOwnAnswer)
@@ -98,7 +98,7 @@
 // answeredOutcome is the upstream's whole answer, without the headers that end at this hop.
 func answeredOutcome(response *http.Response, body []byte, metadata ResponseMetadata) message.Outcome {
 	outcome := message.Outcome{
-		Kind:    message.StartedWhole,
+		Kind:    message.Completed,
 		Status:  int64(response.StatusCode),
 		Headers: []message.HeaderLine{},
 		Body:    body,
--- a/internal/backend/queue.go
+++ b/internal/backend/queue.go
@@ -133,8 +133,8 @@
 // start takes a slot for a request.
 func (b *Backend) start(now time.Duration, held *upstream, item queuedRequest) Decision {
 	forward := item.forward
-	held.running[forward.ID] = runningRequest{once: forward.Once}
-	b.observeStart(forward.Repeat, forward.Once)
+	held.running[forward.ID] = runningRequest{once: forward.AtMostOnce}
+	b.observeStart(forward.Retried, forward.AtMostOnce)
 	b.record(forward.ID, &attemptRecord{updatedAt: now, startedAt: now})
 	token := b.newToken()
 	b.delegations[token] = Delegation{Tenant: forward.Tenant, Service: forward.Service, Key: forward.ID}
--- a/internal/backend/records.go
+++ b/internal/backend/records.go
@@ -57,8 +57,8 @@
 	}
 	if record, seen := b.records[outcome.ID]; decision.Start && seen {
 		took := now - record.startedAt
-		outcome.Took = int64(took)
-		if known && outcome.Kind == message.StartedWhole {
+		outcome.ServiceTime = int64(took)
+		if known && outcome.Kind == message.Completed {
 			held.observeLatency(decision.Forward.Route, took)
 		}
 	}
@@ -72,10 +72,10 @@
 // has run.
 func (b *Backend) keepSlotTaken(now time.Duration, held *upstream, outcome message.Outcome) {
 	code := errcode.Code(outcome.Code)
-	if outcome.Kind == message.StartedNoWhole && code != errcode.AnswerMalformed && code != errcode.AnswerTooLarge {
+	if outcome.Kind == message.OutcomeUnknown && code != errcode.AnswerMalformed && code != errcode.AnswerTooLarge {
 		held.lingering = append(held.lingering, now+b.lingerTime(code))
 	}
-	if outcome.Kind == message.NotStarted && outcome.Sent && code == errcode.BusySlotsFull {
+	if outcome.Kind == message.NotStarted && outcome.ReachedUpstream && code == errcode.BusySlotsFull {
 		// It has work that this serving proxy does not know of.
 		held.lingering = append(held.lingering, now+b.settings.DialFresh())
 	}
@@ -122,7 +122,7 @@
 
 // unknownOutcome is the outcome of an attempt that has run, and of which no more is known.
 func unknownOutcome(id string) message.Outcome {
-	return message.Outcome{ID: id, Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}
+	return message.Outcome{ID: id, Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}
 }
 
 // notStartedOutcome is the outcome of an attempt that has not started and never will.
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -55,14 +55,14 @@
 	if !isFramed(response, m.Forward.Method) && safeguard.WholeAnswer.On() {
 		return nil, nil, errcode.Wrap("backend.body", errcode.AnswerMalformed, errUnframed)
 	}
-	if response.ContentLength > m.Forward.AnswerCap {
+	if response.ContentLength > m.Forward.MaxResponseBytes {
 		return nil, nil, errcode.Wrap("backend.body", errcode.AnswerTooLarge, nil)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, m.Forward.AnswerCap+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, m.Forward.MaxResponseBytes+1))
 	if err != nil && safeguard.WholeAnswer.On() {
 		return nil, nil, errcode.Wrap("backend.body", errcode.AnswerMalformed, err)
 	}
-	if int64(len(body)) > m.Forward.AnswerCap {
+	if int64(len(body)) > m.Forward.MaxResponseBytes {
 		return nil, nil, errcode.Wrap("backend.body", errcode.AnswerTooLarge, nil)
 	}
 	return response, body, nil
--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -55,10 +55,10 @@
 
 // checkSnapshot refuses while the control state is unknown, or too old to rely on.
 func (a *admission) checkSnapshot() *refusal {
-	if a.snapshot == nil || !a.snapshot.Known {
+	if a.snapshot == nil || !a.snapshot.ConfigurationsKnown {
 		return refuseWith(errcode.BusyNotReady)
 	}
-	if limit := a.frontend.settings.StaleAdmit(); limit > 0 && a.now-a.snapshot.FreshAt > limit {
+	if limit := a.frontend.settings.StaleAdmit(); limit > 0 && a.now-a.snapshot.ConfigurationsFreshAt > limit {
 		return refuseWith(errcode.BusyStale)
 	}
 	return nil
@@ -114,7 +114,7 @@
 func (a *admission) isOpen() bool {
 	for _, configuration := range a.snapshot.Configurations {
 		route, found := a.find(configuration)
-		if found && (route.Open || a.request.Host != "" && configuration.Keyless()) {
+		if found && (route.Public || a.request.Host != "" && configuration.Keyless()) {
 			return true
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 func (a *admission) find(configuration *routeconfig.Configuration) (routeconfig.Route, bool) {
-	return configuration.Find(a.request.Host, a.request.Method, a.request.Path)
+	return configuration.MatchHost(a.request.Host, a.request.Method, a.request.Path)
 }
 
 // checkRoute takes the first configuration that has a route for the request.
@@ -154,13 +154,13 @@
 	caller := a.metadata.CallingService
 	if a.delegated {
 		tenant, caller = a.delegation.Tenant, a.delegation.Service
-		authenticated = a.configuration.Honours(tenant)
+		authenticated = a.configuration.TenantHasKey(tenant)
 	}
 	if a.frontend.settings.Service != "" {
 		caller = a.frontend.settings.Service
 	}
 	keyless := a.route.Host != "" && a.configuration.Keyless()
-	if !authenticated && !a.route.Open && !keyless || !a.route.Allows(tenant, caller) {
+	if !authenticated && !a.route.Public && !keyless || !a.route.Allows(tenant, caller) {
 		return refuseWith(errcode.RequestCallerRefused)
 	}
 	a.tenant, a.caller = tenant, caller
@@ -169,15 +169,15 @@
 
 // checkCalendar refuses outside the route's opening hours.
 func (a *admission) checkCalendar() *refusal {
-	if a.route.Calendar == nil || a.route.Calendar.Open(a.wall) {
+	if a.route.Calendar == nil || a.route.Calendar.IsOpen(a.wall) {
 		return nil
 	}
-	return &refusal{code: errcode.RequestRouteClosed, retryAfter: a.route.Calendar.NextOpen(a.wall)}
+	return &refusal{code: errcode.RequestRouteClosed, retryAfter: a.route.Calendar.UntilOpen(a.wall)}
 }
 
 // checkBodySize refuses a body that is larger than the route allows.
 func (a *admission) checkBodySize() *refusal {
-	if a.route.BodyCap > 0 && int64(len(a.request.Body)) > a.route.BodyCap {
+	if a.route.MaxBodyBytes > 0 && int64(len(a.request.Body)) > a.route.MaxBodyBytes {
 		return refuseWith(errcode.RequestTooLarge)
 	}
 	return nil
@@ -191,7 +191,7 @@
 	request.Tenant, request.Caller = a.tenant, a.caller
 	request.AttemptName = a.metadata.AttemptName
 	request.Priority = a.configuration.Priority(a.tenant, a.route)
-	request.Deadline = min(request.Deadline, request.startedAt(a.now)+a.route.Limit)
+	request.Deadline = min(request.Deadline, request.startedAt(a.now)+a.route.Timeout)
 	if a.metadata.Timeout > 0 {
 		request.Deadline = min(request.Deadline, request.ArrivedAt+a.metadata.Timeout)
 	}
--- a/internal/frontend/authorize.go
+++ b/internal/frontend/authorize.go
@@ -10,7 +10,7 @@
 // configurations, which may be older or newer than those of the proxy that admitted it.
 func (f *Frontend) AuthorizeForward(forward message.Forward) errcode.Code {
 	snapshot := f.currentSnapshot()
-	if snapshot == nil || !snapshot.Known {
+	if snapshot == nil || !snapshot.ConfigurationsKnown {
 		return errcode.BusyNotReady
 	}
 	for _, configuration := range snapshot.Configurations {
@@ -27,9 +27,9 @@
 		// The configuration by which it was admitted is no older than this one.
 		return true
 	}
-	route, found := configuration.Find(forward.Host, forward.Method, forward.Path)
-	if !found || !route.Leads(forward.Service) || !route.Allows(forward.Tenant, forward.Caller) {
+	route, found := configuration.MatchHost(forward.Host, forward.Method, forward.Path)
+	if !found || !route.RoutesTo(forward.Service) || !route.Allows(forward.Tenant, forward.Caller) {
 		return false
 	}
-	return route.Open || configuration.Honours(forward.Tenant) || route.Host != "" && configuration.Keyless()
+	return route.Public || configuration.TenantHasKey(forward.Tenant) || route.Host != "" && configuration.Keyless()
 }
--- a/internal/frontend/connections.go
+++ b/internal/frontend/connections.go
@@ -62,7 +62,7 @@
 	births = map[string]int64{}
 	for id, pending := range d.pending {
 		if pending.sentOn(connection) {
-			births[id] = pending.Request.Target.ServingProxyBirth
+			births[id] = pending.Request.Target.ServingProxyStartTime
 			ids = append(ids, id)
 		}
 	}
@@ -100,5 +100,5 @@
 
 // unknownOutcome is the outcome of an attempt that nobody can answer for.
 func unknownOutcome(attemptID string) message.Outcome {
-	return message.Outcome{ID: attemptID, Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}
+	return message.Outcome{ID: attemptID, Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}
 }
--- a/internal/frontend/dispatcher.go
+++ b/internal/frontend/dispatcher.go
@@ -55,7 +55,7 @@
 		environment: environment,
 		address:     self.Address,
 		nodeName:    self.Name,
-		birth:       self.Birth,
+		birth:       self.StartTime,
 		startedAt:   environment.Now(),
 		connections: map[string]Connection{},
 		pending:     map[string]*PendingRequest{},
@@ -209,7 +209,7 @@
 	d.lock.Unlock()
 	d.frontend.release(request)
 	d.frontend.abandonAttempt(d.environment.Now(), request)
-	withdrawal := message.Withdraw{ID: attemptID}
+	withdrawal := message.Cancel{ID: attemptID}
 	if connection == nil {
 		d.deliverLocally(withdrawal)
 		return
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -20,32 +20,32 @@
 	remaining := request.Deadline - now
 	reserve := min(remaining/answerTimeDivisor, f.settings.UpdatesEvery()/answerTimeMaxDivisor)
 	forward := message.Forward{
-		ID:                request.ID + "." + attempt,
-		Proxy:             self,
-		ServingProxyBirth: request.Target.ServingProxyBirth,
-		ConfigName:        request.Configuration.ConfigName,
-		Version:           request.Configuration.Version,
-		Route:             request.Route.Name,
-		Service:           request.Service,
-		Instance:          request.Target.Instance,
-		Incarnation:       request.Target.Incarnation,
-		Tenant:            request.Tenant,
-		Caller:            request.Caller,
-		Method:            request.Method,
-		Path:              request.Path,
-		RawQuery:          request.RawQuery,
-		Headers:           headerLines(request),
-		Body:              request.Body,
-		AnswerCap:         f.settings.Limits.Answer,
-		Host:              request.Host,
-		Name:              request.AttemptName,
-		Priority:          request.Priority,
-		Once:              request.Route.Once,
-		Repeat:            request.UpstreamAttempts > 0,
-		Remaining:         int64(remaining - reserve),
+		ID:                    request.ID + "." + attempt,
+		Proxy:                 self,
+		ServingProxyStartTime: request.Target.ServingProxyStartTime,
+		ConfigName:            request.Configuration.ConfigName,
+		Version:               request.Configuration.Version,
+		Route:                 request.Route.Name,
+		Service:               request.Service,
+		Instance:              request.Target.Instance,
+		Incarnation:           request.Target.Incarnation,
+		Tenant:                request.Tenant,
+		Caller:                request.Caller,
+		Method:                request.Method,
+		Path:                  request.Path,
+		RawQuery:              request.RawQuery,
+		Headers:               headerLines(request),
+		Body:                  request.Body,
+		MaxResponseBytes:      f.settings.Limits.Answer,
+		Host:                  request.Host,
+		Name:                  request.AttemptName,
+		Priority:              request.Priority,
+		AtMostOnce:            request.Route.AtMostOnce,
+		Retried:               request.UpstreamAttempts > 0,
+		Remaining:             int64(remaining - reserve),
 	}
-	if request.Route.Aim > 0 && !request.nested() {
-		forward.Aim = max(int64(request.ArrivedAt+request.Route.Aim-now), 1)
+	if request.Route.LatencyTarget > 0 && !request.nested() {
+		forward.TargetRemaining = max(int64(request.ArrivedAt+request.Route.LatencyTarget-now), 1)
 	}
 	if forward.Body == nil {
 		forward.Body = []byte{}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -90,5 +90,5 @@
 // synced reports whether configurations and roster have come since this proxy started.
 func (f *Frontend) synced() bool {
 	snapshot := f.currentSnapshot()
-	return snapshot != nil && snapshot.Known && snapshot.RosterHere
+	return snapshot != nil && snapshot.ConfigurationsKnown && snapshot.RosterKnown
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -31,8 +31,8 @@
 	f := New(cfg, func(pass string) (backend.Delegation, bool) {
 		return backend.Delegation{Tenant: "t", Service: "pay"}, pass == "good"
 	})
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
-		Proxies: 10, Upstreams: map[string][]message.Registration{"pay": upstreams}})
+	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
+		ProxyCount: 10, Upstreams: map[string][]message.Registration{"pay": upstreams}})
 	return f
 }
 
@@ -135,12 +135,12 @@
 		final   errcode.Code
 		again   bool
 	}{
-		{"/pay", message.Outcome{Kind: message.StartedWhole, Status: 200}, errcode.OK, false},
+		{"/pay", message.Outcome{Kind: message.Completed, Status: 200}, errcode.OK, false},
 		{"/pay", message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}, errcode.OK, true},
 		{"/pay", message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyDeadline)}, errcode.BusyDeadline, false},
-		{"/pay", message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}, errcode.UnknownOutcome, false},
-		{"/pay", message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.AnswerMalformed)}, errcode.AnswerMalformed, false},
-		{"/look", message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}, errcode.OK, true},
+		{"/pay", message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}, errcode.UnknownOutcome, false},
+		{"/pay", message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.AnswerMalformed)}, errcode.AnswerMalformed, false},
+		{"/look", message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}, errcode.OK, true},
 	} {
 		f := ready(c, 0, upstream("one", "here"), upstream("two", "here"))
 		method := map[string]string{"/pay": "POST", "/look": "GET"}[tried.path]
@@ -157,7 +157,7 @@
 			c.Check(final.RetryAfter > 0, qt.Equals, busy)
 		}
 		// Once something may have run, no later refusal says that nothing did.
-		if final == nil && tried.outcome.Kind == message.StartedNoWhole {
+		if final == nil && tried.outcome.Kind == message.OutcomeUnknown {
 			c.Assert(f.selectUpstream(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
 			last := f.evaluateOutcome(begin+6*time.Second, asked, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)})
 			c.Check(code(last), qt.Equals, errcode.UnknownOutcome)
--- a/internal/frontend/full_test.go
+++ b/internal/frontend/full_test.go
@@ -30,8 +30,8 @@
 		list = append(list, upstream(name, "here"))
 	}
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(nestedRoutes), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
-		Proxies: proxies, Upstreams: map[string][]message.Registration{"pay": list}})
+	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(nestedRoutes), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
+		ProxyCount: proxies, Upstreams: map[string][]message.Registration{"pay": list}})
 	return f
 }
 
@@ -84,7 +84,7 @@
 	request := asked("/check/x", "")
 	c.Assert(f.admit(old, time.Now(), request), qt.IsNil)
 	c.Assert(f.selectUpstream(old, request, random), qt.IsNil)
-	f.evaluateOutcome(old, request, message.Outcome{Kind: message.StartedWhole, Status: 200, Took: int64(time.Millisecond)})
+	f.evaluateOutcome(old, request, message.Outcome{Kind: message.Completed, Status: 200, ServiceTime: int64(time.Millisecond)})
 	c.Assert(forwards(c, f, old, random, "/pay/x", "secret") > 0, qt.IsTrue)
 }
 
@@ -106,6 +106,6 @@
 		c.Assert(f.admit(old, time.Now(), request), qt.IsNil)
 		c.Assert(f.selectUpstream(old, request, random), qt.IsNil)
 	}
-	c.Assert(f.forwardFrame(old, nested, "proxy/me", "1").Aim, qt.Equals, int64(0))
-	c.Assert(f.forwardFrame(old, own, "proxy/me", "1").Aim > 0, qt.IsTrue)
+	c.Assert(f.forwardFrame(old, nested, "proxy/me", "1").TargetRemaining, qt.Equals, int64(0))
+	c.Assert(f.forwardFrame(old, own, "proxy/me", "1").TargetRemaining > 0, qt.IsTrue)
 }
--- a/internal/frontend/native.go
+++ b/internal/frontend/native.go
@@ -17,7 +17,7 @@
 // Names under which a caller shows its tenant's key.
 const (
 	APIKeyHeader = "X-Api-Key"
-	keyParam     = "api_key"
+	KeyParam     = "api_key"
 )
 
 // NativeProtocol is the product's own way for callers to speak (docs/operators/requests.md).
@@ -34,7 +34,7 @@
 
 // RoutingPath returns the normalised path.
 func (NativeProtocol) RoutingPath(request *Request) (string, errcode.Code) {
-	path, err := routeconfig.NormalPath(request.RawPath)
+	path, err := routeconfig.NormalizePath(request.RawPath)
 	if err != nil {
 		return "", errcode.RequestBadPath
 	}
@@ -85,7 +85,7 @@
 		}
 	}
 	if values, err := url.ParseQuery(request.RawQuery); err == nil {
-		keys = append(keys, values[keyParam]...)
+		keys = append(keys, values[KeyParam]...)
 	}
 	return slices.DeleteFunc(keys, func(key string) bool { return key == "" })
 }
--- a/internal/frontend/outcome.go
+++ b/internal/frontend/outcome.go
@@ -32,12 +32,12 @@
 	if outcome.Slots > 0 {
 		stats.observeReport(now, outcome)
 	}
-	stats.observeTransitDelay(now, now-request.selectedAt-time.Duration(outcome.Took))
+	stats.observeTransitDelay(now, now-request.selectedAt-time.Duration(outcome.ServiceTime))
 	switch status {
 	case statusAnswered:
 		stats.clearSaturation()
 		stats.observeFailure(false)
-		f.observeLatency(stats, request.Route.Name, time.Duration(outcome.Took))
+		f.observeLatency(stats, request.Route.Name, time.Duration(outcome.ServiceTime))
 		return upstreamResponse(outcome)
 	case statusUnknown:
 		stats.clearSaturation()
@@ -91,7 +91,7 @@
 // requests must not fill its proxy's link only to be refused.
 func (f *Frontend) saturationBackoff(refusals int) time.Duration {
 	shortest := f.settings.UpdatesEvery() / 4
-	longest := min(shortest*time.Duration(max(1, f.snapshot.Proxies/proxiesPerBackoff)), f.settings.UpdatesEvery()*4)
+	longest := min(shortest*time.Duration(max(1, f.snapshot.ProxyCount/proxiesPerBackoff)), f.settings.UpdatesEvery()*4)
 	return min(shortest<<min(refusals-1, maxBackoffDoublings), longest)
 }
 
--- a/internal/frontend/outcomequery.go
+++ b/internal/frontend/outcomequery.go
@@ -38,7 +38,7 @@
 	ids := slices.Sorted(maps.Keys(births))
 	requests := make([]message.OutcomeRequest, 0, len(ids))
 	for _, id := range ids {
-		requests = append(requests, message.OutcomeRequest{ID: id, ServingProxyBirth: births[id]})
+		requests = append(requests, message.OutcomeRequest{ID: id, ServingProxyStartTime: births[id]})
 	}
 	connection := d.environment.Open(servingProxy, q.received, q.connectionLost)
 	q.lock.Lock()
--- a/internal/frontend/pipeline_environment.go
+++ b/internal/frontend/pipeline_environment.go
@@ -58,7 +58,7 @@
 
 // Open makes a traffic connection to a serving proxy. closed is called once when it breaks.
 func (p *Pipeline) Open(servingProxy string, received func(msg any), closed func(connection Connection)) Connection {
-	connection := p.transport.Open(servingProxy, received)
+	connection := p.transport.OpenTraffic(servingProxy, received)
 	p.goroutines.Go("stage.watch", func(ctx context.Context) {
 		select {
 		case <-ctx.Done():
--- a/internal/frontend/registration.go
+++ b/internal/frontend/registration.go
@@ -54,7 +54,7 @@
 // isOrphan reports whether a registration was made at an earlier run of this proxy, and not since.
 func (d *Dispatcher) isOrphan(registration message.Registration) bool {
 	return registration.ServingProxy == d.nodeName &&
-		registration.ServingProxyBirth < d.birth &&
+		registration.ServingProxyStartTime < d.birth &&
 		!d.serving.HasInstance(registration.Instance)
 }
 
--- a/internal/frontend/retry.go
+++ b/internal/frontend/retry.go
@@ -30,9 +30,9 @@
 // attemptStatusOf reads an outcome. Whatever it does not know counts as unknown.
 func attemptStatusOf(outcome message.Outcome) attemptStatus {
 	switch {
-	case outcome.Kind == message.StartedWhole:
+	case outcome.Kind == message.Completed:
 		return statusAnswered
-	case outcome.Kind == message.NotStarted && outcome.Sent:
+	case outcome.Kind == message.NotStarted && outcome.ReachedUpstream:
 		return statusRejected
 	case outcome.Kind == message.NotStarted:
 		return statusNotSent
@@ -67,7 +67,7 @@
 
 // upstreamLimitReached reports whether no further upstream may be offered the request.
 func (r *Request) upstreamLimitReached() bool {
-	return r.Route.Attempts > 0 && r.UpstreamAttempts >= r.Route.Attempts && safeguard.MostUpstreams.On()
+	return r.Route.MaxAttempts > 0 && r.UpstreamAttempts >= r.Route.MaxAttempts && safeguard.MostUpstreams.On()
 }
 
 // decideRetry returns the final answer after an attempt that brought none, or nil for another
@@ -75,7 +75,7 @@
 // docs/request-safety.md says the same.
 func (f *Frontend) decideRetry(now time.Duration, request *Request, status attemptStatus, code errcode.Code) *Response {
 	if status == statusUnknown {
-		if request.Route.Once && safeguard.OnceOnly.On() || now >= request.Deadline {
+		if request.Route.AtMostOnce && safeguard.OnceOnly.On() || now >= request.Deadline {
 			return NewRefusal(unknownStatusCode(code))
 		}
 	} else {
--- a/internal/frontend/retrybudget.go
+++ b/internal/frontend/retrybudget.go
@@ -90,7 +90,7 @@
 	if now < f.settings.RetryWindow() {
 		return 0
 	}
-	return float64(f.settings.Bounds.RetryAllowance) / float64(max(1, f.snapshot.Proxies))
+	return float64(f.settings.Bounds.RetryAllowance) / float64(max(1, f.snapshot.ProxyCount))
 }
 
 // RetryMonitor is what the serving side of this proxy knows of retries, and does about them.
--- a/internal/frontend/sanitize.go
+++ b/internal/frontend/sanitize.go
@@ -108,7 +108,7 @@
 	rawName, rawValue, _ := strings.Cut(parameter, "=")
 	name, nameErr := url.QueryUnescape(rawName)
 	value, valueErr := url.QueryUnescape(rawValue)
-	if nameErr != nil || valueErr != nil || strings.EqualFold(name, keyParam) {
+	if nameErr != nil || valueErr != nil || strings.EqualFold(name, KeyParam) {
 		return false
 	}
 	return !exposesKey(value, keys, configurations) && !exposesKey(name, keys, configurations)
--- a/internal/frontend/selection.go
+++ b/internal/frontend/selection.go
@@ -26,7 +26,7 @@
 		return request.refuse(errcode.BusyDeadline)
 	}
 	if request.Service == "" {
-		request.Service = request.Route.Pick(random.Float64())
+		request.Service = request.Route.PickService(random.Float64())
 	}
 	near, far, ready := f.candidates(now, request, false)
 	if len(near)+len(far) == 0 && request.nested() {
--- a/internal/frontend/serving.go
+++ b/internal/frontend/serving.go
@@ -16,7 +16,7 @@
 		d.handleForward(frame, reply)
 	case message.OutcomeRequest:
 		d.handleOutcomeRequest(frame, reply)
-	case message.Withdraw:
+	case message.Cancel:
 		d.handleWithdraw(frame)
 	default:
 		return false
@@ -40,7 +40,7 @@
 // handleOutcomeRequest tells a proxy that lost its connection what became of an attempt. Where
 // there is no outcome yet, the proxy gets it later.
 func (d *Dispatcher) handleOutcomeRequest(request message.OutcomeRequest, reply func(msg any) error) {
-	if request.ServingProxyBirth != d.birth && safeguard.OtherLife.On() {
+	if request.ServingProxyStartTime != d.birth && safeguard.OtherLife.On() {
 		// The attempt was sent to an earlier run of this process.
 		sendReply(reply, unknownOutcome(request.ID))
 		return
@@ -54,7 +54,7 @@
 	sendReply(reply, outcome)
 }
 
-func (d *Dispatcher) handleWithdraw(withdrawal message.Withdraw) {
+func (d *Dispatcher) handleWithdraw(withdrawal message.Cancel) {
 	decisions, cancel := d.serving.Withdraw(withdrawal.ID)
 	d.execute(decisions)
 	if cancel {
--- a/internal/frontend/target_test.go
+++ b/internal/frontend/target_test.go
@@ -28,8 +28,8 @@
 	faults, _ := routeconfig.Check([]byte(hosted), cfg.ConfigurationLimits())
 	c.Assert(faults, qt.HasLen, 0)
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Joined: true,
-		Proxies: 1, Upstreams: map[string][]message.Registration{"pay": upstreams}})
+	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
+		ProxyCount: 1, Upstreams: map[string][]message.Registration{"pay": upstreams}})
 	return f
 }
 
@@ -52,7 +52,7 @@
 	c.Assert(f.admit(old, time.Now(), going), qt.IsNil)
 	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
 	first := going.Target.Instance
-	misdirected := message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyUpstreamGone), Sent: true}
+	misdirected := message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyUpstreamGone), ReachedUpstream: true}
 	c.Assert(f.evaluateOutcome(old, going, misdirected), qt.IsNil)
 	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
 	c.Assert(going.Target.Instance, qt.Not(qt.Equals), first)
@@ -86,7 +86,7 @@
 		for {
 			c.Assert(f.selectUpstream(now, going, random), qt.IsNil)
 			tries++
-			if final := f.evaluateOutcome(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), Sent: sent}); final != nil {
+			if final := f.evaluateOutcome(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: sent}); final != nil {
 				c.Assert(final.Code, qt.Equals, errcode.BusyBudget)
 				break
 			}
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/tracker_test.go
@@ -72,7 +72,7 @@
 	cfg := settings.Default()
 	cfg.Zone = "here"
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, Known: true, RosterHere: true, Proxies: 2,
+	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, ProxyCount: 2,
 		Upstreams: map[string][]message.Registration{"pay": {upstream("one", "here")}}})
 	back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
 	back.tracker = NewDispatcher(cfg, f, backend.New(cfg, nil), back, message.Member{Name: "me", Address: "here:1"})
@@ -114,8 +114,8 @@
 	back.tracker = NewDispatcher(cfg, f, serving, back, message.Member{Name: "me", Address: "here:1"})
 	_, _, _ = serving.Announce(time.Second, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "up:1", Zone: "here", Slots: 4})
 	for _, id := range []string{"once", "repeatable"} {
-		back.tracker.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Once: id == "once"}, func(any) error { return nil })
-		back.tracker.HandleFrame(message.Withdraw{ID: id}, func(any) error { return nil })
+		back.tracker.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), AtMostOnce: id == "once"}, func(any) error { return nil })
+		back.tracker.HandleFrame(message.Cancel{ID: id}, func(any) error { return nil })
 	}
 	c.Assert(back.cancelled, qt.DeepEquals, []string{"repeatable"})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 	Transport *transport.Transport
 	machine   statemachine.Machine
 	store     *storage.Store
-	folder    storage.Folder
+	folder    storage.Directory
 	build     Build // nil: the state is not on disk
 
 	reporter *reporter
@@ -74,7 +74,7 @@
 		voter = ""
 	}
 	return message.Member{Name: role + "/" + cfg.Node, Role: role, Voter: voter, Zone: cfg.Zone,
-		Address: cfg.Address, Outside: cfg.Outside, Birth: time.Now().UnixNano()}
+		Address: cfg.Address, HTTPAddress: cfg.Outside, StartTime: time.Now().UnixNano()}
 }
 
 // New returns a node; Run gives it its machine.
@@ -104,9 +104,9 @@
 	if err != nil {
 		return err
 	}
-	network.Pace(n.Settings.LinkShare())
+	network.LimitRate(n.Settings.LinkShare())
 	n.Transport = network
-	network.OnBroke(func(address string) { n.Tell(statemachine.ConnectionBroke{Address: address}) })
+	network.OnConnectionLost(func(address string) { n.Tell(statemachine.ConnectionBroke{Address: address}) })
 	if begin != nil {
 		begin(network)
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -31,12 +31,12 @@
 	settings     settings.Settings
 	membership   *membership.Membership
 	quorum       *quorum.Quorum
-	leases       *lease.Leases
+	leases       *lease.Manager
 	distribution *distribution.Distribution
 	usage        *usage
 	outside      *outside
 
-	slices   map[string]*distribution.Slice
+	slices   map[string]*distribution.RosterSlice
 	seen     map[string]heartbeatSeen
 	ended    map[string]ended
 	proxies  map[string]proxySeen
@@ -64,17 +64,17 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{settings: cfg, slices: map[string]*distribution.Slice{}, seen: map[string]heartbeatSeen{}, ended: map[string]ended{},
+	m := &Machine{settings: cfg, slices: map[string]*distribution.RosterSlice{}, seen: map[string]heartbeatSeen{}, ended: map[string]ended{},
 		proxies: map[string]proxySeen{}, writing: map[string]bool{}, probedAt: map[string]time.Duration{}, takenAt: map[string]time.Duration{},
 		whole: map[string]bool{}, unwhole: map[string]map[string]bool{}, checks: map[int64]time.Duration{}, pullAt: map[string]time.Duration{}}
 	m.restoreSlices(kept.Slices)
-	m.membership = membership.New(cfg, self, kept.Seen)
+	m.membership = membership.New(cfg, self, kept.KnownAddresses)
 	m.distribution = distribution.New(cfg, m.membership, func(s *statemachine.Env, topic string) {})
 	for _, configName := range cfg.ConfigNames {
-		m.distribution.Want(distribution.ConfigurationTopic(configName))
+		m.distribution.Subscribe(distribution.ConfigurationTopic(configName))
 	}
 	for _, zone := range cfg.Zones {
-		m.distribution.ShareSlice(m.slices[zone])
+		m.distribution.ServeSlice(m.slices[zone])
 	}
 	m.Core = quorum.NewCore(cfg, message.RoleRegistry, m.membership, m.snapshot, snapshot == nil)
 	m.usage = newUsage(m, kept.Sealed, kept.Reported)
@@ -84,21 +84,22 @@
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
 		return nil, err
 	}
-	m.quorum = quorum.NewQuorum(Group, cfg, m, restored.Voter, func(s *statemachine.Env, fresh bool) { m.leases.BeginVoting(s, fresh) })
+	m.quorum = quorum.New(Group, cfg, m, restored.Voter, func(s *statemachine.Env, fresh bool) { m.leases.BeginVoting(s, fresh) })
 	m.UseVoters(m.quorum)
 	tags := append(append([]string{}, cfg.Zones...), settings.UsageTag)
-	m.leases = lease.NewLeases(cfg, m, m.quorum, tags, restored.Votes, m.fit, m.took, m.lost)
+	m.leases = lease.New(cfg, m, m.quorum, tags, restored.Votes,
+		lease.Callbacks{Eligible: m.fit, OnAcquired: m.took, OnLost: m.lost})
 	return m, nil
 }
 
 // restoreSlices takes the roster of the snapshot.
 func (m *Machine) restoreSlices(kept []message.RosterSnapshot) {
 	for _, zone := range m.settings.Zones {
-		m.slices[zone] = distribution.NewSlice(distribution.SliceTopic(zone))
+		m.slices[zone] = distribution.NewRosterSlice(distribution.SliceTopic(zone))
 	}
 	for _, slice := range kept {
 		if held, known := m.slices[slice.Tag]; known {
-			held.Replace(slice.Mark, slice.Registrations)
+			held.Replace(slice.Position, slice.Registrations)
 		}
 	}
 }
@@ -107,12 +108,12 @@
 func (m *Machine) replay(record any) {
 	switch held := record.(type) {
 	case message.RosterChange:
-		if slice, known := m.slices[tagOf(held.Mark.Topic)]; known {
-			slice.Change(held.Mark.Epoch, held.Registration, held.Gone, held.Cause)
+		if slice, known := m.slices[tagOf(held.Position.Topic)]; known {
+			slice.Append(held.Position.Epoch, held.Registration, held.Removed, held.Cause)
 		}
 	case message.UsageSealed:
 		m.usage.restore(held)
-	case message.UsageHeld:
+	case message.UnreportedUsage:
 		m.usage.regain(held)
 	case message.UsageReported:
 		m.usage.reported = max(m.usage.reported, held.Window)
@@ -131,10 +132,10 @@
 
 func (m *Machine) snapshot() []byte {
 	state := message.RegistryState{Voter: m.quorum.State, Votes: m.leases.Votes(), Slices: []message.RosterSnapshot{},
-		Sealed: m.usage.list(), Reported: m.usage.reported, Seen: m.membership.Seen(), Usage: m.usage.held()}
+		Sealed: m.usage.list(), Reported: m.usage.reported, KnownAddresses: m.membership.KnownAddresses(), Usage: m.usage.held()}
 	for _, zone := range m.settings.Zones {
 		slice := m.slices[zone]
-		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Mark: slice.Mark, Registrations: slice.List()})
+		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Position: slice.Mark, Registrations: slice.List()})
 	}
 	body, err := message.Encode(state)
 	if err != nil {
@@ -143,11 +144,11 @@
 	return body
 }
 
-// StateForGrant and AbsorbGrants, with the core's methods, make it a quorum.Host.
+// StateForGrant and MergeGrantedStates, with the core's methods, make it a quorum.Host.
 func (m *Machine) StateForGrant() []byte { return m.snapshot() }
 
-// AbsorbGrants takes what the granters of this voter know.
-func (m *Machine) AbsorbGrants(s *statemachine.Env, states [][]byte) {
+// MergeGrantedStates takes what the granters of this voter know.
+func (m *Machine) MergeGrantedStates(s *statemachine.Env, states [][]byte) {
 	for _, body := range states {
 		decoded, err := message.Decode(body)
 		state, isState := decoded.(message.RegistryState)
@@ -160,15 +161,15 @@
 		}
 		m.usage.reported = max(m.usage.reported, state.Reported)
 		for _, snapshot := range state.Slices {
-			if held, known := m.slices[snapshot.Tag]; known && held.Mark.Before(snapshot.Mark) {
-				held.Replace(snapshot.Mark, snapshot.Registrations)
+			if held, known := m.slices[snapshot.Tag]; known && held.Mark.Before(snapshot.Position) {
+				held.Replace(snapshot.Position, snapshot.Registrations)
 			}
 		}
 	}
 }
 
-// Forget drops what rested on a voter that is another's now; the roster stays, as updates.
-func (m *Machine) Forget(s *statemachine.Env) {
+// DiscardState drops what rested on a voter that is another's now; the roster stays, as updates.
+func (m *Machine) DiscardState(s *statemachine.Env) {
 	m.leases.Forget(s)
 	m.usage.forget()
 }
@@ -186,8 +187,8 @@
 		m.usage.took(s, epoch)
 		return
 	}
-	m.slices[tag].Adopt(epoch)
-	m.distribution.SliceMoved(s, distribution.SliceTopic(tag))
+	m.slices[tag].StartEpoch(epoch)
+	m.distribution.SliceChanged(s, distribution.SliceTopic(tag))
 	m.dirty = true
 }
 
@@ -210,14 +211,14 @@
 	}
 	m.membership.Tick(s)
 	m.quorum.Tick(s)
-	m.Keep(s, m.quorum.ShutOut)
+	m.Maintain(s, m.quorum.Removed)
 	m.leases.Tick(s)
 	m.distribution.Tick(s)
 	m.outside.tick(s)
 	m.usage.tick(s)
 	for _, tag := range m.settings.Zones {
 		if m.keeps(s, tag) {
-			m.distribution.Fresh(distribution.SliceTopic(tag), s.Now)
+			m.distribution.SetFreshAt(distribution.SliceTopic(tag), s.Now)
 		}
 	}
 	if s.Now >= m.checkAt {
@@ -228,7 +229,7 @@
 	if m.dirty && s.Now >= m.seenAt {
 		// Backups fold what they pulled into a slot, at a gentle pace.
 		m.dirty, m.seenAt = false, s.Now+m.settings.HolderRest()
-		m.CompactNow(s, func(*statemachine.Env, error) {})
+		m.WriteSnapshot(s, func(*statemachine.Env, error) {})
 	}
 }
 
@@ -249,14 +250,14 @@
 		m.handleChange(s, from, received)
 	case message.RosterCheck:
 		if slice, known := m.slices[received.Tag]; known && m.keeps(s, received.Tag) {
-			s.Send(from, message.RosterDigest{Tag: received.Tag, Round: received.Round, Voter: m.quorum.Voter, Mark: slice.Mark})
+			s.Send(from, message.RosterDigest{Tag: received.Tag, Round: received.Round, Voter: m.quorum.Voter, Position: slice.Mark})
 		}
 	case message.RosterDigest:
 		m.handleDigest(s, from, received)
 	case message.RosterPull:
 		if slice, known := m.slices[received.Tag]; known {
-			s.Send(from, message.RosterSnapshot{Tag: received.Tag, Voter: m.quorum.Voter, Whole: m.whole[received.Tag],
-				Holder: m.keeps(s, received.Tag), Mark: slice.Mark, Registrations: slice.List()})
+			s.Send(from, message.RosterSnapshot{Tag: received.Tag, Voter: m.quorum.Voter, Complete: m.whole[received.Tag],
+				HoldsLease: m.keeps(s, received.Tag), Position: slice.Mark, Registrations: slice.List()})
 		}
 	case message.RosterSnapshot:
 		m.handleSnapshot(s, received)
@@ -266,7 +267,7 @@
 // handleConfigurationCommitted takes a version that a peer was told is committed; one that
 // stands here already isn't unpacked.
 func (m *Machine) handleConfigurationCommitted(s *statemachine.Env, committed message.ConfigurationCommitted) {
-	if version, _, known := m.distribution.ConfigName(committed.ConfigName); known && version >= committed.Version {
+	if version, _, known := m.distribution.Configuration(committed.ConfigName); known && version >= committed.Version {
 		return
 	}
 	body, err := delta.Apply(nil, committed.Body, m.settings.Limits.Configuration)
@@ -301,7 +302,7 @@
 // ForceRecover gives the other voters up and returns the snapshot to be written: an operator's
 // deed on the stopped survivor of two lost disks.
 func (m *Machine) ForceRecover() []byte {
-	m.quorum.State = quorum.ForceRecover(m.quorum.State)
+	m.quorum.ForceRecover()
 	m.leases.ForceRecover()
 	return m.snapshot()
 }
--- a/internal/simulation/actors.go
+++ b/internal/simulation/actors.go
@@ -289,7 +289,7 @@
 		n.run(life, func() {
 			if broke {
 				n.serving.MarkDoubtful(target)
-			} else if outcome.Kind == message.StartedWhole {
+			} else if outcome.Kind == message.Completed {
 				n.serving.MarkAlive(n.Now(), target)
 				if connection.owner.serviceSpec.Closes || !connection.stream.kept {
 					n.fill(target)
@@ -301,12 +301,12 @@
 		})
 	}
 	w.after(n.trueWait(limit-limit/20), func() {
-		end(message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownTimeout)}, false)
+		end(message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownTimeout)}, false)
 	})
 	w.after(w.transit()/2, func() {
 		lost := func() {
 			w.after(w.transit()/2, func() {
-				end(message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.UnknownOutcome)}, true)
+				end(message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}, true)
 			})
 		}
 		switch {
@@ -366,7 +366,7 @@
 			lost()
 		case chance < f.Lose+f.Garbage+f.Truncate+f.Excess:
 			w.after(w.transit()/2, func() {
-				end(message.Outcome{Kind: message.StartedNoWhole, Code: int64(errcode.AnswerMalformed)}, false)
+				end(message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.AnswerMalformed)}, false)
 			})
 		default:
 			// Its own refusals and failures are its own whole answers too, and what it
@@ -530,7 +530,7 @@
 		w.operations = append(w.operations, operation)
 		w.contents[digest] = version
 	}
-	chosenBoard.request(registry.WriteConfiguration{ConfigName: "main", Version: version, Body: body, Check: registry.CheckContent(chosenBoard.settings, body)}, func(answer any) {
+	chosenBoard.request(registry.WriteConfiguration{ConfigName: "main", Version: version, Body: body, Check: registry.CheckConfiguration(chosenBoard.settings, body)}, func(answer any) {
 		given := answer.(registry.Answer)
 		code := given.Code
 		operation.answer, operation.to, operation.answered = configLogAnswer{code: code}, w.now, true
@@ -564,7 +564,7 @@
 }
 
 // collect takes a usage report; the reporter hears of it unless it died meanwhile.
-func (w *World) collect(from *Node, life int, report registry.Report) {
+func (w *World) collect(from *Node, life int, report registry.UsageReport) {
 	if w.now < w.collectorDown {
 		return
 	}
@@ -581,6 +581,6 @@
 		wait += time.Duration(w.random.Int64N(int64(2 * time.Second)))
 	}
 	w.after(wait, func() {
-		from.run(life, func() { from.apply(statemachine.Asked{Question: registry.Reported{Window: report.Window}}) })
+		from.run(life, func() { from.apply(statemachine.Asked{Question: registry.UsageDelivered{Window: report.Window}}) })
 	})
 }
