--- a/internal/backend/admission.go
+++ b/internal/backend/admission.go
@@ -28,52 +28,52 @@
 		}
 		return nil
 	}
-	held, known := b.upstreams[upstreamKey(forward.Service, forward.Instance)]
-	if code := b.checkForward(now, held, known, forward); code != errcode.OK {
+	registered, known := b.upstreams[upstreamKey(forward.Service, forward.Instance)]
+	if code := b.checkForward(now, registered, known, forward); code != errcode.OK {
 		return []Decision{refusal(forward, code)}
 	}
 	item := queuedRequest{forward: forward, deadline: now + time.Duration(forward.Remaining)}
 	if forward.TargetRemaining > 0 {
-		item.aim = now + time.Duration(forward.TargetRemaining)
+		item.latencyTarget = now + time.Duration(forward.TargetRemaining)
 	}
 	b.record(forward.ID, &attemptRecord{updatedAt: item.deadline})
-	if held.cannotMeetAim(now, item) {
+	if registered.cannotMeetLatencyTarget(now, item) {
 		delete(b.records, forward.ID)
 		return []Decision{refusal(forward, errcode.BusySlotsFull)}
 	}
-	held.enqueue(item)
-	decisions := b.startQueued(now, held)
-	return append(decisions, b.refuseOverflow(held)...)
+	registered.enqueue(item)
+	decisions := b.startQueued(now, registered)
+	return append(decisions, b.refuseOverflow(registered)...)
 }
 
 // refuseOverflow refuses the last in a queue that has become longer than the upstream has slots.
-func (b *Backend) refuseOverflow(held *upstream) []Decision {
-	if len(held.queue) <= int(held.announcement.Slots) {
+func (b *Backend) refuseOverflow(registered *upstream) []Decision {
+	if len(registered.queue) <= int(registered.announcement.Slots) {
 		return nil
 	}
-	last := held.queue[len(held.queue)-1]
-	held.queue = held.queue[:len(held.queue)-1]
+	last := registered.queue[len(registered.queue)-1]
+	registered.queue = registered.queue[:len(registered.queue)-1]
 	delete(b.records, last.forward.ID)
 	return []Decision{refusal(last.forward, errcode.BusySlotsFull)}
 }
 
 // checkForward checks whether an upstream may be given a request now. held is nil for an upstream
 // that is not known here.
-func (b *Backend) checkForward(now time.Duration, held *upstream, known bool, forward message.Forward) errcode.Code {
+func (b *Backend) checkForward(now time.Duration, registered *upstream, known bool, forward message.Forward) errcode.Code {
 	switch {
 	case b.draining:
 		return errcode.BusyLeaving
 	case b.stalled(now):
 		return errcode.BusyUpstreamGone
-	case !known || held.announcement.Incarnation != forward.Incarnation:
+	case !known || registered.announcement.Incarnation != forward.Incarnation:
 		return errcode.BusyUpstreamGone
-	case now-held.announcedAt > b.settings.ServingProxyBound():
+	case now-registered.announcedAt > b.settings.ServingProxyBound():
 		return errcode.BusyUpstreamGone
-	case held.broken && !b.mayRedial(now, held):
+	case registered.broken && !b.mayRedial(now, registered):
 		return errcode.BusyUpstreamGone
-	case held.announcement.Leaving:
+	case registered.announcement.Leaving:
 		return errcode.BusyLeaving
-	case held.announcement.Warming:
+	case registered.announcement.Warming:
 		return errcode.BusyNotReady
 	case forward.Remaining <= 0:
 		return errcode.BusyDeadline
@@ -85,8 +85,8 @@
 
 // mayRedial reports whether a broken upstream may be tried again without a heartbeat, which is
 // safe only where upstreams prove themselves.
-func (b *Backend) mayRedial(now time.Duration, held *upstream) bool {
-	return b.settings.ByTarget() && now-held.brokenAt > b.settings.DialFresh()
+func (b *Backend) mayRedial(now time.Duration, registered *upstream) bool {
+	return b.settings.ByTarget() && now-registered.brokenAt > b.settings.DialFresh()
 }
 
 // stalled reports whether this process stood still for so long that its upstreams may have found
@@ -105,13 +105,13 @@
 	b.lastExpireAt = now
 	b.forgetRetired(now)
 	for _, key := range b.sortedKeys() {
-		held := b.upstreams[key]
+		registered := b.upstreams[key]
 		if stalled {
-			held.broken, held.brokenAt = true, now
+			registered.broken, registered.brokenAt = true, now
 		}
-		decisions = append(decisions, held.refuseOverdue(now)...)
-		decisions = append(decisions, b.startQueued(now, held)...)
-		if now-held.announcedAt > b.settings.HeartbeatBound()*forgetFactor && len(held.running) == 0 {
+		decisions = append(decisions, registered.refuseOverdue(now)...)
+		decisions = append(decisions, b.startQueued(now, registered)...)
+		if now-registered.announcedAt > b.settings.HeartbeatBound()*forgetFactor && len(registered.running) == 0 {
 			delete(b.upstreams, key)
 		}
 	}
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -118,9 +118,9 @@
 func (b *Backend) Running() (running, queued int) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	for _, held := range b.upstreams {
-		running += len(held.running)
-		queued += len(held.queue)
+	for _, registered := range b.upstreams {
+		running += len(registered.running)
+		queued += len(registered.queue)
 	}
 	return running, queued
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -22,16 +22,16 @@
 	return message.Forward{ID: id, Service: "pay", Instance: instance, Incarnation: incarnation, Remaining: int64(4 * time.Second)}
 }
 
-func servingProxy(c *qt.C) *Backend {
+func newServingProxy(c *qt.C) *Backend {
 	serving := New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
 	accepted, _, _ := serving.Announce(0, response("one", "a:1", 5))
 	c.Assert(accepted, qt.IsTrue)
 	return serving
 }
 
-func codes(orders []Decision) []errcode.Code {
+func codes(decisions []Decision) []errcode.Code {
 	list := []errcode.Code{}
-	for _, order := range orders {
+	for _, order := range decisions {
 		if order.Start {
 			list = append(list, errcode.OK)
 		} else {
@@ -45,12 +45,12 @@
 // answer that was lost keeps its slot for a request's time.
 func TestSlots(t *testing.T) {
 	c := qt.New(t)
-	serving := servingProxy(c)
+	serving := newServingProxy(c)
 	started := []Decision{}
 	for _, id := range []string{"a", "b"} {
-		orders := serving.HandleForward(time.Second, forwardOf(id, "one", 5))
-		c.Assert(codes(orders), qt.DeepEquals, []errcode.Code{errcode.OK})
-		started = append(started, orders...)
+		decisions := serving.HandleForward(time.Second, forwardOf(id, "one", 5))
+		c.Assert(codes(decisions), qt.DeepEquals, []errcode.Code{errcode.OK})
+		started = append(started, decisions...)
 	}
 	c.Assert(serving.HandleForward(time.Second, forwardOf("c", "one", 5)), qt.HasLen, 0)
 	c.Assert(serving.HandleForward(time.Second, forwardOf("d", "one", 5)), qt.HasLen, 0)
@@ -66,14 +66,14 @@
 // Leaving is at once and final for the incarnation; what waited was not started.
 func TestLeaving(t *testing.T) {
 	c := qt.New(t)
-	serving := servingProxy(c)
+	serving := newServingProxy(c)
 	for _, id := range []string{"a", "b", "c"} {
 		serving.HandleForward(time.Second, forwardOf(id, "one", 5))
 	}
 	gone := response("one", "a:1", 5)
 	gone.Leaving = true
-	_, _, orders := serving.Announce(2*time.Second, gone)
-	c.Assert(codes(orders), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
+	_, _, decisions := serving.Announce(2*time.Second, gone)
+	c.Assert(codes(decisions), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
 	serving.Announce(3*time.Second, response("one", "a:1", 5))
 	c.Assert(codes(serving.HandleForward(3*time.Second, forwardOf("d", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
 	serving.Announce(4*time.Second, response("one", "a:1", 6))
@@ -84,7 +84,7 @@
 // newer heartbeat; without a heartbeat in its bound nothing is started.
 func TestBindings(t *testing.T) {
 	c := qt.New(t)
-	serving := servingProxy(c)
+	serving := newServingProxy(c)
 	target := Target{Key: "pay/one", Address: "a:1", Incarnation: 5}
 	c.Assert(serving.Dialable(settings.Default().DialFresh(), target), qt.IsTrue)
 	c.Assert(serving.Dialable(settings.Default().DialFresh()+1, target), qt.IsFalse)
@@ -105,7 +105,7 @@
 // A serving proxy that stood still gives no slot before it has heard a heartbeat again.
 func TestHeldUpServingProxyWaitsForAHeartbeat(t *testing.T) {
 	c := qt.New(t)
-	serving := servingProxy(c)
+	serving := newServingProxy(c)
 	serving.Expire(time.Second)
 	c.Assert(codes(serving.HandleForward(time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
 	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
@@ -118,10 +118,10 @@
 // A outcome is kept for the asker; an id never seen is barred from starting later.
 func TestOutcomesAreKept(t *testing.T) {
 	c := qt.New(t)
-	serving := servingProxy(c)
-	orders := serving.HandleForward(time.Second, forwardOf("a", "one", 5))
+	serving := newServingProxy(c)
+	decisions := serving.HandleForward(time.Second, forwardOf("a", "one", 5))
 	c.Assert(serving.Outcome(time.Second, "a").Kind, qt.Equals, message.StillRunning)
-	serving.Complete(time.Second, orders[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("x")})
+	serving.Complete(time.Second, decisions[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("x")})
 	c.Assert(string(serving.Outcome(2*time.Second, "a").Body), qt.Equals, "x")
 	c.Assert(serving.Outcome(2*time.Second, "b").Kind, qt.Equals, message.NotStarted)
 	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyServingProxyLost})
@@ -158,7 +158,7 @@
 func TestLeavingSaidElsewhere(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
-	serving := servingProxy(c)
+	serving := newServingProxy(c)
 	left := message.Registration{Service: "pay", Instance: "one", Incarnation: 5, State: message.StateLeaving}
 	c.Assert(codes(serving.HandleForward(cfg.ServingProxyBound(), forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
 	c.Assert(codes(serving.HandleForward(cfg.ServingProxyBound()+1, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
@@ -173,14 +173,14 @@
 	c := qt.New(t)
 	cfg := settings.Default()
 	g := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
-	response := Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "a:1", Slots: 2}
-	g.Announce(time.Second, response)
-	orders := g.HandleForward(time.Second, message.Forward{ID: "q", Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second)})
-	c.Assert(orders, qt.HasLen, 1)
-	g.Complete(time.Second, orders[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("answer")})
+	announcement := Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "a:1", Slots: 2}
+	g.Announce(time.Second, announcement)
+	decisions := g.HandleForward(time.Second, message.Forward{ID: "q", Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second)})
+	c.Assert(decisions, qt.HasLen, 1)
+	g.Complete(time.Second, decisions[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("answer")})
 	c.Check(string(g.Outcome(time.Second, "q").Body), qt.Equals, "answer")
 	later := time.Second + cfg.AnswerKept() + time.Millisecond
-	g.Announce(later, response)
+	g.Announce(later, announcement)
 	g.Expire(later)
 	late := g.Outcome(later, "q")
 	c.Check(late.Body, qt.HasLen, 0)
--- a/internal/backend/cancel_test.go
+++ b/internal/backend/cancel_test.go
@@ -73,10 +73,10 @@
 	defer members.Stop(0)
 	upstream := newSilent(c, members)
 	b := targetBench(c, members, upstream.listener.Addr().String())
-	orders := b.serving.HandleForward(members.Now(), repeatableOrNot("a", false))
-	c.Assert(orders, qt.HasLen, 1)
+	decisions := b.serving.HandleForward(members.Now(), repeatableOrNot("a", false))
+	c.Assert(decisions, qt.HasLen, 1)
 	ended := make(chan message.Outcome, 1)
-	members.Go("call", func(context.Context) { ended <- b.caller.Call(orders[0]) })
+	members.Go("call", func(context.Context) { ended <- b.caller.Call(decisions[0]) })
 	within(c, upstream.took, "the request")
 	_, cancel := b.serving.Withdraw("a")
 	c.Assert(cancel, qt.IsTrue)
@@ -101,8 +101,8 @@
 		b.caller.Cancel("a")
 		return dial(address, until)
 	})
-	orders := b.serving.HandleForward(members.Now(), repeatableOrNot("a", false))
-	outcome := b.caller.Call(orders[0])
+	decisions := b.serving.HandleForward(members.Now(), repeatableOrNot("a", false))
+	outcome := b.caller.Call(decisions[0])
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
 	c.Assert(stand.seen, qt.HasLen, 0)
 }
@@ -120,8 +120,8 @@
 		refused int
 		cancel  bool
 	}{"repeatable": {0, true}, "once": {0, false}, "queued": {1, false}, "unknown": {0, false}} {
-		orders, cancel := serving.Withdraw(id)
-		c.Check(orders, qt.HasLen, wanted.refused, qt.Commentf("%s", id))
+		decisions, cancel := serving.Withdraw(id)
+		c.Check(decisions, qt.HasLen, wanted.refused, qt.Commentf("%s", id))
 		c.Check(cancel, qt.Equals, wanted.cancel, qt.Commentf("%s", id))
 	}
 }
--- a/internal/backend/calling_test.go
+++ b/internal/backend/client_test.go
@@ -104,10 +104,10 @@
 }
 
 func (b *bench) announce(c *qt.C, service, instance string, incarnation int64) {
-	response := Announcement{Service: service, Instance: instance, Incarnation: incarnation, Address: b.address, Zone: "d", Slots: 4}
-	accepted, _, _ := b.serving.Announce(b.members.Now(), response)
+	announcement := Announcement{Service: service, Instance: instance, Incarnation: incarnation, Address: b.address, Zone: "d", Slots: 4}
+	accepted, _, _ := b.serving.Announce(b.members.Now(), announcement)
 	c.Assert(accepted, qt.IsTrue)
-	b.caller.Guard(response)
+	b.caller.Guard(announcement)
 	b.guards++
 }
 
@@ -118,13 +118,13 @@
 	if method == http.MethodPost {
 		forward.Body = []byte("body")
 	}
-	orders := b.serving.HandleForward(b.members.Now(), forward)
-	c.Assert(orders, qt.HasLen, 1)
-	outcome := message.Outcome{Kind: message.NotStarted, Code: int64(orders[0].Code)}
-	if orders[0].Start {
-		outcome = b.caller.Call(orders[0])
+	decisions := b.serving.HandleForward(b.members.Now(), forward)
+	c.Assert(decisions, qt.HasLen, 1)
+	outcome := message.Outcome{Kind: message.NotStarted, Code: int64(decisions[0].Code)}
+	if decisions[0].Start {
+		outcome = b.caller.Call(decisions[0])
 	}
-	outcome, _ = b.serving.Complete(b.members.Now(), orders[0], outcome)
+	outcome, _ = b.serving.Complete(b.members.Now(), decisions[0], outcome)
 	return outcome
 }
 
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -28,18 +28,13 @@
 	decision Decision,
 	deadline time.Time,
 ) (outcome message.Outcome, reusable bool, err error) {
-	request, err := c.newRequest(decision.Forward, decision.Target, deadline)
-	if err != nil {
-		return notStarted(errcode.RequestBadPath), false, nil
+	request, text, code := c.encodeRequest(decision, deadline)
+	if code != errcode.OK {
+		return notStarted(code), false, nil
 	}
 	// Fails only on a connection that has ended, on which writing fails too.
 	_ = connection.conn.SetDeadline(deadline)
-	// The whole request is built first, so that what fails here never went out.
-	text := bytes.Buffer{}
-	if err := request.Write(&text); err != nil {
-		return notStarted(errcode.RequestUnreadable), false, nil
-	}
-	if _, err := connection.conn.Write(text.Bytes()); err != nil {
+	if _, err := connection.conn.Write(text); err != nil {
 		return message.Outcome{}, false, errcode.Wrap("backend.write", errcode.UnknownOutcome, err)
 	}
 	matcher := ResponseMatcher{
@@ -54,6 +49,20 @@
 	return matched.Outcome, matched.Keep, err
 }
 
+// encodeRequest builds a whole request before any of it is sent, so that what fails here never
+// went out.
+func (c *UpstreamClient) encodeRequest(decision Decision, deadline time.Time) (*http.Request, []byte, errcode.Code) {
+	request, err := c.newRequest(decision.Forward, decision.Target, deadline)
+	if err != nil {
+		return nil, nil, errcode.RequestBadPath
+	}
+	text := bytes.Buffer{}
+	if err := request.Write(&text); err != nil {
+		return nil, nil, errcode.RequestUnreadable
+	}
+	return request, text.Bytes(), errcode.OK
+}
+
 // newRequest builds the request that goes to the upstream.
 func (c *UpstreamClient) newRequest(forward message.Forward, target Target, deadline time.Time) (*http.Request, error) {
 	path, err := url.PathUnescape(forward.Path)
--- a/internal/backend/heartbeats_test.go
+++ b/internal/backend/heartbeats_test.go
@@ -25,7 +25,7 @@
 // to go when there is no room.
 func TestQueueGoesByPriority(t *testing.T) {
 	c := qt.New(t)
-	serving := servingProxy(c)
+	serving := newServingProxy(c)
 	forwarded := func(id string, priority int64) []Decision {
 		forward := forwardOf(id, "one", 5)
 		forward.Priority = priority
@@ -58,18 +58,20 @@
 	c := qt.New(t)
 	serving := New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
 	serving.Announce(0, numbered(7, nil))
-	accepted, endings, orders := serving.Announce(time.Second, numbered(6, func(response *Announcement) { response.Leaving, response.Slots, response.Address = true, 50, "a:2" }))
+	accepted, endings, decisions := serving.Announce(time.Second, numbered(6, func(announcement *Announcement) {
+		announcement.Leaving, announcement.Slots, announcement.Address = true, 50, "a:2"
+	}))
 	c.Assert(accepted, qt.IsTrue)
 	c.Assert(endings, qt.HasLen, 0)
-	c.Assert(orders, qt.HasLen, 0)
-	held, _ := serving.Lookup("pay", "one")
-	c.Assert(held, qt.DeepEquals, numbered(7, nil))
+	c.Assert(decisions, qt.HasLen, 0)
+	registered, _ := serving.Lookup("pay", "one")
+	c.Assert(registered, qt.DeepEquals, numbered(7, nil))
 	c.Assert(serving.Dialable(settings.Default().DialFresh()+1, Target{Key: "pay/one", Address: "a:1", Incarnation: 5}), qt.IsFalse)
 	c.Assert(codes(serving.HandleForward(time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
 	// A later life counts anew; what numbers nothing is taken as it comes.
-	serving.Announce(time.Second, numbered(1, func(response *Announcement) { response.Incarnation = 6 }))
-	held, _ = serving.Lookup("pay", "one")
-	c.Assert(held.Incarnation, qt.Equals, int64(6))
+	serving.Announce(time.Second, numbered(1, func(announcement *Announcement) { announcement.Incarnation = 6 }))
+	registered, _ = serving.Lookup("pay", "one")
+	c.Assert(registered.Incarnation, qt.Equals, int64(6))
 }
 
 // Whoever has been dismissed never comes back under that name, before its memory is
@@ -81,12 +83,12 @@
 	serving.HandleForward(0, forwardOf("a", "one", 5))
 	serving.HandleForward(0, forwardOf("b", "one", 5))
 	serving.HandleForward(0, forwardOf("c", "one", 5))
-	ending, found, orders := serving.RetireInstance(time.Second, "one")
+	ending, found, decisions := serving.RetireInstance(time.Second, "one")
 	c.Assert(found, qt.IsTrue)
 	c.Assert(ending.Service, qt.Equals, "pay")
-	c.Assert(codes(orders), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
+	c.Assert(codes(decisions), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
 	for number := int64(6); number < 10; number++ {
-		accepted, _, _ := serving.Announce(2*time.Second, numbered(number, func(response *Announcement) { response.Incarnation = number }))
+		accepted, _, _ := serving.Announce(2*time.Second, numbered(number, func(announcement *Announcement) { announcement.Incarnation = number }))
 		c.Assert(accepted, qt.IsTrue)
 		c.Assert(serving.HasInstance("one"), qt.IsFalse)
 	}
--- a/internal/backend/liveness.go
+++ b/internal/backend/liveness.go
@@ -9,12 +9,12 @@
 
 // lookupTarget returns the upstream that a target names, and whether it is still registered as it
 // was.
-func (b *Backend) lookupTarget(target Target) (held *upstream, same bool) {
-	held, known := b.upstreams[target.Key]
+func (b *Backend) lookupTarget(target Target) (registered *upstream, same bool) {
+	registered, known := b.upstreams[target.Key]
 	if !known {
 		return nil, false
 	}
-	return held, held.announcement.Incarnation == target.Incarnation && held.announcement.Address == target.Address
+	return registered, registered.announcement.Incarnation == target.Incarnation && registered.announcement.Address == target.Address
 }
 
 // IsRegistered reports whether the target is still registered as it was.
@@ -30,8 +30,8 @@
 func (b *Backend) ConnectionsUsable(now time.Duration, target Target) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	held, same := b.lookupTarget(target)
-	return same && !held.broken && now-held.announcedAt <= b.settings.ServingProxyBound()
+	registered, same := b.lookupTarget(target)
+	return same && !registered.broken && now-registered.announcedAt <= b.settings.ServingProxyBound()
 }
 
 // Dialable reports, before and after a dial, whether a new connection is proven to reach the
@@ -39,16 +39,16 @@
 func (b *Backend) Dialable(now time.Duration, target Target) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	held, same := b.lookupTarget(target)
-	return same && !held.broken && now-held.lastSeenAt <= b.settings.DialFresh()
+	registered, same := b.lookupTarget(target)
+	return same && !registered.broken && now-registered.lastSeenAt <= b.settings.DialFresh()
 }
 
 // MarkAlive notes bytes that came on a proven connection to the target.
 func (b *Backend) MarkAlive(now time.Duration, target Target) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	if held, same := b.lookupTarget(target); same && !held.broken {
-		held.lastSeenAt = now
+	if registered, same := b.lookupTarget(target); same && !registered.broken {
+		registered.lastSeenAt = now
 	}
 }
 
@@ -57,8 +57,8 @@
 func (b *Backend) MarkDoubtful(target Target) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	if held, same := b.lookupTarget(target); same {
-		held.lastSeenAt = never
+	if registered, same := b.lookupTarget(target); same {
+		registered.lastSeenAt = never
 	}
 }
 
@@ -67,9 +67,9 @@
 func (b *Backend) MarkBroken(now time.Duration, target Target) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	held, known := b.upstreams[target.Key]
-	if known && held.announcement.Incarnation == target.Incarnation {
-		held.broken, held.brokenAt = true, now
+	registered, known := b.upstreams[target.Key]
+	if known && registered.announcement.Incarnation == target.Incarnation {
+		registered.broken, registered.brokenAt = true, now
 	}
 }
 
@@ -77,9 +77,9 @@
 func (b *Backend) WarmConnections(target Target) int {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	held, same := b.lookupTarget(target)
+	registered, same := b.lookupTarget(target)
 	if !same {
 		return 0
 	}
-	return int(min(max(held.announcement.Slots/2, 1), maxWarmConnections))
+	return int(min(max(registered.announcement.Slots/2, 1), maxWarmConnections))
 }
--- a/internal/backend/matcher.go
+++ b/internal/backend/matcher.go
@@ -55,7 +55,7 @@
 
 // readNext reads one answer whole, and says whose it is and what it means.
 func (m ResponseMatcher) readNext(responses *ResponseReader) (MatchedResponse, error) {
-	response, body, err := m.readWhole(responses)
+	response, body, err := m.readWhole(responses) //nolint:bodyclose // readWhole closes it
 	if err != nil {
 		return MatchedResponse{}, err
 	}
--- a/internal/backend/queue.go
+++ b/internal/backend/queue.go
@@ -13,9 +13,9 @@
 
 // queuedRequest is a request that waits for a slot.
 type queuedRequest struct {
-	forward  message.Forward
-	deadline time.Duration
-	aim      time.Duration // until when its answer has its full worth; 0: not told
+	forward       message.Forward
+	deadline      time.Duration
+	latencyTarget time.Duration // until when its answer has its full worth; 0: not told
 }
 
 // runningRequest is a request that an upstream works on.
@@ -32,11 +32,11 @@
 	u.queue = slices.Insert(u.queue, position, item)
 }
 
-// cannotMeetAim reports whether a request would be answered after its aim, behind those that go
+// cannotMeetLatencyTarget reports whether a request would be answered after its aim, behind those that go
 // before it. A slot that it took would be wasted on it while others can still be in time.
-func (u *upstream) cannotMeetAim(now time.Duration, item queuedRequest) bool {
+func (u *upstream) cannotMeetLatencyTarget(now time.Duration, item queuedRequest) bool {
 	usual := u.routeLatency[item.forward.Route]
-	if item.aim == 0 || usual == 0 || int64(len(u.running)) < u.announcement.Slots {
+	if item.latencyTarget == 0 || usual == 0 || int64(len(u.running)) < u.announcement.Slots {
 		return false
 	}
 	ahead := 1
@@ -46,13 +46,13 @@
 		}
 	}
 	wait := u.meanLatency * time.Duration(ahead) / time.Duration(max(1, u.announcement.Slots))
-	return now+wait+usual > item.aim
+	return now+wait+usual > item.latencyTarget
 }
 
-// missesAim reports whether a request has waited so long that even a quick answer would miss its
+// missesLatencyTarget reports whether a request has waited so long that even a quick answer would miss its
 // aim.
-func (u *upstream) missesAim(now time.Duration, item queuedRequest) bool {
-	return item.aim > 0 && now+u.routeLatency[item.forward.Route]/2 > item.aim
+func (u *upstream) missesLatencyTarget(now time.Duration, item queuedRequest) bool {
+	return item.latencyTarget > 0 && now+u.routeLatency[item.forward.Route]/2 > item.latencyTarget
 }
 
 // observeLatency takes how long a request took.
@@ -104,42 +104,42 @@
 
 // startQueued starts waiting requests while slots are free, and refuses those of them that can't
 // be started any more.
-func (b *Backend) startQueued(now time.Duration, held *upstream) []Decision {
+func (b *Backend) startQueued(now time.Duration, registered *upstream) []Decision {
 	decisions := []Decision{}
-	held.dropLingering(now)
-	for len(held.queue) > 0 && held.hasFreeSlot() {
-		next := held.queue[0]
-		held.queue = held.queue[1:]
-		if code := b.checkQueued(now, held, next); code != errcode.OK {
+	registered.dropLingering(now)
+	for len(registered.queue) > 0 && registered.hasFreeSlot() {
+		next := registered.queue[0]
+		registered.queue = registered.queue[1:]
+		if code := b.checkQueued(now, registered, next); code != errcode.OK {
 			decisions = append(decisions, refusal(next.forward, code))
 			continue
 		}
-		decisions = append(decisions, b.start(now, held, next))
+		decisions = append(decisions, b.start(now, registered, next))
 	}
 	return decisions
 }
 
 // checkQueued checks whether a request that was taken from the queue may be started.
-func (b *Backend) checkQueued(now time.Duration, held *upstream, item queuedRequest) errcode.Code {
+func (b *Backend) checkQueued(now time.Duration, registered *upstream, item queuedRequest) errcode.Code {
 	switch {
 	case now >= item.deadline:
 		return errcode.BusyDeadline
-	case len(held.queue) > 0 && held.missesAim(now, item):
+	case len(registered.queue) > 0 && registered.missesLatencyTarget(now, item):
 		return errcode.BusySlotsFull
 	}
-	return b.checkForward(now, held, true, item.forward)
+	return b.checkForward(now, registered, true, item.forward)
 }
 
 // start takes a slot for a request.
-func (b *Backend) start(now time.Duration, held *upstream, item queuedRequest) Decision {
+func (b *Backend) start(now time.Duration, registered *upstream, item queuedRequest) Decision {
 	forward := item.forward
-	held.running[forward.ID] = runningRequest{once: forward.AtMostOnce}
+	registered.running[forward.ID] = runningRequest{once: forward.AtMostOnce}
 	b.observeStart(forward.Retried, forward.AtMostOnce)
 	b.record(forward.ID, &attemptRecord{updatedAt: now, startedAt: now})
 	token := b.newToken()
 	b.delegations[token] = Delegation{Tenant: forward.Tenant, Service: forward.Service, Key: forward.ID}
 	forward.Remaining = int64(item.deadline - now)
-	target := held.target()
+	target := registered.target()
 	target.DelegationToken = token
 	return Decision{Forward: forward, Start: true, Target: target}
 }
--- a/internal/backend/records.go
+++ b/internal/backend/records.go
@@ -45,21 +45,21 @@
 	defer b.lock.Unlock()
 	delete(b.delegations, decision.Target.DelegationToken)
 	outcome.ID = decision.Forward.ID
-	held, known := b.upstreams[upstreamKey(decision.Forward.Service, decision.Forward.Instance)]
+	registered, known := b.upstreams[upstreamKey(decision.Forward.Service, decision.Forward.Instance)]
 	decisions := []Decision{}
-	if _, running := held.findRunning(outcome.ID); running {
-		delete(held.running, outcome.ID)
-		b.keepSlotTaken(now, held, outcome)
-		decisions = b.startQueued(now, held)
+	if _, running := registered.findRunning(outcome.ID); running {
+		delete(registered.running, outcome.ID)
+		b.keepSlotTaken(now, registered, outcome)
+		decisions = b.startQueued(now, registered)
 	}
 	if known {
-		held.report(&outcome)
+		registered.report(&outcome)
 	}
 	if record, seen := b.records[outcome.ID]; decision.Start && seen {
 		took := now - record.startedAt
 		outcome.ServiceTime = int64(took)
 		if known && outcome.Kind == message.Completed {
-			held.observeLatency(decision.Forward.Route, took)
+			registered.observeLatency(decision.Forward.Route, took)
 		}
 	}
 	b.recordOutcome(now, decision, outcome)
@@ -70,14 +70,14 @@
 // keepSlotTaken keeps the slot of an ended request where the upstream may still be at work. A
 // request that ended without any answer may run on; one that was answered, be it with garbage,
 // has run.
-func (b *Backend) keepSlotTaken(now time.Duration, held *upstream, outcome message.Outcome) {
+func (b *Backend) keepSlotTaken(now time.Duration, registered *upstream, outcome message.Outcome) {
 	code := errcode.Code(outcome.Code)
 	if outcome.Kind == message.OutcomeUnknown && code != errcode.AnswerMalformed && code != errcode.AnswerTooLarge {
-		held.lingering = append(held.lingering, now+b.lingerTime(code))
+		registered.lingering = append(registered.lingering, now+b.lingerTime(code))
 	}
 	if outcome.Kind == message.NotStarted && outcome.ReachedUpstream && code == errcode.BusySlotsFull {
 		// It has work that this serving proxy does not know of.
-		held.lingering = append(held.lingering, now+b.settings.DialFresh())
+		registered.lingering = append(registered.lingering, now+b.settings.DialFresh())
 	}
 }
 
@@ -193,13 +193,13 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	for _, key := range b.sortedKeys() {
-		held := b.upstreams[key]
-		if request, running := held.findRunning(id); running {
+		registered := b.upstreams[key]
+		if request, running := registered.findRunning(id); running {
 			return nil, !request.once
 		}
-		for index, item := range held.queue {
+		for index, item := range registered.queue {
 			if item.forward.ID == id {
-				held.queue = append(append([]queuedRequest{}, held.queue[:index]...), held.queue[index+1:]...)
+				registered.queue = append(append([]queuedRequest{}, registered.queue[:index]...), registered.queue[index+1:]...)
 				return []Decision{refusal(item.forward, errcode.BusyDeadline)}, false
 			}
 		}
--- a/internal/backend/registration.go
+++ b/internal/backend/registration.go
@@ -12,37 +12,37 @@
 func (b *Backend) Announce(now time.Duration, announcement Announcement) (accepted bool, ended []Announcement, decisions []Decision) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	held, known := b.upstreams[announcement.key()]
-	if b.isLate(announcement, held) {
+	registered, known := b.upstreams[announcement.key()]
+	if b.isLate(announcement, registered) {
 		return true, nil, nil
 	}
-	if known && announcement.Incarnation < held.announcement.Incarnation {
+	if known && announcement.Incarnation < registered.announcement.Incarnation {
 		return false, nil, nil
 	}
 	ended, decisions = b.endReplaced(announcement)
-	held = b.register(announcement.key())
-	if held.announcement.Leaving {
+	registered = b.register(announcement.key())
+	if registered.announcement.Leaving {
 		announcement.Leaving = true
 	}
-	held.announcement, held.announcedAt, held.lastSeenAt = announcement, now, now
-	if held.broken && now > held.brokenAt {
-		held.broken = false
+	registered.announcement, registered.announcedAt, registered.lastSeenAt = announcement, now, now
+	if registered.broken && now > registered.brokenAt {
+		registered.broken = false
 	}
 	if announcement.Leaving {
-		decisions = append(decisions, held.refuseQueued(errcode.BusyLeaving)...)
+		decisions = append(decisions, registered.refuseQueued(errcode.BusyLeaving)...)
 	}
-	return true, ended, append(decisions, b.startQueued(now, held)...)
+	return true, ended, append(decisions, b.startQueued(now, registered)...)
 }
 
 // isLate reports whether an announcement comes behind its instance's retirement, or behind a newer
 // one of the same incarnation. It then alters nothing.
-func (b *Backend) isLate(announcement Announcement, held *upstream) bool {
+func (b *Backend) isLate(announcement Announcement, registered *upstream) bool {
 	if _, retired := b.retired[announcement.Instance]; retired {
 		return true
 	}
-	return held != nil &&
-		announcement.Sequence < held.announcement.Sequence &&
-		announcement.Incarnation == held.announcement.Incarnation
+	return registered != nil &&
+		announcement.Sequence < registered.announcement.Sequence &&
+		announcement.Incarnation == registered.announcement.Incarnation
 }
 
 // endReplaced ends the registrations that an announcement replaces: an older incarnation or
@@ -50,15 +50,15 @@
 // upstreams are returned.
 func (b *Backend) endReplaced(announcement Announcement) (ended []Announcement, decisions []Decision) {
 	for _, key := range b.sortedKeys() {
-		held := b.upstreams[key]
+		registered := b.upstreams[key]
 		sameUpstream := key == announcement.key()
-		if !replaces(announcement, held.announcement, sameUpstream) {
+		if !replaces(announcement, registered.announcement, sameUpstream) {
 			continue
 		}
 		if !sameUpstream {
-			ended = append(ended, held.announcement)
+			ended = append(ended, registered.announcement)
 		}
-		decisions = append(decisions, held.refuseQueued(errcode.BusyUpstreamGone)...)
+		decisions = append(decisions, registered.refuseQueued(errcode.BusyUpstreamGone)...)
 		delete(b.upstreams, key)
 	}
 	return ended, decisions
@@ -74,12 +74,12 @@
 
 // register returns the upstream of a key, new if there is none.
 func (b *Backend) register(key string) *upstream {
-	held, known := b.upstreams[key]
+	registered, known := b.upstreams[key]
 	if !known {
-		held = &upstream{running: map[string]runningRequest{}, routeLatency: map[string]time.Duration{}}
-		b.upstreams[key] = held
+		registered = &upstream{running: map[string]runningRequest{}, routeLatency: map[string]time.Duration{}}
+		b.upstreams[key] = registered
 	}
-	return held
+	return registered
 }
 
 // Deregister ends a registration. It returns false when there is none of this incarnation here.
@@ -87,12 +87,12 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	key := upstreamKey(service, instance)
-	held, known := b.upstreams[key]
-	if !known || held.announcement.Incarnation != incarnation {
+	registered, known := b.upstreams[key]
+	if !known || registered.announcement.Incarnation != incarnation {
 		return false, nil
 	}
 	delete(b.upstreams, key)
-	return true, held.refuseQueued(errcode.BusyLeaving)
+	return true, registered.refuseQueued(errcode.BusyLeaving)
 }
 
 // RetireInstance ends whatever an instance has registered here, and takes no announcement of its
@@ -102,9 +102,9 @@
 	defer b.lock.Unlock()
 	b.retired[instance] = now
 	for _, key := range b.sortedKeys() {
-		if held := b.upstreams[key]; held.announcement.Instance == instance {
+		if registered := b.upstreams[key]; registered.announcement.Instance == instance {
 			delete(b.upstreams, key)
-			return held.announcement, true, held.refuseQueued(errcode.BusyLeaving)
+			return registered.announcement, true, registered.refuseQueued(errcode.BusyLeaving)
 		}
 	}
 	return Announcement{}, false, nil
@@ -114,19 +114,19 @@
 func (b *Backend) Lookup(service, instance string) (Announcement, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	held, known := b.upstreams[upstreamKey(service, instance)]
+	registered, known := b.upstreams[upstreamKey(service, instance)]
 	if !known {
 		return Announcement{}, false
 	}
-	return held.announcement, true
+	return registered.announcement, true
 }
 
 // HasInstance reports whether an instance is registered here.
 func (b *Backend) HasInstance(instance string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	for _, held := range b.upstreams {
-		if held.announcement.Instance == instance {
+	for _, registered := range b.upstreams {
+		if registered.announcement.Instance == instance {
 			return true
 		}
 	}
@@ -140,20 +140,20 @@
 	defer b.lock.Unlock()
 	decisions := []Decision{}
 	for _, key := range b.sortedKeys() {
-		held := b.upstreams[key]
-		for _, registration := range upstreams[held.announcement.Service] {
-			if held.isToldToLeave(key, registration) {
-				held.announcement.Leaving = true
-				decisions = append(decisions, held.refuseQueued(errcode.BusyLeaving)...)
+		registered := b.upstreams[key]
+		for _, registration := range upstreams[registered.announcement.Service] {
+			if registered.isNewlyLeaving(key, registration) {
+				registered.announcement.Leaving = true
+				decisions = append(decisions, registered.refuseQueued(errcode.BusyLeaving)...)
 			}
 		}
 	}
 	return decisions
 }
 
-// isToldToLeave reports whether a registration of the roster says of this upstream, for the first
+// isNewlyLeaving reports whether a registration of the roster says of this upstream, for the first
 // time, that it leaves.
-func (u *upstream) isToldToLeave(key string, registration message.Registration) bool {
+func (u *upstream) isNewlyLeaving(key string, registration message.Registration) bool {
 	return registration.Key() == key &&
 		registration.Incarnation == u.announcement.Incarnation &&
 		registration.State == message.StateLeaving &&
--- a/internal/backend/target_test.go
+++ b/internal/backend/target_test.go
@@ -109,10 +109,10 @@
 	b.forwarded++
 	forward := message.Forward{ID: fmt.Sprint(name, b.forwarded), Name: name, Service: "pay", Instance: "one", Incarnation: 1, Method: http.MethodPost, Path: path, Headers: []message.HeaderLine{},
 		Body: []byte("body"), Remaining: int64(2 * time.Second), MaxResponseBytes: 1000, Host: "shop.example"}
-	orders := b.serving.HandleForward(b.members.Now(), forward)
-	c.Assert(orders, qt.HasLen, 1)
-	c.Assert(orders[0].Start, qt.IsTrue, qt.Commentf("%v", orders[0].Code))
-	outcome, _ := b.serving.Complete(b.members.Now(), orders[0], b.caller.Call(orders[0]))
+	decisions := b.serving.HandleForward(b.members.Now(), forward)
+	c.Assert(decisions, qt.HasLen, 1)
+	c.Assert(decisions[0].Start, qt.IsTrue, qt.Commentf("%v", decisions[0].Code))
+	outcome, _ := b.serving.Complete(b.members.Now(), decisions[0], b.caller.Call(decisions[0]))
 	return outcome
 }
 
--- a/internal/frontend/callerlimits_test.go
+++ b/internal/frontend/callerlimits_test.go
@@ -28,30 +28,30 @@
 	return routeconfig.Parse("main", 1, fmt.Appendf(nil, `{"services":["pay"],"limits":%s}`, limits), settings.Default().ConfigurationLimits())
 }
 
-// limitedStages has the read stage only: what passes it waits for ever.
-func limitedStages(limits string, alter func(cfg *settings.Settings)) *Pipeline {
+// newLimitedPipeline has the read stage only: what passes it waits for ever.
+func newLimitedPipeline(limits string, alter func(cfg *settings.Settings)) *Pipeline {
 	cfg := settings.Default()
 	cfg.Limits.Body = 16 << 20
 	alter(&cfg)
 	front := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 	group := goroutine.New()
 	serving := backend.New(cfg, nil)
-	stages := NewPipeline(cfg, front, serving, backend.NewUpstreamClient(cfg, serving, group), group, message.Member{}, func(any) {})
+	pipeline := NewPipeline(cfg, front, serving, backend.NewUpstreamClient(cfg, serving, group), group, message.Member{}, func(any) {})
 	front.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{limited(limits)}})
-	return stages
+	return pipeline
 }
 
-func statusOf(stages *Pipeline, request *http.Request) int {
+func statusOf(pipeline *Pipeline, request *http.Request) int {
 	recorder := httptest.NewRecorder()
 	done := make(chan struct{})
 	go func() {
-		stages.ServeHTTP(recorder, request)
+		pipeline.ServeHTTP(recorder, request)
 		close(done)
 	}()
 	select {
 	case <-done:
 		return recorder.Code
-	case <-stages.admitQueue:
+	case <-pipeline.admitQueue:
 		return 0 // passed on
 	}
 }
@@ -76,12 +76,12 @@
 		{`{}`, 15 << 20, false, 0},
 		{`{"body_bytes":67108864}`, 17 << 20, false, http.StatusRequestEntityTooLarge}, // over what this machine holds
 	} {
-		stages := limitedStages(tried.limits, func(*settings.Settings) {})
+		pipeline := newLimitedPipeline(tried.limits, func(*settings.Settings) {})
 		request := httptest.NewRequest(http.MethodPost, "/x", bytes.NewReader(make([]byte, tried.size)))
 		if tried.chunked {
 			request.ContentLength = -1
 		}
-		c.Check(statusOf(stages, request), qt.Equals, tried.status, qt.Commentf("%+v", tried))
+		c.Check(statusOf(pipeline, request), qt.Equals, tried.status, qt.Commentf("%+v", tried))
 	}
 }
 
@@ -90,7 +90,7 @@
 	for size, status := range map[int]int{3000: 0, 4200: http.StatusRequestHeaderFieldsTooLarge} {
 		request := httptest.NewRequest(http.MethodGet, "/x", nil)
 		request.Header.Set("Long", strings.Repeat("x", size))
-		c.Check(statusOf(limitedStages(`{"head_bytes":4096}`, func(*settings.Settings) {}), request), qt.Equals, status)
+		c.Check(statusOf(newLimitedPipeline(`{"head_bytes":4096}`, func(*settings.Settings) {}), request), qt.Equals, status)
 	}
 }
 
@@ -98,20 +98,20 @@
 // promise and a time; what others took is free again when they are done.
 func TestBodiesTogether(t *testing.T) {
 	c := qt.New(t)
-	stages := limitedStages(`{}`, func(cfg *settings.Settings) { cfg.Limits.Memory, cfg.Limits.Body = 64, 4<<20 })
-	c.Assert(stages.settings.BodyRoom(), qt.Equals, int64(8<<20))
+	pipeline := newLimitedPipeline(`{}`, func(cfg *settings.Settings) { cfg.Limits.Memory, cfg.Limits.Body = 64, 4<<20 })
+	c.Assert(pipeline.settings.BodyRoom(), qt.Equals, int64(8<<20))
 	post := func(size int) *http.Request {
 		return httptest.NewRequest(http.MethodPost, "/x", bytes.NewReader(make([]byte, size)))
 	}
-	c.Assert(statusOf(stages, post(4<<20)), qt.Equals, 0)
-	c.Assert(statusOf(stages, post(3<<20)), qt.Equals, 0)
+	c.Assert(statusOf(pipeline, post(4<<20)), qt.Equals, 0)
+	c.Assert(statusOf(pipeline, post(3<<20)), qt.Equals, 0)
 	recorder := httptest.NewRecorder()
-	stages.ServeHTTP(recorder, post(2<<20))
+	pipeline.ServeHTTP(recorder, post(2<<20))
 	c.Assert(recorder.Code, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(recorder.Header().Get(CodeHeader), qt.Equals, fmt.Sprint(int(errcode.BusyBodies)))
 	c.Assert(recorder.Header().Get("Retry-After"), qt.Not(qt.Equals), "")
-	stages.bodies.release(4 << 20)
-	c.Assert(statusOf(stages, post(2<<20)), qt.Equals, 0)
+	pipeline.bodies.release(4 << 20)
+	c.Assert(statusOf(pipeline, post(2<<20)), qt.Equals, 0)
 }
 
 // stuck is a body that never comes whole.
@@ -122,16 +122,16 @@
 // A body that is too slow has not run: 408, with a time, and nothing is kept of it.
 func TestASlowBody(t *testing.T) {
 	c := qt.New(t)
-	stages := limitedStages(`{}`, func(*settings.Settings) {})
-	before := stages.bodies.available
+	pipeline := newLimitedPipeline(`{}`, func(*settings.Settings) {})
+	before := pipeline.bodies.available
 	for _, length := range []int64{10, -1} {
 		request := httptest.NewRequest(http.MethodPost, "/x", io.NopCloser(stuck{}))
 		request.ContentLength = length
 		recorder := httptest.NewRecorder()
-		stages.ServeHTTP(recorder, request)
+		pipeline.ServeHTTP(recorder, request)
 		c.Check(recorder.Code, qt.Equals, http.StatusRequestTimeout)
 		c.Check(recorder.Header().Get("Retry-After"), qt.Not(qt.Equals), "")
-		c.Check(stages.bodies.available, qt.Equals, before)
+		c.Check(pipeline.bodies.available, qt.Equals, before)
 	}
 }
 
--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/dispatcher_test.go
@@ -31,7 +31,7 @@
 func (w *fakeConnection) Close()         { w.broken = true }
 
 type fakeEnvironment struct {
-	tracker     *Dispatcher
+	dispatcher  *Dispatcher
 	connections []*fakeConnection
 	judged      []AttemptOutcome
 	random      *rand.Rand
@@ -51,9 +51,9 @@
 func (b *fakeEnvironment) Enqueue(env Stage, item any) bool {
 	switch env {
 	case StageAdmit:
-		b.tracker.Admit(item.(*PendingRequest))
+		b.dispatcher.Admit(item.(*PendingRequest))
 	case StageSelect:
-		b.tracker.SelectUpstream(item.(*PendingRequest))
+		b.dispatcher.SelectUpstream(item.(*PendingRequest))
 	case StageOutcome:
 		b.judged = append(b.judged, item.(AttemptOutcome))
 	}
@@ -75,11 +75,11 @@
 	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, ProxyCount: 2,
 		Upstreams: map[string][]message.Registration{"pay": {upstream("one", "here")}}})
 	back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
-	back.tracker = NewDispatcher(cfg, f, backend.New(cfg, nil), back, message.Member{Name: "me", Address: "here:1"})
+	back.dispatcher = NewDispatcher(cfg, f, backend.New(cfg, nil), back, message.Member{Name: "me", Address: "here:1"})
 	request := func(id string) {
 		asked := request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")
 		asked.ID = id
-		back.tracker.Submit(asked, func(time.Duration) {}, func(*Response) {})
+		back.dispatcher.Submit(asked, func(time.Duration) {}, func(*Response) {})
 	}
 	request("sent")
 	c.Assert(back.connections, qt.HasLen, 1)
@@ -111,11 +111,11 @@
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 	back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
 	serving := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
-	back.tracker = NewDispatcher(cfg, f, serving, back, message.Member{Name: "me", Address: "here:1"})
+	back.dispatcher = NewDispatcher(cfg, f, serving, back, message.Member{Name: "me", Address: "here:1"})
 	_, _, _ = serving.Announce(time.Second, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "up:1", Zone: "here", Slots: 4})
 	for _, id := range []string{"once", "repeatable"} {
-		back.tracker.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), AtMostOnce: id == "once"}, func(any) error { return nil })
-		back.tracker.HandleFrame(message.Cancel{ID: id}, func(any) error { return nil })
+		back.dispatcher.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), AtMostOnce: id == "once"}, func(any) error { return nil })
+		back.dispatcher.HandleFrame(message.Cancel{ID: id}, func(any) error { return nil })
 	}
 	c.Assert(back.cancelled, qt.DeepEquals, []string{"repeatable"})
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -45,11 +45,11 @@
 	return &Request{ID: "q", Method: method, RawPath: raw, RawQuery: params, Header: header, Deadline: 5 * time.Second}
 }
 
-func code(final *Response) errcode.Code {
-	if final == nil {
+func code(response *Response) errcode.Code {
+	if response == nil {
 		return errcode.OK
 	}
-	return final.Code
+	return response.Code
 }
 
 func TestAdmit(t *testing.T) {
@@ -130,10 +130,10 @@
 func TestOutcomes(t *testing.T) {
 	c := qt.New(t)
 	for _, tried := range []struct {
-		path    string
-		outcome message.Outcome
-		final   errcode.Code
-		again   bool
+		path     string
+		outcome  message.Outcome
+		response errcode.Code
+		again    bool
 	}{
 		{"/pay", message.Outcome{Kind: message.Completed, Status: 200}, errcode.OK, false},
 		{"/pay", message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}, errcode.OK, true},
@@ -149,15 +149,15 @@
 		asked.Deadline += begin
 		c.Assert(f.admit(begin, time.Now(), asked), qt.IsNil)
 		c.Assert(f.selectUpstream(begin, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
-		final := f.evaluateOutcome(begin+time.Millisecond, asked, tried.outcome)
-		c.Check(final == nil, qt.Equals, tried.again, qt.Commentf("%+v", tried))
-		c.Check(code(final), qt.Equals, tried.final, qt.Commentf("%+v", tried))
-		if final != nil {
-			busy := final.Status == http.StatusServiceUnavailable
-			c.Check(final.RetryAfter > 0, qt.Equals, busy)
+		response := f.evaluateOutcome(begin+time.Millisecond, asked, tried.outcome)
+		c.Check(response == nil, qt.Equals, tried.again, qt.Commentf("%+v", tried))
+		c.Check(code(response), qt.Equals, tried.response, qt.Commentf("%+v", tried))
+		if response != nil {
+			busy := response.Status == http.StatusServiceUnavailable
+			c.Check(response.RetryAfter > 0, qt.Equals, busy)
 		}
 		// Once something may have run, no later refusal says that nothing did.
-		if final == nil && tried.outcome.Kind == message.OutcomeUnknown {
+		if response == nil && tried.outcome.Kind == message.OutcomeUnknown {
 			c.Assert(f.selectUpstream(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
 			last := f.evaluateOutcome(begin+6*time.Second, asked, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)})
 			c.Check(code(last), qt.Equals, errcode.UnknownOutcome)
--- a/internal/frontend/target_test.go
+++ b/internal/frontend/hosted_test.go
@@ -57,10 +57,10 @@
 	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
 	c.Assert(going.Target.Instance, qt.Not(qt.Equals), first)
 	// The configuration allows two upstreams: then it is refused, and may be asked again.
-	final := f.evaluateOutcome(old, going, misdirected)
-	c.Assert(code(final), qt.Equals, errcode.BusyUpstreamGone)
-	c.Assert(final.Status, qt.Equals, http.StatusServiceUnavailable)
-	c.Assert(final.RetryAfter > 0, qt.IsTrue)
+	response := f.evaluateOutcome(old, going, misdirected)
+	c.Assert(code(response), qt.Equals, errcode.BusyUpstreamGone)
+	c.Assert(response.Status, qt.Equals, http.StatusServiceUnavailable)
+	c.Assert(response.RetryAfter > 0, qt.IsTrue)
 	// Neither is chosen again for a moment; then both are.
 	later := asked("/pay/x", "secret")
 	c.Assert(f.admit(old, time.Now(), later), qt.IsNil)
@@ -86,8 +86,8 @@
 		for {
 			c.Assert(f.selectUpstream(now, going, random), qt.IsNil)
 			tries++
-			if final := f.evaluateOutcome(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: sent}); final != nil {
-				c.Assert(final.Code, qt.Equals, errcode.BusyBudget)
+			if response := f.evaluateOutcome(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: sent}); response != nil {
+				c.Assert(response.Code, qt.Equals, errcode.BusyBudget)
 				break
 			}
 		}
--- a/internal/frontend/link_test.go
+++ b/internal/frontend/linkbacklog_test.go
@@ -40,16 +40,16 @@
 			address = "serving-a"
 			f.snapshot.Upstreams["pay"] = f.snapshot.Upstreams["pay"][:1]
 		}
-		back.tracker = NewDispatcher(f.settings, f, backend.New(f.settings, f.AuthorizeForward), back, message.Member{Name: "me", Address: address})
-		var final *Response
-		back.tracker.Submit(asked(tried.path, tried.key), func(time.Duration) {}, func(answer *Response) { final = answer })
+		back.dispatcher = NewDispatcher(f.settings, f, backend.New(f.settings, f.AuthorizeForward), back, message.Member{Name: "me", Address: address})
+		var response *Response
+		back.dispatcher.Submit(asked(tried.path, tried.key), func(time.Duration) {}, func(answer *Response) { response = answer })
 		if !tried.refused {
-			c.Check(final, qt.IsNil, qt.Commentf(tried.name))
+			c.Check(response, qt.IsNil, qt.Commentf(tried.name))
 			continue
 		}
-		c.Assert(final, qt.IsNotNil, qt.Commentf(tried.name))
-		c.Check(final.Code, qt.Equals, errcode.BusyQueueFull, qt.Commentf(tried.name))
-		c.Check(final.RetryAfter > 0, qt.IsTrue, qt.Commentf(tried.name))
+		c.Assert(response, qt.IsNotNil, qt.Commentf(tried.name))
+		c.Check(response.Code, qt.Equals, errcode.BusyQueueFull, qt.Commentf(tried.name))
+		c.Check(response.RetryAfter > 0, qt.IsTrue, qt.Commentf(tried.name))
 		c.Check(back.connections, qt.HasLen, 0, qt.Commentf(tried.name))
 		for _, held := range f.upstreams {
 			c.Check(held.inFlight, qt.Equals, int64(0), qt.Commentf(tried.name))
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -1,5 +1,5 @@
-// The two hops of a request as one explored state space, over the real frontend, tracker,
-// backend, caller and pairing. Only what lies between processes is a stand-in: connections
+// The two hops of a request as one explored state space, over the real frontend, dispatcher,
+// backend, upstream client and response matcher. Only what lies between processes is a stand-in: connections
 // between proxies, connections to upstreams, and the clock. At each place where something
 // can break, be silent, speak twice or late, the run makes a numbered choice; the explorer
 // plays every way of making at most a few choices other than "all is well". A run is fully
@@ -118,12 +118,12 @@
 }
 
 type modelAsked struct {
-	name   string
-	once   bool
-	finals []*Response
-	trip   *PendingRequest
-	lost   bool // with a life of its proxy: its caller's connection is closed, which says nothing
-	left   bool // its caller hung up
+	name    string
+	once    bool
+	finals  []*Response
+	pending *PendingRequest
+	lost    bool // with a life of its proxy: its caller's connection is closed, which says nothing
+	left    bool // its caller hung up
 }
 
 // model is one run's world.
@@ -144,17 +144,17 @@
 	cancelled []string // ids of attempts
 }
 
-// modelProxy is one proxy: the real tracker, frontend, backend and caller.
+// modelProxy is one proxy: the real dispatcher, frontend, backend and upstream client.
 type modelProxy struct {
-	world   *model
-	address string
-	life    int64
-	running map[string]bool // exchanges by attempt; false: cancelled
-	tracker *Dispatcher
-	front   *Frontend
-	serving *backend.Backend
-	caller  *backend.UpstreamClient
-	inside  []*modelLink
+	world      *model
+	address    string
+	life       int64
+	running    map[string]bool // exchanges by attempt; false: cancelled
+	dispatcher *Dispatcher
+	front      *Frontend
+	serving    *backend.Backend
+	caller     *backend.UpstreamClient
+	inside     []*modelLink
 }
 
 func (w *model) after(wait time.Duration, do func()) {
@@ -250,7 +250,7 @@
 	p.caller.UseDialer(func(address string, _ time.Time) (net.Conn, error) {
 		return &modelUpstreamConn{world: w, upstream: address}, nil
 	})
-	p.tracker = NewDispatcher(cfg, p.front, p.serving, &modelEnvironment{p, life, rand.New(rand.NewPCG(1, 2))}, message.Member{Name: p.address, Address: p.address, StartTime: life})
+	p.dispatcher = NewDispatcher(cfg, p.front, p.serving, &modelEnvironment{p, life, rand.New(rand.NewPCG(1, 2))}, message.Member{Name: p.address, Address: p.address, StartTime: life})
 	list := []message.Registration{}
 	for _, name := range []string{"one", "two", "three"} {
 		if modelHomes[name] == p.address {
@@ -314,11 +314,11 @@
 	p.world.after(0, b.alive(func() {
 		switch stage {
 		case StageAdmit:
-			p.tracker.Admit(item.(*PendingRequest))
+			p.dispatcher.Admit(item.(*PendingRequest))
 		case StageSelect:
-			p.tracker.SelectUpstream(item.(*PendingRequest))
+			p.dispatcher.SelectUpstream(item.(*PendingRequest))
 		case StageOutcome:
-			p.tracker.HandleOutcome(item.(AttemptOutcome))
+			p.dispatcher.HandleOutcome(item.(AttemptOutcome))
 		case StageStart:
 			b.start(item.(backend.Decision))
 		}
@@ -337,7 +337,7 @@
 			outcome = message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}
 		}
 		delete(p.running, order.Forward.ID)
-		p.tracker.Complete(order, outcome)
+		p.dispatcher.Complete(order, outcome)
 	}))
 }
 
@@ -426,7 +426,7 @@
 		if l.cut || l.to.life != life {
 			return
 		}
-		l.to.tracker.HandleFrame(msg, l.reply)
+		l.to.dispatcher.HandleFrame(msg, l.reply)
 	})
 }
 
@@ -603,15 +603,15 @@
 	w.asked = append(w.asked, asked)
 	request := &Request{ID: "id" + path, Method: http.MethodPost, RawPath: path, Header: http.Header{"Try": {"try" + path}}, Host: "shop.example",
 		Body: []byte("body"), ArrivedAt: w.now, Deadline: w.now + modelDeadline}
-	asked.trip = p.tracker.Submit(request, func(time.Duration) {}, func(final *Response) {
-		asked.finals = append(asked.finals, final)
+	asked.pending = p.dispatcher.Submit(request, func(time.Duration) {}, func(response *Response) {
+		asked.finals = append(asked.finals, response)
 		if len(asked.finals) == 1 {
 			w.after(0, then)
 		}
 	})
 	abandon := func() {
 		if asked.lost = p.life != life; !asked.lost {
-			p.tracker.Abandon(asked.trip)
+			p.dispatcher.Abandon(asked.pending)
 		}
 	}
 	w.after(modelDeadline, abandon)
@@ -652,31 +652,31 @@
 			add("one-answer", "%s got %d final answers", asked.name, len(asked.finals))
 			continue
 		}
-		final := asked.finals[0]
+		response := asked.finals[0]
 		if asked.once && len(runs) > 1 {
 			add("once", "%s ran %d times", asked.name, len(runs))
 		}
 		if len(w.offers[asked.name]) > 2 {
 			add("most-upstreams", "%s was offered to %d upstreams", asked.name, len(w.offers[asked.name]))
 		}
-		switch final.Status {
+		switch response.Status {
 		case http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusMisdirectedRequest:
 			if len(runs) > 0 {
-				add("promise", "%s was told %d (%s) and ran", asked.name, final.Status, final.Code)
+				add("promise", "%s was told %d (%s) and ran", asked.name, response.Status, response.Code)
 			}
-			if final.Code != errcode.OK && final.RetryAfter <= 0 {
-				add("retry-after", "%s was told %d without a time", asked.name, final.Status)
+			if response.Code != errcode.OK && response.RetryAfter <= 0 {
+				add("retry-after", "%s was told %d without a time", asked.name, response.Status)
 			}
 		}
-		if final.Code != errcode.OK {
+		if response.Code != errcode.OK {
 			continue
 		}
 		own := false
 		for _, run := range runs {
-			own = own || run.whole != "" && run.whole == string(final.Body) && run.status == final.Status
+			own = own || run.whole != "" && run.whole == string(response.Body) && run.status == response.Status
 		}
 		if !own {
-			add("own-answer", "%s was answered %d %q", asked.name, final.Status, final.Body)
+			add("own-answer", "%s was answered %d %q", asked.name, response.Status, response.Body)
 		}
 	}
 	return wrong
--- a/internal/frontend/adopt_test.go
+++ b/internal/frontend/registration_test.go
@@ -17,12 +17,12 @@
 
 // recordingEnvironment is a environment whose clock the test sets; orders to start are kept.
 type recordingEnvironment struct {
-	tracker  *Dispatcher
-	now      time.Duration
-	wall     time.Time
-	response []any
-	starts   []backend.Decision
-	full     bool
+	dispatcher *Dispatcher
+	now        time.Duration
+	wall       time.Time
+	response   []any
+	starts     []backend.Decision
+	full       bool
 }
 
 func (p *recordingEnvironment) Now() time.Duration     { return p.now }
@@ -60,12 +60,12 @@
 	return words
 }
 
-func servingProxyTracker(proof string) (*recordingEnvironment, *backend.Backend, settings.Settings) {
+func newServingDispatcher(proof string) (*recordingEnvironment, *backend.Backend, settings.Settings) {
 	cfg := settings.Default()
 	cfg.Zone, cfg.Proof, cfg.Counted = "here", proof, settings.CountBegun
 	serving := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	p := &recordingEnvironment{}
-	p.tracker = NewDispatcher(cfg, New(cfg, serving.LookupDelegation), serving, p, message.Member{Name: "proxy/me", Address: "here:1", StartTime: 7})
+	p.dispatcher = NewDispatcher(cfg, New(cfg, serving.LookupDelegation), serving, p, message.Member{Name: "proxy/me", Address: "here:1", StartTime: 7})
 	return p, serving, cfg
 }
 
@@ -86,17 +86,17 @@
 // holds the old one; the two must not end each other in turn.
 func TestAdoptionEndsWithTheFirstAnnouncement(t *testing.T) {
 	c := qt.New(t)
-	p, serving, _ := servingProxyTracker(settings.ProofTarget)
+	p, serving, _ := newServingDispatcher(settings.ProofTarget)
 	snapshot := rosterOf(beside("old", "up:1", message.StateReady, 6))
-	p.tracker.UpdateSnapshot(snapshot)
+	p.dispatcher.UpdateSnapshot(snapshot)
 	c.Assert(p.words(), qt.DeepEquals, []string{"old ready"})
-	p.tracker.UpdateSnapshot(snapshot)
+	p.dispatcher.UpdateSnapshot(snapshot)
 	c.Assert(p.words(), qt.HasLen, 0)
-	c.Assert(p.tracker.Announce(announced("new", "up:1", 1)), qt.IsTrue)
+	c.Assert(p.dispatcher.Announce(announced("new", "up:1", 1)), qt.IsTrue)
 	c.Assert(p.words(), qt.DeepEquals, []string{"old off", "new ready"})
 	for range 3 {
 		p.now += 100 * time.Millisecond
-		p.tracker.UpdateSnapshot(snapshot)
+		p.dispatcher.UpdateSnapshot(snapshot)
 		c.Assert(p.words(), qt.HasLen, 0)
 		c.Assert(serving.HasInstance("old"), qt.IsFalse)
 		c.Assert(serving.HasInstance("new"), qt.IsTrue)
@@ -123,9 +123,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			p, _, _ := servingProxyTracker(tried.proof)
+			p, _, _ := newServingDispatcher(tried.proof)
 			p.now = tried.now
-			p.tracker.UpdateSnapshot(rosterOf(tried.response))
+			p.dispatcher.UpdateSnapshot(rosterOf(tried.response))
 			c.Assert(p.words(), qt.DeepEquals, tried.wanted)
 		})
 	}
@@ -135,22 +135,22 @@
 // a newer one, one behind the last word, and one of an upstream that leaves.
 func TestLateAnnouncementsAreNotPassedOn(t *testing.T) {
 	c := qt.New(t)
-	p, serving, _ := servingProxyTracker(settings.ProofTarget)
-	p.tracker.Announce(announced("one", "up:1", 4))
+	p, serving, _ := newServingDispatcher(settings.ProofTarget)
+	p.dispatcher.Announce(announced("one", "up:1", 4))
 	c.Assert(p.words(), qt.DeepEquals, []string{"one ready"})
 	leaving := announced("one", "up:1", 6)
 	leaving.Leaving = true
-	p.tracker.Announce(leaving)
+	p.dispatcher.Announce(leaving)
 	c.Assert(p.words(), qt.DeepEquals, []string{"one leaving"})
-	p.tracker.Announce(announced("one", "up:1", 5))
-	p.tracker.Announce(announced("one", "up:1", 7))
+	p.dispatcher.Announce(announced("one", "up:1", 5))
+	p.dispatcher.Announce(announced("one", "up:1", 7))
 	for _, word := range p.words() {
 		c.Assert(word, qt.Equals, "one leaving")
 	}
-	p.tracker.RetireInstance("one")
+	p.dispatcher.RetireInstance("one")
 	c.Assert(p.words(), qt.DeepEquals, []string{"one off"})
-	p.tracker.Announce(announced("one", "up:1", 8))
-	p.tracker.UpdateSnapshot(rosterOf(beside("one", "up:1", message.StateReady, 6)))
+	p.dispatcher.Announce(announced("one", "up:1", 8))
+	p.dispatcher.UpdateSnapshot(rosterOf(beside("one", "up:1", message.StateReady, 6)))
 	c.Assert(p.words(), qt.HasLen, 0)
 	c.Assert(serving.HasInstance("one"), qt.IsFalse)
 }
@@ -159,17 +159,17 @@
 // did; taken back from that window when the upstream says that it did not run.
 func TestBegunIsCountedAndTakenBack(t *testing.T) {
 	c := qt.New(t)
-	p, _, cfg := servingProxyTracker(settings.ProofTarget)
+	p, _, cfg := newServingDispatcher(settings.ProofTarget)
 	p.wall = time.Unix(100, 0)
 	window := int64(time.Duration(p.wall.UnixNano()) / cfg.UsageWindow())
-	p.tracker.Announce(announced("one", "up:1", 1))
+	p.dispatcher.Announce(announced("one", "up:1", 1))
 	outcomes := []message.Outcome{}
 	forward := func(id, tenant string) {
-		p.tracker.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Tenant: tenant, Remaining: int64(time.Second)},
+		p.dispatcher.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Tenant: tenant, Remaining: int64(time.Second)},
 			func(msg any) error { outcomes = append(outcomes, msg.(message.Outcome)); return nil })
 	}
 	counts := func(window int64) map[string]int64 {
-		usage, _ := p.tracker.frontend.Usage(time.Duration(p.wall.UnixNano()), 0)
+		usage, _ := p.dispatcher.frontend.Usage(time.Duration(p.wall.UnixNano()), 0)
 		for _, response := range usage {
 			if response.Window == window {
 				return response.Counts
@@ -184,17 +184,17 @@
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 2})
 	// The outcomes come in the next window; so does the start of the one that waited.
 	p.wall = p.wall.Add(cfg.UsageWindow())
-	p.tracker.Complete(p.starts[0], message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: true})
+	p.dispatcher.Complete(p.starts[0], message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: true})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
-	p.tracker.Complete(p.starts[1], message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)})
+	p.dispatcher.Complete(p.starts[1], message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
 	c.Assert(outcomes, qt.HasLen, 2)
 	p.now += cfg.DialFresh()
-	p.tracker.Expire()
+	p.dispatcher.Expire()
 	c.Assert(p.starts, qt.HasLen, 3)
 	c.Assert(counts(window+1), qt.DeepEquals, map[string]int64{"u": 1})
 	// One that finds no room before it is sent was not begun.
-	p.tracker.Complete(p.starts[2], message.Outcome{Kind: message.Completed, Status: 200})
+	p.dispatcher.Complete(p.starts[2], message.Outcome{Kind: message.Completed, Status: 200})
 	p.full = true
 	forward("late", "t")
 	c.Assert(counts(window + 1)["t"], qt.Equals, int64(0))
--- a/internal/frontend/repeats_test.go
+++ b/internal/frontend/retryshare_test.go
@@ -33,14 +33,14 @@
 	for range 200 {
 		going := asked("/free/x", key)
 		c.Assert(f.admit(time.Second, time.Now(), going), qt.IsNil)
-		final := f.selectUpstream(time.Second, going, random)
-		if final == nil {
+		response := f.selectUpstream(time.Second, going, random)
+		if response == nil {
 			let++
 			f.release(going)
 			continue
 		}
-		c.Assert(final.Code, qt.Equals, errcode.BusyBudget)
-		c.Assert(final.RetryAfter > 0, qt.IsTrue)
+		c.Assert(response.Code, qt.Equals, errcode.BusyBudget)
+		c.Assert(response.RetryAfter > 0, qt.IsTrue)
 		c.Assert(repeats.barred > time.Second, qt.IsTrue) // no repeat starts here for a while
 	}
 	return let
@@ -78,10 +78,10 @@
 	start := func(number int, again, once bool) {
 		made := repeat
 		made.ID, made.Retried, made.AtMostOnce = fmt.Sprint(number, again, once), again, once
-		orders := serving.HandleForward(old, made)
-		c.Assert(orders, qt.HasLen, 1)
-		c.Assert(orders[0].Start, qt.IsTrue)
-		serving.Complete(old, orders[0], message.Outcome{Kind: message.Completed, Status: 200})
+		decisions := serving.HandleForward(old, made)
+		c.Assert(decisions, qt.HasLen, 1)
+		c.Assert(decisions[0].Start, qt.IsTrue)
+		serving.Complete(old, decisions[0], message.Outcome{Kind: message.Completed, Status: 200})
 	}
 	for number := range 300 {
 		start(number, number%3 == 0, false)
@@ -103,9 +103,9 @@
 	serving.Announce(old, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "one", Zone: "here", Slots: 4})
 	serving.PauseRetries(old + time.Second)
 	start := func(id string, now time.Duration, repeat bool) backend.Decision {
-		orders := serving.HandleForward(now, message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Retried: repeat})
-		c.Assert(orders, qt.HasLen, 1)
-		return orders[0]
+		decisions := serving.HandleForward(now, message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Retried: repeat})
+		c.Assert(decisions, qt.HasLen, 1)
+		return decisions[0]
 	}
 	c.Assert(start("first", old, false).Start, qt.IsTrue)
 	barred := start("repeat", old, true)
--- a/internal/frontend/full_test.go
+++ b/internal/frontend/saturation_test.go
@@ -42,11 +42,11 @@
 	request.Deadline = now + 3*time.Second
 	c.Assert(f.admit(now, time.Now(), request), qt.IsNil)
 	for sent := 0; ; sent++ {
-		if final := f.selectUpstream(now, request, random); final != nil {
-			c.Assert(final.Code, qt.Equals, errcode.BusySlotsFull)
+		if response := f.selectUpstream(now, request, random); response != nil {
+			c.Assert(response.Code, qt.Equals, errcode.BusySlotsFull)
 			return sent
 		}
-		if final := f.evaluateOutcome(now, request, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}); final != nil {
+		if response := f.evaluateOutcome(now, request, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}); response != nil {
 			return sent + 1
 		}
 	}
--- a/internal/frontend/selection.go
+++ b/internal/frontend/selection.go
@@ -83,7 +83,11 @@
 }
 
 // pickCheapest draws some candidates at random and keeps the one of least cost.
-func (f *Frontend) pickCheapest(now time.Duration, candidates []message.Registration, random *rand.Rand) (chosen message.Registration, least float64) {
+func (f *Frontend) pickCheapest(
+	now time.Duration,
+	candidates []message.Registration,
+	random *rand.Rand,
+) (chosen message.Registration, least float64) {
 	least = math.Inf(1)
 	for number := range min(candidateSamples, len(candidates)) {
 		// Drawn without replacement: the drawn one changes places with the first that is left.
