--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -1,7 +1,3 @@
-// This file is what the two core programs share around the quorum and the leases:
-// writes through the ledger, who the peers are, and the addresses remembered for the
-// next life, so that a node finds the others when every seed was swapped.
-
 package quorum
 
 import (
@@ -15,130 +11,124 @@
 	"beaconvane/internal/storage"
 )
 
-// Core is embedded by a core program's machine.
+const (
+	// logLimit is the number of bytes of log after which a snapshot replaces it.
+	logLimit = 1 << 20
+	// latencyWeight is the inverse weight of one write in the smoothed latency.
+	latencyWeight = 4
+	// unknownGoneFactor is how many times the span of suspicion a process must have been up before a node that it
+	// never heard of is gone to it.
+	unknownGoneFactor = 2
+)
+
+// Core is what the two control programs share around the quorum and the leases: the disk, the peers, a graceful
+// departure, and the addresses saved for the next start. A program's machine embeds it.
 type Core struct {
 	settings   settings.Settings
 	role       string
 	membership *membership.Membership
 	ledger     *storage.Ledger
-	voterAt    func(address string) string
-	bornAt     time.Duration
-	born       bool
-	seen       []string
-	seenAt     time.Duration
-	sync       time.Duration // how long writes take, smoothed
 	quorum     *Quorum
 	departure  *departure
-}
 
-// departure is a polite stop under way: the answer waits for the hand-over.
-type departure struct {
-	requestID int64
-	answer    any
-	until     time.Duration
+	started        bool
+	startedAt      time.Duration
+	writeLatency   time.Duration // smoothed
+	savedAddresses []string
+	nextSaveAt     time.Duration
 }
 
-// NewCore makes the shared part; snapshot gives the machine's whole state; empty says
-// that the disk has never held one.
+// NewCore makes the shared part; snapshot gives the machine's whole state; empty says that the disk has never
+// held one.
 func NewCore(cfg settings.Settings, role string, members *membership.Membership, snapshot func() []byte, empty bool) *Core {
-	return &Core{settings: cfg, role: role, membership: members, ledger: storage.NewLedger(1<<20, snapshot, empty)}
+	return &Core{
+		settings:   cfg,
+		role:       role,
+		membership: members,
+		ledger:     storage.NewLedger(logLimit, snapshot, empty),
+	}
 }
 
-// Persist appends a record; CompactNow writes the whole snapshot.
+// UseVoters sets the quorum, which is made after the core that it writes through.
+func (c *Core) UseVoters(quorum *Quorum) { c.quorum = quorum }
+
+// Persist appends a record and calls then once it is synced.
 func (c *Core) Persist(s *statemachine.Env, record any, then storage.Then) {
 	began := s.Now
 	c.ledger.Persist(s, record, func(s *statemachine.Env, failure error) {
-		c.sync += (s.Now - began - c.sync) / 4
+		c.writeLatency += (s.Now - began - c.writeLatency) / latencyWeight
 		then(s, failure)
 	})
 }
 
-// WriteLatency is about how long a write takes here, waiting included.
-func (c *Core) WriteLatency() time.Duration { return c.sync }
+// WriteLatency is about how long a write takes, waiting included.
+func (c *Core) WriteLatency() time.Duration { return c.writeLatency }
 
-// WriteSnapshot writes a whole snapshot.
+// WriteSnapshot writes the machine's whole state.
 func (c *Core) WriteSnapshot(s *statemachine.Env, then storage.Then) { c.ledger.Compact(s, then) }
 
-// Failure is set once a write has failed.
+// Failure is the error of the first write that failed; nil for none.
 func (c *Core) Failure() error { return c.ledger.Failure() }
 
-// Synced answers a write.
+// Synced says that the write of a request id is on disk, or that it failed.
 func (c *Core) Synced(s *statemachine.Env, requestID int64, failure error) {
 	c.ledger.Synced(s, requestID, failure)
 }
 
-// Peers are the other members of the role, dead ones aside. Where voters are sought,
-// who sits where is the quorum's knowledge, not the membership's.
+// Peers lists the other members of the role, dead ones aside. Where voters are discovered, the quorum knows who
+// holds which, and the membership does not.
 func (c *Core) Peers() []message.Member {
 	peers := c.membership.Alive(c.role)
-	if c.voterAt != nil {
+	if c.quorum != nil && c.quorum.Discovered() {
 		for index := range peers {
-			peers[index].Voter = c.voterAt(peers[index].Address)
+			peers[index].Voter = c.quorum.VoterAt(peers[index].Address)
 		}
 	}
 	return peers
 }
 
-// UseVoters has the peers' voters told by the quorum.
-func (c *Core) UseVoters(quorum *Quorum) {
-	c.quorum = quorum
-	if quorum.Discovered() {
-		c.voterAt = quorum.VoterAt
-	}
-}
-
 // AnnounceVoter tells the members which voter this process holds.
 func (c *Core) AnnounceVoter(voter string) { c.membership.HoldVoter(voter) }
 
-// Superseded says whether a later life of this node's name is at another address.
+// Superseded says whether a later process with this node's name runs at another address.
 func (c *Core) Superseded() bool { return c.membership.Superseded() }
 
-// Depart begins a polite stop: the voter is handed over to a newcomer, where there is
-// one, before the others are told that this node leaves. The answer goes out when the
-// process may end.
-func (c *Core) Depart(s *statemachine.Env, requestID int64, answer any) {
-	c.departure = &departure{requestID: requestID, answer: answer, until: s.Now}
-	if c.quorum.HandOver(s) {
-		c.departure.until = s.Now + c.settings.HandOverLimit()
-	}
-	c.depart(s)
-}
-
-func (c *Core) depart(s *statemachine.Env) {
-	if c.departure == nil || s.Now < c.departure.until && !c.quorum.HandedOver() {
-		return
-	}
-	c.membership.Leave(s)
-	s.Reply(c.departure.requestID, c.departure.answer)
-	c.departure = nil
-}
-
-// NodeGone says that a node is dead or has left. One that was never heard of is gone only
-// to a node that has been up, among others, for long enough to have heard of it.
+// NodeGone says that a node is dead or has left. One that was never heard of is gone only to a process that has
+// been up, among others, for long enough to have heard of it.
 func (c *Core) NodeGone(s *statemachine.Env, nodeName string) bool {
 	member, known := c.membership.Find(c.role + "/" + nodeName)
 	if known {
 		return member.State >= message.Dead
 	}
-	return c.born && s.Now-c.bornAt > c.settings.SuspectFor()*2 && c.membership.Joined()
+	upFor := s.Now - c.startedAt
+	return c.started && upFor > c.settings.SuspectFor()*unknownGoneFactor && c.membership.Joined()
 }
 
-// Maintain is the steady part: remember addresses, and leave when shut out.
-func (c *Core) Maintain(s *statemachine.Env, shutOut bool) {
-	if !c.born {
-		c.born, c.bornAt = true, s.Now
+// Maintain does the regular work of a tick: it goes on with a departure, saves the addresses of the members, and
+// leaves the membership once this process's voter was given to another disk.
+func (c *Core) Maintain(s *statemachine.Env, removed bool) {
+	if !c.started {
+		c.started, c.startedAt = true, s.Now
 	}
-	c.depart(s)
-	if shutOut && !c.membership.HasLeft() {
+	c.advanceDeparture(s)
+	if removed && !c.membership.HasLeft() {
 		// Nobody should look here for the voter any more.
 		c.membership.Leave(s)
 	}
-	if s.Now < c.seenAt || shutOut || c.ledger.Failure() != nil {
+	if s.Now < c.nextSaveAt || removed || c.ledger.Failure() != nil {
 		return
 	}
-	c.seenAt = s.Now + c.settings.HolderRest()
-	if seen := c.membership.Seen(); len(seen) > 0 && !slices.Equal(seen, c.seen) {
-		c.seen = seen
-		c.Persist(s, message.SeenState{Addresses: seen}, func(*statemachine.Env, error) {})
+	c.nextSaveAt = s.Now + c.settings.HolderRest()
+	c.saveAddresses(s)
+}
+
+// saveAddresses writes the members' addresses to disk, so that the next start finds the others even if every
+// seed was replaced meanwhile.
+func (c *Core) saveAddresses(s *statemachine.Env) {
+	addresses := c.membership.Seen()
+	if len(addresses) == 0 || slices.Equal(addresses, c.savedAddresses) {
+		return
 	}
+	c.savedAddresses = addresses
+	c.Persist(s, message.SeenState{Addresses: addresses}, func(*statemachine.Env, error) {})
 }
--- /dev/null
+++ b/internal/quorum/discovered.go
@@ -0,0 +1,260 @@
+package quorum
+
+import (
+	"time"
+
+	"beaconvane/internal/message"
+	"beaconvane/internal/statemachine"
+)
+
+// votingFreshIntervals is how many status intervals a voter counts as voting after its last status. It is
+// longer than the interval at which calm voters send theirs.
+const votingFreshIntervals = 15
+
+// discoveredVoters is the design in which the settings only count the voters. The processes form the group
+// (bootstrap), and a process without a voter may come to hold one (claim) or give its own up (handover).
+//
+// docs/control-safety.md proves that any two decisions of the group share a voter that knows the earlier one.
+type discoveredVoters struct {
+	*Replica
+	list      listState
+	bootstrap bootstrapState
+	claim     claimState
+	handover  handoverState
+	discard   bool // the disk holds the state of a voter that was handed over
+}
+
+func newDiscoveredVoters(replica *Replica) *discoveredVoters {
+	d := &discoveredVoters{
+		Replica: replica,
+		bootstrap: bootstrapState{
+			candidates: map[string]receivedStatus{},
+			nonVoters:  map[string]bool{},
+		},
+		claim: claimState{vacantSince: map[string]time.Duration{}},
+	}
+	d.setMemberList(d.State.MemberList)
+	if !d.State.Formed {
+		return d
+	}
+	if d.State.MemberList[d.State.Voter] != d.State.Identity {
+		// It had handed its voter over before it ended, and is a newcomer now.
+		d.discard = true
+		d.State = message.VoterState{Proposal: map[string]string{}, MemberList: map[string]string{}}
+		d.setMemberList(d.State.MemberList)
+		return d
+	}
+	d.Voter = d.State.Voter
+	d.directory.AnnounceVoter(d.Voter)
+	return d
+}
+
+// names lists the voters of the member list once it is known, and before that as many as the settings count.
+func (d *discoveredVoters) names() []string {
+	names := memberList(d.State.MemberList).voters()
+	for _, received := range d.statuses {
+		told := memberList(received.status.MemberList)
+		if !d.State.Formed && len(told) > len(names) {
+			names = told.voters()
+		}
+	}
+	if len(names) == 0 {
+		return d.settings.Voters
+	}
+	return names
+}
+
+// majority is how many voters decide, and how many grants a newcomer needs.
+func (d *discoveredVoters) majority() int { return len(d.names())/2 + 1 }
+
+func (d *discoveredVoters) tick(s *statemachine.Env) {
+	if d.State.Identity == "" {
+		if d.discard {
+			d.discard = false
+			d.transfer.DiscardState(s)
+		}
+		d.startAnew(s, d.settings.Found && !d.settings.NonVoter)
+		return
+	}
+	if d.retired() {
+		return
+	}
+	d.hastenAfterMismatch(s)
+	if s.Now < d.nextStatusAt || d.writing {
+		return
+	}
+	d.nextStatusAt = s.Now + d.settings.DigestEvery()
+	if d.Voting() && d.othersVoting(s) {
+		d.nextStatusAt = s.Now + d.settings.DigestEvery()*calmFactor
+	}
+	d.advanceBootstrap(s)
+	d.advanceClaim(s)
+	if !d.writing {
+		d.sendStatuses(s)
+	}
+}
+
+// startAnew begins as a process that holds no voter, with a new identity. founder says that it takes part in
+// forming the group.
+func (d *discoveredVoters) startAnew(s *statemachine.Env, founder bool) {
+	d.State = message.VoterState{
+		Identity:   d.newIdentity(s, 0),
+		Founder:    founder,
+		Proposal:   map[string]string{},
+		MemberList: map[string]string{},
+		Former:     []string{},
+	}
+	d.Voter = ""
+	d.proposalSynced = false
+	d.list.pendingWrites = 0
+	d.writing = true
+	d.finishSnapshot(s, func(*statemachine.Env) {})
+	s.Event(eventIdentityMade, 0, 0, d.settings.Node)
+}
+
+// newIdentity makes an identity of this process with an edition.
+func (d *discoveredVoters) newIdentity(s *statemachine.Env, edition uint64) string {
+	first, second := s.Random.Uint64(), s.Random.Uint64()
+	made := identity{
+		edition: edition,
+		random:  formatRandom(first, second),
+		node:    d.settings.Node,
+		zone:    d.settings.Zone,
+	}
+	return made.String()
+}
+
+func (d *discoveredVoters) sendStatuses(s *statemachine.Env) {
+	for _, peer := range d.directory.Peers() {
+		s.Send(peer.Address, d.fullStatus(s, true))
+		if !d.State.Formed && d.State.Voter != "" {
+			s.Send(peer.Address, message.VoterClaim{Group: d.Group, Voter: d.State.Voter, Identity: d.State.Identity})
+		}
+	}
+}
+
+// fullStatus is what this process tells of itself. While a newer member list is being written it does not
+// claim to know a formed group.
+func (d *discoveredVoters) fullStatus(s *statemachine.Env, answer bool) message.VoterStatus {
+	status := d.status(answer)
+	status.Free = d.vacancies(s)
+	status.Successor = d.handover.successor
+	if d.list.pendingWrites > 0 {
+		status.Formed = false
+		status.Founder = false
+	}
+	return status
+}
+
+// vacancies lists the voters whose holders are gone, as far as this process knows.
+func (d *discoveredVoters) vacancies(s *statemachine.Env) []string {
+	vacant := []string{}
+	if !d.Voting() || d.list.pendingWrites > 0 {
+		return vacant
+	}
+	for _, voter := range d.names() {
+		holder := parseIdentity(d.State.MemberList[voter])
+		if voter != d.Voter && d.directory.NodeGone(s, holder.node) {
+			vacant = append(vacant, voter)
+		}
+	}
+	return vacant
+}
+
+// othersVoting says that every other voter was heard to vote, not long ago.
+func (d *discoveredVoters) othersVoting(s *statemachine.Env) bool {
+	for _, voter := range d.names() {
+		if voter == d.Voter {
+			continue
+		}
+		received, known := d.statuses[voter]
+		if !known || !received.status.Voting || s.Now-received.at > d.settings.DigestEvery()*votingFreshIntervals {
+			return false
+		}
+	}
+	return true
+}
+
+func (d *discoveredVoters) handle(s *statemachine.Env, from string, msg any) {
+	switch received := msg.(type) {
+	case message.VoterStatus:
+		if IdentityOf(received.Identity) != d.State.Identity {
+			d.handleStatus(s, from, received)
+		}
+	case message.VoterClaim:
+		d.handleClaim(s, from, received)
+	case message.VoterGrant:
+		if received.To == d.State.Identity && !d.State.Formed && !d.writing {
+			d.handleGrant(s, received)
+		}
+	}
+}
+
+func (d *discoveredVoters) handleStatus(s *statemachine.Env, from string, status message.VoterStatus) {
+	if d.State.Identity == "" || d.writing || d.retired() {
+		return
+	}
+	if status.Successor == d.settings.Node {
+		d.nextStatusAt = s.Now
+	}
+	if status.Answer {
+		s.Send(from, d.fullStatus(s, false))
+	}
+	if status.NonVoter {
+		d.bootstrap.nonVoters[from] = true
+		return
+	}
+	sender := parseIdentity(status.Identity).node
+	if !status.Formed {
+		d.bootstrap.candidates[sender] = receivedStatus{from: from, status: status, at: s.Now}
+		d.advanceBootstrap(s)
+		return
+	}
+	delete(d.bootstrap.candidates, sender)
+	if d.recordVoter(s, from, status) {
+		d.followFormedGroup(s, status)
+	}
+}
+
+// recordVoter keeps the status of a voter of the formed group; false when the sender is not, or no longer, the
+// holder of its voter.
+func (d *discoveredVoters) recordVoter(s *statemachine.Env, from string, status message.VoterStatus) bool {
+	if d.State.Formed {
+		if !d.joinMemberList(s, status.MemberList) || d.State.MemberList[status.Voter] != status.Identity {
+			return false
+		}
+	} else if last, known := d.statuses[status.Voter]; known && last.status.Identity > status.Identity {
+		return false
+	}
+	d.statuses[status.Voter] = receivedStatus{from: from, status: status, at: s.Now}
+	return true
+}
+
+// recentVoters joins the member lists of the voters that were heard recently, and lists the statuses of those
+// that vote and hold their voter by the joined list.
+func (d *discoveredVoters) recentVoters(s *statemachine.Env) (list memberList, voting []message.VoterStatus) {
+	list = memberList{}
+	names := d.names()
+	for _, voter := range names {
+		if received, known := d.statuses[voter]; known && d.recent(s, received) {
+			for member, holder := range received.status.MemberList {
+				list[member] = max(list[member], holder)
+			}
+		}
+	}
+	for _, voter := range names {
+		received, known := d.statuses[voter]
+		if known && d.recent(s, received) && received.status.Voting && list[voter] == received.status.Identity {
+			voting = append(voting, received.status)
+		}
+	}
+	return list, voting
+}
+
+func (d *discoveredVoters) standby(s *statemachine.Env) bool {
+	if d.State.Formed || d.State.Voter != "" {
+		return false
+	}
+	_, voting := d.recentVoters(s)
+	return len(voting) >= d.majority()
+}
--- /dev/null
+++ b/internal/quorum/discovered_claim.go
@@ -0,0 +1,142 @@
+package quorum
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"beaconvane/internal/message"
+	"beaconvane/internal/statemachine"
+)
+
+// claimState is what a process without a voter knows of the vacancies, and of its own claim.
+type claimState struct {
+	vacantSince map[string]time.Duration // by voter: when a majority first said that its holder is gone
+	predecessor string                   // the identity that this process's claim replaces
+}
+
+// advanceClaim claims a voter when one is to be had, and drops a claim that another process has overtaken.
+func (d *discoveredVoters) advanceClaim(s *statemachine.Env) {
+	if d.State.Formed || d.State.Founder || d.writing || d.settings.NonVoter || d.leaving() || d.directory.Superseded() {
+		return
+	}
+	list, voting := d.recentVoters(s)
+	if d.State.Voter != "" {
+		if list[d.State.Voter] > d.State.Identity {
+			d.dropClaim(s, "another came first")
+		}
+		return
+	}
+	if len(voting) == 0 {
+		return
+	}
+	if voter := d.chooseVoter(s, list, voting); voter != "" {
+		d.makeClaim(s, voter, list[voter])
+	}
+}
+
+// chooseVoter picks the voter to claim: one recorded for this node or handed over to it, and else any whose
+// holder is gone; "" for none.
+func (d *discoveredVoters) chooseVoter(s *statemachine.Env, list memberList, voting []message.VoterStatus) string {
+	reserved, vacant := "", []string{}
+	for _, voter := range d.names() {
+		if d.vacancyConfirmed(s, voter, voting) && d.placement().keepsSpread(list, voter, d.settings.Zone) {
+			vacant = append(vacant, voter)
+		}
+		if parseIdentity(list[voter]).node == d.settings.Node || d.offeredToThisNode(s, voter, list[voter]) {
+			reserved = voter
+		}
+	}
+	if reserved == "" && len(vacant) > 0 {
+		return vacant[s.Random.IntN(len(vacant))]
+	}
+	return reserved
+}
+
+// vacancyConfirmed says that a majority has reported the voter vacant for as long as a claim has to wait.
+func (d *discoveredVoters) vacancyConfirmed(s *statemachine.Env, voter string, voting []message.VoterStatus) bool {
+	reports := 0
+	for _, status := range voting {
+		if slices.Contains(status.Free, voter) {
+			reports++
+		}
+	}
+	if reports < d.majority() {
+		delete(d.claim.vacantSince, voter)
+		return false
+	}
+	since, known := d.claim.vacantSince[voter]
+	if !known {
+		d.claim.vacantSince[voter] = s.Now
+		return false
+	}
+	return s.Now-since >= d.settings.ClaimAfter()
+}
+
+func (d *discoveredVoters) makeClaim(s *statemachine.Env, voter, holder string) {
+	edition := parseIdentity(holder).edition + 1
+	d.claim.predecessor = holder
+	d.State.Voter, d.State.Identity = voter, d.newIdentity(s, edition)
+	d.grants = map[string]message.VoterGrant{}
+	d.claim.vacantSince = map[string]time.Duration{}
+	d.writing = true
+	s.Event(eventClaimed, 0, int64(edition), voter)
+	d.storage.Persist(s, d.State, func(s *statemachine.Env, failure error) {
+		d.writing = failure != nil
+		d.nextStatusAt = s.Now
+	})
+}
+
+// dropClaim gives a claim up. If some member lists have it already, they record the voter for this node, which
+// claims it again before any other.
+func (d *discoveredVoters) dropClaim(s *statemachine.Env, cause string) {
+	s.Event(eventClaimDropped, 0, 0, d.State.Voter+": "+cause)
+	d.State.Voter, d.grants = "", map[string]message.VoterGrant{}
+	d.writing = true
+	d.storage.Persist(s, d.State, func(_ *statemachine.Env, failure error) { d.writing = failure != nil })
+}
+
+// handleGrant collects grants. With those of a majority on one member list this process takes over the
+// granters' states, and becomes a voter once all is written.
+func (d *discoveredVoters) handleGrant(s *statemachine.Env, grant message.VoterGrant) {
+	if grant.Refused {
+		d.dropClaim(s, "refused by "+grant.Voter)
+		return
+	}
+	d.grants[grant.Voter] = grant
+	states := d.statesGrantedWith(grant.MemberList)
+	enough := len(states) >= d.majority() || guardsOff.enoughGrants
+	if !enough || grant.MemberList[d.State.Voter] != d.State.Identity {
+		return
+	}
+	d.Voter = d.State.Voter
+	if !guardsOff.grantedState {
+		d.transfer.MergeGrantedStates(s, states)
+	}
+	d.State.Formed, d.State.Voting = true, true
+	d.setMemberList(maps.Clone(grant.MemberList))
+	d.grants = map[string]message.VoterGrant{}
+	d.startVoting(s, false, d.announceVoter)
+}
+
+// statesGrantedWith lists the states told with the valid grants on one member list.
+func (d *discoveredVoters) statesGrantedWith(list memberList) [][]byte {
+	states := [][]byte{}
+	for _, voter := range d.names() {
+		grant, granted := d.grants[voter]
+		sameList := maps.Equal(grant.MemberList, list) || guardsOff.grantsAlike
+		if granted && sameList && d.validGranter(voter, grant) {
+			states = append(states, grant.State)
+		}
+	}
+	return states
+}
+
+// validGranter says that a grant is of the member that holds a voter by the granted list, or, for the voter
+// claimed, of the holder that this process replaces.
+func (d *discoveredVoters) validGranter(voter string, grant message.VoterGrant) bool {
+	if voter == d.State.Voter {
+		return d.claim.predecessor != "" && grant.Identity == d.claim.predecessor
+	}
+	return grant.MemberList[voter] == grant.Identity
+}
--- a/internal/quorum/discovery_test.go
+++ b/internal/quorum/discovery_test.go
@@ -343,7 +343,7 @@
 			}
 		}
 		c.Assert(refused, qt.IsTrue)
-		c.Assert(nodeOf(players[0].quorum.State.MemberList["3"]), qt.Equals, "n3")
+		c.Assert(parseIdentity(players[0].quorum.State.MemberList["3"]).node, qt.Equals, "n3")
 	}
 }
 
@@ -356,7 +356,7 @@
 	newcomer := hollow.join("fresh", "b1", false)
 	for range 200 {
 		hollow.run(step)
-		if nodeOf(players[0].quorum.State.MemberList["3"]) == "fresh" || newcomer.quorum.State.Voter != "" {
+		if parseIdentity(players[0].quorum.State.MemberList["3"]).node == "fresh" || newcomer.quorum.State.Voter != "" {
 			break
 		}
 	}
@@ -426,18 +426,18 @@
 	c := qt.New(t)
 	_, players := founded(c, 3, 3)
 	p := players[0]
-	memberList := maps.Clone(p.quorum.State.MemberList)
-	memberList["3"] = NewIdentity(1, 5, 6, "fresh")
+	newer := memberList(p.quorum.State.MemberList).with("3", NewIdentity(1, 5, 6, "fresh"))
+	signed := signature{identity: newer["2"], digest: newer.digest()}.String()
 	old := p.quorum.Signature()
-	p.quorum.Handle(p.env, "a2", message.VoterStatus{Group: "config-log", Voter: "2", Identity: memberList["2"], Formed: true, Voting: true, MemberList: memberList})
+	p.quorum.Handle(p.env, "a2", message.VoterStatus{Group: "config-log", Voter: "2", Identity: newer["2"], Formed: true, Voting: true, MemberList: newer})
 	c.Assert(p.quorum.Signature(), qt.Equals, "")
-	c.Assert(p.quorum.Accepts("2", memberList["2"]+signatureMark+digestOf(memberList)), qt.IsFalse)
+	c.Assert(p.quorum.Accepts("2", signed), qt.IsFalse)
 	for _, write := range p.writes {
 		write()
 	}
 	c.Assert(p.quorum.Signature(), qt.Not(qt.Equals), old)
-	c.Assert(p.quorum.Accepts("2", memberList["2"]+signatureMark+digestOf(memberList)), qt.IsTrue)
-	c.Assert(p.disk.MemberList, qt.DeepEquals, memberList)
+	c.Assert(p.quorum.Accepts("2", signed), qt.IsTrue)
+	c.Assert(memberList(p.disk.MemberList), qt.DeepEquals, newer)
 }
 
 func TestSupersededNameClaimsNothing(t *testing.T) {
@@ -448,8 +448,8 @@
 	twin.superseded = true
 	hollow.run(4 * time.Second)
 	c.Assert(twin.quorum.Voting(), qt.IsFalse)
-	c.Assert(nodeOf(players[0].quorum.State.MemberList["3"]), qt.Equals, "n3")
-	c.Assert(editionOf(players[0].quorum.State.MemberList["3"]), qt.Equals, uint64(0))
+	c.Assert(parseIdentity(players[0].quorum.State.MemberList["3"]).node, qt.Equals, "n3")
+	c.Assert(parseIdentity(players[0].quorum.State.MemberList["3"]).edition, qt.Equals, uint64(0))
 }
 
 // Two grants on two member lists are not one decision.
--- a/internal/quorum/guards.go
+++ b/internal/quorum/guards.go
@@ -1,10 +1,8 @@
-// This file names the rules that keep the promises of docs/control-safety.md and that a
-// test of this package may switch off, one at a time, to show that the exploration finds
-// what goes wrong without it. No setting and no other package reaches them.
-
 package quorum
 
-// guards are the rules; true is off.
+// guards are the rules that keep the promises of docs/control-safety.md. A test of this package may switch one
+// off at a time, to show that the exploration finds what goes wrong without it. No setting and no other package
+// reaches them. A field that is true switches its rule off.
 type guards struct {
 	oneList      bool // signatures count only with the very same member list
 	writtenList  bool // nothing is signed or counted while a newer list is written
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -1,16 +1,3 @@
-// This file is the planned replacement of a voter. A voter that is told to stop looks for
-// a newcomer, names it in its status as its successor, and goes on voting. The successor
-// claims the voter as that of a lost node is claimed, with one difference: the leaving
-// voter may be one of the f+1 that grant. It writes the newer member list down, which
-// ends its own vote, and tells its state in the grant. So a loss that comes in the middle
-// of a planned replacement leaves a majority, and no write is held by the leaving voter
-// alone: whatever it acknowledged is in its grant or in those of f+1 others.
-//
-// The argument for that grant: f+1 of the 2f+1 members of the earlier list have written
-// the newer one before they granted, and sign nothing on the earlier list after that. Any
-// decision on the earlier list was made by f+1 of the same 2f+1, so one granter had taken
-// part in it and told it.
-
 package quorum
 
 import (
@@ -21,110 +8,108 @@
 	"beaconvane/internal/statemachine"
 )
 
-// HandOver begins the planned replacement of this voter; false when there is nobody to
-// hand over to, or nothing to hand over. Whoever is told true waits for HandedOver.
-func (g *Quorum) HandOver(s *statemachine.Env) bool {
-	if !g.Discovered() || !g.Voting() || g.leaving() {
-		return g.leaving()
+// handoverState is the planned replacement of this process's voter.
+//
+// A voter that is told to stop names a successor in its status and goes on voting. The successor claims the
+// voter as that of a lost node is claimed, and the leaving voter may be one of the granters. So a further loss in
+// the middle leaves a majority (docs/control-safety.md).
+type handoverState struct {
+	successor string              // the node that is to take the voter; "" while this process doesn't leave
+	released  *message.VoterGrant // the grant to the successor, once it is synced
+}
+
+func (d *discoveredVoters) handOver(s *statemachine.Env) bool {
+	if d.leaving() {
+		return true
 	}
-	newcomers := g.newcomers(s)
-	if len(newcomers) == 0 {
+	if !d.Voting() {
 		return false
 	}
-	g.successor = newcomers[0]
-	g.nextAt = s.Now
-	s.Event("voter-leaving", 0, 0, g.Voter+" to "+g.successor)
+	successors := d.possibleSuccessors(s)
+	if len(successors) == 0 {
+		return false
+	}
+	d.handover.successor = successors[0]
+	d.nextStatusAt = s.Now
+	s.Event(eventLeaving, 0, 0, d.Voter+" to "+d.handover.successor)
 	return true
 }
 
-// HandedOver says that the successor's claim is on this voter's member list, or that
-// another's list already has it: this process votes no more and may end.
-func (g *Quorum) HandedOver() bool {
-	return g.leaving() && (g.released != nil || !g.State.Formed)
+// handedOver says that the successor's claim is on this voter's member list, or that another's list has it.
+func (d *discoveredVoters) handedOver() bool {
+	return d.leaving() && (d.handover.released != nil || !d.State.Formed)
 }
 
-func (g *Quorum) leaving() bool { return g.successor != "" }
-
-// newcomers lists the nodes without a voter that were heard lately, by name.
-func (g *Quorum) newcomers(s *statemachine.Env) []string {
-	names := []string{}
-	for _, node := range slices.Sorted(maps.Keys(g.founders)) {
-		received := g.founders[node]
-		told := received.response
-		spread := g.keepsSpread(g.State.MemberList, g.Voter, zoneOf(told.Identity))
-		if told.Voter == "" && !told.Founder && spread && g.fresh(s, received) && !g.host.NodeGone(s, node) {
-			names = append(names, node)
-		}
-	}
-	return names
-}
+func (d *discoveredVoters) leaving() bool { return d.handover.successor != "" }
 
-// offered says that the holder of a voter hands it over to this node.
-func (g *Quorum) offered(s *statemachine.Env, voter, holder string) bool {
-	received, known := g.received[voter]
-	return known && g.fresh(s, received) && received.response.Identity == holder && received.response.Successor == g.settings.Node
+// retired says that this process has given its vote away; what it would tell of itself is of no use.
+func (d *discoveredVoters) retired() bool {
+	return d.leaving() && !d.Voting() && d.list.pendingWrites > 0
 }
 
-// vacated says that a claim may replace the holder of its voter: the holder's own node
-// claims it again, is gone, or hands it over to the claimant.
-func (g *Quorum) vacated(s *statemachine.Env, holder string, claim message.VoterClaim) bool {
-	claimant := nodeOf(claim.Identity)
-	if claimant == nodeOf(holder) || g.host.NodeGone(s, nodeOf(holder)) {
-		return true
+// possibleSuccessors lists the nodes without a voter that were heard recently, by name.
+func (d *discoveredVoters) possibleSuccessors(s *statemachine.Env) []string {
+	nodes := []string{}
+	for _, nodeName := range slices.Sorted(maps.Keys(d.bootstrap.candidates)) {
+		received := d.bootstrap.candidates[nodeName]
+		status := received.status
+		zone := parseIdentity(status.Identity).zone
+		free := status.Voter == "" && !status.Founder
+		spread := d.placement().keepsSpread(d.State.MemberList, d.Voter, zone)
+		if free && spread && d.recent(s, received) && !d.directory.NodeGone(s, nodeName) {
+			nodes = append(nodes, nodeName)
+		}
 	}
-	received, known := g.received[claim.Voter]
-	return known && received.response.Identity == holder && received.response.Successor == claimant
+	return nodes
 }
 
-// release is the leaving voter's own grant; false when the claim is not of its voter.
-func (g *Quorum) release(s *statemachine.Env, to string, claim message.VoterClaim) bool {
-	if !g.leaving() || claim.Voter != g.Voter {
+// offeredToThisNode says that the holder of a voter hands it over to this node.
+func (d *discoveredVoters) offeredToThisNode(s *statemachine.Env, voter, holder string) bool {
+	received, known := d.statuses[voter]
+	if !known || !d.recent(s, received) {
 		return false
 	}
-	if g.released != nil {
-		if g.released.To == claim.Identity {
-			s.Send(to, *g.released)
+	return received.status.Identity == holder && received.status.Successor == d.settings.Node
+}
+
+// releaseVoter grants the claim on this leaving process's own voter, if it is its successor's. The newer list is
+// written before the grant is sent, and the process never signs again.
+func (d *discoveredVoters) releaseVoter(s *statemachine.Env, to string, claim message.VoterClaim) {
+	if released := d.handover.released; released != nil {
+		if released.To == claim.Identity {
+			s.Send(to, *released)
 		}
-		return true
+		return
 	}
-	if !g.Voting() || g.rolling > 0 || nodeOf(claim.Identity) != g.successor || claim.Identity <= g.State.Identity {
-		return true
+	if !d.mayRelease(claim) {
+		return
+	}
+	list := memberList(d.State.MemberList).with(d.Voter, claim.Identity)
+	grant := message.VoterGrant{
+		Group:      d.Group,
+		Voter:      d.Voter,
+		Identity:   d.State.Identity,
+		To:         claim.Identity,
+		MemberList: maps.Clone(list),
+		State:      d.transfer.StateForGrant(),
 	}
-	grant := message.VoterGrant{Group: g.Group, Voter: g.Voter, Identity: g.State.Identity, To: claim.Identity, State: g.host.StateForGrant()}
-	memberList := maps.Clone(g.State.MemberList)
-	memberList[g.Voter] = claim.Identity
-	grant.MemberList = maps.Clone(memberList)
-	g.takeMemberList(memberList)
-	g.State.Voting = false
-	g.rolling++ // for good: this process signs and counts nothing any more
-	g.host.Persist(s, g.State, func(s *statemachine.Env, failure error) {
+	d.setMemberList(list)
+	d.State.Voting = false
+	d.list.pendingWrites++ // never taken back: this process signs and counts nothing any more
+	d.storage.Persist(s, d.State, func(s *statemachine.Env, failure error) {
 		if failure != nil {
 			return
 		}
-		g.released = &grant
-		s.Event("voter-released", 0, int64(editionOf(claim.Identity)), g.Voter+" to "+g.successor)
+		d.handover.released = &grant
+		edition := parseIdentity(claim.Identity).edition
+		s.Event(eventReleased, 0, int64(edition), d.Voter+" to "+d.handover.successor)
 		s.Send(to, grant)
 	})
-	return true
-}
-
-// mayGrant says that a grant is of a member of the list on which it was given, or of the
-// member whose place this newcomer takes.
-func (g *Quorum) mayGrant(voter string, grant message.VoterGrant) bool {
-	if voter == g.State.Voter {
-		return g.predecessor != "" && grant.Identity == g.predecessor
-	}
-	return grant.MemberList[voter] == grant.Identity
 }
 
-// silent says that this process has given its vote away: what it would tell of itself is
-// of no use to anyone.
-func (g *Quorum) silent() bool { return g.leaving() && !g.Voting() && g.rolling > 0 }
-
-// forgetReleased drops what the disk of a former voter holds, before it begins anew.
-func (g *Quorum) forgetReleased(s *statemachine.Env) {
-	if g.forget {
-		g.forget = false
-		g.host.DiscardState(s)
+func (d *discoveredVoters) mayRelease(claim message.VoterClaim) bool {
+	if !d.Voting() || d.list.pendingWrites > 0 {
+		return false
 	}
+	return parseIdentity(claim.Identity).node == d.handover.successor && claim.Identity > d.State.Identity
 }
--- a/internal/quorum/handover_test.go
+++ b/internal/quorum/handover_test.go
@@ -99,7 +99,7 @@
 	for _, p := range players {
 		p.quorum.Handle(p.env, "b9", claim)
 		group.deliver()
-		c.Assert(nodeOf(p.quorum.State.MemberList["3"]), qt.Equals, "n3", qt.Commentf(fmt.Sprint(p.node)))
+		c.Assert(parseIdentity(p.quorum.State.MemberList["3"]).node, qt.Equals, "n3", qt.Commentf(fmt.Sprint(p.node)))
 	}
 	group.cuts["b1"] = false
 	group.run(time.Second)
--- a/internal/quorum/placement.go
+++ b/internal/quorum/placement.go
@@ -1,89 +1,27 @@
 package quorum
 
-// This file places voters: which of the machines that found a group become its voters,
-// which of them has to be among the founders, and which voters a newcomer may take. An
-// identity names its node and its zone, so that a member list says where voters stand.
-
 import (
 	"maps"
 	"slices"
 	"strings"
-	"time"
 
-	"beaconvane/internal/statemachine"
+	"beaconvane/internal/settings"
 )
 
-// zoneMark stands between node and zone in an identity.
-const zoneMark = "\x1e"
-
-// zoneOf is the zone that an identity was made in; "" where it names none.
-func zoneOf(identity string) string {
-	_, zone, _ := strings.Cut(identity, zoneMark)
-	return zone
-}
-
-// newIdentity makes an identity of an edition for this process.
-func (g *Quorum) newIdentity(s *statemachine.Env, edition uint64) string {
-	identity := NewIdentity(edition, s.Random.Uint64(), s.Random.Uint64(), g.settings.Node)
-	if g.settings.Zone != "" {
-		identity += zoneMark + g.settings.Zone
-	}
-	return identity
-}
-
-// voterNames lists the voters of the group: those of its member list once it is known,
-// and before that as many as the settings count.
-func (g *Quorum) voterNames() []string {
-	if !g.Discovered() {
-		return g.settings.Voters
-	}
-	names := slices.Sorted(maps.Keys(g.State.MemberList))
-	for _, received := range g.received {
-		if !g.State.Formed && len(received.response.MemberList) > len(names) {
-			names = slices.Sorted(maps.Keys(received.response.MemberList))
-		}
-	}
-	if len(names) == 0 {
-		return g.settings.Voters
-	}
-	return names
+// placement chooses where voters stand, so that a majority is left after the loss of the zones and regions that
+// the settings tolerate. An identity names its node and its zone.
+type placement struct {
+	tolerated settings.Tolerated
+	regions   map[string]string // by zone
 }
 
-// VoterNames lists the voters of the group.
-func (g *Quorum) VoterNames() []string { return g.voterNames() }
-
-// Size is how many voters the group has.
-func (g *Quorum) Size() int { return len(g.voterNames()) }
-
-// patience is how long founders wait for machines whose zones or regions the voters have
-// to be spread over.
-func (g *Quorum) patience() time.Duration { return g.settings.TakeOver() }
-
-// anchor is the identity of the founder that every proposal has to name: the first of the
-// anchors that may vote. Without it two foundings could share no machine and both come
-// true. False: it is not known yet.
-func (g *Quorum) anchor(s *statemachine.Env) (identity string, known bool) {
-	for _, address := range g.settings.Anchors {
-		if address == g.settings.Address {
-			return g.State.Identity, true
-		}
-		if g.nonVoters[address] {
-			continue
-		}
-		for _, received := range g.founders {
-			if received.from == address && received.response.Founder && g.fresh(s, received) {
-				return received.response.Identity, true
-			}
-		}
-		return "", false
-	}
-	return "", len(g.settings.Anchors) == 0
+func (d *discoveredVoters) placement() placement {
+	return placement{tolerated: d.settings.Tolerated, regions: d.settings.Regions}
 }
 
-// chooseFounders picks as many identities as there are to be voters: the anchor, and
-// others so that regions and zones have voters in like numbers; among alike the first by
-// node. The result is ordered by node.
-func (g *Quorum) chooseFounders(identities []string, anchor string, count int) []string {
+// choose picks the identities of a new group's voters: the anchor, and others so that regions and zones have
+// voters in like numbers, by node where several are as good. The result is ordered by node.
+func (p placement) choose(identities []string, anchor string, count int) []string {
 	rest := slices.Clone(identities)
 	sortByNode(rest)
 	chosen := []string{}
@@ -95,23 +33,30 @@
 		take(index)
 	}
 	for len(chosen) < count && len(rest) > 0 {
-		best := 0
-		for index := range rest {
-			if g.crowd(chosen, rest[index]).before(g.crowd(chosen, rest[best])) {
-				best = index
-			}
-		}
-		take(best)
+		take(p.leastCrowded(rest, chosen))
 	}
 	sortByNode(chosen)
 	return chosen
 }
 
 func sortByNode(identities []string) {
-	slices.SortFunc(identities, func(a, b string) int { return strings.Compare(nodeOf(a), nodeOf(b)) })
+	slices.SortFunc(identities, func(one, other string) int {
+		return strings.Compare(parseIdentity(one).node, parseIdentity(other).node)
+	})
+}
+
+// leastCrowded is the index of the first candidate whose region and zone have the fewest chosen voters.
+func (p placement) leastCrowded(candidates, chosen []string) int {
+	best := 0
+	for index := range candidates {
+		if p.crowding(chosen, candidates[index]).before(p.crowding(chosen, candidates[best])) {
+			best = index
+		}
+	}
+	return best
 }
 
-// crowding is how many voters stand in a candidate's region and zone already.
+// crowding is how many chosen voters stand in a candidate's region and zone already.
 type crowding struct{ region, zone int }
 
 func (c crowding) before(other crowding) bool {
@@ -121,55 +66,55 @@
 	return c.zone < other.zone
 }
 
-func (g *Quorum) crowd(chosen []string, candidate string) crowding {
-	found := crowding{}
+func (p placement) crowding(chosen []string, candidate string) crowding {
+	counted := crowding{}
 	for _, identity := range chosen {
-		if g.settings.Tolerated.Regions > 0 && g.regionOf(identity) == g.regionOf(candidate) {
-			found.region++
+		if p.tolerated.Regions > 0 && p.regionOf(identity) == p.regionOf(candidate) {
+			counted.region++
 		}
 		if zoneOf(identity) == zoneOf(candidate) {
-			found.zone++
+			counted.zone++
 		}
 	}
-	return found
+	return counted
 }
 
-func (g *Quorum) regionOf(identity string) string { return g.settings.Regions[zoneOf(identity)] }
+func zoneOf(text string) string { return parseIdentity(text).zone }
+
+func (p placement) regionOf(identity string) string { return p.regions[zoneOf(identity)] }
 
-// worstLoss is how many of some voters go with the zones, or the regions, that the
-// settings say may be lost at once.
-func (g *Quorum) worstLoss(identities []string) int {
-	tolerated := g.settings.Tolerated
-	zones := largest(identities, zoneOf, tolerated.Zones)
-	regions := largest(identities, g.regionOf, tolerated.Regions)
-	return max(zones, regions)
+// worstLoss is how many of some voters are lost with the zones, or the regions, that the settings tolerate to
+// be lost at once.
+func (p placement) worstLoss(identities []string) int {
+	inZones := largestGroups(identities, zoneOf, p.tolerated.Zones)
+	inRegions := largestGroups(identities, p.regionOf, p.tolerated.Regions)
+	return max(inZones, inRegions)
 }
 
-// largest adds up the sizes of the largest groups that a key makes.
-func largest(identities []string, key func(identity string) string, groups int64) int {
+// largestGroups adds up the sizes of as many of the largest groups by a key.
+func largestGroups(identities []string, key func(identity string) string, groups int64) int {
 	counts := map[string]int{}
 	for _, identity := range identities {
 		counts[key(identity)]++
 	}
 	sizes := slices.Sorted(maps.Values(counts))
+	slices.Reverse(sizes)
 	total := 0
-	for index := len(sizes) - 1; index >= 0 && groups > 0; index-- {
-		total += sizes[index]
-		groups--
+	for _, size := range sizes[:min(int64(len(sizes)), max(groups, 0))] {
+		total += size
 	}
 	return total
 }
 
-// outlives says that a majority of some voters is left after the worst loss.
-func (g *Quorum) outlives(identities []string) bool {
-	return (len(identities)-g.worstLoss(identities))*2 > len(identities)
+// survivesWorstLoss says that a majority of some voters is left after the worst loss.
+func (p placement) survivesWorstLoss(identities []string) bool {
+	return (len(identities)-p.worstLoss(identities))*2 > len(identities)
 }
 
-// keepsSpread says that a voter may move to a zone: the voters outlive the worst loss
-// with it there, or no worse than before.
-func (g *Quorum) keepsSpread(memberList map[string]string, voter, zone string) bool {
-	changed := maps.Clone(memberList)
-	changed[voter] = zoneMark + zone
-	after := slices.Collect(maps.Values(changed))
-	return g.outlives(after) || g.worstLoss(after) <= g.worstLoss(slices.Collect(maps.Values(memberList)))
+// keepsSpread says that a voter may move to a zone: a majority is left after the worst loss with it there, or no
+// fewer than before.
+func (p placement) keepsSpread(list memberList, voter, zone string) bool {
+	before := list.identities()
+	after := list.with(voter, identity{zone: zone}.String()).identities()
+	return p.survivesWorstLoss(after) || p.worstLoss(after) <= p.worstLoss(before)
 }
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -20,7 +20,7 @@
 	groups := map[string]bool{}
 	for _, address := range t.order {
 		if p := t.players[address]; p.up && p.quorum.Voting() {
-			groups[digestOf(p.quorum.State.MemberList)] = true
+			groups[memberList(p.quorum.State.MemberList).digest()] = true
 		}
 	}
 	return len(groups)
@@ -169,17 +169,15 @@
 	regions := map[string]string{"x": "east", "y": "east", "z": "west", "w": "south"}
 	for range 400 {
 		tolerated := []settings.Tolerated{{Zones: 1}, {Zones: 2}, {Regions: 1}}[random.IntN(3)]
-		cfg := settings.Default()
-		cfg.Tolerated, cfg.Regions = tolerated, regions
-		g := New("config-log", cfg, &player{}, message.VoterState{}, nil)
+		places := placement{tolerated: tolerated, regions: regions}
 		identities := []string{}
 		for number := range 3 + random.IntN(7) {
 			zone := []string{"x", "y", "z", "w"}[random.IntN(4)]
-			identities = append(identities, NewIdentity(0, uint64(number), 1, fmt.Sprintf("n%d", number))+zoneMark+zone)
+			identities = append(identities, NewIdentity(0, uint64(number), 1, fmt.Sprintf("n%d", number))+zoneStart+zone)
 		}
 		count := 1 + 2*random.IntN((len(identities)+1)/2)
 		anchor := identities[random.IntN(len(identities))]
-		chosen := g.chooseFounders(identities, anchor, count)
+		chosen := places.choose(identities, anchor, count)
 		c.Assert(chosen, qt.HasLen, count)
 		c.Assert(chosen, qt.Contains, anchor)
 		best := count
@@ -191,9 +189,9 @@
 				}
 			}
 			if len(other) == count && slices.Contains(other, anchor) {
-				best = min(best, g.worstLoss(other))
+				best = min(best, places.worstLoss(other))
 			}
 		}
-		c.Assert(g.worstLoss(chosen), qt.Equals, best, qt.Commentf("%+v of %q: %q", tolerated, identities, chosen))
+		c.Assert(places.worstLoss(chosen), qt.Equals, best, qt.Commentf("%+v of %q: %q", tolerated, identities, chosen))
 	}
 }
--- a/internal/quorum/replay.go
+++ b/internal/quorum/restore.go
@@ -1,8 +1,5 @@
 package quorum
 
-// This file reads what the disks of the two core programs have in common: the voter, its
-// votes, and the addresses remembered for the next life.
-
 import (
 	"fmt"
 
@@ -11,27 +8,27 @@
 	"beaconvane/internal/message"
 )
 
-// Restored is the common part of a core program's state, as its disk held it.
+// Restored is the part of the state on disk that the two control programs have in common.
 type Restored struct {
 	Voter message.VoterState
 	Votes []message.Vote
 }
 
-// Replay reads the records of the log behind the snapshot, oldest first. The common ones are
-// taken here; each other is handed to own.
+// Replay reads the records of the log behind the snapshot, oldest first. It takes the common ones and hands each
+// other to own.
 func (r *Restored) Replay(records [][]byte, members *membership.Membership, own func(record any)) error {
 	for _, record := range records {
 		decoded, err := message.Decode(record)
 		if err != nil {
 			return Corrupt(err)
 		}
-		switch held := decoded.(type) {
+		switch restored := decoded.(type) {
 		case message.VoterState:
-			r.Voter = held
+			r.Voter = restored
 		case message.Vote:
-			r.Votes = append(r.Votes, held)
+			r.Votes = append(r.Votes, restored)
 		case message.SeenState:
-			members.Remember(held.Addresses)
+			members.Remember(restored.Addresses)
 		default:
 			own(decoded)
 		}
@@ -39,8 +36,7 @@
 	return nil
 }
 
-// DecodeSnapshot reads the slot of a core program, which is a T; an empty disk gives a zero
-// T.
+// DecodeSnapshot reads a control program's snapshot, which is a T; without one it returns a zero T.
 func DecodeSnapshot[T any](snapshot []byte) (T, error) {
 	var empty T
 	if snapshot == nil {
@@ -57,7 +53,7 @@
 	return state, nil
 }
 
-// Corrupt wraps what is wrong with a disk's content.
+// Corrupt wraps what is wrong with the content of a disk.
 func Corrupt(err error) error {
 	return errcode.Wrap("quorum.restore", errcode.DiskCorrupt, fmt.Errorf("unreadable record: %v", err))
 }
--- /dev/null
+++ b/internal/quorum/static.go
@@ -0,0 +1,116 @@
+package quorum
+
+import (
+	"beaconvane/internal/errcode"
+	"beaconvane/internal/message"
+	"beaconvane/internal/statemachine"
+)
+
+// staticVoters is the design in which the settings name the voters, and which of them this process is.
+//
+// All form the group together, once, when each reports an empty disk and has proposed, on disk, the same
+// member list. A voter that lost its disk claims its place anew: both others first write the new identity
+// to disk, which voids the acknowledgements of the old one, also those under way, and then grant the claim.
+// Only with both grants does it vote. The old disk, if it comes back, is on nobody's member list.
+type staticVoters struct {
+	*Replica
+}
+
+func (v *staticVoters) names() []string { return v.settings.Voters }
+
+func (v *staticVoters) signature() string { return v.State.Identity }
+
+func (v *staticVoters) accepts(voter, signature string) bool {
+	return v.State.Formed && signature != "" && v.State.MemberList[voter] == signature
+}
+
+func (v *staticVoters) counts(voter, signature string) bool { return v.accepts(voter, signature) }
+
+func (v *staticVoters) tick(s *statemachine.Env) {
+	if v.State.Identity == "" {
+		v.makeIdentity(s)
+		return
+	}
+	if s.Now < v.nextStatusAt || v.writing {
+		return
+	}
+	v.nextStatusAt = s.Now + v.settings.DigestEvery()
+	if v.Voting() {
+		v.nextStatusAt = s.Now + v.settings.DigestEvery()*calmFactor
+	}
+	for _, peer := range v.directory.Peers() {
+		if peer.Voter == v.Voter {
+			continue
+		}
+		if v.mustClaim() {
+			s.Send(peer.Address, message.VoterClaim{Group: v.Group, Voter: v.Voter, Identity: v.State.Identity})
+		} else {
+			s.Send(peer.Address, v.status(true))
+		}
+	}
+}
+
+func (v *staticVoters) makeIdentity(s *statemachine.Env) {
+	v.State.Identity = randomIdentity(s)
+	clear(v.State.MemberList)
+	clear(v.State.Proposal)
+	v.writing = true
+	v.finishSnapshot(s, func(*statemachine.Env) {})
+	s.Event(eventIdentityMade, 0, 0, v.Voter)
+}
+
+func (v *staticVoters) handle(s *statemachine.Env, from string, msg any) {
+	switch received := msg.(type) {
+	case message.VoterStatus:
+		if received.Voter != v.Voter {
+			v.handleStatus(s, from, received)
+		}
+	case message.VoterClaim:
+		if received.Voter != v.Voter {
+			v.handleClaim(s, from, received)
+		}
+	case message.VoterGrant:
+		if received.To == v.State.Identity {
+			v.handleGrant(s, received)
+		}
+	}
+}
+
+func (v *staticVoters) handleStatus(s *statemachine.Env, from string, status message.VoterStatus) {
+	if v.State.Identity == "" || v.writing {
+		return
+	}
+	if status.Answer {
+		s.Send(from, v.status(false))
+	}
+	if v.State.Formed && !v.accepts(status.Voter, status.Identity) {
+		return
+	}
+	v.statuses[status.Voter] = receivedStatus{from: from, status: status, at: s.Now}
+	if status.Formed {
+		v.handleFormed(s, status)
+		return
+	}
+	v.advanceBootstrap(s)
+}
+
+// handleFormed takes the member list of a voter that knows a formed group.
+func (v *staticVoters) handleFormed(s *statemachine.Env, status message.VoterStatus) {
+	switch {
+	case v.completesProposal(status.MemberList):
+		v.form(s, status.MemberList)
+	case status.MemberList[v.Voter] != v.State.Identity && v.State.Voting && !v.Removed:
+		v.Removed = true
+		s.Event(eventRemoved, int(errcode.VoterShutOut), 0, v.Voter+" by the member list of "+status.Voter)
+	}
+}
+
+// Where the settings name the voters, no process stands by and no voter is handed over.
+
+func (v *staticVoters) standby(*statemachine.Env) bool { return false }
+
+func (v *staticVoters) handOver(*statemachine.Env) bool { return false }
+
+func (v *staticVoters) handedOver() bool { return false }
+
+func (v *staticVoters) pendingListWrites() int { return 0 }
