--- /dev/null
+++ b/internal/quorum/fleet_test.go
@@ -0,0 +1,198 @@
+package quorum
+
+import (
+	"fmt"
+	"maps"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"beaconvane/internal/message"
+	"beaconvane/internal/settings"
+	"beaconvane/internal/statemachine"
+	"beaconvane/internal/storage"
+)
+
+const step = 25 * time.Millisecond
+
+type delivery struct {
+	from, to string
+	message  any
+}
+
+type fleet struct {
+	test        *qt.C
+	count       int64
+	processes   map[string]*process // by address
+	order       []string
+	deliveries  []delivery
+	isolated    map[string]bool // addresses that nothing is sent from or to
+	partition   map[string]int  // addresses in different parts hear nothing of each other
+	memberState map[string]int64
+	events      []string
+}
+
+type process struct {
+	fleet           *fleet
+	node            string
+	address         string
+	up              bool
+	machineEnv      *statemachine.Env
+	quorum          *Quorum
+	disk            *message.VoterState
+	pendingWrites   []func()
+	replicatedState string // what a granter tells
+	merged          []string
+	discarded       int
+	superseded      bool
+	announced       string
+	configure       func(cfg *settings.Settings) // over the common settings
+}
+
+func newFleet(c *qt.C, count int64) *fleet {
+	return &fleet{test: c, count: count, processes: map[string]*process{}, isolated: map[string]bool{}, memberState: map[string]int64{}}
+}
+
+func (t *fleet) join(nodeName, address string, found bool) *process {
+	return t.joinConfigured(nodeName, address, found, nil)
+}
+
+func (t *fleet) joinConfigured(nodeName, address string, found bool, configure func(cfg *settings.Settings)) *process {
+	p := &process{fleet: t, node: nodeName, address: address, configure: configure}
+	t.processes[address] = p
+	t.order = append(t.order, address)
+	t.memberState[nodeName] = message.Alive
+	p.boot(found)
+	return p
+}
+
+func (p *process) boot(found bool) {
+	cfg := settings.Default()
+	cfg.Node, cfg.VoterCount, cfg.Voters, cfg.Found = p.node, p.fleet.count, settings.VoterNames(p.fleet.count), found
+	cfg.Address = p.address
+	if p.configure != nil {
+		p.configure(&cfg)
+	}
+	state := message.VoterState{}
+	if p.disk != nil {
+		state = copyState(*p.disk)
+	}
+	p.up, p.pendingWrites, p.machineEnv = true, nil, statemachine.NewEnv(uint64(len(p.fleet.events)*100+len(p.address)+int(p.address[len(p.address)-1])))
+	p.quorum = New("config-log", cfg, p, state, func(*statemachine.Env, bool) {})
+}
+
+func copyState(state message.VoterState) message.VoterState {
+	state.Proposal, state.MemberList = maps.Clone(state.Proposal), maps.Clone(state.MemberList)
+	return state
+}
+
+func (p *process) Persist(s *statemachine.Env, record any, then storage.Then) {
+	state := copyState(p.quorum.State)
+	p.pendingWrites = append(p.pendingWrites, func() {
+		p.disk = &state
+		then(p.machineEnv, nil)
+	})
+}
+
+func (p *process) WriteSnapshot(s *statemachine.Env, then storage.Then) { p.Persist(s, nil, then) }
+func (p *process) Failure() error                                       { return nil }
+func (p *process) WriteLatency() time.Duration                          { return 0 }
+func (p *process) StateForGrant() []byte                                { return []byte(p.replicatedState) }
+func (p *process) AnnounceVoter(voter string)                           { p.announced = voter }
+func (p *process) Superseded() bool                                     { return p.superseded }
+
+func (p *process) DiscardState(*statemachine.Env) {
+	p.discarded++
+	p.replicatedState = ""
+}
+
+func (p *process) MergeGrantedStates(_ *statemachine.Env, states [][]byte) {
+	for _, state := range states {
+		p.merged = append(p.merged, string(state))
+	}
+}
+
+func (p *process) NodeGone(_ *statemachine.Env, nodeName string) bool {
+	return p.fleet.memberState[nodeName] >= message.Dead
+}
+
+func (p *process) Peers() []message.Member {
+	peers := []message.Member{}
+	for _, address := range p.fleet.order {
+		if address != p.address {
+			peers = append(peers, message.Member{Name: "config-log/" + p.fleet.processes[address].node, Address: address})
+		}
+	}
+	return peers
+}
+
+// run plays some time: ticks, deliveries, then writes.
+func (t *fleet) run(length time.Duration) {
+	for range int(length / step) {
+		for _, address := range t.order {
+			if p := t.processes[address]; p.up {
+				p.machineEnv.Now += step
+				p.quorum.Tick(p.machineEnv)
+			}
+		}
+		for range 4 {
+			t.deliver()
+		}
+	}
+}
+
+func (t *fleet) deliver() {
+	for _, address := range t.order {
+		p := t.processes[address]
+		writes := p.pendingWrites
+		p.pendingWrites = nil
+		for _, write := range writes {
+			if p.up {
+				write()
+			}
+		}
+		for _, effect := range p.machineEnv.Drain() {
+			switch done := effect.(type) {
+			case statemachine.Send:
+				t.deliveries = append(t.deliveries, delivery{p.address, done.To, done.Message})
+			case statemachine.Event:
+				t.events = append(t.events, p.node+" "+done.EventName)
+			}
+		}
+	}
+	sending := t.deliveries
+	t.deliveries = nil
+	for _, sent := range sending {
+		to, known := t.processes[sent.to]
+		if known && to.up && t.processes[sent.from].up && !t.isolated[sent.from] && !t.isolated[sent.to] && t.partition[sent.from] == t.partition[sent.to] {
+			to.quorum.Handle(to.machineEnv, sent.from, sent.message)
+		}
+	}
+}
+
+func (t *fleet) kill(p *process, loseDisk bool) {
+	p.up = false
+	if loseDisk {
+		p.disk = nil
+	}
+}
+
+func (t *fleet) voters() map[string]string {
+	held := map[string]string{}
+	for _, address := range t.order {
+		if p := t.processes[address]; p.up && p.quorum.Voting() {
+			held[p.quorum.Voter] = held[p.quorum.Voter] + p.node
+		}
+	}
+	return held
+}
+
+func founded(c *qt.C, machines int, count int64) (*fleet, []*process) {
+	t := newFleet(c, count)
+	processes := []*process{}
+	for number := range machines {
+		processes = append(processes, t.join(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true))
+	}
+	t.run(time.Second)
+	return t, processes
+}
--- a/internal/quorum/handover_test.go
+++ b/internal/quorum/handover_test.go
@@ -13,23 +13,23 @@
 )
 
 // leaving is a group with a newcomer, whose last voter has begun to hand over.
-func leaving(c *qt.C, count int64) (*fleet, []*player, *player) {
-	group, players := founded(c, int(count), count)
-	for _, p := range players {
-		p.data = "kept by " + p.node
+func leaving(c *qt.C, count int64) (*fleet, []*process, *process) {
+	group, processes := founded(c, int(count), count)
+	for _, p := range processes {
+		p.replicatedState = "kept by " + p.node
 	}
 	newcomer := group.join("fresh", "b1", false)
 	group.run(time.Second)
-	last := players[count-1]
-	c.Assert(last.quorum.HandOver(last.env), qt.IsTrue)
-	return group, players, newcomer
+	last := processes[count-1]
+	c.Assert(last.quorum.HandOver(last.machineEnv), qt.IsTrue)
+	return group, processes, newcomer
 }
 
 func TestLeavingVoterHandsOver(t *testing.T) {
 	c := qt.New(t)
 	for _, count := range []int64{3, 5} {
-		group, players, newcomer := leaving(c, count)
-		last := players[count-1]
+		group, processes, newcomer := leaving(c, count)
+		last := processes[count-1]
 		group.run(400 * time.Millisecond)
 		c.Assert(last.quorum.HandedOver(), qt.IsTrue)
 		c.Assert(last.quorum.Voting(), qt.IsFalse)
@@ -41,9 +41,9 @@
 
 func TestNothingIsHandedOverWithoutANewcomer(t *testing.T) {
 	c := qt.New(t)
-	_, players := founded(c, 3, 3)
-	c.Assert(players[2].quorum.HandOver(players[2].env), qt.IsFalse)
-	c.Assert(players[2].quorum.Voting(), qt.IsTrue)
+	_, processes := founded(c, 3, 3)
+	c.Assert(processes[2].quorum.HandOver(processes[2].machineEnv), qt.IsFalse)
+	c.Assert(processes[2].quorum.Voting(), qt.IsTrue)
 }
 
 // Another voter is lost for good at any moment of the hand-over: the newcomer stands by
@@ -52,21 +52,21 @@
 	c := qt.New(t)
 	reached, byLeaving := 0, 0
 	for steps := range 12 {
-		group, players, newcomer := leaving(c, 3)
+		group, processes, newcomer := leaving(c, 3)
 		group.run(time.Duration(steps) * step)
 		if newcomer.quorum.State.Voter != "" && !newcomer.quorum.Voting() {
 			reached++
 		}
-		group.kill(players[1], true)
-		group.state["n2"] = message.Dead
+		group.kill(processes[1], true)
+		group.memberState["n2"] = message.Dead
 		group.run(3 * time.Second)
 		voters := group.voters()
-		c.Assert(len(voters) >= 2, qt.IsTrue, qt.Commentf("lost after %d steps: %v %v", steps, voters, group.notes))
+		c.Assert(len(voters) >= 2, qt.IsTrue, qt.Commentf("lost after %d steps: %v %v", steps, voters, group.events))
 		c.Assert(voters["3"], qt.Equals, "fresh", qt.Commentf("lost after %d steps", steps))
-		if slices.Contains(newcomer.absorbed, "kept by n3") {
+		if slices.Contains(newcomer.merged, "kept by n3") {
 			byLeaving++
 		}
-		first, second := players[0].quorum, newcomer.quorum
+		first, second := processes[0].quorum, newcomer.quorum
 		acks := map[string]string{"1": first.Signature(), "3": second.Signature()}
 		c.Assert(first.Majority(acks), qt.IsTrue, qt.Commentf("lost after %d steps", steps))
 	}
@@ -77,31 +77,31 @@
 // A released voter that is started again on its disk is a newcomer and forgets what it held.
 func TestReleasedVoterComesBackAsNewcomer(t *testing.T) {
 	c := qt.New(t)
-	group, players, _ := leaving(c, 3)
+	group, processes, _ := leaving(c, 3)
 	group.run(time.Second)
-	group.kill(players[2], false)
+	group.kill(processes[2], false)
 	group.run(time.Second)
-	players[2].boot(false)
+	processes[2].boot(false)
 	group.run(2 * time.Second)
-	c.Assert(players[2].quorum.Voting(), qt.IsFalse)
-	c.Assert(players[2].forgotten, qt.Equals, 1)
-	c.Assert(players[2].quorum.Standby(players[2].env), qt.IsTrue)
+	c.Assert(processes[2].quorum.Voting(), qt.IsFalse)
+	c.Assert(processes[2].discarded, qt.Equals, 1)
+	c.Assert(processes[2].quorum.Standby(processes[2].machineEnv), qt.IsTrue)
 	c.Assert(group.voters()["3"], qt.Equals, "fresh")
 }
 
 // A claim on the voter of a living holder is granted to its successor only.
 func TestOnlyTheSuccessorIsGranted(t *testing.T) {
 	c := qt.New(t)
-	group, players, newcomer := leaving(c, 3)
-	group.cuts["b1"] = true
+	group, processes, newcomer := leaving(c, 3)
+	group.isolated["b1"] = true
 	group.run(400 * time.Millisecond)
 	claim := message.VoterClaim{Group: "config-log", Voter: "3", Identity: NewIdentity(7, 1, 2, "thief")}
-	for _, p := range players {
-		p.quorum.Handle(p.env, "b9", claim)
+	for _, p := range processes {
+		p.quorum.Handle(p.machineEnv, "b9", claim)
 		group.deliver()
 		c.Assert(parseIdentity(p.quorum.State.MemberList["3"]).node, qt.Equals, "n3", qt.Commentf(fmt.Sprint(p.node)))
 	}
-	group.cuts["b1"] = false
+	group.isolated["b1"] = false
 	group.run(time.Second)
 	c.Assert(newcomer.quorum.Voting(), qt.IsTrue)
 }
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -19,7 +19,7 @@
 func (t *fleet) formedGroups() int {
 	groups := map[string]bool{}
 	for _, address := range t.order {
-		if p := t.players[address]; p.up && p.quorum.Voting() {
+		if p := t.processes[address]; p.up && p.quorum.Voting() {
 			groups[memberList(p.quorum.State.MemberList).digest()] = true
 		}
 	}
@@ -35,31 +35,31 @@
 		voters   int64
 		anchors  []string
 	}{{2, 1, []string{"a1", "a2"}}, {3, 1, []string{"a1", "a2", "a3"}}, {7, 3, []string{"a1", "a2", "a3"}}, {9, 3, []string{"a5", "a6", "a7"}}} {
-		hollow := newFleet(c, made.voters)
-		hollow.parts = map[string]int{}
+		group := newFleet(c, made.voters)
+		group.partition = map[string]int{}
 		for number := range made.machines {
 			address := fmt.Sprintf("a%d", number+1)
-			hollow.parts[address] = number * 2 / made.machines
-			hollow.joinConfigured(fmt.Sprintf("n%d", number+1), address, true, func(cfg *settings.Settings) { cfg.Anchors = made.anchors })
+			group.partition[address] = number * 2 / made.machines
+			group.joinConfigured(fmt.Sprintf("n%d", number+1), address, true, func(cfg *settings.Settings) { cfg.Anchors = made.anchors })
 		}
-		hollow.run(4 * time.Second)
-		c.Check(hollow.formedGroups() <= 1, qt.IsTrue, qt.Commentf("%d machines, %d voters: %v", made.machines, made.voters, hollow.notes))
-		clear(hollow.parts)
-		hollow.run(4 * time.Second)
-		c.Check(hollow.formedGroups(), qt.Equals, 1, qt.Commentf("%d machines, %d voters: %v", made.machines, made.voters, hollow.notes))
-		c.Check(hollow.voters(), qt.HasLen, int(made.voters))
+		group.run(4 * time.Second)
+		c.Check(group.formedGroups() <= 1, qt.IsTrue, qt.Commentf("%d machines, %d voters: %v", made.machines, made.voters, group.events))
+		clear(group.partition)
+		group.run(4 * time.Second)
+		c.Check(group.formedGroups(), qt.Equals, 1, qt.Commentf("%d machines, %d voters: %v", made.machines, made.voters, group.events))
+		c.Check(group.voters(), qt.HasLen, int(made.voters))
 	}
 }
 
 // zoned makes a fleet whose machine number k stands in zones[k].
-func zoned(c *qt.C, voters int64, zones []string, tolerated settings.Tolerated, regions map[string]string) (*fleet, []*player) {
-	hollow := newFleet(c, voters)
-	players := []*player{}
+func zoned(c *qt.C, voters int64, zones []string, tolerated settings.Tolerated, regions map[string]string) (*fleet, []*process) {
+	group := newFleet(c, voters)
+	processes := []*process{}
 	for number, zone := range zones {
-		players = append(players, hollow.joinConfigured(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true, inZone(zone, tolerated, regions)))
+		processes = append(processes, group.joinConfigured(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true, inZone(zone, tolerated, regions)))
 	}
-	hollow.run(6 * time.Second)
-	return hollow, players
+	group.run(6 * time.Second)
+	return group, processes
 }
 
 func inZone(zone string, tolerated settings.Tolerated, regions map[string]string) func(cfg *settings.Settings) {
@@ -73,7 +73,7 @@
 func (t *fleet) perZone() map[string]int {
 	counts := map[string]int{}
 	for _, address := range t.order {
-		if p := t.players[address]; p.up && p.quorum.Voting() {
+		if p := t.processes[address]; p.up && p.quorum.Voting() {
 			counts[p.quorum.settings.Zone]++
 		}
 	}
@@ -97,8 +97,8 @@
 		{"machines only", 3, []string{"x", "x", "y", "z"}, settings.Tolerated{Machines: 1}, map[string]int{"x": 1, "y": 1, "z": 1}},
 		{"a zone of all machines", 3, []string{"x", "x", "x"}, settings.Tolerated{Zones: 1}, map[string]int{"x": 3}},
 	} {
-		hollow, _ := zoned(c, made.voters, made.zones, made.tolerated, regions)
-		c.Check(hollow.perZone(), qt.DeepEquals, made.wanted, qt.Commentf(made.name))
+		group, _ := zoned(c, made.voters, made.zones, made.tolerated, regions)
+		c.Check(group.perZone(), qt.DeepEquals, made.wanted, qt.Commentf(made.name))
 	}
 }
 
@@ -110,16 +110,16 @@
 		tolerated settings.Tolerated
 		voters    int
 	}{{settings.Tolerated{Zones: 1}, 2}, {settings.Tolerated{Machines: 1}, 3}} {
-		hollow, players := zoned(c, 3, []string{"x", "y", "z"}, tried.tolerated, nil)
-		hollow.joinConfigured("fresh-y", "b1", false, inZone("y", tried.tolerated, nil))
-		hollow.kill(players[0], false)
-		hollow.state["n1"] = message.Dead
-		hollow.run(8 * time.Second)
-		c.Assert(hollow.voters(), qt.HasLen, tried.voters, qt.Commentf("%v", hollow.notes))
+		group, processes := zoned(c, 3, []string{"x", "y", "z"}, tried.tolerated, nil)
+		group.joinConfigured("fresh-y", "b1", false, inZone("y", tried.tolerated, nil))
+		group.kill(processes[0], false)
+		group.memberState["n1"] = message.Dead
+		group.run(8 * time.Second)
+		c.Assert(group.voters(), qt.HasLen, tried.voters, qt.Commentf("%v", group.events))
 		if tried.voters == 2 {
-			hollow.joinConfigured("fresh-x", "b2", false, inZone("x", tried.tolerated, nil))
-			hollow.run(8 * time.Second)
-			c.Assert(hollow.voters()["1"], qt.Equals, "fresh-x")
+			group.joinConfigured("fresh-x", "b2", false, inZone("x", tried.tolerated, nil))
+			group.run(8 * time.Second)
+			c.Assert(group.voters()["1"], qt.Equals, "fresh-x")
 		}
 	}
 }
@@ -128,20 +128,20 @@
 // is the first anchor.
 func TestNonVoterNeverHoldsAVoter(t *testing.T) {
 	c := qt.New(t)
-	hollow := newFleet(c, 3)
-	players := []*player{}
+	group := newFleet(c, 3)
+	processes := []*process{}
 	for number := range 4 {
-		players = append(players, hollow.joinConfigured(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), number > 0, func(cfg *settings.Settings) {
+		processes = append(processes, group.joinConfigured(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), number > 0, func(cfg *settings.Settings) {
 			cfg.Anchors, cfg.NonVoter = []string{"a1", "a2", "a3"}, number == 0
 		}))
 	}
-	hollow.run(3 * time.Second)
-	c.Assert(hollow.voters(), qt.DeepEquals, map[string]string{"1": "n2", "2": "n3", "3": "n4"})
-	hollow.kill(players[3], true)
-	hollow.state["n4"] = message.Dead
-	hollow.run(8 * time.Second)
-	c.Assert(players[0].quorum.Voting(), qt.IsFalse)
-	c.Assert(players[0].quorum.Standby(players[0].env), qt.IsTrue)
+	group.run(3 * time.Second)
+	c.Assert(group.voters(), qt.DeepEquals, map[string]string{"1": "n2", "2": "n3", "3": "n4"})
+	group.kill(processes[3], true)
+	group.memberState["n4"] = message.Dead
+	group.run(8 * time.Second)
+	c.Assert(processes[0].quorum.Voting(), qt.IsFalse)
+	c.Assert(processes[0].quorum.Standby(processes[0].machineEnv), qt.IsTrue)
 }
 
 // How many voters there are is the group's own knowledge once it is founded: a newcomer
@@ -149,14 +149,14 @@
 func TestCountOfVotersComesFromTheGroup(t *testing.T) {
 	c := qt.New(t)
 	for _, counted := range []int64{1, 5} {
-		hollow, players := founded(c, 3, 3)
-		hollow.kill(players[2], true)
-		hollow.state["n3"] = message.Dead
-		newcomer := hollow.joinConfigured("fresh", "b1", false, func(cfg *settings.Settings) {
+		group, processes := founded(c, 3, 3)
+		group.kill(processes[2], true)
+		group.memberState["n3"] = message.Dead
+		newcomer := group.joinConfigured("fresh", "b1", false, func(cfg *settings.Settings) {
 			cfg.VoterCount, cfg.Voters = counted, settings.VoterNames(counted)
 		})
-		hollow.run(6 * time.Second)
-		c.Assert(hollow.voters(), qt.HasLen, 3, qt.Commentf("settings count %d: %v", counted, hollow.notes))
+		group.run(6 * time.Second)
+		c.Assert(group.voters(), qt.HasLen, 3, qt.Commentf("settings count %d: %v", counted, group.events))
 		c.Assert(newcomer.quorum.Majority(map[string]string{newcomer.quorum.Voter: newcomer.quorum.Signature()}), qt.IsFalse)
 	}
 }
