--- a/internal/quorum/claim_test.go
+++ b/internal/quorum/claim_test.go
@@ -169,7 +169,14 @@
 	other := maps.Clone(memberList)
 	other["2"] = NewIdentity(3, 1, 1, "n2")
 	grant := func(voter string, memberList map[string]string) {
-		newcomer.Handle(processes[2].machineEnv, "a"+voter, message.VoterGrant{Group: "config-log", Voter: voter, Identity: memberList[voter], To: newcomer.State.Identity, MemberList: memberList, State: []byte{}})
+		newcomer.Handle(processes[2].machineEnv, "a"+voter, message.VoterGrant{
+			Group:      "config-log",
+			Voter:      voter,
+			Identity:   memberList[voter],
+			To:         newcomer.State.Identity,
+			MemberList: memberList,
+			State:      []byte{},
+		})
 	}
 	newcomer.grants = map[string]message.VoterGrant{}
 	grant("1", other)
--- a/internal/quorum/discovered_grant.go
+++ b/internal/quorum/discovered_grant.go
@@ -42,8 +42,7 @@
 	if claimant == holderNode || d.directory.NodeGone(s, holderNode) {
 		return true
 	}
-	received, known := d.statuses[claim.Voter]
-	return known && received.status.Identity == holder && received.status.Successor == claimant
+	return d.handsOverTo(claim.Voter, holder, claimant)
 }
 
 func (d *discoveredVoters) grantNew(s *statemachine.Env, to string, claim message.VoterClaim) {
--- a/internal/quorum/fleet_test.go
+++ b/internal/quorum/fleet_test.go
@@ -77,7 +77,9 @@
 	if p.disk != nil {
 		state = copyState(*p.disk)
 	}
-	p.up, p.pendingWrites, p.machineEnv = true, nil, statemachine.NewEnv(uint64(len(p.fleet.events)*100+len(p.address)+int(p.address[len(p.address)-1])))
+	lastDigit := int(p.address[len(p.address)-1])
+	seed := uint64(len(p.fleet.events)*100 + len(p.address) + lastDigit)
+	p.up, p.pendingWrites, p.machineEnv = true, nil, statemachine.NewEnv(seed)
 	p.quorum = New("config-log", cfg, p, state, func(*statemachine.Env, bool) {})
 }
 
@@ -164,12 +166,16 @@
 	t.deliveries = nil
 	for _, sent := range sending {
 		to, known := t.processes[sent.to]
-		if known && to.up && t.processes[sent.from].up && !t.isolated[sent.from] && !t.isolated[sent.to] && t.partition[sent.from] == t.partition[sent.to] {
+		if known && to.up && t.processes[sent.from].up && t.connected(sent.from, sent.to) {
 			to.quorum.Handle(to.machineEnv, sent.from, sent.message)
 		}
 	}
 }
 
+func (t *fleet) connected(from, to string) bool {
+	return !t.isolated[from] && !t.isolated[to] && t.partition[from] == t.partition[to]
+}
+
 func (t *fleet) kill(p *process, loseDisk bool) {
 	p.up = false
 	if loseDisk {
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -63,13 +63,15 @@
 	return nodes
 }
 
-// offeredToThisNode says that the holder of a voter hands it over to this node.
-func (d *discoveredVoters) offeredToThisNode(s *statemachine.Env, voter, holder string) bool {
+// handsOverTo says that the holder of a voter last named a node as its successor.
+func (d *discoveredVoters) handsOverTo(voter, holder, nodeName string) bool {
 	received, known := d.statuses[voter]
-	if !known || !d.recent(s, received) {
-		return false
-	}
-	return received.status.Identity == holder && received.status.Successor == d.settings.Node
+	return known && received.status.Identity == holder && received.status.Successor == nodeName
+}
+
+// offeredToThisNode says that the holder of a voter hands it over to this node now.
+func (d *discoveredVoters) offeredToThisNode(s *statemachine.Env, voter, holder string) bool {
+	return d.recent(s, d.statuses[voter]) && d.handsOverTo(voter, holder, d.settings.Node)
 }
 
 // releaseVoter grants the claim on this leaving process's own voter, if it is its successor's. The newer list is
--- a/internal/quorum/memberlist_test.go
+++ b/internal/quorum/memberlist_test.go
@@ -27,7 +27,8 @@
 	c.Assert(holder.Majority(acks), qt.IsFalse, qt.Commentf("1's old yes, 2's own and 3's of the newer member list"))
 	acks["4"] = processes[3].quorum.Signature()
 	c.Assert(holder.Majority(acks), qt.IsFalse)
-	c.Assert(processes[2].quorum.Accepts("2", acks["2"]), qt.IsFalse, qt.Commentf("what the holder asks on the older member list is not answered"))
+	c.Assert(processes[2].quorum.Accepts("2", acks["2"]), qt.IsFalse,
+		qt.Commentf("what the holder asks on the older member list is not answered"))
 
 	group.isolated["a2"] = false
 	group.run(time.Second)
@@ -46,7 +47,14 @@
 	newer := memberList(p.quorum.State.MemberList).with("3", NewIdentity(1, 5, 6, "fresh"))
 	signed := signature{identity: newer["2"], digest: newer.digest()}.String()
 	old := p.quorum.Signature()
-	p.quorum.Handle(p.machineEnv, "a2", message.VoterStatus{Group: "config-log", Voter: "2", Identity: newer["2"], Formed: true, Voting: true, MemberList: newer})
+	p.quorum.Handle(p.machineEnv, "a2", message.VoterStatus{
+		Group:      "config-log",
+		Voter:      "2",
+		Identity:   newer["2"],
+		Formed:     true,
+		Voting:     true,
+		MemberList: newer,
+	})
 	c.Assert(p.quorum.Signature(), qt.Equals, "")
 	c.Assert(p.quorum.Accepts("2", signed), qt.IsFalse)
 	for _, write := range p.pendingWrites {
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -34,7 +34,12 @@
 		machines int
 		voters   int64
 		anchors  []string
-	}{{2, 1, []string{"a1", "a2"}}, {3, 1, []string{"a1", "a2", "a3"}}, {7, 3, []string{"a1", "a2", "a3"}}, {9, 3, []string{"a5", "a6", "a7"}}} {
+	}{
+		{2, 1, []string{"a1", "a2"}},
+		{3, 1, []string{"a1", "a2", "a3"}},
+		{7, 3, []string{"a1", "a2", "a3"}},
+		{9, 3, []string{"a5", "a6", "a7"}},
+	} {
 		group := newFleet(c, made.voters)
 		group.partition = map[string]int{}
 		for number := range made.machines {
@@ -56,7 +61,8 @@
 	group := newFleet(c, voters)
 	processes := []*process{}
 	for number, zone := range zones {
-		processes = append(processes, group.joinConfigured(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true, inZone(zone, tolerated, regions)))
+		nodeName, address := fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1)
+		processes = append(processes, group.joinConfigured(nodeName, address, true, inZone(zone, tolerated, regions)))
 	}
 	group.run(6 * time.Second)
 	return group, processes
@@ -90,12 +96,42 @@
 		tolerated settings.Tolerated
 		wanted    map[string]int
 	}{
-		{"two machines a zone", 3, []string{"x", "x", "y", "y", "z", "z"}, settings.Tolerated{Zones: 1}, map[string]int{"x": 1, "y": 1, "z": 1}},
-		{"first names in one zone", 5, []string{"x", "x", "x", "y", "y", "z", "z"}, settings.Tolerated{Machines: 2, Zones: 1}, map[string]int{"x": 2, "y": 2, "z": 1}},
-		{"four zones", 3, []string{"x", "x", "y", "z", "w"}, settings.Tolerated{Zones: 1}, map[string]int{"x": 1, "y": 1, "z": 1}},
-		{"a region", 3, []string{"x", "y", "z", "w"}, settings.Tolerated{Regions: 1}, map[string]int{"x": 1, "z": 1, "w": 1}},
-		{"machines only", 3, []string{"x", "x", "y", "z"}, settings.Tolerated{Machines: 1}, map[string]int{"x": 1, "y": 1, "z": 1}},
-		{"a zone of all machines", 3, []string{"x", "x", "x"}, settings.Tolerated{Zones: 1}, map[string]int{"x": 3}},
+		{
+			name: "two machines a zone", voters: 3,
+			zones:     []string{"x", "x", "y", "y", "z", "z"},
+			tolerated: settings.Tolerated{Zones: 1},
+			wanted:    map[string]int{"x": 1, "y": 1, "z": 1},
+		},
+		{
+			name: "first names in one zone", voters: 5,
+			zones:     []string{"x", "x", "x", "y", "y", "z", "z"},
+			tolerated: settings.Tolerated{Machines: 2, Zones: 1},
+			wanted:    map[string]int{"x": 2, "y": 2, "z": 1},
+		},
+		{
+			name: "four zones", voters: 3,
+			zones:     []string{"x", "x", "y", "z", "w"},
+			tolerated: settings.Tolerated{Zones: 1},
+			wanted:    map[string]int{"x": 1, "y": 1, "z": 1},
+		},
+		{
+			name: "a region", voters: 3,
+			zones:     []string{"x", "y", "z", "w"},
+			tolerated: settings.Tolerated{Regions: 1},
+			wanted:    map[string]int{"x": 1, "z": 1, "w": 1},
+		},
+		{
+			name: "machines only", voters: 3,
+			zones:     []string{"x", "x", "y", "z"},
+			tolerated: settings.Tolerated{Machines: 1},
+			wanted:    map[string]int{"x": 1, "y": 1, "z": 1},
+		},
+		{
+			name: "a zone of all machines", voters: 3,
+			zones:     []string{"x", "x", "x"},
+			tolerated: settings.Tolerated{Zones: 1},
+			wanted:    map[string]int{"x": 3},
+		},
 	} {
 		group, _ := zoned(c, made.voters, made.zones, made.tolerated, regions)
 		c.Check(group.perZone(), qt.DeepEquals, made.wanted, qt.Commentf(made.name))
@@ -131,7 +167,8 @@
 	group := newFleet(c, 3)
 	processes := []*process{}
 	for number := range 4 {
-		processes = append(processes, group.joinConfigured(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), number > 0, func(cfg *settings.Settings) {
+		nodeName, address := fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1)
+		processes = append(processes, group.joinConfigured(nodeName, address, number > 0, func(cfg *settings.Settings) {
 			cfg.Anchors, cfg.NonVoter = []string{"a1", "a2", "a3"}, number == 0
 		}))
 	}
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -39,7 +39,8 @@
 // New restores a quorum from what the disk held. An empty state gets a random identity on the first tick.
 // beginVoting is called each time that this process becomes a voter; fresh says that the group was just
 // formed, so that nobody has voted before.
-func New(group string, cfg settings.Settings, host Host, state message.VoterState, beginVoting func(s *statemachine.Env, fresh bool)) *Quorum {
+func New(group string, cfg settings.Settings, host Host, state message.VoterState,
+	beginVoting func(s *statemachine.Env, fresh bool)) *Quorum {
 	replica := newReplica(group, cfg, host, state, beginVoting)
 	if cfg.VoterCount > 0 {
 		return &Quorum{Replica: replica, voters: newDiscoveredVoters(replica)}
--- a/internal/quorum/replica.go
+++ b/internal/quorum/replica.go
@@ -47,7 +47,8 @@
 	writing        bool // a write is under way on which everything waits, or it failed
 }
 
-func newReplica(group string, cfg settings.Settings, host Host, state message.VoterState, beginVoting func(s *statemachine.Env, fresh bool)) *Replica {
+func newReplica(group string, cfg settings.Settings, host Host, state message.VoterState,
+	beginVoting func(s *statemachine.Env, fresh bool)) *Replica {
 	if state.MemberList == nil {
 		state.MemberList = map[string]string{}
 	}
--- a/internal/quorum/restore.go
+++ b/internal/quorum/restore.go
@@ -55,5 +55,5 @@
 
 // Corrupt wraps what is wrong with the content of a disk.
 func Corrupt(err error) error {
-	return errcode.Wrap("quorum.restore", errcode.DiskCorrupt, fmt.Errorf("unreadable record: %v", err))
+	return errcode.Wrap("quorum.restore", errcode.DiskCorrupt, fmt.Errorf("unreadable record: %w", err))
 }
