--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -317,9 +317,9 @@
 func (w *World) event(p *process, event statemachine.Event) {
 	w.note("%s EVENT %s %d %s", p.name(), event.EventName, event.Epoch, event.Cause)
 	switch event.EventName {
-	case "voter-founded", "voter-recovered":
+	case "group-formed", "voter-recovered":
 		p.seated = true
-	case "voter-lost", "voter-shut-out", "voter-released":
+	case "voter-lost", "voter-removed", "voter-released":
 		p.seated = false
 	case "lease-taken":
 		tag, _, _ := strings.Cut(event.Cause, " by ")
--- a/internal/quorum/discovered_bootstrap.go
+++ b/internal/quorum/discovered_bootstrap.go
@@ -154,7 +154,7 @@
 	d.State.Proposal, d.State.Round, d.proposalSynced = list, round, false
 	s.Event(eventProposed, 0, round, d.bootstrap.nodes)
 	if !d.placement().survivesWorstLoss(list.identities()) {
-		s.Event(eventSpreadLacking, 0, round, "the machines that were heard don't allow the spread over zones that the settings want")
+		s.Event(eventSpreadInsufficient, 0, round, "the machines that were heard don't allow the spread over zones that the settings want")
 	}
 	d.storage.Persist(s, d.State, func(s *statemachine.Env, failure error) {
 		if failure == nil && d.State.Round == round && maps.Equal(list, d.State.Proposal) {
--- a/internal/quorum/fleet_test.go
+++ b/internal/quorum/fleet_test.go
@@ -53,15 +53,15 @@
 	return &fleet{test: c, count: count, processes: map[string]*process{}, isolated: map[string]bool{}, memberState: map[string]int64{}}
 }
 
-func (t *fleet) join(nodeName, address string, found bool) *process {
-	return t.joinConfigured(nodeName, address, found, nil)
+func (f *fleet) join(nodeName, address string, found bool) *process {
+	return f.joinConfigured(nodeName, address, found, nil)
 }
 
-func (t *fleet) joinConfigured(nodeName, address string, found bool, configure func(cfg *settings.Settings)) *process {
-	p := &process{fleet: t, node: nodeName, address: address, configure: configure}
-	t.processes[address] = p
-	t.order = append(t.order, address)
-	t.memberState[nodeName] = message.Alive
+func (f *fleet) joinConfigured(nodeName, address string, found bool, configure func(cfg *settings.Settings)) *process {
+	p := &process{fleet: f, node: nodeName, address: address, configure: configure}
+	f.processes[address] = p
+	f.order = append(f.order, address)
+	f.memberState[nodeName] = message.Alive
 	p.boot(found)
 	return p
 }
@@ -129,23 +129,23 @@
 }
 
 // run plays some time: ticks, deliveries, then writes.
-func (t *fleet) run(length time.Duration) {
+func (f *fleet) run(length time.Duration) {
 	for range int(length / step) {
-		for _, address := range t.order {
-			if p := t.processes[address]; p.up {
+		for _, address := range f.order {
+			if p := f.processes[address]; p.up {
 				p.machineEnv.Now += step
 				p.quorum.Tick(p.machineEnv)
 			}
 		}
 		for range 4 {
-			t.deliver()
+			f.deliver()
 		}
 	}
 }
 
-func (t *fleet) deliver() {
-	for _, address := range t.order {
-		p := t.processes[address]
+func (f *fleet) deliver() {
+	for _, address := range f.order {
+		p := f.processes[address]
 		writes := p.pendingWrites
 		p.pendingWrites = nil
 		for _, write := range writes {
@@ -156,37 +156,37 @@
 		for _, effect := range p.machineEnv.Drain() {
 			switch done := effect.(type) {
 			case statemachine.Send:
-				t.deliveries = append(t.deliveries, delivery{p.address, done.To, done.Message})
+				f.deliveries = append(f.deliveries, delivery{p.address, done.To, done.Message})
 			case statemachine.Event:
-				t.events = append(t.events, p.node+" "+done.EventName)
+				f.events = append(f.events, p.node+" "+done.EventName)
 			}
 		}
 	}
-	sending := t.deliveries
-	t.deliveries = nil
+	sending := f.deliveries
+	f.deliveries = nil
 	for _, sent := range sending {
-		to, known := t.processes[sent.to]
-		if known && to.up && t.processes[sent.from].up && t.connected(sent.from, sent.to) {
+		to, known := f.processes[sent.to]
+		if known && to.up && f.processes[sent.from].up && f.connected(sent.from, sent.to) {
 			to.quorum.Handle(to.machineEnv, sent.from, sent.message)
 		}
 	}
 }
 
-func (t *fleet) connected(from, to string) bool {
-	return !t.isolated[from] && !t.isolated[to] && t.partition[from] == t.partition[to]
+func (f *fleet) connected(from, to string) bool {
+	return !f.isolated[from] && !f.isolated[to] && f.partition[from] == f.partition[to]
 }
 
-func (t *fleet) kill(p *process, loseDisk bool) {
+func (f *fleet) kill(p *process, loseDisk bool) {
 	p.up = false
 	if loseDisk {
 		p.disk = nil
 	}
 }
 
-func (t *fleet) voters() map[string]string {
+func (f *fleet) voters() map[string]string {
 	held := map[string]string{}
-	for _, address := range t.order {
-		if p := t.processes[address]; p.up && p.quorum.Voting() {
+	for _, address := range f.order {
+		if p := f.processes[address]; p.up && p.quorum.Voting() {
 			held[p.quorum.Voter] = held[p.quorum.Voter] + p.node
 		}
 	}
@@ -194,11 +194,11 @@
 }
 
 func founded(c *qt.C, machines int, count int64) (*fleet, []*process) {
-	t := newFleet(c, count)
+	f := newFleet(c, count)
 	processes := []*process{}
 	for number := range machines {
-		processes = append(processes, t.join(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true))
+		processes = append(processes, f.join(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true))
 	}
-	t.run(time.Second)
-	return t, processes
+	f.run(time.Second)
+	return f, processes
 }
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -16,10 +16,10 @@
 )
 
 // formedGroups counts the distinct groups that voters stand in.
-func (t *fleet) formedGroups() int {
+func (f *fleet) formedGroups() int {
 	groups := map[string]bool{}
-	for _, address := range t.order {
-		if p := t.processes[address]; p.up && p.quorum.Voting() {
+	for _, address := range f.order {
+		if p := f.processes[address]; p.up && p.quorum.Voting() {
 			groups[memberList(p.quorum.State.MemberList).digest()] = true
 		}
 	}
@@ -76,10 +76,10 @@
 }
 
 // perZone counts the voters that stand in each zone.
-func (t *fleet) perZone() map[string]int {
+func (f *fleet) perZone() map[string]int {
 	counts := map[string]int{}
-	for _, address := range t.order {
-		if p := t.processes[address]; p.up && p.quorum.Voting() {
+	for _, address := range f.order {
+		if p := f.processes[address]; p.up && p.quorum.Voting() {
 			counts[p.quorum.settings.Zone]++
 		}
 	}
