--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -81,7 +81,7 @@
 	peers := c.membership.Alive(c.role)
 	if c.quorum != nil && c.quorum.Discovered() {
 		for index := range peers {
-			peers[index].Voter = c.quorum.VoterAt(peers[index].Address)
+			peers[index].Voter = c.quorum.voterAt(peers[index].Address)
 		}
 	}
 	return peers
--- a/internal/quorum/departure.go
+++ b/internal/quorum/departure.go
@@ -17,7 +17,7 @@
 // members are told that this node leaves. The answer goes out when the process may end.
 func (c *Core) Depart(s *statemachine.Env, requestID int64, answer any) {
 	c.departure = &departure{requestID: requestID, answer: answer, deadline: s.Now}
-	if c.quorum.HandOver(s) {
+	if c.quorum.handOver(s) {
 		c.departure.deadline = s.Now + c.settings.HandOverLimit()
 	}
 	c.advanceDeparture(s)
@@ -27,7 +27,7 @@
 	if c.departure == nil {
 		return
 	}
-	if s.Now < c.departure.deadline && !c.quorum.HandedOver() {
+	if s.Now < c.departure.deadline && !c.quorum.handedOver() {
 		return
 	}
 	c.membership.Leave(s)
--- a/internal/quorum/handover_test.go
+++ b/internal/quorum/handover_test.go
@@ -1,4 +1,5 @@
 // A voter that leaves by plan, and losses in the middle of it.
+
 package quorum
 
 import (
@@ -21,7 +22,7 @@
 	newcomer := group.join("fresh", "b1", false)
 	group.run(time.Second)
 	last := processes[count-1]
-	c.Assert(last.quorum.HandOver(last.machineEnv), qt.IsTrue)
+	c.Assert(last.quorum.handOver(last.machineEnv), qt.IsTrue)
 	return group, processes, newcomer
 }
 
@@ -31,7 +32,7 @@
 		group, processes, newcomer := leaving(c, count)
 		last := processes[count-1]
 		group.run(400 * time.Millisecond)
-		c.Assert(last.quorum.HandedOver(), qt.IsTrue)
+		c.Assert(last.quorum.handedOver(), qt.IsTrue)
 		c.Assert(last.quorum.Voting(), qt.IsFalse)
 		c.Assert(last.quorum.Signature(), qt.Equals, "")
 		c.Assert(newcomer.quorum.Voting(), qt.IsTrue)
@@ -42,7 +43,7 @@
 func TestNothingIsHandedOverWithoutANewcomer(t *testing.T) {
 	c := qt.New(t)
 	_, processes := founded(c, 3, 3)
-	c.Assert(processes[2].quorum.HandOver(processes[2].machineEnv), qt.IsFalse)
+	c.Assert(processes[2].quorum.handOver(processes[2].machineEnv), qt.IsFalse)
 	c.Assert(processes[2].quorum.Voting(), qt.IsTrue)
 }
 
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -1,5 +1,6 @@
 // Where voters are placed: one group whoever is heard at the start, voters spread over
 // zones and regions, and processes that never vote.
+
 package quorum
 
 import (
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -103,8 +103,8 @@
 	return count*2 > q.Size() || guardsOff.majority && count > 0
 }
 
-// VoterAt is the voter that is held at an address, as last heard; "" for none.
-func (q *Quorum) VoterAt(address string) string {
+// voterAt is the voter that is held at an address, as last heard; "" for none.
+func (q *Quorum) voterAt(address string) string {
 	for _, voter := range q.voters.names() {
 		if received, known := q.statuses[voter]; known && received.from == address {
 			return voter
@@ -116,12 +116,12 @@
 // Standby says whether the group is complete and this process holds no voter in it.
 func (q *Quorum) Standby(s *statemachine.Env) bool { return q.voters.standby(s) }
 
-// HandOver begins the planned replacement of this voter; false when there is nobody to hand over to, or
-// nothing to hand over. After true the caller waits for HandedOver.
-func (q *Quorum) HandOver(s *statemachine.Env) bool { return q.voters.handOver(s) }
+// handOver begins the planned replacement of this voter; false when there is nobody to hand over to, or
+// nothing to hand over. After true the caller waits for handedOver.
+func (q *Quorum) handOver(s *statemachine.Env) bool { return q.voters.handOver(s) }
 
-// HandedOver says that another process has this voter: this one votes no more and may end.
-func (q *Quorum) HandedOver() bool { return q.voters.handedOver() }
+// handedOver says that another process has this voter: this one votes no more and may end.
+func (q *Quorum) handedOver() bool { return q.voters.handedOver() }
 
 // ForceRecover marks every other voter vacant. An operator does this, by a command on the stopped
 // survivor's disk, after a majority of the disks was lost.
--- a/internal/quorum/restore.go
+++ b/internal/quorum/restore.go
@@ -20,7 +20,7 @@
 	for _, record := range records {
 		decoded, err := message.Decode(record)
 		if err != nil {
-			return Corrupt(err)
+			return corrupt(err)
 		}
 		switch restored := decoded.(type) {
 		case message.VoterState:
@@ -44,16 +44,16 @@
 	}
 	decoded, err := message.Decode(snapshot)
 	if err != nil {
-		return empty, Corrupt(err)
+		return empty, corrupt(err)
 	}
 	state, isState := decoded.(T)
 	if !isState {
-		return empty, Corrupt(fmt.Errorf("a slot holds a %T", decoded))
+		return empty, corrupt(fmt.Errorf("a slot holds a %T", decoded))
 	}
 	return state, nil
 }
 
-// Corrupt wraps what is wrong with the content of a disk.
-func Corrupt(err error) error {
+// corrupt wraps what is wrong with the content of a disk.
+func corrupt(err error) error {
 	return errcode.Wrap("quorum.restore", errcode.DiskCorrupt, fmt.Errorf("unreadable record: %w", err))
 }
