--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -36,8 +36,8 @@
 
 type topicState struct {
 	known   bool
-	slice   *Slice
-	mark    message.Mark
+	slice   *RosterSlice
+	mark    message.Position
 	body    []byte
 	history history // of a configuration
 	freshAt time.Duration
@@ -46,7 +46,7 @@
 	mismatched bool
 }
 
-func (h *topicState) at() message.Mark {
+func (h *topicState) at() message.Position {
 	if h.slice != nil {
 		return h.slice.Mark
 	}
@@ -95,8 +95,8 @@
 		partBytes: int(cfg.Limits.Frame / 64), changed: changed}
 }
 
-// Want subscribes this node itself.
-func (c *Distribution) Want(topics ...string) {
+// Subscribe subscribes this node itself.
+func (c *Distribution) Subscribe(topics ...string) {
 	for _, topic := range topics {
 		c.own[topic] = true
 		c.topicState(topic)
@@ -111,9 +111,9 @@
 func (c *Distribution) topicState(topic string) *topicState {
 	held, found := c.topicStates[topic]
 	if !found {
-		held = &topicState{mark: message.Mark{Topic: topic}, freshAt: never}
+		held = &topicState{mark: message.Position{Topic: topic}, freshAt: never}
 		if !IsConfiguration(topic) {
-			held.slice = NewSlice(topic)
+			held.slice = NewRosterSlice(topic)
 		}
 		c.topicStates[topic] = held
 	}
@@ -132,23 +132,23 @@
 	c.push(s, topic)
 }
 
-func configurationMark(topic string, version int64, body []byte) message.Mark {
+func configurationMark(topic string, version int64, body []byte) message.Position {
 	hash := fnv.New64a()
 	hash.Write(body)
-	return message.Mark{Topic: topic, Seq: version, Count: 1, Hash: int64(hash.Sum64())}
+	return message.Position{Topic: topic, Seq: version, Count: 1, Hash: int64(hash.Sum64())}
 }
 
-// ShareSlice makes a slice that another part changes a source here.
-func (c *Distribution) ShareSlice(slice *Slice) {
+// ServeSlice makes a slice that another part changes a source here.
+func (c *Distribution) ServeSlice(slice *RosterSlice) {
 	held := c.topicState(slice.Mark.Topic)
 	held.slice, held.known = slice, true
 }
 
-// SliceMoved pushes after the owner of a shared slice has changed it.
-func (c *Distribution) SliceMoved(s *statemachine.Env, topic string) { c.push(s, topic) }
+// SliceChanged pushes after the owner of a shared slice has changed it.
+func (c *Distribution) SliceChanged(s *statemachine.Env, topic string) { c.push(s, topic) }
 
-// Fresh sets how current a source's content is.
-func (c *Distribution) Fresh(topic string, at time.Duration) {
+// SetFreshAt sets how current a source's content is.
+func (c *Distribution) SetFreshAt(topic string, at time.Duration) {
 	held := c.topicState(topic)
 	held.freshAt = max(held.freshAt, at)
 }
@@ -171,8 +171,8 @@
 	return held.freshAt, true
 }
 
-// ConfigName returns the version and the body of a configuration, and whether there is one.
-func (c *Distribution) ConfigName(configName string) (int64, []byte, bool) {
+// Configuration returns the version and the body of a configuration, and whether there is one.
+func (c *Distribution) Configuration(configName string) (int64, []byte, bool) {
 	held, found := c.topicStates[ConfigurationTopic(configName)]
 	if !found || !held.known {
 		return 0, nil, false
@@ -180,8 +180,8 @@
 	return held.mark.Seq, held.body, true
 }
 
-// Slice gives a zone's registrations.
-func (c *Distribution) Slice(zone string) ([]message.Registration, bool) {
+// Registrations gives a zone's registrations.
+func (c *Distribution) Registrations(zone string) ([]message.Registration, bool) {
 	held, found := c.topicStates[SliceTopic(zone)]
 	if !found || !held.known {
 		return nil, false
@@ -190,8 +190,8 @@
 }
 
 // Marks lists the positions of this node's own topics.
-func (c *Distribution) Marks() []message.Mark {
-	marks := []message.Mark{}
+func (c *Distribution) Marks() []message.Position {
+	marks := []message.Position{}
 	for _, topic := range c.topics() {
 		if held := c.topicStates[topic]; held.known && c.own[topic] {
 			marks = append(marks, held.at())
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -27,7 +27,7 @@
 	settings   settings.Settings
 	role       string
 	membership *membership.Membership
-	ledger     *storage.Ledger
+	ledger     *storage.Writer
 	quorum     *Quorum
 	departure  *departure
 
@@ -45,7 +45,7 @@
 		settings:   cfg,
 		role:       role,
 		membership: members,
-		ledger:     storage.NewLedger(logLimit, snapshot, empty),
+		ledger:     storage.NewWriter(logLimit, snapshot, empty),
 	}
 }
 
@@ -53,7 +53,7 @@
 func (c *Core) UseVoters(quorum *Quorum) { c.quorum = quorum }
 
 // Persist appends a record and calls then once it is synced.
-func (c *Core) Persist(s *statemachine.Env, record any, then storage.Then) {
+func (c *Core) Persist(s *statemachine.Env, record any, then storage.SyncCallback) {
 	began := s.Now
 	c.ledger.Persist(s, record, func(s *statemachine.Env, failure error) {
 		c.writeLatency += (s.Now - began - c.writeLatency) / latencyWeight
@@ -65,7 +65,9 @@
 func (c *Core) WriteLatency() time.Duration { return c.writeLatency }
 
 // WriteSnapshot writes the machine's whole state.
-func (c *Core) WriteSnapshot(s *statemachine.Env, then storage.Then) { c.ledger.Compact(s, then) }
+func (c *Core) WriteSnapshot(s *statemachine.Env, then storage.SyncCallback) {
+	c.ledger.Compact(s, then)
+}
 
 // Failure is the error of the first write that failed; nil for none.
 func (c *Core) Failure() error { return c.ledger.Failure() }
@@ -88,7 +90,7 @@
 }
 
 // AnnounceVoter tells the members which voter this process holds.
-func (c *Core) AnnounceVoter(voter string) { c.membership.HoldVoter(voter) }
+func (c *Core) AnnounceVoter(voter string) { c.membership.SetVoter(voter) }
 
 // Superseded says whether a later process with this node's name runs at another address.
 func (c *Core) Superseded() bool { return c.membership.Superseded() }
@@ -125,10 +127,10 @@
 // saveAddresses writes the members' addresses to disk, so that the next start finds the others even if every
 // seed was replaced meanwhile.
 func (c *Core) saveAddresses(s *statemachine.Env) {
-	addresses := c.membership.Seen()
+	addresses := c.membership.KnownAddresses()
 	if len(addresses) == 0 || slices.Equal(addresses, c.savedAddresses) {
 		return
 	}
 	c.savedAddresses = addresses
-	c.Persist(s, message.SeenState{Addresses: addresses}, func(*statemachine.Env, error) {})
+	c.Persist(s, message.KnownAddresses{Addresses: addresses}, func(*statemachine.Env, error) {})
 }
--- a/internal/quorum/discovered.go
+++ b/internal/quorum/discovered.go
@@ -98,11 +98,11 @@
 // forming the group.
 func (d *discoveredVoters) startAnew(s *statemachine.Env, founder bool) {
 	d.State = message.VoterState{
-		Identity:   d.newIdentity(s, 0),
-		Founder:    founder,
-		Proposal:   map[string]string{},
-		MemberList: map[string]string{},
-		Former:     []string{},
+		Identity:           d.newIdentity(s, 0),
+		Founder:            founder,
+		Proposal:           map[string]string{},
+		MemberList:         map[string]string{},
+		ReplacedIdentities: []string{},
 	}
 	d.Voter = ""
 	d.proposalSynced = false
@@ -137,7 +137,7 @@
 // claim to know a formed group.
 func (d *discoveredVoters) fullStatus(s *statemachine.Env, answer bool) message.VoterStatus {
 	status := d.status(answer)
-	status.Free = d.vacancies(s)
+	status.FreeVoters = d.vacancies(s)
 	status.Successor = d.handover.successor
 	if d.list.pendingWrites > 0 {
 		status.Formed = false
@@ -197,7 +197,7 @@
 	if status.Successor == d.settings.Node {
 		d.nextStatusAt = s.Now
 	}
-	if status.Answer {
+	if status.IsReply {
 		s.Send(from, d.fullStatus(s, false))
 	}
 	if status.NonVoter {
--- a/internal/quorum/discovered_claim.go
+++ b/internal/quorum/discovered_claim.go
@@ -57,7 +57,7 @@
 func (d *discoveredVoters) vacancyConfirmed(s *statemachine.Env, voter string, voting []message.VoterStatus) bool {
 	reports := 0
 	for _, status := range voting {
-		if slices.Contains(status.Free, voter) {
+		if slices.Contains(status.FreeVoters, voter) {
 			reports++
 		}
 	}
--- a/internal/quorum/fleet_test.go
+++ b/internal/quorum/fleet_test.go
@@ -88,7 +88,7 @@
 	return state
 }
 
-func (p *process) Persist(s *statemachine.Env, record any, then storage.Then) {
+func (p *process) Persist(s *statemachine.Env, record any, then storage.SyncCallback) {
 	state := copyState(p.quorum.State)
 	p.pendingWrites = append(p.pendingWrites, func() {
 		p.disk = &state
@@ -96,12 +96,14 @@
 	})
 }
 
-func (p *process) WriteSnapshot(s *statemachine.Env, then storage.Then) { p.Persist(s, nil, then) }
-func (p *process) Failure() error                                       { return nil }
-func (p *process) WriteLatency() time.Duration                          { return 0 }
-func (p *process) StateForGrant() []byte                                { return []byte(p.replicatedState) }
-func (p *process) AnnounceVoter(voter string)                           { p.announced = voter }
-func (p *process) Superseded() bool                                     { return p.superseded }
+func (p *process) WriteSnapshot(s *statemachine.Env, then storage.SyncCallback) {
+	p.Persist(s, nil, then)
+}
+func (p *process) Failure() error              { return nil }
+func (p *process) WriteLatency() time.Duration { return 0 }
+func (p *process) StateForGrant() []byte       { return []byte(p.replicatedState) }
+func (p *process) AnnounceVoter(voter string)  { p.announced = voter }
+func (p *process) Superseded() bool            { return p.superseded }
 
 func (p *process) DiscardState(*statemachine.Env) {
 	p.discarded++
--- a/internal/quorum/host.go
+++ b/internal/quorum/host.go
@@ -11,9 +11,9 @@
 // Storage is the disk of the process.
 type Storage interface {
 	// Persist appends a record and calls then once it is synced.
-	Persist(s *statemachine.Env, record any, then storage.Then)
+	Persist(s *statemachine.Env, record any, then storage.SyncCallback)
 	// WriteSnapshot writes the process's whole state and calls then once it is synced.
-	WriteSnapshot(s *statemachine.Env, then storage.Then)
+	WriteSnapshot(s *statemachine.Env, then storage.SyncCallback)
 	// Failure is the error of the first write that failed; nil for none.
 	Failure() error
 }
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -132,7 +132,7 @@
 			list[voter] = holder
 		} else {
 			list[voter] = ""
-			q.State.Former = append(q.State.Former, holder)
+			q.State.ReplacedIdentities = append(q.State.ReplacedIdentities, holder)
 		}
 	}
 	q.State.MemberList = list
--- a/internal/quorum/replica.go
+++ b/internal/quorum/replica.go
@@ -99,10 +99,10 @@
 		Voting:     r.Voting(),
 		Proposal:   map[string]string{},
 		MemberList: map[string]string{},
-		Answer:     answer,
+		IsReply:    answer,
 		Founder:    r.State.Founder && !r.State.Formed,
 		Round:      r.State.Round,
-		Free:       []string{},
+		FreeVoters: []string{},
 		NonVoter:   r.settings.NonVoter,
 	}
 	if r.proposalSynced {
--- a/internal/quorum/restore.go
+++ b/internal/quorum/restore.go
@@ -27,8 +27,8 @@
 			r.Voter = restored
 		case message.Vote:
 			r.Votes = append(r.Votes, restored)
-		case message.SeenState:
-			members.Remember(restored.Addresses)
+		case message.KnownAddresses:
+			members.AddKnownAddresses(restored.Addresses)
 		default:
 			own(decoded)
 		}
--- a/internal/quorum/static_replacement.go
+++ b/internal/quorum/static_replacement.go
@@ -26,7 +26,7 @@
 	if !v.Voting() {
 		return
 	}
-	if slices.Contains(v.State.Former, claim.Identity) {
+	if slices.Contains(v.State.ReplacedIdentities, claim.Identity) {
 		v.refuse(s, from, claim)
 		return
 	}
@@ -36,7 +36,7 @@
 	}
 	if holder != claim.Identity {
 		if holder != "" {
-			v.State.Former = append(v.State.Former, holder)
+			v.State.ReplacedIdentities = append(v.State.ReplacedIdentities, holder)
 		}
 		v.State.MemberList[claim.Voter] = claim.Identity
 		delete(v.statuses, claim.Voter)
