--- a/internal/message/quorum.go
+++ b/internal/message/quorum.go
@@ -9,7 +9,7 @@
 	Voting     bool              // the sender may vote
 	Proposal   map[string]string // proposed members of a group that is not formed yet, identity by voter
 	MemberList map[string]string // members of the formed group, identity by voter
-	IsReply    bool              // answers another VoterStatus, and isn't answered itself
+	WantsReply bool              // the receiver answers with its own VoterStatus, which wants no reply
 	Founder    bool              // takes part in forming the group
 	Round      int64             // of the proposal
 	FreeVoters []string          // voters whose holders are dead or have left, as far as the sender knows
--- a/internal/message/samples_golden_test.go
+++ b/internal/message/samples_golden_test.go
@@ -136,7 +136,7 @@
 		Voting:     true,
 		Proposal:   map[string]string{"text-4": "text-5"},
 		MemberList: map[string]string{"text-6": "text-7"},
-		IsReply:    true,
+		WantsReply: true,
 		Founder:    true,
 		Round:      8_010007,
 		FreeVoters: []string{"text-9", "text-10"},
@@ -782,7 +782,7 @@
 var boolSamples = []goldenSample{
 	{6, message.VoterStatus{Formed: true}},
 	{6, message.VoterStatus{Voting: true}},
-	{6, message.VoterStatus{IsReply: true}},
+	{6, message.VoterStatus{WantsReply: true}},
 	{6, message.VoterStatus{Founder: true}},
 	{6, message.VoterStatus{NonVoter: true}},
 	{10, message.LeaseVote{Granted: true}},
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -27,7 +27,7 @@
 	settings   settings.Settings
 	role       string
 	membership *membership.Membership
-	ledger     *storage.Writer
+	writer     *storage.Writer
 	quorum     *Quorum
 	departure  *departure
 
@@ -45,7 +45,7 @@
 		settings:   cfg,
 		role:       role,
 		membership: members,
-		ledger:     storage.NewWriter(logLimit, snapshot, empty),
+		writer:     storage.NewWriter(logLimit, snapshot, empty),
 	}
 }
 
@@ -55,7 +55,7 @@
 // Persist appends a record and calls then once it is synced.
 func (c *Core) Persist(s *statemachine.Env, record any, then storage.SyncCallback) {
 	began := s.Now
-	c.ledger.Persist(s, record, func(s *statemachine.Env, failure error) {
+	c.writer.Persist(s, record, func(s *statemachine.Env, failure error) {
 		c.writeLatency += (s.Now - began - c.writeLatency) / latencyWeight
 		then(s, failure)
 	})
@@ -66,15 +66,15 @@
 
 // WriteSnapshot writes the machine's whole state.
 func (c *Core) WriteSnapshot(s *statemachine.Env, then storage.SyncCallback) {
-	c.ledger.Compact(s, then)
+	c.writer.Compact(s, then)
 }
 
 // Failure is the error of the first write that failed; nil for none.
-func (c *Core) Failure() error { return c.ledger.Failure() }
+func (c *Core) Failure() error { return c.writer.Failure() }
 
 // Synced says that the write of a request id is on disk, or that it failed.
 func (c *Core) Synced(s *statemachine.Env, requestID int64, failure error) {
-	c.ledger.Synced(s, requestID, failure)
+	c.writer.Synced(s, requestID, failure)
 }
 
 // Peers lists the other members of the role, dead ones aside. Where voters are discovered, the quorum knows who
@@ -117,7 +117,7 @@
 		// Nobody should look here for the voter any more.
 		c.membership.Leave(s)
 	}
-	if s.Now < c.nextSaveAt || removed || c.ledger.Failure() != nil {
+	if s.Now < c.nextSaveAt || removed || c.writer.Failure() != nil {
 		return
 	}
 	c.nextSaveAt = s.Now + c.settings.HolderRest()
--- a/internal/quorum/discovered.go
+++ b/internal/quorum/discovered.go
@@ -135,8 +135,8 @@
 
 // fullStatus is what this process tells of itself. While a newer member list is being written it does not
 // claim to know a formed group.
-func (d *discoveredVoters) fullStatus(s *statemachine.Env, answer bool) message.VoterStatus {
-	status := d.status(answer)
+func (d *discoveredVoters) fullStatus(s *statemachine.Env, wantsReply bool) message.VoterStatus {
+	status := d.status(wantsReply)
 	status.FreeVoters = d.vacancies(s)
 	status.Successor = d.handover.successor
 	if d.list.pendingWrites > 0 {
@@ -197,7 +197,7 @@
 	if status.Successor == d.settings.Node {
 		d.nextStatusAt = s.Now
 	}
-	if status.IsReply {
+	if status.WantsReply {
 		s.Send(from, d.fullStatus(s, false))
 	}
 	if status.NonVoter {
--- a/internal/quorum/replica.go
+++ b/internal/quorum/replica.go
@@ -90,7 +90,7 @@
 }
 
 // status is what this process tells of itself.
-func (r *Replica) status(answer bool) message.VoterStatus {
+func (r *Replica) status(wantsReply bool) message.VoterStatus {
 	status := message.VoterStatus{
 		Group:      r.Group,
 		Voter:      r.Voter,
@@ -99,7 +99,7 @@
 		Voting:     r.Voting(),
 		Proposal:   map[string]string{},
 		MemberList: map[string]string{},
-		IsReply:    answer,
+		WantsReply: wantsReply,
 		Founder:    r.State.Founder && !r.State.Formed,
 		Round:      r.State.Round,
 		FreeVoters: []string{},
--- a/internal/quorum/static.go
+++ b/internal/quorum/static.go
@@ -80,7 +80,7 @@
 	if v.State.Identity == "" || v.writing {
 		return
 	}
-	if status.IsReply {
+	if status.WantsReply {
 		s.Send(from, v.status(false))
 	}
 	if v.State.Formed && !v.accepts(status.Voter, status.Identity) {
