--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -53,11 +53,11 @@
 func (c *Core) UseVoters(quorum *Quorum) { c.quorum = quorum }
 
 // Persist appends a record and calls then once it is synced.
-func (c *Core) Persist(s *statemachine.Env, record any, then storage.SyncCallback) {
-	began := s.Now
-	c.writer.Persist(s, record, func(s *statemachine.Env, failure error) {
-		c.writeLatency += (s.Now - began - c.writeLatency) / latencyWeight
-		then(s, failure)
+func (c *Core) Persist(env *statemachine.Env, record any, then storage.SyncCallback) {
+	began := env.Now
+	c.writer.Persist(env, record, func(env *statemachine.Env, failure error) {
+		c.writeLatency += (env.Now - began - c.writeLatency) / latencyWeight
+		then(env, failure)
 	})
 }
 
@@ -65,16 +65,16 @@
 func (c *Core) WriteLatency() time.Duration { return c.writeLatency }
 
 // WriteSnapshot writes the machine's whole state.
-func (c *Core) WriteSnapshot(s *statemachine.Env, then storage.SyncCallback) {
-	c.writer.Compact(s, then)
+func (c *Core) WriteSnapshot(env *statemachine.Env, then storage.SyncCallback) {
+	c.writer.Compact(env, then)
 }
 
 // Failure is the error of the first write that failed; nil for none.
 func (c *Core) Failure() error { return c.writer.Failure() }
 
 // Synced says that the write of a request id is on disk, or that it failed.
-func (c *Core) Synced(s *statemachine.Env, requestID int64, failure error) {
-	c.writer.Synced(s, requestID, failure)
+func (c *Core) Synced(env *statemachine.Env, requestID int64, failure error) {
+	c.writer.Synced(env, requestID, failure)
 }
 
 // Peers lists the other members of the role, dead ones aside. Where voters are discovered, the quorum knows who
@@ -97,40 +97,40 @@
 
 // NodeGone says that a node is dead or has left. One that was never heard of is gone only to a process that has
 // been up, among others, for long enough to have heard of it.
-func (c *Core) NodeGone(s *statemachine.Env, nodeName string) bool {
+func (c *Core) NodeGone(env *statemachine.Env, nodeName string) bool {
 	member, known := c.membership.Find(c.role + "/" + nodeName)
 	if known {
 		return member.State >= message.Dead
 	}
-	upFor := s.Now - c.startedAt
+	upFor := env.Now - c.startedAt
 	return c.started && upFor > c.settings.SuspectFor()*unknownGoneFactor && c.membership.Joined()
 }
 
 // Maintain does the regular work of a tick: it goes on with a departure, saves the addresses of the members, and
 // leaves the membership once this process's voter was given to another disk.
-func (c *Core) Maintain(s *statemachine.Env, removed bool) {
+func (c *Core) Maintain(env *statemachine.Env, removed bool) {
 	if !c.started {
-		c.started, c.startedAt = true, s.Now
+		c.started, c.startedAt = true, env.Now
 	}
-	c.advanceDeparture(s)
+	c.advanceDeparture(env)
 	if removed && !c.membership.HasLeft() {
 		// Nobody should look here for the voter any more.
-		c.membership.Leave(s)
+		c.membership.Leave(env)
 	}
-	if s.Now < c.nextSaveAt || removed || c.writer.Failure() != nil {
+	if env.Now < c.nextSaveAt || removed || c.writer.Failure() != nil {
 		return
 	}
-	c.nextSaveAt = s.Now + c.settings.HolderRest()
-	c.saveAddresses(s)
+	c.nextSaveAt = env.Now + c.settings.HolderRest()
+	c.saveAddresses(env)
 }
 
 // saveAddresses writes the members' addresses to disk, so that the next start finds the others even if every
 // seed was replaced meanwhile.
-func (c *Core) saveAddresses(s *statemachine.Env) {
+func (c *Core) saveAddresses(env *statemachine.Env) {
 	addresses := c.membership.KnownAddresses()
 	if len(addresses) == 0 || slices.Equal(addresses, c.savedAddresses) {
 		return
 	}
 	c.savedAddresses = addresses
-	c.Persist(s, message.KnownAddresses{Addresses: addresses}, func(*statemachine.Env, error) {})
+	c.Persist(env, message.KnownAddresses{Addresses: addresses}, func(*statemachine.Env, error) {})
 }
--- a/internal/quorum/departure.go
+++ b/internal/quorum/departure.go
@@ -15,22 +15,22 @@
 
 // Depart begins a graceful stop: the voter is handed over to another process, where there is one, before the
 // members are told that this node leaves. The answer goes out when the process may end.
-func (c *Core) Depart(s *statemachine.Env, requestID int64, answer any) {
-	c.departure = &departure{requestID: requestID, answer: answer, deadline: s.Now}
-	if c.quorum.handOver(s) {
-		c.departure.deadline = s.Now + c.settings.HandOverLimit()
+func (c *Core) Depart(env *statemachine.Env, requestID int64, answer any) {
+	c.departure = &departure{requestID: requestID, answer: answer, deadline: env.Now}
+	if c.quorum.handOver(env) {
+		c.departure.deadline = env.Now + c.settings.HandOverLimit()
 	}
-	c.advanceDeparture(s)
+	c.advanceDeparture(env)
 }
 
-func (c *Core) advanceDeparture(s *statemachine.Env) {
+func (c *Core) advanceDeparture(env *statemachine.Env) {
 	if c.departure == nil {
 		return
 	}
-	if s.Now < c.departure.deadline && !c.quorum.handedOver() {
+	if env.Now < c.departure.deadline && !c.quorum.handedOver() {
 		return
 	}
-	c.membership.Leave(s)
-	s.Reply(c.departure.requestID, c.departure.answer)
+	c.membership.Leave(env)
+	env.Reply(c.departure.requestID, c.departure.answer)
 	c.departure = nil
 }
--- a/internal/quorum/discovered.go
+++ b/internal/quorum/discovered.go
@@ -67,38 +67,38 @@
 // majority is how many voters decide, and how many grants a newcomer needs.
 func (d *discoveredVoters) majority() int { return len(d.names())/2 + 1 }
 
-func (d *discoveredVoters) tick(s *statemachine.Env) {
+func (d *discoveredVoters) tick(env *statemachine.Env) {
 	if d.State.Identity == "" {
 		if d.discard {
 			d.discard = false
-			d.transfer.DiscardState(s)
+			d.transfer.DiscardState(env)
 		}
-		d.startAnew(s, d.settings.Found && !d.settings.NonVoter)
+		d.startAnew(env, d.settings.Found && !d.settings.NonVoter)
 		return
 	}
 	if d.retired() {
 		return
 	}
-	d.hastenAfterMismatch(s)
-	if s.Now < d.nextStatusAt || d.writing {
+	d.hastenAfterMismatch(env)
+	if env.Now < d.nextStatusAt || d.writing {
 		return
 	}
-	d.nextStatusAt = s.Now + d.settings.DigestEvery()
-	if d.Voting() && d.othersVoting(s) {
-		d.nextStatusAt = s.Now + d.settings.DigestEvery()*calmFactor
+	d.nextStatusAt = env.Now + d.settings.DigestEvery()
+	if d.Voting() && d.othersVoting(env) {
+		d.nextStatusAt = env.Now + d.settings.DigestEvery()*calmFactor
 	}
-	d.advanceBootstrap(s)
-	d.advanceClaim(s)
+	d.advanceBootstrap(env)
+	d.advanceClaim(env)
 	if !d.writing {
-		d.sendStatuses(s)
+		d.sendStatuses(env)
 	}
 }
 
 // startAnew begins as a process that holds no voter, with a new identity. founder says that it takes part in
 // forming the group.
-func (d *discoveredVoters) startAnew(s *statemachine.Env, founder bool) {
+func (d *discoveredVoters) startAnew(env *statemachine.Env, founder bool) {
 	d.State = message.VoterState{
-		Identity:           d.newIdentity(s, 0),
+		Identity:           d.newIdentity(env, 0),
 		Founder:            founder,
 		Proposal:           map[string]string{},
 		MemberList:         map[string]string{},
@@ -108,13 +108,13 @@
 	d.proposalSynced = false
 	d.list.pendingWrites = 0
 	d.writing = true
-	d.finishSnapshot(s, func(*statemachine.Env) {})
-	s.Event(eventIdentityMade, 0, 0, d.settings.Node)
+	d.finishSnapshot(env, func(*statemachine.Env) {})
+	env.Event(eventIdentityMade, 0, 0, d.settings.Node)
 }
 
 // newIdentity makes an identity of this process with an edition.
-func (d *discoveredVoters) newIdentity(s *statemachine.Env, edition uint64) string {
-	first, second := s.Random.Uint64(), s.Random.Uint64()
+func (d *discoveredVoters) newIdentity(env *statemachine.Env, edition uint64) string {
+	first, second := env.Random.Uint64(), env.Random.Uint64()
 	made := identity{
 		edition: edition,
 		random:  formatRandom(first, second),
@@ -124,20 +124,20 @@
 	return made.String()
 }
 
-func (d *discoveredVoters) sendStatuses(s *statemachine.Env) {
+func (d *discoveredVoters) sendStatuses(env *statemachine.Env) {
 	for _, peer := range d.directory.Peers() {
-		s.Send(peer.Address, d.fullStatus(s, true))
+		env.Send(peer.Address, d.fullStatus(env, true))
 		if !d.State.Formed && d.State.Voter != "" {
-			s.Send(peer.Address, message.VoterClaim{Group: d.Group, Voter: d.State.Voter, Identity: d.State.Identity})
+			env.Send(peer.Address, message.VoterClaim{Group: d.Group, Voter: d.State.Voter, Identity: d.State.Identity})
 		}
 	}
 }
 
 // fullStatus is what this process tells of itself. While a newer member list is being written it does not
 // claim to know a formed group.
-func (d *discoveredVoters) fullStatus(s *statemachine.Env, wantsReply bool) message.VoterStatus {
+func (d *discoveredVoters) fullStatus(env *statemachine.Env, wantsReply bool) message.VoterStatus {
 	status := d.status(wantsReply)
-	status.FreeVoters = d.vacancies(s)
+	status.FreeVoters = d.vacancies(env)
 	status.Successor = d.handover.successor
 	if d.list.pendingWrites > 0 {
 		status.Formed = false
@@ -147,14 +147,14 @@
 }
 
 // vacancies lists the voters whose holders are gone, as far as this process knows.
-func (d *discoveredVoters) vacancies(s *statemachine.Env) []string {
+func (d *discoveredVoters) vacancies(env *statemachine.Env) []string {
 	vacant := []string{}
 	if !d.Voting() || d.list.pendingWrites > 0 {
 		return vacant
 	}
 	for _, voter := range d.names() {
 		holder := parseIdentity(d.State.MemberList[voter])
-		if voter != d.Voter && d.directory.NodeGone(s, holder.node) {
+		if voter != d.Voter && d.directory.NodeGone(env, holder.node) {
 			vacant = append(vacant, voter)
 		}
 	}
@@ -162,43 +162,43 @@
 }
 
 // othersVoting says that every other voter was heard to vote, not long ago.
-func (d *discoveredVoters) othersVoting(s *statemachine.Env) bool {
+func (d *discoveredVoters) othersVoting(env *statemachine.Env) bool {
 	for _, voter := range d.names() {
 		if voter == d.Voter {
 			continue
 		}
 		received, known := d.statuses[voter]
-		if !known || !received.status.Voting || s.Now-received.at > d.settings.DigestEvery()*votingFreshIntervals {
+		if !known || !received.status.Voting || env.Now-received.at > d.settings.DigestEvery()*votingFreshIntervals {
 			return false
 		}
 	}
 	return true
 }
 
-func (d *discoveredVoters) handle(s *statemachine.Env, from string, msg any) {
+func (d *discoveredVoters) handle(env *statemachine.Env, from string, msg any) {
 	switch received := msg.(type) {
 	case message.VoterStatus:
 		if IdentityOf(received.Identity) != d.State.Identity {
-			d.handleStatus(s, from, received)
+			d.handleStatus(env, from, received)
 		}
 	case message.VoterClaim:
-		d.handleClaim(s, from, received)
+		d.handleClaim(env, from, received)
 	case message.VoterGrant:
 		if received.To == d.State.Identity && !d.State.Formed && !d.writing {
-			d.handleGrant(s, received)
+			d.handleGrant(env, received)
 		}
 	}
 }
 
-func (d *discoveredVoters) handleStatus(s *statemachine.Env, from string, status message.VoterStatus) {
+func (d *discoveredVoters) handleStatus(env *statemachine.Env, from string, status message.VoterStatus) {
 	if d.State.Identity == "" || d.writing || d.retired() {
 		return
 	}
 	if status.Successor == d.settings.Node {
-		d.nextStatusAt = s.Now
+		d.nextStatusAt = env.Now
 	}
 	if status.WantsReply {
-		s.Send(from, d.fullStatus(s, false))
+		env.Send(from, d.fullStatus(env, false))
 	}
 	if status.NonVoter {
 		d.bootstrap.nonVoters[from] = true
@@ -206,37 +206,37 @@
 	}
 	sender := parseIdentity(status.Identity).node
 	if !status.Formed {
-		d.bootstrap.candidates[sender] = receivedStatus{from: from, status: status, at: s.Now}
-		d.advanceBootstrap(s)
+		d.bootstrap.candidates[sender] = receivedStatus{from: from, status: status, at: env.Now}
+		d.advanceBootstrap(env)
 		return
 	}
 	delete(d.bootstrap.candidates, sender)
-	if d.recordVoter(s, from, status) {
-		d.followFormedGroup(s, status)
+	if d.recordVoter(env, from, status) {
+		d.followFormedGroup(env, status)
 	}
 }
 
 // recordVoter keeps the status of a voter of the formed group; false when the sender is not, or no longer, the
 // holder of its voter.
-func (d *discoveredVoters) recordVoter(s *statemachine.Env, from string, status message.VoterStatus) bool {
+func (d *discoveredVoters) recordVoter(env *statemachine.Env, from string, status message.VoterStatus) bool {
 	if d.State.Formed {
-		if !d.joinMemberList(s, status.MemberList) || d.State.MemberList[status.Voter] != status.Identity {
+		if !d.joinMemberList(env, status.MemberList) || d.State.MemberList[status.Voter] != status.Identity {
 			return false
 		}
 	} else if last, known := d.statuses[status.Voter]; known && last.status.Identity > status.Identity {
 		return false
 	}
-	d.statuses[status.Voter] = receivedStatus{from: from, status: status, at: s.Now}
+	d.statuses[status.Voter] = receivedStatus{from: from, status: status, at: env.Now}
 	return true
 }
 
 // recentVoters joins the member lists of the voters that were heard recently, and lists the statuses of those
 // that vote and hold their voter by the joined list.
-func (d *discoveredVoters) recentVoters(s *statemachine.Env) (list memberList, voting []message.VoterStatus) {
+func (d *discoveredVoters) recentVoters(env *statemachine.Env) (list memberList, voting []message.VoterStatus) {
 	list = memberList{}
 	names := d.names()
 	for _, voter := range names {
-		if received, known := d.statuses[voter]; known && d.recent(s, received) {
+		if received, known := d.statuses[voter]; known && d.recent(env, received) {
 			for member, holder := range received.status.MemberList {
 				list[member] = max(list[member], holder)
 			}
@@ -244,17 +244,17 @@
 	}
 	for _, voter := range names {
 		received, known := d.statuses[voter]
-		if known && d.recent(s, received) && received.status.Voting && list[voter] == received.status.Identity {
+		if known && d.recent(env, received) && received.status.Voting && list[voter] == received.status.Identity {
 			voting = append(voting, received.status)
 		}
 	}
 	return list, voting
 }
 
-func (d *discoveredVoters) standby(s *statemachine.Env) bool {
+func (d *discoveredVoters) standby(env *statemachine.Env) bool {
 	if d.State.Formed || d.State.Voter != "" {
 		return false
 	}
-	_, voting := d.recentVoters(s)
+	_, voting := d.recentVoters(env)
 	return len(voting) >= d.majority()
 }
--- a/internal/quorum/discovered_bootstrap.go
+++ b/internal/quorum/discovered_bootstrap.go
@@ -13,6 +13,9 @@
 // stableIntervals is for how many status intervals the candidates must have been the same before a proposal.
 const stableIntervals = 2
 
+// spreadInsufficient is the cause that an operator reads.
+const spreadInsufficient = "the machines that were heard don't allow the spread over zones that the settings want"
+
 // bootstrapState is what a process knows that takes part in forming the group.
 type bootstrapState struct {
 	candidates     map[string]receivedStatus // processes without a voter, by node
@@ -24,7 +27,7 @@
 // advanceBootstrap forms the group when all members of this process's proposal hold the same one. It makes a
 // new proposal when there is none, or when one of its members has moved on to another: that member will never
 // hold this one, so no group is formed by it.
-func (d *discoveredVoters) advanceBootstrap(s *statemachine.Env) {
+func (d *discoveredVoters) advanceBootstrap(env *statemachine.Env) {
 	proposed := len(d.State.Proposal) > 0
 	if d.State.Formed || !d.State.Founder || d.writing || proposed && !d.proposalSynced {
 		return
@@ -32,16 +35,16 @@
 	if proposed {
 		matching, superseded := d.countProposals()
 		if matching == len(d.State.Proposal) {
-			d.form(s, d.State.Proposal)
+			d.form(env, d.State.Proposal)
 			return
 		}
 		if !superseded {
 			return
 		}
 	}
-	list, ready := d.nextProposal(s)
+	list, ready := d.nextProposal(env)
 	if ready {
-		d.propose(s, list)
+		d.propose(env, list)
 	}
 }
 
@@ -67,14 +70,14 @@
 
 // nextProposal is the member list that this process would form the group with. ready is false while there are
 // not enough candidates, they changed lately, or this process is not chosen itself.
-func (d *discoveredVoters) nextProposal(s *statemachine.Env) (list memberList, ready bool) {
-	founders := d.recentFounders(s)
+func (d *discoveredVoters) nextProposal(env *statemachine.Env) (list memberList, ready bool) {
+	founders := d.recentFounders(env)
 	nodes := strings.Join(slices.Sorted(maps.Keys(founders)), " ")
 	if nodes != d.bootstrap.nodes {
-		d.bootstrap.nodes, d.bootstrap.nodesChangedAt = nodes, s.Now
+		d.bootstrap.nodes, d.bootstrap.nodesChangedAt = nodes, env.Now
 	}
-	unchangedFor := s.Now - d.bootstrap.nodesChangedAt
-	anchor, anchorKnown := d.anchor(s)
+	unchangedFor := env.Now - d.bootstrap.nodesChangedAt
+	anchor, anchorKnown := d.anchor(env)
 	count := len(d.settings.Voters)
 	if len(founders) < count || !anchorKnown || unchangedFor < d.settings.DigestEvery()*stableIntervals {
 		return nil, false
@@ -95,10 +98,10 @@
 }
 
 // recentFounders is the identities, by node, of the processes that take part in forming the group.
-func (d *discoveredVoters) recentFounders(s *statemachine.Env) map[string]string {
+func (d *discoveredVoters) recentFounders(env *statemachine.Env) map[string]string {
 	identities := map[string]string{d.settings.Node: d.State.Identity}
 	for nodeName, received := range d.bootstrap.candidates {
-		if received.status.Founder && d.recent(s, received) && nodeName != d.settings.Node {
+		if received.status.Founder && d.recent(env, received) && nodeName != d.settings.Node {
 			identities[nodeName] = received.status.Identity
 		}
 	}
@@ -108,21 +111,21 @@
 // anchor is the identity that every proposal has to name: that of the first process of the settings' anchors
 // that may vote; "" without anchors. It makes any two proposals share a member, so that two groups are never
 // formed.
-func (d *discoveredVoters) anchor(s *statemachine.Env) (anchor string, known bool) {
+func (d *discoveredVoters) anchor(env *statemachine.Env) (anchor string, known bool) {
 	for _, address := range d.settings.Anchors {
 		if address == d.settings.Address {
 			return d.State.Identity, true
 		}
 		if !d.bootstrap.nonVoters[address] {
-			return d.founderAt(s, address)
+			return d.founderAt(env, address)
 		}
 	}
 	return "", len(d.settings.Anchors) == 0
 }
 
-func (d *discoveredVoters) founderAt(s *statemachine.Env, address string) (founder string, known bool) {
+func (d *discoveredVoters) founderAt(env *statemachine.Env, address string) (founder string, known bool) {
 	for _, received := range d.bootstrap.candidates {
-		if received.from == address && received.status.Founder && d.recent(s, received) {
+		if received.from == address && received.status.Founder && d.recent(env, received) {
 			return received.status.Identity, true
 		}
 	}
@@ -149,18 +152,18 @@
 	return highest
 }
 
-func (d *discoveredVoters) propose(s *statemachine.Env, list memberList) {
+func (d *discoveredVoters) propose(env *statemachine.Env, list memberList) {
 	round := d.nextRound(list)
 	d.State.Proposal, d.State.Round, d.proposalSynced = list, round, false
-	s.Event(eventProposed, 0, round, d.bootstrap.nodes)
+	env.Event(eventProposed, 0, round, d.bootstrap.nodes)
 	if !d.placement().survivesWorstLoss(list.identities()) {
-		s.Event(eventSpreadInsufficient, 0, round, "the machines that were heard don't allow the spread over zones that the settings want")
+		env.Event(eventSpreadInsufficient, 0, round, spreadInsufficient)
 	}
-	d.storage.Persist(s, d.State, func(s *statemachine.Env, failure error) {
+	d.storage.Persist(env, d.State, func(env *statemachine.Env, failure error) {
 		if failure == nil && d.State.Round == round && maps.Equal(list, d.State.Proposal) {
 			d.proposalSynced = true
-			d.nextStatusAt = s.Now
-			d.advanceBootstrap(s)
+			d.nextStatusAt = env.Now
+			d.advanceBootstrap(env)
 		}
 	})
 }
@@ -168,21 +171,21 @@
 // followFormedGroup ends this process's part in the bootstrap when a group was formed. If that group has the
 // voter of this process's proposal, it was formed by that proposal; else it was formed without this process,
 // which is a newcomer from then on.
-func (d *discoveredVoters) followFormedGroup(s *statemachine.Env, status message.VoterStatus) {
+func (d *discoveredVoters) followFormedGroup(env *statemachine.Env, status message.VoterStatus) {
 	if d.State.Formed || !d.State.Founder {
 		return
 	}
 	for voter, holder := range d.State.Proposal {
 		if d.proposalSynced && holder == d.State.Identity && status.MemberList[voter] == holder {
-			d.form(s, d.State.Proposal)
+			d.form(env, d.State.Proposal)
 			return
 		}
 	}
-	s.Event(eventFormedWithout, 0, 0, d.settings.Node)
-	d.startAnew(s, false)
+	env.Event(eventFormedWithout, 0, 0, d.settings.Node)
+	d.startAnew(env, false)
 }
 
-func (d *discoveredVoters) form(s *statemachine.Env, list memberList) {
+func (d *discoveredVoters) form(env *statemachine.Env, list memberList) {
 	d.State.Formed, d.State.Voting = true, true
 	d.setMemberList(maps.Clone(list))
 	for voter, holder := range list {
@@ -190,10 +193,10 @@
 			d.Voter, d.State.Voter = voter, voter
 		}
 	}
-	d.startVoting(s, true, d.announceVoter)
+	d.startVoting(env, true, d.announceVoter)
 }
 
-func (d *discoveredVoters) announceVoter(s *statemachine.Env) {
+func (d *discoveredVoters) announceVoter(env *statemachine.Env) {
 	d.directory.AnnounceVoter(d.Voter)
-	d.nextStatusAt = s.Now
+	d.nextStatusAt = env.Now
 }
--- a/internal/quorum/discovered_grant.go
+++ b/internal/quorum/discovered_grant.go
@@ -9,9 +9,9 @@
 
 // handleClaim grants or refuses another process's claim on a voter. A grant is sent only once the member list
 // with the claimant is synced, after which this process signs nothing on the earlier list.
-func (d *discoveredVoters) handleClaim(s *statemachine.Env, from string, claim message.VoterClaim) {
+func (d *discoveredVoters) handleClaim(env *statemachine.Env, from string, claim message.VoterClaim) {
 	if d.leaving() && claim.Voter == d.Voter {
-		d.releaseVoter(s, from, claim)
+		d.releaseVoter(env, from, claim)
 		return
 	}
 	holder, listed := d.State.MemberList[claim.Voter]
@@ -20,48 +20,48 @@
 	}
 	switch {
 	case claim.Identity == holder:
-		d.grantIfListed(s, from, claim)
-	case d.mayReplace(s, holder, claim):
-		d.grantNew(s, from, claim)
+		d.grantIfListed(env, from, claim)
+	case d.mayReplace(env, holder, claim):
+		d.grantNew(env, from, claim)
 	default:
-		d.refuse(s, from, claim)
+		d.refuse(env, from, claim)
 	}
 }
 
 // mayReplace says that a claim may replace the holder of its voter: its identity is later, and the holder's own
 // node claims again, is gone, or hands the voter over to the claimant.
-func (d *discoveredVoters) mayReplace(s *statemachine.Env, holder string, claim message.VoterClaim) bool {
+func (d *discoveredVoters) mayReplace(env *statemachine.Env, holder string, claim message.VoterClaim) bool {
 	if claim.Identity < holder || claim.Voter == d.Voter {
 		return false
 	}
-	return d.vacated(s, holder, claim) || guardsOff.vacated
+	return d.vacated(env, holder, claim) || guardsOff.vacated
 }
 
-func (d *discoveredVoters) vacated(s *statemachine.Env, holder string, claim message.VoterClaim) bool {
+func (d *discoveredVoters) vacated(env *statemachine.Env, holder string, claim message.VoterClaim) bool {
 	claimant, holderNode := parseIdentity(claim.Identity).node, parseIdentity(holder).node
-	if claimant == holderNode || d.directory.NodeGone(s, holderNode) {
+	if claimant == holderNode || d.directory.NodeGone(env, holderNode) {
 		return true
 	}
 	return d.handsOverTo(claim.Voter, holder, claimant)
 }
 
-func (d *discoveredVoters) grantNew(s *statemachine.Env, to string, claim message.VoterClaim) {
+func (d *discoveredVoters) grantNew(env *statemachine.Env, to string, claim message.VoterClaim) {
 	list := memberList(d.State.MemberList).with(claim.Voter, claim.Identity)
-	d.writeMemberList(s, list, func(s *statemachine.Env) { d.grantIfListed(s, to, claim) })
+	d.writeMemberList(env, list, func(env *statemachine.Env) { d.grantIfListed(env, to, claim) })
 	if guardsOff.writtenGrant {
-		d.sendGrant(s, to, claim)
+		d.sendGrant(env, to, claim)
 	}
 }
 
 // grantIfListed grants a claim that the synced member list has.
-func (d *discoveredVoters) grantIfListed(s *statemachine.Env, to string, claim message.VoterClaim) {
+func (d *discoveredVoters) grantIfListed(env *statemachine.Env, to string, claim message.VoterClaim) {
 	if d.Voting() && d.list.pendingWrites == 0 && d.State.MemberList[claim.Voter] == claim.Identity {
-		d.sendGrant(s, to, claim)
+		d.sendGrant(env, to, claim)
 	}
 }
 
-func (d *discoveredVoters) refuse(s *statemachine.Env, to string, claim message.VoterClaim) {
-	s.Send(to, message.VoterGrant{
+func (d *discoveredVoters) refuse(env *statemachine.Env, to string, claim message.VoterClaim) {
+	env.Send(to, message.VoterGrant{
 		Group:      d.Group,
 		Voter:      d.Voter,
 		Identity:   d.State.Identity,
--- a/internal/quorum/discovered_memberlist.go
+++ b/internal/quorum/discovered_memberlist.go
@@ -63,58 +63,58 @@
 
 // hastenAfterMismatch sends statuses at once after a signature on another member list, so that the lists are
 // joined soon.
-func (d *discoveredVoters) hastenAfterMismatch(s *statemachine.Env) {
-	if !d.list.mismatch || s.Now < d.list.nextMismatchAt {
+func (d *discoveredVoters) hastenAfterMismatch(env *statemachine.Env) {
+	if !d.list.mismatch || env.Now < d.list.nextMismatchAt {
 		return
 	}
 	d.list.mismatch = false
-	d.list.nextMismatchAt = s.Now + d.settings.DigestEvery()/mismatchPause
-	d.nextStatusAt = s.Now
+	d.list.nextMismatchAt = env.Now + d.settings.DigestEvery()/mismatchPause
+	d.nextStatusAt = env.Now
 }
 
 // joinMemberList takes what is newer in another's member list, and has it synced before anything more is
 // signed; false when this process's own voter was given to another.
-func (d *discoveredVoters) joinMemberList(s *statemachine.Env, other memberList) bool {
+func (d *discoveredVoters) joinMemberList(env *statemachine.Env, other memberList) bool {
 	joined, grown := memberList(d.State.MemberList).join(other)
 	if !grown {
 		return true
 	}
 	if joined[d.Voter] != d.State.Identity {
-		d.loseVoter(s, joined[d.Voter])
+		d.loseVoter(env, joined[d.Voter])
 		return false
 	}
-	d.writeMemberList(s, joined, func(*statemachine.Env) {})
+	d.writeMemberList(env, joined, func(*statemachine.Env) {})
 	return true
 }
 
-func (d *discoveredVoters) loseVoter(s *statemachine.Env, holder string) {
-	s.Event(eventLost, 0, 0, d.Voter+" to "+parseIdentity(holder).node)
+func (d *discoveredVoters) loseVoter(env *statemachine.Env, holder string) {
+	env.Event(eventLost, 0, 0, d.Voter+" to "+parseIdentity(holder).node)
 	d.directory.AnnounceVoter("")
-	d.transfer.DiscardState(s)
+	d.transfer.DiscardState(env)
 	d.statuses = map[string]receivedStatus{}
 	d.grants = map[string]message.VoterGrant{}
 	d.claim.vacantSince = map[string]time.Duration{}
-	d.startAnew(s, false)
+	d.startAnew(env, false)
 }
 
 // writeMemberList syncs a newer member list, and sends statuses with it at once.
-func (d *discoveredVoters) writeMemberList(s *statemachine.Env, list memberList, then func(s *statemachine.Env)) {
+func (d *discoveredVoters) writeMemberList(env *statemachine.Env, list memberList, then func(env *statemachine.Env)) {
 	for voter, holder := range list {
 		if d.State.MemberList[voter] != holder {
 			delete(d.statuses, voter)
 			replacedBy := parseIdentity(holder)
-			s.Event(eventReplaced, 0, int64(replacedBy.edition), voter+" by "+replacedBy.node)
+			env.Event(eventReplaced, 0, int64(replacedBy.edition), voter+" by "+replacedBy.node)
 		}
 	}
 	d.setMemberList(list)
 	d.list.pendingWrites++
 	writer := d.State.Identity
-	d.storage.Persist(s, d.State, func(s *statemachine.Env, failure error) {
+	d.storage.Persist(env, d.State, func(env *statemachine.Env, failure error) {
 		if failure != nil || d.State.Identity != writer {
 			return
 		}
 		d.list.pendingWrites--
-		d.nextStatusAt = s.Now
-		then(s)
+		d.nextStatusAt = env.Now
+		then(env)
 	})
 }
--- a/internal/quorum/fleet_test.go
+++ b/internal/quorum/fleet_test.go
@@ -88,7 +88,7 @@
 	return state
 }
 
-func (p *process) Persist(s *statemachine.Env, record any, then storage.SyncCallback) {
+func (p *process) Persist(env *statemachine.Env, record any, then storage.SyncCallback) {
 	state := copyState(p.quorum.State)
 	p.pendingWrites = append(p.pendingWrites, func() {
 		p.disk = &state
@@ -96,8 +96,8 @@
 	})
 }
 
-func (p *process) WriteSnapshot(s *statemachine.Env, then storage.SyncCallback) {
-	p.Persist(s, nil, then)
+func (p *process) WriteSnapshot(env *statemachine.Env, then storage.SyncCallback) {
+	p.Persist(env, nil, then)
 }
 func (p *process) Failure() error              { return nil }
 func (p *process) WriteLatency() time.Duration { return 0 }
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -18,20 +18,20 @@
 	released  *message.VoterGrant // the grant to the successor, once it is synced
 }
 
-func (d *discoveredVoters) handOver(s *statemachine.Env) bool {
+func (d *discoveredVoters) handOver(env *statemachine.Env) bool {
 	if d.leaving() {
 		return true
 	}
 	if !d.Voting() {
 		return false
 	}
-	successors := d.possibleSuccessors(s)
+	successors := d.possibleSuccessors(env)
 	if len(successors) == 0 {
 		return false
 	}
 	d.handover.successor = successors[0]
-	d.nextStatusAt = s.Now
-	s.Event(eventLeaving, 0, 0, d.Voter+" to "+d.handover.successor)
+	d.nextStatusAt = env.Now
+	env.Event(eventLeaving, 0, 0, d.Voter+" to "+d.handover.successor)
 	return true
 }
 
@@ -48,7 +48,7 @@
 }
 
 // possibleSuccessors lists the nodes without a voter that were heard recently, by name.
-func (d *discoveredVoters) possibleSuccessors(s *statemachine.Env) []string {
+func (d *discoveredVoters) possibleSuccessors(env *statemachine.Env) []string {
 	nodes := []string{}
 	for _, nodeName := range slices.Sorted(maps.Keys(d.bootstrap.candidates)) {
 		received := d.bootstrap.candidates[nodeName]
@@ -56,7 +56,7 @@
 		zone := parseIdentity(status.Identity).zone
 		free := status.Voter == "" && !status.Founder
 		spread := d.placement().keepsSpread(d.State.MemberList, d.Voter, zone)
-		if free && spread && d.recent(s, received) && !d.directory.NodeGone(s, nodeName) {
+		if free && spread && d.recent(env, received) && !d.directory.NodeGone(env, nodeName) {
 			nodes = append(nodes, nodeName)
 		}
 	}
@@ -70,16 +70,16 @@
 }
 
 // offeredToThisNode says that the holder of a voter hands it over to this node now.
-func (d *discoveredVoters) offeredToThisNode(s *statemachine.Env, voter, holder string) bool {
-	return d.recent(s, d.statuses[voter]) && d.handsOverTo(voter, holder, d.settings.Node)
+func (d *discoveredVoters) offeredToThisNode(env *statemachine.Env, voter, holder string) bool {
+	return d.recent(env, d.statuses[voter]) && d.handsOverTo(voter, holder, d.settings.Node)
 }
 
 // releaseVoter grants the claim on this leaving process's own voter, if it is its successor's. The newer list is
 // written before the grant is sent, and the process never signs again.
-func (d *discoveredVoters) releaseVoter(s *statemachine.Env, to string, claim message.VoterClaim) {
+func (d *discoveredVoters) releaseVoter(env *statemachine.Env, to string, claim message.VoterClaim) {
 	if released := d.handover.released; released != nil {
 		if released.To == claim.Identity {
-			s.Send(to, *released)
+			env.Send(to, *released)
 		}
 		return
 	}
@@ -98,14 +98,14 @@
 	d.setMemberList(list)
 	d.State.Voting = false
 	d.list.pendingWrites++ // never taken back: this process signs and counts nothing any more
-	d.storage.Persist(s, d.State, func(s *statemachine.Env, failure error) {
+	d.storage.Persist(env, d.State, func(env *statemachine.Env, failure error) {
 		if failure != nil {
 			return
 		}
 		d.handover.released = &grant
 		edition := parseIdentity(claim.Identity).edition
-		s.Event(eventReleased, 0, int64(edition), d.Voter+" to "+d.handover.successor)
-		s.Send(to, grant)
+		env.Event(eventReleased, 0, int64(edition), d.Voter+" to "+d.handover.successor)
+		env.Send(to, grant)
 	})
 }
 
--- a/internal/quorum/host.go
+++ b/internal/quorum/host.go
@@ -11,9 +11,9 @@
 // Storage is the disk of the process.
 type Storage interface {
 	// Persist appends a record and calls then once it is synced.
-	Persist(s *statemachine.Env, record any, then storage.SyncCallback)
+	Persist(env *statemachine.Env, record any, then storage.SyncCallback)
 	// WriteSnapshot writes the process's whole state and calls then once it is synced.
-	WriteSnapshot(s *statemachine.Env, then storage.SyncCallback)
+	WriteSnapshot(env *statemachine.Env, then storage.SyncCallback)
 	// Failure is the error of the first write that failed; nil for none.
 	Failure() error
 }
@@ -23,7 +23,7 @@
 	// Peers lists the other processes of the group that are not known to be dead.
 	Peers() []message.Member
 	// NodeGone says that a node is dead or has left.
-	NodeGone(s *statemachine.Env, nodeName string) bool
+	NodeGone(env *statemachine.Env, nodeName string) bool
 	// Superseded says that a later process with this node's name runs at another address.
 	Superseded() bool
 	// AnnounceVoter tells the members which voter this process holds; "" for none.
@@ -35,9 +35,9 @@
 	// StateForGrant encodes all that this voter has acknowledged.
 	StateForGrant() []byte
 	// MergeGrantedStates takes over the states of the granters.
-	MergeGrantedStates(s *statemachine.Env, states [][]byte)
+	MergeGrantedStates(env *statemachine.Env, states [][]byte)
 	// DiscardState drops the state of a voter that another process holds now.
-	DiscardState(s *statemachine.Env)
+	DiscardState(env *statemachine.Env)
 }
 
 // Host is the machine around the quorum and the leases.
--- a/internal/quorum/identity.go
+++ b/internal/quorum/identity.go
@@ -53,8 +53,8 @@
 }
 
 // randomIdentity makes the identity of a voter that the settings name.
-func randomIdentity(s *statemachine.Env) string {
-	first, second := s.Random.Uint64(), s.Random.Uint64()
+func randomIdentity(env *statemachine.Env) string {
+	first, second := env.Random.Uint64(), env.Random.Uint64()
 	return formatRandom(first, second)
 }
 
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -9,9 +9,9 @@
 // voterSet is a design of keeping the voters of a group.
 type voterSet interface {
 	// tick does what is due: it sends statuses, forms the group, or claims a voter.
-	tick(s *statemachine.Env)
+	tick(env *statemachine.Env)
 	// handle takes a VoterStatus, VoterClaim or VoterGrant of this group.
-	handle(s *statemachine.Env, from string, msg any)
+	handle(env *statemachine.Env, from string, msg any)
 	// names lists the voters of the group.
 	names() []string
 	// signature is what this process signs with; "" while it must not sign.
@@ -21,9 +21,9 @@
 	// counts says that an acknowledgement with this signature counts towards a majority.
 	counts(voter, signature string) bool
 	// standby says that the group is complete and this process holds no voter in it.
-	standby(s *statemachine.Env) bool
+	standby(env *statemachine.Env) bool
 	// handOver begins the planned replacement of this voter; false when nobody can take it.
-	handOver(s *statemachine.Env) bool
+	handOver(env *statemachine.Env) bool
 	// handedOver says that another process holds this voter now.
 	handedOver() bool
 	// pendingListWrites counts the member lists that are not on disk yet.
@@ -40,7 +40,7 @@
 // beginVoting is called each time that this process becomes a voter; fresh says that the group was just
 // formed, so that nobody has voted before.
 func New(group string, cfg settings.Settings, host Host, state message.VoterState,
-	beginVoting func(s *statemachine.Env, fresh bool)) *Quorum {
+	beginVoting func(env *statemachine.Env, fresh bool)) *Quorum {
 	replica := newReplica(group, cfg, host, state, beginVoting)
 	if cfg.VoterCount > 0 {
 		return &Quorum{Replica: replica, voters: newDiscoveredVoters(replica)}
@@ -52,16 +52,16 @@
 func (q *Quorum) Discovered() bool { return q.settings.VoterCount > 0 }
 
 // Tick sends statuses, forms the group, or claims a voter, as is due.
-func (q *Quorum) Tick(s *statemachine.Env) { q.voters.tick(s) }
+func (q *Quorum) Tick(env *statemachine.Env) { q.voters.tick(env) }
 
 // Handle takes a message about voters; it returns false for any other.
-func (q *Quorum) Handle(s *statemachine.Env, from string, msg any) bool {
+func (q *Quorum) Handle(env *statemachine.Env, from string, msg any) bool {
 	group, isVoterMessage := groupOf(msg)
 	if !isVoterMessage {
 		return false
 	}
 	if group == q.Group {
-		q.voters.handle(s, from, msg)
+		q.voters.handle(env, from, msg)
 	}
 	return true
 }
@@ -114,11 +114,11 @@
 }
 
 // Standby says whether the group is complete and this process holds no voter in it.
-func (q *Quorum) Standby(s *statemachine.Env) bool { return q.voters.standby(s) }
+func (q *Quorum) Standby(env *statemachine.Env) bool { return q.voters.standby(env) }
 
 // handOver begins the planned replacement of this voter; false when there is nobody to hand over to, or
 // nothing to hand over. After true the caller waits for handedOver.
-func (q *Quorum) handOver(s *statemachine.Env) bool { return q.voters.handOver(s) }
+func (q *Quorum) handOver(env *statemachine.Env) bool { return q.voters.handOver(env) }
 
 // handedOver says that another process has this voter: this one votes no more and may end.
 func (q *Quorum) handedOver() bool { return q.voters.handedOver() }
--- a/internal/quorum/replica.go
+++ b/internal/quorum/replica.go
@@ -38,7 +38,7 @@
 	storage     Storage
 	directory   Directory
 	transfer    StateTransfer
-	beginVoting func(s *statemachine.Env, fresh bool)
+	beginVoting func(env *statemachine.Env, fresh bool)
 
 	statuses       map[string]receivedStatus     // of the others, by voter
 	grants         map[string]message.VoterGrant // for this process's claim, by granter's voter
@@ -48,7 +48,7 @@
 }
 
 func newReplica(group string, cfg settings.Settings, host Host, state message.VoterState,
-	beginVoting func(s *statemachine.Env, fresh bool)) *Replica {
+	beginVoting func(env *statemachine.Env, fresh bool)) *Replica {
 	if state.MemberList == nil {
 		state.MemberList = map[string]string{}
 	}
@@ -85,8 +85,8 @@
 }
 
 // recent says that a status was received not long ago.
-func (r *Replica) recent(s *statemachine.Env, received receivedStatus) bool {
-	return s.Now-received.at <= r.settings.DigestEvery()*freshIntervals
+func (r *Replica) recent(env *statemachine.Env, received receivedStatus) bool {
+	return env.Now-received.at <= r.settings.DigestEvery()*freshIntervals
 }
 
 // status is what this process tells of itself.
@@ -116,32 +116,32 @@
 
 // startVoting writes the whole state, announces the voter, and only then votes. fresh says that the group was
 // just formed.
-func (r *Replica) startVoting(s *statemachine.Env, fresh bool, announce func(s *statemachine.Env)) {
+func (r *Replica) startVoting(env *statemachine.Env, fresh bool, announce func(env *statemachine.Env)) {
 	r.writing = !guardsOff.writtenStand
-	r.finishSnapshot(s, func(s *statemachine.Env) {
+	r.finishSnapshot(env, func(env *statemachine.Env) {
 		eventName := eventRecovered
 		if fresh {
 			eventName = eventGroupFormed
 		}
-		s.Event(eventName, 0, 0, r.Voter)
-		announce(s)
-		r.beginVoting(s, fresh)
+		env.Event(eventName, 0, 0, r.Voter)
+		announce(env)
+		r.beginVoting(env, fresh)
 	})
 }
 
 // finishSnapshot writes the whole state, which ends the write on which everything waits.
-func (r *Replica) finishSnapshot(s *statemachine.Env, then func(s *statemachine.Env)) {
-	r.storage.WriteSnapshot(s, func(s *statemachine.Env, failure error) {
+func (r *Replica) finishSnapshot(env *statemachine.Env, then func(env *statemachine.Env)) {
+	r.storage.WriteSnapshot(env, func(env *statemachine.Env, failure error) {
 		r.writing = failure != nil
 		if failure == nil {
-			then(s)
+			then(env)
 		}
 	})
 }
 
 // sendGrant lets a claimant have its voter and tells it this voter's state.
-func (r *Replica) sendGrant(s *statemachine.Env, to string, claim message.VoterClaim) {
-	s.Send(to, message.VoterGrant{
+func (r *Replica) sendGrant(env *statemachine.Env, to string, claim message.VoterClaim) {
+	env.Send(to, message.VoterGrant{
 		Group:      r.Group,
 		Voter:      r.Voter,
 		Identity:   r.State.Identity,
--- a/internal/quorum/static.go
+++ b/internal/quorum/static.go
@@ -26,82 +26,82 @@
 
 func (v *staticVoters) counts(voter, signature string) bool { return v.accepts(voter, signature) }
 
-func (v *staticVoters) tick(s *statemachine.Env) {
+func (v *staticVoters) tick(env *statemachine.Env) {
 	if v.State.Identity == "" {
-		v.makeIdentity(s)
+		v.makeIdentity(env)
 		return
 	}
-	if s.Now < v.nextStatusAt || v.writing {
+	if env.Now < v.nextStatusAt || v.writing {
 		return
 	}
-	v.nextStatusAt = s.Now + v.settings.DigestEvery()
+	v.nextStatusAt = env.Now + v.settings.DigestEvery()
 	if v.Voting() {
-		v.nextStatusAt = s.Now + v.settings.DigestEvery()*calmFactor
+		v.nextStatusAt = env.Now + v.settings.DigestEvery()*calmFactor
 	}
 	for _, peer := range v.directory.Peers() {
 		if peer.Voter == v.Voter {
 			continue
 		}
 		if v.mustClaim() {
-			s.Send(peer.Address, message.VoterClaim{Group: v.Group, Voter: v.Voter, Identity: v.State.Identity})
+			env.Send(peer.Address, message.VoterClaim{Group: v.Group, Voter: v.Voter, Identity: v.State.Identity})
 		} else {
-			s.Send(peer.Address, v.status(true))
+			env.Send(peer.Address, v.status(true))
 		}
 	}
 }
 
-func (v *staticVoters) makeIdentity(s *statemachine.Env) {
-	v.State.Identity = randomIdentity(s)
+func (v *staticVoters) makeIdentity(env *statemachine.Env) {
+	v.State.Identity = randomIdentity(env)
 	clear(v.State.MemberList)
 	clear(v.State.Proposal)
 	v.writing = true
-	v.finishSnapshot(s, func(*statemachine.Env) {})
-	s.Event(eventIdentityMade, 0, 0, v.Voter)
+	v.finishSnapshot(env, func(*statemachine.Env) {})
+	env.Event(eventIdentityMade, 0, 0, v.Voter)
 }
 
-func (v *staticVoters) handle(s *statemachine.Env, from string, msg any) {
+func (v *staticVoters) handle(env *statemachine.Env, from string, msg any) {
 	switch received := msg.(type) {
 	case message.VoterStatus:
 		if received.Voter != v.Voter {
-			v.handleStatus(s, from, received)
+			v.handleStatus(env, from, received)
 		}
 	case message.VoterClaim:
 		if received.Voter != v.Voter {
-			v.handleClaim(s, from, received)
+			v.handleClaim(env, from, received)
 		}
 	case message.VoterGrant:
 		if received.To == v.State.Identity {
-			v.handleGrant(s, received)
+			v.handleGrant(env, received)
 		}
 	}
 }
 
-func (v *staticVoters) handleStatus(s *statemachine.Env, from string, status message.VoterStatus) {
+func (v *staticVoters) handleStatus(env *statemachine.Env, from string, status message.VoterStatus) {
 	if v.State.Identity == "" || v.writing {
 		return
 	}
 	if status.WantsReply {
-		s.Send(from, v.status(false))
+		env.Send(from, v.status(false))
 	}
 	if v.State.Formed && !v.accepts(status.Voter, status.Identity) {
 		return
 	}
-	v.statuses[status.Voter] = receivedStatus{from: from, status: status, at: s.Now}
+	v.statuses[status.Voter] = receivedStatus{from: from, status: status, at: env.Now}
 	if status.Formed {
-		v.handleFormed(s, status)
+		v.handleFormed(env, status)
 		return
 	}
-	v.advanceBootstrap(s)
+	v.advanceBootstrap(env)
 }
 
 // handleFormed takes the member list of a voter that knows a formed group.
-func (v *staticVoters) handleFormed(s *statemachine.Env, status message.VoterStatus) {
+func (v *staticVoters) handleFormed(env *statemachine.Env, status message.VoterStatus) {
 	switch {
 	case v.completesProposal(status.MemberList):
-		v.form(s, status.MemberList)
+		v.form(env, status.MemberList)
 	case status.MemberList[v.Voter] != v.State.Identity && v.State.Voting && !v.Removed:
 		v.Removed = true
-		s.Event(eventRemoved, int(errcode.VoterShutOut), 0, v.Voter+" by the member list of "+status.Voter)
+		env.Event(eventRemoved, int(errcode.VoterShutOut), 0, v.Voter+" by the member list of "+status.Voter)
 	}
 }
 
--- a/internal/quorum/static_bootstrap.go
+++ b/internal/quorum/static_bootstrap.go
@@ -8,33 +8,33 @@
 
 // advanceBootstrap proposes the member list of a new group, and forms the group once all its voters have
 // proposed the same list.
-func (v *staticVoters) advanceBootstrap(s *statemachine.Env) {
+func (v *staticVoters) advanceBootstrap(env *statemachine.Env) {
 	if v.State.Formed {
 		return
 	}
-	list, complete := v.emptyVoters(s)
+	list, complete := v.emptyVoters(env)
 	if !complete {
 		return
 	}
 	if !maps.Equal(list, v.State.Proposal) {
-		v.propose(s, list)
+		v.propose(env, list)
 		return
 	}
 	if v.proposedByAll(list) && v.proposalSynced {
-		v.form(s, list)
+		v.form(env, list)
 	}
 }
 
 // emptyVoters is the member list of all voters of the settings; complete says that each other was heard
 // recently, without a formed group.
-func (v *staticVoters) emptyVoters(s *statemachine.Env) (list memberList, complete bool) {
+func (v *staticVoters) emptyVoters(env *statemachine.Env) (list memberList, complete bool) {
 	list = memberList{v.Voter: v.State.Identity}
 	for _, voter := range v.settings.Voters {
 		if voter == v.Voter {
 			continue
 		}
 		received, known := v.statuses[voter]
-		if !known || received.status.Formed || !v.recent(s, received) {
+		if !known || received.status.Formed || !v.recent(env, received) {
 			return nil, false
 		}
 		list[voter] = received.status.Identity
@@ -42,10 +42,10 @@
 	return list, true
 }
 
-func (v *staticVoters) propose(s *statemachine.Env, list memberList) {
+func (v *staticVoters) propose(env *statemachine.Env, list memberList) {
 	v.State.Proposal = list
 	v.proposalSynced = false
-	v.storage.Persist(s, v.State, func(_ *statemachine.Env, failure error) {
+	v.storage.Persist(env, v.State, func(_ *statemachine.Env, failure error) {
 		v.proposalSynced = failure == nil && maps.Equal(list, v.State.Proposal)
 	})
 }
@@ -65,8 +65,8 @@
 	return !v.State.Formed && v.proposalSynced && maps.Equal(list, v.State.Proposal)
 }
 
-func (v *staticVoters) form(s *statemachine.Env, list memberList) {
+func (v *staticVoters) form(env *statemachine.Env, list memberList) {
 	v.State.Formed, v.State.Voting = true, true
 	v.State.MemberList = maps.Clone(list)
-	v.startVoting(s, true, func(*statemachine.Env) {})
+	v.startVoting(env, true, func(*statemachine.Env) {})
 }
--- a/internal/quorum/static_replacement.go
+++ b/internal/quorum/static_replacement.go
@@ -22,12 +22,12 @@
 	return v.State.Formed
 }
 
-func (v *staticVoters) handleClaim(s *statemachine.Env, from string, claim message.VoterClaim) {
+func (v *staticVoters) handleClaim(env *statemachine.Env, from string, claim message.VoterClaim) {
 	if !v.Voting() {
 		return
 	}
 	if slices.Contains(v.State.ReplacedIdentities, claim.Identity) {
-		v.refuse(s, from, claim)
+		v.refuse(env, from, claim)
 		return
 	}
 	holder := v.State.MemberList[claim.Voter]
@@ -40,18 +40,18 @@
 		}
 		v.State.MemberList[claim.Voter] = claim.Identity
 		delete(v.statuses, claim.Voter)
-		s.Event(eventReplaced, 0, 0, claim.Voter)
+		env.Event(eventReplaced, 0, 0, claim.Voter)
 	}
 	// Where the list has the claimant already, its write may be under way; a write behind it keeps the order.
-	v.storage.Persist(s, v.State, func(s *statemachine.Env, failure error) {
+	v.storage.Persist(env, v.State, func(env *statemachine.Env, failure error) {
 		if failure == nil && v.accepts(claim.Voter, claim.Identity) {
-			v.sendGrant(s, from, claim)
+			v.sendGrant(env, from, claim)
 		}
 	})
 }
 
-func (v *staticVoters) refuse(s *statemachine.Env, to string, claim message.VoterClaim) {
-	s.Send(to, message.VoterGrant{
+func (v *staticVoters) refuse(env *statemachine.Env, to string, claim message.VoterClaim) {
+	env.Send(to, message.VoterGrant{
 		Group:      v.Group,
 		Voter:      v.Voter,
 		Identity:   v.State.Identity,
@@ -77,12 +77,12 @@
 	return false
 }
 
-func (v *staticVoters) handleGrant(s *statemachine.Env, grant message.VoterGrant) {
+func (v *staticVoters) handleGrant(env *statemachine.Env, grant message.VoterGrant) {
 	if v.State.Voting || v.writing {
 		return
 	}
 	if grant.Refused {
-		v.handleRefusal(s, grant)
+		v.handleRefusal(env, grant)
 		return
 	}
 	v.grants[grant.Voter] = grant
@@ -90,20 +90,20 @@
 	if !complete || !v.grantersAgree(list) {
 		return
 	}
-	v.transfer.MergeGrantedStates(s, states)
+	v.transfer.MergeGrantedStates(env, states)
 	v.State.Formed, v.State.Voting, v.State.MemberList = true, true, list
-	v.startVoting(s, false, func(*statemachine.Env) {})
+	v.startVoting(env, false, func(*statemachine.Env) {})
 }
 
 // handleRefusal takes another identity where nothing rests on this one yet, since it never voted.
-func (v *staticVoters) handleRefusal(s *statemachine.Env, grant message.VoterGrant) {
+func (v *staticVoters) handleRefusal(env *statemachine.Env, grant message.VoterGrant) {
 	if !v.State.Formed {
-		s.Event(eventIdentityDropped, 0, 0, v.Voter)
+		env.Event(eventIdentityDropped, 0, 0, v.Voter)
 		v.State.Identity, v.grants = "", map[string]message.VoterGrant{}
 		return
 	}
 	if !v.Removed {
-		s.Event(eventRemoved, int(errcode.VoterShutOut), 0, v.Voter+" refused by "+grant.Voter)
+		env.Event(eventRemoved, int(errcode.VoterShutOut), 0, v.Voter+" refused by "+grant.Voter)
 	}
 	v.Removed = true
 }
