--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"hash/crc32"
 	"reflect"
@@ -14,21 +15,29 @@
 const (
 	kindBytes     = 1
 	checksumBytes = 4
-	// maxByteSlice, in bytes, is above any frame limit that the settings allow.
+	// maxByteSlice is the longest byte string that is read. It is above any frame limit that the
+	// settings allow.
 	maxByteSlice = 256 << 20
-	// maxElements of an array; a frame that claims more is refused before memory is taken for
-	// them. The longest arrays are rosters and routes, of some tens of thousands.
+	// maxElements is the most elements of an array. A frame that claims more is refused before
+	// memory is allocated for them. The longest arrays, rosters and routes, have some tens of
+	// thousands of elements.
 	maxElements = 1 << 18
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// codec lifts the library's limit of 1 MiB on a byte string: the frame limit of the settings
-// bounds what is read before it comes here.
+// codec raises the library's limit of 1 MiB for a byte string, since the frame limit of the settings
+// bounds what is read from a connection.
 var codec = avro.Config{MaxByteSliceSize: maxByteSlice, MaxSliceAllocSize: maxElements}.Freeze()
 
+var (
+	errShortFrame = errors.New("short frame")
+	errChecksum   = errors.New("checksum")
+)
+
 // Encode returns the frame of a message: kind byte, Avro record, checksum. The checksum is needed
-// since the library takes a record that ends early for one with empty fields.
+// because the library reads a truncated record as one with empty fields. An error has the code
+// FrameBad and means that the type is not registered in kinds.go.
 func Encode(message any) ([]byte, error) {
 	entry, found := byType[reflect.TypeOf(message)]
 	if !found {
@@ -44,15 +53,17 @@
 	return binary.BigEndian.AppendUint32(frame, crc32.Checksum(frame, checksumTable)), nil
 }
 
-// Decode reads a frame back into its message, by value. Errors have the code FrameBad.
+// Decode returns the message of a frame, by value. Errors have the code FrameBad. The frame may come
+// from anywhere: an array or a byte string that claims to be longer than any message holds is refused
+// before memory is allocated for it.
 func Decode(frame []byte) (any, error) {
 	if len(frame) < kindBytes+checksumBytes {
-		return nil, errcode.Wrap("message.decode", errcode.FrameBad, fmt.Errorf("short frame"))
+		return nil, errcode.Wrap("message.decode", errcode.FrameBad, errShortFrame)
 	}
 	content := frame[:len(frame)-checksumBytes]
 	checksum := binary.BigEndian.Uint32(frame[len(frame)-checksumBytes:])
 	if checksum != crc32.Checksum(content, checksumTable) {
-		return nil, errcode.Wrap("message.decode", errcode.FrameBad, fmt.Errorf("checksum"))
+		return nil, errcode.Wrap("message.decode", errcode.FrameBad, errChecksum)
 	}
 	entry, found := byKind[content[0]]
 	if !found {
--- a/internal/message/configuration.go
+++ b/internal/message/configuration.go
@@ -9,8 +9,8 @@
 	Body       []byte
 }
 
-// VersionDigest is the SHA-256 of a committed content; an empty one says that the versions
-// up to this one are remembered no more.
+// VersionDigest is the SHA-256 of a committed content. An empty digest says that the versions up to this
+// one are no longer remembered.
 type VersionDigest struct {
 	ConfigName string
 	Version    int64
@@ -65,7 +65,7 @@
 	Body       []byte // compressed by package delta
 }
 
-// LogPositionRequest asks a voter for the end of its log; it also renews the lease for reads.
+// LogPositionRequest asks a voter for the end of its log. A new lease holder reads a majority.
 type LogPositionRequest struct {
 	Epoch    int64
 	Voter    string
@@ -101,7 +101,9 @@
 	History        []VersionDigest
 }
 
-// LogRecommit asks a voter to take the log as it stands under the new holder's epoch.
+// LogRecommit asks a voter to take over its log, as it stands, into the holder's epoch. A new lease holder
+// sends it with the last position of the epochs before; later the holder sends it, with a position of its
+// own epoch, to a voter that lags behind.
 type LogRecommit struct {
 	Epoch    int64
 	Voter    string
@@ -111,7 +113,7 @@
 	Hash     int64
 }
 
-// LogAppend asks a voter to write one entry.
+// LogAppend is one entry as a voter writes it to disk; it travels as a LogAppendDelta.
 type LogAppend struct {
 	Epoch         int64
 	Seq           int64
@@ -120,8 +122,8 @@
 	Configuration StoredConfiguration
 }
 
-// LogAppendDelta is a LogAppend on its way to another voter: the content is the difference
-// from the version that ends the log before it.
+// LogAppendDelta asks a voter to append one entry. The content is the difference from the newest version
+// of the same configuration in the log before it.
 type LogAppendDelta struct {
 	Epoch      int64
 	Seq        int64
@@ -134,7 +136,7 @@
 	Digest     []byte // SHA-256 of the content
 }
 
-// LogAppended says that the log is on the voter's disk up to (Epoch, Seq).
+// LogAppended acknowledges that the log is on the voter's disk up to (Epoch, Seq).
 type LogAppended struct {
 	Epoch    int64
 	Seq      int64
--- a/internal/message/lease.go
+++ b/internal/message/lease.go
@@ -7,10 +7,11 @@
 	Holder         string // voter
 	Identity       string // of the holder's disk
 	PreviousHolder string // holder before this one
-	RecentHolders  string // holders of the last rest before this one, a comma between; of the usage tag only
+	RecentHolders  string // holders within the last cool-down, separated by commas; of the usage tag only
 }
 
-// LeaseRequest asks the voters for a lease, or to renew it.
+// LeaseRequest asks the voters for a lease, or to renew it. With PreVote it only asks whether the lease
+// would be granted, so that a candidate that cannot win does not raise the epoch.
 type LeaseRequest struct {
 	Group    string
 	Tag      string
@@ -18,7 +19,7 @@
 	Voter    string
 	Identity string
 	Round    int64 // counts the requests of one candidate
-	PreVote  bool  // asks whether the lease would be granted; nothing is written
+	PreVote  bool  // nothing is written to disk
 }
 
 // LeaseVote answers a LeaseRequest. A granted vote has been written to disk before.
@@ -32,10 +33,10 @@
 	Granted      bool
 	PreVote      bool
 	HighestEpoch int64  // highest epoch that the voter has promised
-	Reason       string // of a refusal, for the journal
+	Reason       string // of a refusal; the candidate compares it
 }
 
-// LeaseYield hands a lease over: the holder has stopped acting under it.
+// LeaseYield transfers a lease: the holder has stopped acting under it.
 type LeaseYield struct {
 	Group    string
 	Tag      string
--- a/internal/message/member.go
+++ b/internal/message/member.go
@@ -1,6 +1,6 @@
 package message
 
-// Roles of a member.
+// Roles of a member. The texts travel in Member.Role and are compared by the receiver.
 const (
 	RoleProxy       = "proxy"
 	RoleRegistry    = "registry"
@@ -19,9 +19,8 @@
 	Left int64 = 3
 )
 
-// Member describes one node of the fleet. Name is unique in the fleet; StartTime differs between two
-// lives of one name, so that an address that passed to another node is never taken for its old
-// owner.
+// Member describes one node of the fleet. Name is unique in the fleet. StartTime differs between
+// two runs of one node, so that an address that passed to another node is never taken for its old owner.
 type Member struct {
 	Name        string // "role/node"
 	Role        string
@@ -29,7 +28,7 @@
 	Zone        string
 	Address     string // for the other processes
 	HTTPAddress string // for HTTP
-	StartTime   int64  // start of this life in nanoseconds since 1970, by its own clock
+	StartTime   int64  // of this run of the process, in nanoseconds since 1970, by its own clock
 	Incarnation int64  // raised by the member itself, to refute or to change what it says of itself
 	State       int64  // Alive, Suspect, Dead or Left
 }
@@ -39,8 +38,8 @@
 	Address string // where the process that dialed takes connections itself
 }
 
-// Ping asks a member for a sign of life. It goes over UDP, as do all messages of this file but
-// Hello.
+// Ping asks a member to show that it is alive. Ping, Ack, IndirectPing, JoinRequest and JoinResponse
+// travel over UDP.
 type Ping struct {
 	Number int64
 	Target string // the name that must be at this address, or the ping isn't answered
--- a/internal/message/quorum.go
+++ b/internal/message/quorum.go
@@ -14,8 +14,7 @@
 	Round      int64             // of the proposal
 	FreeVoters []string          // voters whose holders are dead or have left, as far as the sender knows
 	Successor  string            // the node to which this voter hands its place over, as it leaves
-	// NonVoter: the teller never holds a voter.
-	NonVoter bool
+	NonVoter   bool              // the sender never holds a voter
 }
 
 // VoterClaim asks the other voters to let a new disk replace the holder of a voter.
--- a/internal/message/request.go
+++ b/internal/message/request.go
@@ -6,11 +6,12 @@
 	Value string
 }
 
-// Forward carries a caller's request from its proxy to the upstream's serving proxy.
+// Forward carries a caller's request from its proxy to the serving proxy, the one beside the upstream.
+// Each attempt of a request is a Forward of its own.
 type Forward struct {
-	ID                    string // of this try
+	ID                    string // of this attempt
 	Proxy                 string
-	ServingProxyStartTime int64 // the life of the serving proxy that is meant
+	ServingProxyStartTime int64 // names the run of the serving proxy that is meant
 	ConfigName            string
 	Version               int64
 	Route                 string
@@ -25,11 +26,11 @@
 	Headers               []HeaderLine
 	Body                  []byte
 	Remaining             int64 // nanoseconds until the deadline
-	MaxResponseBytes      int64 // most bytes of the answer's body
+	MaxResponseBytes      int64 // of the response's body
 	Host                  string
-	Name                  string // the caller's own name of this try
+	Name                  string // the caller's own name of this attempt
 	Priority              int64  // 0 goes first
-	TargetRemaining       int64  // nanoseconds left within which an answer has its full worth; 0: not told
+	TargetRemaining       int64  // nanoseconds left of the route's latency target; 0: not told
 	AtMostOnce            bool   // must not run twice
 	Retried               bool   // an upstream was offered the request before
 }
@@ -46,30 +47,30 @@
 	Slots           int64   // of the upstream
 	Load            float64 // that the upstream announced
 	RetryAfter      int64   // nanoseconds
-	ResponseAge     int64   // nanoseconds since the answer was whole at the serving proxy
-	ServiceTime     int64   // nanoseconds from the start at the upstream to its whole answer
+	ResponseAge     int64   // nanoseconds since the response was complete at the serving proxy
+	ServiceTime     int64   // nanoseconds from the start at the upstream to its complete response
 	ReachedUpstream bool    // an upstream has seen the request, though it may have refused it
 }
 
-// OutcomeRequest asks again for the outcome of a try whose connection was lost.
+// OutcomeRequest asks again for the outcome of an attempt whose connection was lost.
 type OutcomeRequest struct {
 	ID                    string
 	ServingProxyStartTime int64
 }
 
-// Cancel gives a try up.
+// Cancel tells the serving proxy that nobody waits for an attempt any more.
 type Cancel struct {
 	ID string
 }
 
-// Kinds of outcome.
+// Kinds of outcome, as Outcome.Kind carries them.
 const (
-	// NotStarted: the upstream has not begun with the request; it may be tried elsewhere.
+	// NotStarted means that the upstream has not begun with the request, which may be tried elsewhere.
 	NotStarted int64 = 1
-	// Completed: the upstream's whole answer is here.
+	// Completed means that the upstream's complete response is here.
 	Completed int64 = 2
-	// OutcomeUnknown: the upstream may have run the request, and there is no whole answer.
+	// OutcomeUnknown means that the upstream may have run the request and there is no complete response.
 	OutcomeUnknown int64 = 3
-	// StillRunning: the upstream has not answered yet.
+	// StillRunning means that the upstream has not responded yet.
 	StillRunning int64 = 4
 )
--- a/internal/message/roster.go
+++ b/internal/message/roster.go
@@ -1,6 +1,6 @@
 package message
 
-// States of a registration.
+// States of a registration. The texts travel in Registration.State and are compared by the receiver.
 const (
 	StateCreated = "created" // announced, and not probed yet
 	StateWarming = "warming" // takes no requests yet
@@ -22,10 +22,11 @@
 	ServingProxyStartTime int64
 }
 
-// Key names a registration within the roster.
+// Key returns the name of a registration within the roster.
 func (r Registration) Key() string { return r.Service + "/" + r.Instance }
 
-// Position is a position in a topic: (epoch, sequence) and a digest of the content there.
+// Position is a position in the history of a topic, ordered by (epoch, sequence), with a digest of the
+// content there. Two sources with the same position have the same content.
 type Position struct {
 	Topic string
 	Epoch int64
@@ -34,14 +35,14 @@
 	Hash  int64
 }
 
-// Before orders two marks of one topic.
-func (m Position) Before(other Position) bool {
-	return m.Epoch < other.Epoch || m.Epoch == other.Epoch && m.Seq < other.Seq
+// Before reports whether p is older than another position of the same topic.
+func (p Position) Before(other Position) bool {
+	return p.Epoch < other.Epoch || p.Epoch == other.Epoch && p.Seq < other.Seq
 }
 
-// Same says whether two marks name the same content.
-func (m Position) Same(other Position) bool {
-	return m.Epoch == other.Epoch && m.Seq == other.Seq && m.Hash == other.Hash && m.Count == other.Count
+// Same reports whether two positions name the same content.
+func (p Position) Same(other Position) bool {
+	return p.Epoch == other.Epoch && p.Seq == other.Seq && p.Hash == other.Hash && p.Count == other.Count
 }
 
 // Results of a probe, as heartbeats carry them.
@@ -58,7 +59,7 @@
 	ProbeResult  int64 // NotProbed, ProbeAnswered or ProbeRefused, of this incarnation
 }
 
-// Deregistration ends an incarnation of an instance.
+// Deregistration ends the registration of one incarnation of an instance.
 type Deregistration struct {
 	Service     string
 	Instance    string
--- a/internal/message/schema.go
+++ b/internal/message/schema.go
@@ -7,13 +7,15 @@
 	"github.com/hamba/avro/v2"
 )
 
-// SchemaOf derives the Avro schema of a struct by reflection. Messages hold only strings, bytes,
-// bools, int64, float64, slices, maps by string and structs; anything else is a programming error.
-func SchemaOf(sample any) avro.Schema {
+// schemaOf derives the Avro schema of a struct by reflection. Messages hold only strings, bytes,
+// bools, int64, float64, slices, maps by string and structs; it panics on anything else, which is a
+// programming error that shows when the package is initialised.
+func schemaOf(sample any) avro.Schema {
 	return avro.MustParse(schemaText(reflect.TypeOf(sample), map[string]bool{}))
 }
 
-// schemaText writes the schema of a type as JSON; seen holds the records already defined.
+// schemaText returns the schema of a type as JSON. The names in seen are records that are already
+// defined; a schema defines each record once.
 func schemaText(goType reflect.Type, seen map[string]bool) string {
 	switch goType.Kind() {
 	case reflect.String:
@@ -37,7 +39,7 @@
 	panic("message: no Avro form for " + goType.String())
 }
 
-// recordText defines a struct's record, or names it where it has been defined.
+// recordText returns the definition of a struct's record, or its name where it is already defined.
 func recordText(goType reflect.Type, seen map[string]bool) string {
 	if seen[goType.Name()] {
 		return `"` + goType.Name() + `"`
--- a/internal/message/storage.go
+++ b/internal/message/storage.go
@@ -1,6 +1,6 @@
 package message
 
-// RegistryState is the snapshot that a registry writes to disk.
+// RegistryState is the snapshot of a registry on its disk.
 type RegistryState struct {
 	Voter          VoterState
 	Votes          []Vote
@@ -11,7 +11,7 @@
 	Usage          UnreportedUsage
 }
 
-// ConfigStoreState is the snapshot that a configstore writes to disk.
+// ConfigStoreState is the snapshot of a configuration store on its disk.
 type ConfigStoreState struct {
 	Voter          VoterState
 	Votes          []Vote
@@ -22,7 +22,7 @@
 	KnownAddresses []string
 }
 
-// KnownAddresses records the addresses that a process looks for its fleet at in its next life.
+// KnownAddresses records where a process looks for its fleet after a restart.
 type KnownAddresses struct {
 	Addresses []string
 }
--- a/internal/message/updates.go
+++ b/internal/message/updates.go
@@ -5,7 +5,7 @@
 	Round      int64  // counts the requests of one child
 	Child      string // member name
 	Role       string
-	LastResort bool       // the last resort: a registry asked so may not refuse
+	LastResort bool       // no other parent is left; a registry asked so may not refuse
 	Positions  []Position // what the child has
 	Part       int64      // offset wanted of the snapshot of topic PartOf
 	PartOf     string
@@ -42,7 +42,8 @@
 	Items        []UpdateItem
 }
 
-// Reasons for which a parent refuses a child.
+// Reasons for which a parent refuses a child. The texts travel in UpdatesResponse.Reason and are compared
+// by the child.
 const (
 	RefusedNoPath  = "no path"
 	RefusedLoop    = "loop"
--- a/internal/message/usage.go
+++ b/internal/message/usage.go
@@ -11,19 +11,19 @@
 type UsageUpdate struct {
 	Proxy     string
 	StartTime int64
-	Number    int64        // of the update, in this life
+	Number    int64        // of the update, in this run of the proxy
 	Counts    []UsageCount // cumulative, of the windows that are not sealed yet
 	Closed    int64        // counts of windows below this number won't change any more
 }
 
-// UsageSealed is a window whose counts are final.
+// UsageSealed is a sealed window: its counts are final.
 type UsageSealed struct {
 	Window int64
 	Epoch  int64 // of the lease under which it was sealed
 	Counts map[string]int64
 }
 
-// UsageRead asks a voter for all it knows of usage; a new lease holder reads a majority.
+// UsageRead asks a voter for all it knows of usage. A new holder of the usage lease reads a majority.
 type UsageRead struct {
 	Epoch    int64
 	Voter    string
@@ -40,7 +40,7 @@
 	Unreported UnreportedUsage // counts of windows that are not reported yet, as this voter knows them
 }
 
-// UsageSeal asks a voter to write a sealed window.
+// UsageSeal asks a voter to write a sealed window to disk.
 type UsageSeal struct {
 	Voter    string
 	Identity string
@@ -61,7 +61,7 @@
 	Proxies []ProxyUsage
 }
 
-// ProxyUsage is what one life of a proxy counted in one window.
+// ProxyUsage is what one run of a proxy counted in one window.
 type ProxyUsage struct {
 	Window   int64
 	ProxyRun string
