--- a/internal/frontend/admit.go
+++ b/internal/frontend/admit.go
@@ -13,7 +13,7 @@
 // Patience is how long the read stage waits before the gate has said until when.
 func (f *Frontend) Patience(request *Request) time.Duration {
 	limit := f.settings.RequestLimit()
-	if wait := f.protocol.Claims(request).Wait; wait > 0 {
+	if wait := f.protocol.Metadata(request).Timeout; wait > 0 {
 		limit = min(limit, wait)
 	}
 	return limit
@@ -28,98 +28,98 @@
 }
 
 // Admit decides who asks for what: key to tenant, caller, route, size.
-func (f *Frontend) Admit(now time.Duration, wall time.Time, request *Request) *Final {
+func (f *Frontend) Admit(now time.Duration, wall time.Time, request *Request) *Response {
 	f.lock.Lock()
 	snapshot := f.snapshot
 	f.lock.Unlock()
-	if snapshot == nil || !snapshot.Known {
-		return Refusal(errcode.BusyNotReady)
+	if snapshot == nil || !snapshot.ConfigurationsKnown {
+		return NewRefusal(errcode.BusyNotReady)
 	}
-	if limit := f.settings.StaleAdmit(); limit > 0 && now-snapshot.FreshAt > limit {
-		return Refusal(errcode.BusyStale)
+	if limit := f.settings.StaleAdmit(); limit > 0 && now-snapshot.ConfigurationsFreshAt > limit {
+		return NewRefusal(errcode.BusyStale)
 	}
-	path, code := f.protocol.PathOf(request)
+	path, code := f.protocol.RoutingPath(request)
 	if code != errcode.OK {
-		return Refusal(code)
+		return NewRefusal(code)
 	}
 	request.Path = path
-	claims := f.protocol.Claims(request)
+	claims := f.protocol.Metadata(request)
 	key := ""
-	if len(claims.Keys) > 0 {
-		key = claims.Keys[0]
+	if len(claims.APIKeys) > 0 {
+		key = claims.APIKeys[0]
 	}
-	if f.protocol.ShowsKey(request, claims.Keys, snapshot.Configurations) {
-		return Refusal(errcode.RequestBadPath)
+	if f.protocol.PathExposesKey(request, claims.APIKeys, snapshot.Configurations) {
+		return NewRefusal(errcode.RequestBadPath)
 	}
-	passed, byPass := backend.Pass{}, false
-	if claims.Pass != "" {
-		if passed, byPass = f.passOf(claims.Pass); !byPass {
-			return Refusal(errcode.RequestPassInvalid)
+	passed, byPass := backend.Delegation{}, false
+	if claims.DelegationToken != "" {
+		if passed, byPass = f.passOf(claims.DelegationToken); !byPass {
+			return NewRefusal(errcode.RequestPassInvalid)
 		}
 	}
 	known, open, anyRoute := byPass, false, false
 	for _, configuration := range snapshot.Configurations {
-		route, found := configuration.Find(request.Host, request.Method, path)
+		route, found := configuration.MatchHost(request.Host, request.Method, path)
 		_, held := configuration.Tenant(key)
 		anyRoute = anyRoute || found
-		open = open || found && (route.Open || request.Host != "" && configuration.Keyless())
+		open = open || found && (route.Public || request.Host != "" && configuration.Keyless())
 		known = known || held
 	}
 	switch {
 	case byPass || open || known:
 	case key == "":
-		return Refusal(errcode.RequestNoKey)
+		return NewRefusal(errcode.RequestNoKey)
 	default:
-		return Refusal(errcode.RequestKeyUnknown)
+		return NewRefusal(errcode.RequestKeyUnknown)
 	}
 	if !anyRoute {
-		return Refusal(errcode.RequestNoRoute)
+		return NewRefusal(errcode.RequestNoRoute)
 	}
 	for _, configuration := range snapshot.Configurations {
-		route, found := configuration.Find(request.Host, request.Method, path)
+		route, found := configuration.MatchHost(request.Host, request.Method, path)
 		if !found {
 			continue
 		}
 		tenant, held := configuration.Tenant(key)
-		claimed := claims.Caller
+		claimed := claims.CallingService
 		if byPass {
 			// A pass is worth what its tenant's keys are: nothing once all are withdrawn.
-			tenant, claimed, held = passed.Tenant, passed.Service, configuration.Honours(passed.Tenant)
+			tenant, claimed, held = passed.Tenant, passed.Service, configuration.TenantHasKey(passed.Tenant)
 		}
 		if f.settings.Service != "" {
 			claimed = f.settings.Service
 		}
-		if !held && !route.Open && !(route.Host != "" && configuration.Keyless()) || !route.Allows(tenant, claimed) {
-			return Refusal(errcode.RequestCallerRefused)
+		if !held && !route.Public && !(route.Host != "" && configuration.Keyless()) || !route.Allows(tenant, claimed) {
+			return NewRefusal(errcode.RequestCallerRefused)
 		}
-		if route.Calendar != nil && !route.Calendar.Open(wall) {
-			final := Refusal(errcode.RequestRouteClosed)
-			final.RetryAfter = route.Calendar.NextOpen(wall)
+		if route.Calendar != nil && !route.Calendar.IsOpen(wall) {
+			final := NewRefusal(errcode.RequestRouteClosed)
+			final.RetryAfter = route.Calendar.UntilOpen(wall)
 			return final
 		}
-		if route.BodyCap > 0 && int64(len(request.Body)) > route.BodyCap {
-			return Refusal(errcode.RequestTooLarge)
+		if route.MaxBodyBytes > 0 && int64(len(request.Body)) > route.MaxBodyBytes {
+			return NewRefusal(errcode.RequestTooLarge)
 		}
-		request.Configuration, request.Route, request.Tenant, request.Caller, request.Name = configuration, route, tenant, claimed, claims.Name
+		request.Configuration, request.Route, request.Tenant, request.Caller, request.Name = configuration, route, tenant, claimed, claims.AttemptName
 		request.Priority = configuration.Priority(tenant, route)
-		request.Deadline = min(request.Deadline, request.since(now)+route.Limit)
-		if claims.Wait > 0 {
-			request.Deadline = min(request.Deadline, request.Came+claims.Wait)
+		request.Deadline = min(request.Deadline, request.since(now)+route.Timeout)
+		if claims.Timeout > 0 {
+			request.Deadline = min(request.Deadline, request.ArrivedAt+claims.Timeout)
 		}
 		request.Tried = map[string]bool{}
-		f.protocol.RemoveClaims(request, claims.Keys, snapshot.Configurations)
+		f.protocol.Sanitize(request, claims.APIKeys, snapshot.Configurations)
 		f.begin(request)
 		return nil
 	}
-	return Refusal(errcode.RequestNoRoute)
+	return NewRefusal(errcode.RequestNoRoute)
 }
 
-// Allowed is the serving proxy's check of a carried request against its own configurations.
-func (f *Frontend) Allowed(forward message.Forward) errcode.Code {
+// AuthorizeForward is the serving proxy's check of a carried request against its own configurations.
+func (f *Frontend) AuthorizeForward(forward message.Forward) errcode.Code {
 	f.lock.Lock()
 	snapshot := f.snapshot
 	f.lock.Unlock()
-	if snapshot == nil || !snapshot.Known {
+	if snapshot == nil || !snapshot.ConfigurationsKnown {
 		return errcode.BusyNotReady
 	}
 	for _, configuration := range snapshot.Configurations {
@@ -130,8 +130,8 @@
 			// The configuration that let it in is no older than this one.
 			return errcode.OK
 		}
-		if route, found := configuration.Find(forward.Host, forward.Method, forward.Path); found && route.Leads(forward.Service) && route.Allows(forward.Tenant, forward.Caller) &&
-			(route.Open || configuration.Honours(forward.Tenant) || route.Host != "" && configuration.Keyless()) {
+		if route, found := configuration.MatchHost(forward.Host, forward.Method, forward.Path); found && route.RoutesTo(forward.Service) && route.Allows(forward.Tenant, forward.Caller) &&
+			(route.Public || configuration.TenantHasKey(forward.Tenant) || route.Host != "" && configuration.Keyless()) {
 			return errcode.OK
 		}
 	}
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -311,20 +311,20 @@
 	}
 	u.reportAt = s.Now + u.m.settings.ReportEvery()
 	until := min(s.Now+u.m.settings.Lease()/2, u.m.leases.HeldUntil(settings.UsageTag))
-	s.Report(Report{Window: window, Counts: u.sealed[window].Counts, Epoch: u.epoch, Until: until})
+	s.Report(UsageReport{Window: window, Counts: u.sealed[window].Counts, Epoch: u.epoch, Until: until})
 }
 
-// Report is the effect's body: what the collector gets, and until when it may reach it, by
+// UsageReport is the effect's body: what the collector gets, and until when it may reach it, by
 // the process clock. It never outlasts the lease: who holds the next one may act then.
-type Report struct {
+type UsageReport struct {
 	Window int64
 	Counts map[string]int64
 	Epoch  int64
 	Until  time.Duration
 }
 
-// Reported is the question by which the process says that the collector has a window.
-type Reported struct{ Window int64 }
+// UsageDelivered is the question by which the process says that the collector has a window.
+type UsageDelivered struct{ Window int64 }
 
 func (u *usage) done(s *statemachine.Env, window int64) {
 	if window != u.reported+1 {
@@ -339,7 +339,7 @@
 func (u *usage) handle(s *statemachine.Env, from string, msg any) bool {
 	switch received := msg.(type) {
 	case message.UsageRead:
-		if u.m.leases.Epoch(settings.UsageTag) == received.Epoch && u.m.quorum.Voting() && u.m.quorum.Holds(received.Voter, received.Identity) {
+		if u.m.leases.Epoch(settings.UsageTag) == received.Epoch && u.m.quorum.Voting() && u.m.quorum.Accepts(received.Voter, received.Identity) {
 			s.Send(from, message.UsageReadResponse{Epoch: received.Epoch, Voter: u.m.quorum.Voter, Identity: u.m.quorum.Signature(),
 				Sealed: u.tail(), Reported: u.reported, Unreported: u.held()})
 		}
@@ -380,7 +380,7 @@
 }
 
 func (u *usage) handleSeal(s *statemachine.Env, from string, seal message.UsageSeal) {
-	if seal.Sealed.Epoch < u.m.leases.Epoch(settings.UsageTag) || !u.m.quorum.Voting() || !u.m.quorum.Holds(seal.Voter, seal.Identity) {
+	if seal.Sealed.Epoch < u.m.leases.Epoch(settings.UsageTag) || !u.m.quorum.Voting() || !u.m.quorum.Accepts(seal.Voter, seal.Identity) {
 		return
 	}
 	u.reported = max(u.reported, seal.Reported)
