--- a/internal/configstore/catchup.go
+++ b/internal/configstore/catchup.go
@@ -1,51 +1,119 @@
-// This file keeps up the voters that missed a change: nothing else would tell them of it
-// before the next one, and a group whose newest change lies on a bare majority is one loss
-// nearer to having none. The holder tells who has not confirmed its position what that
-// position is; the voter pulls what it lacks.
-
 package configstore
 
 import (
+	"time"
+
+	"beaconvane/internal/errcode"
 	"beaconvane/internal/message"
+	"beaconvane/internal/settings"
 	"beaconvane/internal/statemachine"
 )
 
-// noteFollower remembers how far a voter has confirmed the log of this term.
-func (m *Machine) noteFollower(committed message.LogAppended) {
-	if last, known := m.followers[committed.Voter]; known && last.Identity == committed.Identity && last.Seq > committed.Seq {
+// snapshotBackoff is the pause between requests for another voter's log. A requested log may still be on
+// its way, and asking again would delay it further: the pause doubles while this voter's log stays where
+// it is.
+type snapshotBackoff struct {
+	nextAt time.Duration
+	pause  time.Duration
+	at     position // of this voter's log at the last request
+}
+
+// requestSnapshot asks the holder for its whole log, unless it did so a short while ago.
+func (m *Machine) requestSnapshot(env *statemachine.Env, holderAddress string) {
+	if env.Now < m.backoff.nextAt {
 		return
 	}
-	m.followers[committed.Voter] = committed
+	if m.backoff.at != m.log.position() {
+		m.backoff.at, m.backoff.pause = m.log.position(), m.settings.DigestEvery()/2
+	} else {
+		m.backoff.pause = min(m.backoff.pause*2, m.settings.Lease())
+	}
+	m.backoff.nextAt = env.Now + m.backoff.pause
+	env.Event(eventSnapshotRequested, 0, m.log.epoch, "behind the holder")
+	env.Send(holderAddress, m.snapshotRequest(m.leases.Epoch(settings.ConfigLogTag)))
 }
 
-// keepsUp says that a voter has confirmed everything, as the member this holder knows.
-func (m *Machine) keepsUp(voter string) bool {
-	last, known := m.followers[voter]
-	return known && last.Seq >= m.seq && m.quorum.Accepts(voter, last.Identity)
+// snapshotRequest asks for a whole log.
+func (m *Machine) snapshotRequest(epoch int64) message.LogSnapshotRequest {
+	return message.LogSnapshotRequest{Epoch: epoch, Voter: m.quorum.Voter, Identity: m.quorum.Signature()}
 }
 
-// tellLaggards names the log's end to the voters that have not confirmed it.
-func (m *Machine) tellLaggards(s *statemachine.Env) {
-	for _, peer := range m.Peers() {
-		if peer.Voter != "" && peer.Voter != m.quorum.Voter && !m.keepsUp(peer.Voter) {
-			s.Send(peer.Address, message.LogRecommit{Epoch: m.term, Voter: m.quorum.Voter, Identity: m.quorum.Signature(), AtEpoch: m.term, AtSeq: m.seq, Hash: m.hash})
-		}
+// logSnapshot returns the whole log as it travels.
+func (m *Machine) logSnapshot(epoch int64) message.LogSnapshot {
+	return message.LogSnapshot{
+		Epoch:          epoch,
+		Voter:          m.quorum.Voter,
+		AtEpoch:        m.log.epoch,
+		AtSeq:          m.log.seq,
+		Configurations: m.encoder.encode(m.log.entries()),
+		History:        m.log.history.entries,
 	}
 }
 
-// missed says that the holder's log goes on where this voter's ends.
-func (m *Machine) missed(told message.LogRecommit) bool {
-	return told.AtEpoch == told.Epoch && m.epoch == told.Epoch && m.seq < told.AtSeq
+// wantsSnapshot reports whether a log that came is the one that was asked for, and newer than this
+// voter's.
+func (m *Machine) wantsSnapshot(snapshot message.LogSnapshot) bool {
+	if snapshot.Epoch != m.leases.Epoch(settings.ConfigLogTag) {
+		return false
+	}
+	if !m.log.position().before(position{epoch: snapshot.AtEpoch, seq: snapshot.AtSeq}) {
+		return false
+	}
+	switch m.leader.phase {
+	case following:
+		return true
+	case fetchingSnapshot:
+		return snapshot.Voter == m.leader.takeover.source.Voter
+	default:
+		return false
+	}
 }
 
-// NewestVersion is the highest version of a configuration that this disk's log holds, 0 for none.
-func (m *Machine) NewestVersion(configName string) int64 {
-	list := m.configurations[configName]
-	if len(list) == 0 {
-		return 0
+// handleSnapshot takes another voter's whole log in place of this one's. A follower confirms it, and a
+// new holder commits it in its own epoch, once it is on disk.
+func (m *Machine) handleSnapshot(env *statemachine.Env, from string, snapshot message.LogSnapshot) {
+	if !m.wantsSnapshot(snapshot) {
+		return
 	}
-	return list[len(list)-1].Version
+	entries, err := decodeDifferences(snapshot.Configurations, snapshot.History, m.settings.Limits.Configuration)
+	if err != nil {
+		env.Event(eventSnapshotUnreadable, int(errcode.FrameBad), snapshot.Epoch, err.Error())
+		return
+	}
+	m.log.replace(message.ConfigStoreState{
+		Epoch:          snapshot.AtEpoch,
+		Seq:            snapshot.AtSeq,
+		Configurations: entries,
+		History:        snapshot.History,
+	})
+	reached := m.log.position()
+	asHolder, term := m.leader.phase == fetchingSnapshot, m.leader.term
+	m.WriteSnapshot(env, func(env *statemachine.Env, failure error) {
+		if failure != nil {
+			return
+		}
+		m.log.synced = reached
+		if asHolder && m.leader.phase == fetchingSnapshot && m.leader.term == term {
+			m.beginRecommit(env)
+		} else if !asHolder {
+			m.acknowledge(env, from)
+		}
+	})
+}
+
+// keepsUp reports whether a voter has confirmed the whole log, with the disk that the quorum knows it by.
+func (m *Machine) keepsUp(voter string) bool {
+	last, known := m.leader.followers[voter]
+	return known && last.match >= m.log.seq && m.quorum.Accepts(voter, last.identity)
 }
 
-// Voting says that this process holds a voter.
-func (m *Machine) Voting() bool { return m.quorum.Voting() }
+// remindLaggards tells the end of the log to the voters that have not confirmed it. Nothing else would
+// tell them before the next write, and while the newest entry lies on a bare majority, one more loss
+// leaves no majority that has it.
+func (m *Machine) remindLaggards(env *statemachine.Env) {
+	for _, peer := range m.Peers() {
+		if peer.Voter != "" && peer.Voter != m.quorum.Voter && !m.keepsUp(peer.Voter) {
+			env.Send(peer.Address, m.recommitMessage(position{m.leader.term, m.log.seq, m.log.hash}))
+		}
+	}
+}
--- a/internal/configstore/history_test.go
+++ b/internal/configstore/committed_versions_test.go
@@ -1,5 +1,3 @@
-// What was committed under a number is known for as long as it is remembered, and no
-// answer about it is ever wrong.
 package configstore
 
 import (
@@ -15,8 +13,8 @@
 
 func numbered(version int64) string { return configName(fmt.Sprintf(`"note":"content %d",`, version)) }
 
-// An order that was taken and is older than every body kept is acknowledged again, and
-// another content under its number is not confirmed; in both modes.
+// A committed write that is older than every kept body is acknowledged again, and another content under
+// its number is not confirmed, in both modes of writing.
 func TestOrdersTakenLongAgo(t *testing.T) {
 	for _, writes := range []string{settings.WritesRising, settings.WritesHighest} {
 		t.Run(writes, func(t *testing.T) {
@@ -26,7 +24,7 @@
 			for version := int64(1); version <= last; version++ {
 				c.Assert(b.code(c, version, numbered(version)), qt.Equals, errcode.OK)
 			}
-			c.Assert(int64(len(b.m.configurations["main"])) < last, qt.IsTrue)
+			c.Assert(int64(len(b.m.log.versions["main"])) < last, qt.IsTrue)
 			for version := int64(1); version <= last; version++ {
 				c.Assert(b.code(c, version, numbered(version)), qt.Equals, errcode.OK, qt.Commentf("version %d", version))
 				c.Assert(b.code(c, version, numbered(version+1)), qt.Equals, errcode.ConfigurationConflict, qt.Commentf("version %d", version))
@@ -38,17 +36,17 @@
 	}
 }
 
-// Past the digests remembered an old order is neither confirmed under a number that
-// rises nor refused.
+// A write older than the digests that are remembered is neither confirmed under a number that rises nor
+// refused.
 func TestOrdersForgotten(t *testing.T) {
 	c := qt.New(t)
 	rising, highest := newConfigLog(c, settings.WritesRising), newConfigLog(c, settings.WritesHighest)
 	for _, b := range []*configLog{rising, highest} {
-		b.m.history.most = 8
+		b.m.log.history.limit = 8
 		for version := int64(1); version <= 20; version++ {
 			c.Assert(b.code(c, version*2, numbered(version)), qt.Equals, errcode.OK)
 		}
-		c.Assert(len(b.m.history.entries) <= 8, qt.IsTrue)
+		c.Assert(len(b.m.log.history.entries) <= 8, qt.IsTrue)
 		c.Assert(b.code(c, 40, numbered(20)), qt.Equals, errcode.OK)
 		c.Assert(b.code(c, 40, numbered(19)), qt.Equals, errcode.ConfigurationConflict)
 	}
@@ -64,27 +62,27 @@
 func TestHistoryIsRestored(t *testing.T) {
 	c := qt.New(t)
 	b := newConfigLog(c, settings.WritesRising)
-	b.m.history.most = 40
+	b.m.log.history.limit = 40
 	for version := int64(1); version <= 60; version++ {
 		c.Assert(b.code(c, version, numbered(version)), qt.Equals, errcode.OK)
 	}
-	whole, err := New(b.m.settings, message.Member{Name: "configstore/one"}, b.m.snapshot(), nil)
+	whole, err := New(b.m.settings, message.Member{Name: "configstore/one"}, b.m.Snapshot(), nil)
 	c.Assert(err, qt.IsNil)
-	c.Assert(whole.position(), qt.Equals, b.m.position())
+	c.Assert(whole.log.position(), qt.Equals, b.m.log.position())
 	for _, version := range []int64{60, 50, 41} {
-		c.Assert(whole.history.outcome("main", version, []byte(numbered(version))), qt.Equals, takenAlike)
-		c.Assert(whole.history.outcome("main", version, []byte(numbered(1))), qt.Equals, takenOther)
+		c.Assert(whole.log.history.outcome("main", version, []byte(numbered(version))), qt.Equals, committedSame)
+		c.Assert(whole.log.history.outcome("main", version, []byte(numbered(1))), qt.Equals, committedOther)
 	}
-	c.Assert(whole.history.outcome("main", 1, []byte(numbered(1))), qt.Equals, forgotten)
-	before := b.m.snapshot()
-	record, err := message.Encode(message.LogAppend{Epoch: b.m.epoch, Seq: b.m.seq + 1,
-		Configuration: message.StoredConfiguration{ConfigName: "main", Version: 61, Epoch: b.m.epoch, Seq: b.m.seq + 1, Body: []byte(numbered(61))}})
+	c.Assert(whole.log.history.outcome("main", 1, []byte(numbered(1))), qt.Equals, forgotten)
+	before := b.m.Snapshot()
+	record, err := message.Encode(message.LogAppend{Epoch: b.m.log.epoch, Seq: b.m.log.seq + 1,
+		Configuration: message.StoredConfiguration{ConfigName: "main", Version: 61, Epoch: b.m.log.epoch, Seq: b.m.log.seq + 1, Body: []byte(numbered(61))}})
 	c.Assert(err, qt.IsNil)
 	c.Assert(b.code(c, 61, numbered(61)), qt.Equals, errcode.OK)
 	replayed, err := New(b.m.settings, message.Member{Name: "configstore/one"}, before, [][]byte{record})
 	c.Assert(err, qt.IsNil)
-	c.Assert(replayed.position().seq, qt.Equals, b.m.position().seq)
-	c.Assert(replayed.history.outcome("main", 61, []byte(numbered(61))), qt.Equals, takenAlike)
+	c.Assert(replayed.log.position().seq, qt.Equals, b.m.log.position().seq)
+	c.Assert(replayed.log.history.outcome("main", 61, []byte(numbered(61))), qt.Equals, committedSame)
 }
 
 // Two logs whose contents differ in nothing but a byte have different positions.
@@ -93,8 +91,8 @@
 	positions := map[position]bool{}
 	for _, note := range []string{"one", "two"} {
 		b := newConfigLog(c, settings.WritesRising)
-		b.m.keep(message.StoredConfiguration{ConfigName: "main", Version: 1, Epoch: 1, Seq: 1, Body: []byte(note)})
-		positions[b.m.position()] = true
+		b.m.log.append(1, 1, message.StoredConfiguration{ConfigName: "main", Version: 1, Epoch: 1, Seq: 1, Body: []byte(note)})
+		positions[b.m.log.position()] = true
 	}
 	c.Assert(positions, qt.HasLen, 2)
 }
--- a/internal/configstore/writes_test.go
+++ b/internal/configstore/decision_test.go
@@ -1,4 +1,3 @@
-// How puts are taken, by a configuration log of one voter that founds itself.
 package configstore
 
 import (
@@ -13,6 +12,7 @@
 	"beaconvane/internal/statemachine"
 )
 
+// configLog is a configuration log of one voter that founds its own group.
 type configLog struct {
 	m        *Machine
 	env      *statemachine.Env
@@ -59,7 +59,7 @@
 	}
 }
 
-// put gives what has been answered before the disk has moved, and all that was answered.
+// write returns the responses that were sent before the disk had synced, and all responses.
 func (b *configLog) write(version int64, body string) (early, all []message.StoreResponse) {
 	b.response = nil
 	b.m.Handle(b.env, "10.0.0.9:1", message.WriteRequest{RequestID: version, ConfigName: "main", Version: version, Body: []byte(body)})
@@ -114,7 +114,7 @@
 	current, _ := b.m.current("main")
 	c.Assert(current.Version, qt.Equals, int64(5))
 	c.Assert(string(current.Body), qt.Equals, configName(""))
-	c.Assert(b.m.configurations["main"], qt.HasLen, 1)
+	c.Assert(b.m.log.versions["main"], qt.HasLen, 1)
 }
 
 // An older number is acknowledged only behind what is in flight.
--- a/internal/configstore/packing_test.go
+++ b/internal/configstore/differences_test.go
@@ -39,30 +39,30 @@
 	return total
 }
 
-// A log on its way is the log, whole again, and hardly longer than one version of it.
+// A log that is decoded is the log that was encoded, which is hardly longer than one version of it.
 func TestPackedLogIsTheLog(t *testing.T) {
 	c := qt.New(t)
 	const limit = 1 << 24
 	for seed := range uint64(20) {
 		dice := rand.New(rand.NewPCG(seed, 7))
 		list, digests := versionsOf(dice, 16, 400)
-		p := packer{}
-		packed := p.pack(list)
-		c.Assert(bytesOf(packed) < bytesOf(list)/16, qt.IsTrue, qt.Commentf("%d of %d bytes", bytesOf(packed), bytesOf(list)))
-		whole, err := unpack(packed, digests, limit)
+		encoder := differenceEncoder{}
+		encoded := encoder.encode(list)
+		c.Assert(bytesOf(encoded) < bytesOf(list)/16, qt.IsTrue, qt.Commentf("%d of %d bytes", bytesOf(encoded), bytesOf(list)))
+		decoded, err := decodeDifferences(encoded, digests, limit)
 		c.Assert(err, qt.IsNil)
-		c.Assert(reflect.DeepEqual(whole, list), qt.IsTrue)
+		c.Assert(reflect.DeepEqual(decoded, list), qt.IsTrue)
 
 		// The oldest versions go; what was made of the others stays, but for the first.
 		shorter := append(append([]message.StoredConfiguration{}, list[3:16]...), list[20:]...)
-		whole, err = unpack(p.pack(shorter), digests, limit)
+		decoded, err = decodeDifferences(encoder.encode(shorter), digests, limit)
 		c.Assert(err, qt.IsNil)
-		c.Assert(reflect.DeepEqual(whole, shorter), qt.IsTrue)
+		c.Assert(reflect.DeepEqual(decoded, shorter), qt.IsTrue)
 
 		// An earlier build sends bodies as they are.
-		whole, err = unpack(list, digests, limit)
+		decoded, err = decodeDifferences(list, digests, limit)
 		c.Assert(err, qt.IsNil)
-		c.Assert(reflect.DeepEqual(whole, list), qt.IsTrue)
+		c.Assert(reflect.DeepEqual(decoded, list), qt.IsTrue)
 	}
 }
 
@@ -70,34 +70,34 @@
 func TestSpoiltLogIsRefused(t *testing.T) {
 	c := qt.New(t)
 	list, digests := versionsOf(rand.New(rand.NewPCG(1, 7)), 4, 50)
-	packed := (&packer{}).pack(list)
-	missing := append(append([]message.StoredConfiguration{}, packed[:1]...), packed[2:]...)
-	_, err := unpack(missing, digests, 1<<20)
+	encoded := (&differenceEncoder{}).encode(list)
+	missing := append(append([]message.StoredConfiguration{}, encoded[:1]...), encoded[2:]...)
+	_, err := decodeDifferences(missing, digests, 1<<20)
 	c.Assert(err, qt.IsNotNil)
-	_, err = unpack(packed, digests, 100)
+	_, err = decodeDifferences(encoded, digests, 100)
 	c.Assert(err, qt.IsNotNil)
-	packed[2].Body = []byte("no difference")
-	_, err = unpack(packed, digests, 1<<20)
+	encoded[2].Body = []byte("no difference")
+	_, err = decodeDifferences(encoded, digests, 1<<20)
 	c.Assert(err, qt.IsNotNil)
 }
 
 // A version that was in flight and lost may be committed with another content later, at a
-// store that packed the first: what it packs then is what it holds.
+// store that encoded the first: what it packs then is what it holds.
 func TestPackedContentIsTheOneHeld(t *testing.T) {
 	c := qt.New(t)
 	base := message.StoredConfiguration{ConfigName: "main", Version: 4, Body: []byte(strings.Repeat("base ", 300))}
 	lost, taken := base, base
 	lost.Version, lost.Body = 5, append([]byte("lost "), base.Body...)
 	taken.Version, taken.Body = 5, append([]byte("taken "), base.Body...)
-	p := packer{}
-	p.pack([]message.StoredConfiguration{base, lost})
-	p.whole(lost.Body)
+	encoder := differenceEncoder{}
+	encoder.encode([]message.StoredConfiguration{base, lost})
+	encoder.compress(lost.Body)
 	list := []message.StoredConfiguration{base, taken}
 	digests := []message.VersionDigest{{ConfigName: "main", Version: 4, Digest: contentDigest(base.Body)}, {ConfigName: "main", Version: 5, Digest: contentDigest(taken.Body)}}
-	whole, err := unpack(p.pack(list), digests, 1<<20)
+	decoded, err := decodeDifferences(encoder.encode(list), digests, 1<<20)
 	c.Assert(err, qt.IsNil)
-	c.Assert(reflect.DeepEqual(whole, list), qt.IsTrue)
-	body, err := delta.Apply(nil, p.whole(taken.Body), 1<<20)
+	c.Assert(reflect.DeepEqual(decoded, list), qt.IsTrue)
+	body, err := delta.Apply(nil, encoder.compress(taken.Body), 1<<20)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(body), qt.Equals, string(taken.Body))
 }
--- a/internal/configstore/configstore_test.go
+++ b/internal/configstore/log_test.go
@@ -1,4 +1,3 @@
-// What the configuration log keeps must fit a frame, or a replaced voter could never read it.
 package configstore
 
 import (
@@ -10,6 +9,7 @@
 	"beaconvane/internal/settings"
 )
 
+// The whole log must fit a frame, or a replaced voter could never read it.
 func TestTheConfigLogFitsAFrame(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
@@ -19,9 +19,9 @@
 	body := make([]byte, cfg.Limits.Configuration)
 	for version := int64(1); version <= cfg.Limits.KeptConfigurations*2; version++ {
 		for _, configName := range cfg.ConfigNames {
-			m.keep(message.StoredConfiguration{ConfigName: configName, Version: version, Body: body})
+			m.log.append(0, 0, message.StoredConfiguration{ConfigName: configName, Version: version, Body: body})
 		}
-		frame, err := message.Encode(message.VoterGrant{MemberList: map[string]string{}, State: m.snapshot()})
+		frame, err := message.Encode(message.VoterGrant{MemberList: map[string]string{}, State: m.Snapshot()})
 		c.Assert(err, qt.IsNil)
 		c.Assert(int64(len(frame)) <= cfg.Limits.Frame, qt.IsTrue, qt.Commentf("%d bytes after version %d", len(frame), version))
 		for _, configName := range cfg.ConfigNames {
@@ -31,7 +31,7 @@
 		}
 	}
 	for version := int64(100); version <= 200; version++ {
-		m.keep(message.StoredConfiguration{ConfigName: "main", Version: version, Body: []byte("small")})
+		m.log.append(0, 0, message.StoredConfiguration{ConfigName: "main", Version: version, Body: []byte("small")})
 	}
-	c.Assert(int64(len(m.configurations["main"])), qt.Equals, cfg.Limits.KeptConfigurations)
+	c.Assert(int64(len(m.log.versions["main"])), qt.Equals, cfg.Limits.KeptConfigurations)
 }
--- /dev/null
+++ b/internal/configstore/proposal.go
@@ -0,0 +1,198 @@
+package configstore
+
+import (
+	"fmt"
+	"time"
+
+	"beaconvane/internal/distribution"
+	"beaconvane/internal/errcode"
+	"beaconvane/internal/message"
+	"beaconvane/internal/settings"
+	"beaconvane/internal/statemachine"
+)
+
+// pendingWrite is a write that waits for those before it.
+type pendingWrite struct {
+	from       string
+	request    message.WriteRequest
+	receivedAt time.Duration
+}
+
+// proposal is the one write in flight: it stands at the end of this voter's log, and is committed once a
+// majority has it on disk.
+type proposal struct {
+	entry  *message.StoredConfiguration // nil: no write is in flight
+	append message.LogAppendDelta       // the entry as it travels
+	client pendingWrite
+}
+
+// inFlight reports whether a write waits for its majority.
+func (p proposal) inFlight() bool { return p.entry != nil }
+
+// handleWrite queues a client's write.
+func (m *Machine) handleWrite(env *statemachine.Env, from string, request message.WriteRequest) {
+	if !m.canServe(env.Now) {
+		m.respond(env, from, m.notServingResponse(request.RequestID))
+		return
+	}
+	if int64(len(m.writes)) >= m.settings.Limits.Queue {
+		m.respond(env, from, message.StoreResponse{
+			RequestID: request.RequestID,
+			Code:      int64(errcode.ConfigurationNoHolder),
+			Detail:    "too many puts pending",
+		})
+		return
+	}
+	if request.Packed {
+		request = decompressWrite(request, m.settings.Limits.Configuration)
+	}
+	m.writes = append(m.writes, pendingWrite{from, request, env.Now})
+	m.beginWrites(env)
+}
+
+// beginWrites takes writes from the queue until one is in flight.
+func (m *Machine) beginWrites(env *statemachine.Env) {
+	for !m.proposal.inFlight() && len(m.writes) > 0 {
+		next := m.writes[0]
+		m.writes = m.writes[1:]
+		m.beginWrite(env, next)
+	}
+}
+
+// beginWrite proposes a write, or answers it at once where nothing is to be committed. A proposal shows
+// by its commit that this voter still holds the lease; every other response waits for a renewal.
+func (m *Machine) beginWrite(env *statemachine.Env, next pendingWrite) {
+	stated := statedVersion(next.request.Body)
+	if next.request.Version == 0 {
+		next.request.Version = stated.Int()
+	}
+	response, commits := m.decide(next.request, stated)
+	if commits {
+		m.propose(env, next)
+		return
+	}
+	response.RequestID, response.ConfigName = next.request.RequestID, next.request.ConfigName
+	m.respondConfirmed(env, pendingResponse{
+		from:       next.from,
+		requestID:  next.request.RequestID,
+		receivedAt: next.receivedAt,
+		build:      func() message.StoreResponse { return response },
+	})
+}
+
+// propose appends a write to this voter's log and sends it to the others.
+func (m *Machine) propose(env *statemachine.Env, client pendingWrite) {
+	entry := message.StoredConfiguration{
+		ConfigName: client.request.ConfigName,
+		Version:    client.request.Version,
+		Epoch:      m.leader.term,
+		Seq:        m.log.seq + 1,
+		Body:       client.request.Body,
+	}
+	m.proposal = proposal{entry: &entry, append: m.appendDelta(entry), client: client}
+	m.leader.acks = map[string]string{}
+	m.log.append(m.log.epoch, entry.Seq, entry)
+	reached, term := m.log.position(), m.leader.term
+	record := message.LogAppend{
+		Epoch:         term,
+		Seq:           entry.Seq,
+		Voter:         m.quorum.Voter,
+		Identity:      m.quorum.Signature(),
+		Configuration: entry,
+	}
+	m.Persist(env, record, func(env *statemachine.Env, failure error) {
+		if failure != nil {
+			return
+		}
+		m.log.synced = reached
+		if m.leader.term == term {
+			m.handleAppended(env, m.ownAppended(term, entry.Seq))
+		}
+	})
+	m.sendProposal(env)
+}
+
+// sendProposal sends the write in flight to the voters that have not acknowledged it.
+func (m *Machine) sendProposal(env *statemachine.Env) {
+	m.leader.sentAt = env.Now
+	for _, peer := range m.Peers() {
+		if !m.quorum.Accepts(peer.Voter, m.leader.acks[peer.Voter]) {
+			m.proposal.append.Identity = m.quorum.Signature()
+			env.Send(peer.Address, m.proposal.append)
+		}
+	}
+}
+
+// commitProposal acknowledges the write in flight to its client, publishes it, and begins the next one.
+func (m *Machine) commitProposal(env *statemachine.Env) {
+	committed, client := *m.proposal.entry, m.proposal.client
+	m.proposal.entry = nil
+	env.Event(eventCommitted, 0, m.leader.term, fmt.Sprintf("%s %d", committed.ConfigName, committed.Version))
+	m.publish(env, committed.ConfigName)
+	m.respond(env, client.from, message.StoreResponse{
+		RequestID:  client.request.RequestID,
+		ConfigName: committed.ConfigName,
+		Version:    committed.Version,
+	})
+	m.beginWrites(env)
+}
+
+// publish passes the current version of a configuration to the distribution tree.
+func (m *Machine) publish(env *statemachine.Env, configName string) {
+	if current, known := m.current(configName); known {
+		m.distribution.WriteConfiguration(env, configName, current.Version, current.Body)
+		m.distribution.SetFreshAt(distribution.ConfigurationTopic(configName), env.Now)
+	}
+}
+
+// handleAppendDelta takes an append as it travels. An entry that is in the log already is confirmed
+// without being rebuilt.
+func (m *Machine) handleAppendDelta(env *statemachine.Env, from string, delta message.LogAppendDelta) {
+	entry := message.LogAppend{Epoch: delta.Epoch, Seq: delta.Seq}
+	isNew := m.log.epoch == delta.Epoch && m.log.seq < delta.Seq
+	if isNew {
+		decoded, fits := m.decodeAppend(delta)
+		if !fits {
+			m.requestSnapshot(env, from)
+			return
+		}
+		entry = decoded
+	}
+	m.handleAppend(env, from, entry)
+}
+
+// handleAppend writes the holder's next entry, and confirms it once it is on disk.
+func (m *Machine) handleAppend(env *statemachine.Env, from string, entry message.LogAppend) {
+	switch {
+	case m.log.epoch == entry.Epoch && m.log.seq >= entry.Seq:
+		m.acknowledge(env, from)
+	case m.log.epoch == entry.Epoch && (m.log.seq == entry.Seq-1 || guardsOff.appendInOrder):
+		m.log.append(entry.Epoch, entry.Seq, entry.Configuration)
+		reached := m.log.position()
+		if guardsOff.syncedAppend {
+			m.log.synced = reached
+			m.acknowledge(env, from)
+		}
+		m.Persist(env, entry, func(env *statemachine.Env, failure error) {
+			if failure == nil {
+				m.log.synced = reached
+				m.acknowledge(env, from)
+			}
+		})
+	default:
+		m.requestSnapshot(env, from)
+	}
+}
+
+// acknowledge tells the holder how far this voter's disk has the log, if that is in the promised epoch.
+func (m *Machine) acknowledge(env *statemachine.Env, holderAddress string) {
+	synced := m.log.synced
+	if synced.epoch == m.leases.Epoch(settings.ConfigLogTag) {
+		env.Send(holderAddress, message.LogAppended{
+			Epoch:    synced.epoch,
+			Seq:      synced.seq,
+			Voter:    m.quorum.Voter,
+			Identity: m.quorum.Signature(),
+		})
+	}
+}
--- a/internal/configstore/takeover.go
+++ b/internal/configstore/takeover.go
@@ -1,146 +1,171 @@
 package configstore
 
-// This file is how a new holder of the log's lease comes to serve: it reads a majority, takes
-// the highest position, and commits it again under its own epoch.
-
 import (
-	"beaconvane/internal/errcode"
+	"fmt"
+
 	"beaconvane/internal/message"
-	"beaconvane/internal/settings"
 	"beaconvane/internal/statemachine"
 )
 
-func (m *Machine) took(s *statemachine.Env, _ string, epoch int64) {
-	m.term, m.mode, m.sentAt = epoch, reading, 0
-	m.followers = map[string]message.LogAppended{}
-	at := m.position()
-	m.reads = map[string]message.LogPositionResponse{m.quorum.Voter: {Epoch: epoch, Voter: m.quorum.Voter, Identity: m.quorum.State.Identity,
-		AtEpoch: at.epoch, AtSeq: at.seq, Hash: at.hash}}
-	m.inFlight = nil
-	m.step(s)
+// takeover is the way of a new holder of the lease from the lease to serving: it reads the positions of
+// a majority, fetches the log with the highest one, and commits it again in its own epoch. Whatever an
+// earlier holder acknowledged lies on a majority, so one voter of the majority that is read has it, and
+// no other log can have a higher position without having it too.
+type takeover struct {
+	positions map[string]message.LogPositionResponse // by voter
+	source    message.LogPositionResponse            // of the highest position
+	recommit  message.LogRecommit
 }
 
-func (m *Machine) lost(s *statemachine.Env, _ string, _ int64) {
-	m.mode = idle
-	if m.inFlight != nil {
-		m.tell(s, m.asker.from, message.StoreResponse{RequestID: m.asker.write.RequestID, Code: int64(errcode.ConfigurationUnsure), Detail: "the lease was lost midway"})
-		m.inFlight = nil
+// leaseAcquired is called when this voter has become the holder of the lease.
+func (m *Machine) leaseAcquired(env *statemachine.Env, _ string, epoch int64) {
+	m.leader.term, m.leader.phase, m.leader.sentAt = epoch, readingPositions, 0
+	m.leader.followers = followerProgress{}
+	own := m.positionResponse(epoch, m.log.position())
+	own.Identity = m.quorum.State.Identity
+	m.leader.takeover.positions = map[string]message.LogPositionResponse{m.quorum.Voter: own}
+	m.proposal.entry = nil
+	m.step(env)
+}
+
+// requestPositions asks all voters for the ends of their logs.
+func (m *Machine) requestPositions(env *statemachine.Env) {
+	for _, peer := range m.Peers() {
+		env.Send(peer.Address, message.LogPositionRequest{
+			Epoch:    m.leader.term,
+			Voter:    m.quorum.Voter,
+			Identity: m.quorum.Signature(),
+		})
 	}
-	for _, waiting := range m.writes {
-		m.tell(s, waiting.from, message.StoreResponse{RequestID: waiting.write.RequestID, Code: int64(errcode.ConfigurationNoHolder)})
+}
+
+// positionResponse tells where this voter's log ends.
+func (m *Machine) positionResponse(epoch int64, at position) message.LogPositionResponse {
+	return message.LogPositionResponse{
+		Epoch:    epoch,
+		Voter:    m.quorum.Voter,
+		Identity: m.quorum.Signature(),
+		AtEpoch:  at.epoch,
+		AtSeq:    at.seq,
+		Hash:     at.hash,
 	}
-	for _, waiting := range m.answers {
-		m.tell(s, waiting.from, message.StoreResponse{RequestID: waiting.requestID, Code: int64(errcode.ConfigurationNoHolder)})
+}
+
+// handlePosition takes the end of another voter's log.
+func (m *Machine) handlePosition(env *statemachine.Env, response message.LogPositionResponse) {
+	if m.leader.phase == readingPositions && response.Epoch == m.leader.term {
+		m.leader.takeover.positions[response.Voter] = response
+		m.chooseSource(env)
 	}
-	m.writes, m.answers = nil, nil
 }
 
-// chooseSource: with a majority read, the highest position is the configuration log.
-func (m *Machine) chooseSource(s *statemachine.Env) {
-	acks := map[string]string{}
-	for voter, response := range m.reads {
-		acks[voter] = response.Identity
+// chooseSource takes the voter with the highest position for the source, once a majority was read.
+func (m *Machine) chooseSource(env *statemachine.Env) {
+	positions := m.leader.takeover.positions
+	read := map[string]string{}
+	for voter, response := range positions {
+		read[voter] = response.Identity
 	}
-	if !m.quorum.Majority(acks) && !guardsOff.majorityRead {
+	if !m.quorum.Majority(read) && !guardsOff.majorityRead {
 		return
 	}
-	best := m.reads[m.quorum.Voter]
+	source := positions[m.quorum.Voter]
 	for _, voter := range m.quorum.VoterNames() {
-		response, read := m.reads[voter]
-		if read && !guardsOff.highestPosition && m.quorum.Accepts(voter, response.Identity) && (position{best.AtEpoch, best.AtSeq, 0}).before(position{response.AtEpoch, response.AtSeq, 0}) {
-			best = response
+		response, known := positions[voter]
+		if known && !guardsOff.highestPosition && m.quorum.Accepts(voter, response.Identity) && endOf(source).before(endOf(response)) {
+			source = response
 		}
 	}
-	m.source = best
-	m.sentAt = 0
-	if best.Voter == m.quorum.Voter {
-		m.adopt(s)
+	m.leader.takeover.source = source
+	m.leader.sentAt = 0
+	if source.Voter == m.quorum.Voter {
+		m.beginRecommit(env)
 		return
 	}
-	m.mode = pulling
-	m.step(s)
+	m.leader.phase = fetchingSnapshot
+	m.step(env)
 }
 
-// adopt settles the whole configuration log again under this term.
-func (m *Machine) adopt(s *statemachine.Env) {
-	at := m.position()
-	m.adoption = message.LogRecommit{Epoch: m.term, Voter: m.quorum.Voter, Identity: m.quorum.Signature(), AtEpoch: at.epoch, AtSeq: at.seq, Hash: at.hash}
-	m.mode, m.acks, m.sentAt = adopting, map[string]string{}, 0
-	m.epoch, m.seq = m.term, 0
-	term, reached := m.term, m.position()
-	m.WriteSnapshot(s, func(s *statemachine.Env, failure error) {
+// endOf returns the place that a position response tells; hashes don't order positions.
+func endOf(response message.LogPositionResponse) position {
+	return position{epoch: response.AtEpoch, seq: response.AtSeq}
+}
+
+// fetchFromSource asks the source for its log.
+func (m *Machine) fetchFromSource(env *statemachine.Env) {
+	for _, peer := range m.Peers() {
+		if peer.Voter == m.leader.takeover.source.Voter {
+			env.Send(peer.Address, m.snapshotRequest(m.leader.term))
+		}
+	}
+}
+
+// beginRecommit commits the whole log again in this term. The log is written to disk in the new epoch
+// before this voter acknowledges it to itself.
+func (m *Machine) beginRecommit(env *statemachine.Env) {
+	m.leader.takeover.recommit = m.recommitMessage(m.log.position())
+	m.leader.phase, m.leader.acks, m.leader.sentAt = recommitting, map[string]string{}, 0
+	m.log.recommit(m.leader.term)
+	term, reached := m.leader.term, m.log.position()
+	m.WriteSnapshot(env, func(env *statemachine.Env, failure error) {
 		if failure != nil {
 			return
 		}
-		m.synced = reached
-		if m.term == term {
-			m.handleCommitted(s, message.LogAppended{Epoch: term, Seq: 0, Voter: m.quorum.Voter, Identity: m.quorum.State.Identity})
+		m.log.synced = reached
+		if m.leader.term == term {
+			m.handleAppended(env, m.ownAppended(term, 0))
 		}
 	})
-	m.step(s)
+	m.step(env)
+}
+
+// ownAppended acknowledges an entry as this voter, to itself.
+func (m *Machine) ownAppended(epoch, seq int64) message.LogAppended {
+	return message.LogAppended{Epoch: epoch, Seq: seq, Voter: m.quorum.Voter, Identity: m.quorum.State.Identity}
 }
 
-func (m *Machine) handleAdopt(s *statemachine.Env, from string, adopt message.LogRecommit) {
-	at := m.position()
+// sendRecommit asks all voters to take the log into this term.
+func (m *Machine) sendRecommit(env *statemachine.Env) {
+	m.leader.takeover.recommit.Identity = m.quorum.Signature()
+	for _, peer := range m.Peers() {
+		env.Send(peer.Address, m.leader.takeover.recommit)
+	}
+}
+
+// handleRecommit takes a holder's epoch for this voter's log, if the log is the one that the holder
+// means; otherwise the holder's whole log is requested.
+func (m *Machine) handleRecommit(env *statemachine.Env, from string, recommit message.LogRecommit) {
 	switch {
-	case m.missed(adopt):
-		m.pull(s, from)
-	case m.epoch == adopt.Epoch:
-		m.confirm(s, from)
-	case at == position{adopt.AtEpoch, adopt.AtSeq, adopt.Hash}:
-		m.epoch, m.seq = adopt.Epoch, 0
-		reached := m.position()
-		m.Persist(s, adopt, func(s *statemachine.Env, failure error) {
+	case m.lagsBehind(recommit):
+		m.requestSnapshot(env, from)
+	case m.log.epoch == recommit.Epoch:
+		m.acknowledge(env, from)
+	case m.log.position() == position{recommit.AtEpoch, recommit.AtSeq, recommit.Hash}:
+		m.log.recommit(recommit.Epoch)
+		reached := m.log.position()
+		m.Persist(env, recommit, func(env *statemachine.Env, failure error) {
 			if failure == nil {
-				m.synced = reached
-				m.confirm(s, from)
+				m.log.synced = reached
+				m.acknowledge(env, from)
 			}
 		})
 	default:
-		m.pull(s, from)
+		m.requestSnapshot(env, from)
 	}
 }
 
-func (m *Machine) pull(s *statemachine.Env, from string) {
-	if s.Now < m.pullAt {
-		return
-	}
-	if m.pulledAt != m.position() {
-		m.pulledAt, m.pullWait = m.position(), m.settings.DigestEvery()/2
-	} else {
-		// What was asked for may be on its way yet: asking again makes it later.
-		m.pullWait = min(m.pullWait*2, m.settings.Lease())
-	}
-	m.pullAt = s.Now + m.pullWait
-	s.Event("config-log-pull", 0, m.epoch, "behind the holder")
-	s.Send(from, message.LogSnapshotRequest{Epoch: m.leases.Epoch(settings.ConfigLogTag), Voter: m.quorum.Voter, Identity: m.quorum.Signature()})
+// lagsBehind reports whether the holder's log of this epoch goes on where this voter's ends.
+func (m *Machine) lagsBehind(recommit message.LogRecommit) bool {
+	return recommit.AtEpoch == recommit.Epoch && m.log.epoch == recommit.Epoch && m.log.seq < recommit.AtSeq
 }
 
-func (m *Machine) handleSnapshot(s *statemachine.Env, from string, snapshot message.LogSnapshot) {
-	response := position{snapshot.AtEpoch, snapshot.AtSeq, 0}
-	if snapshot.Epoch != m.leases.Epoch(settings.ConfigLogTag) || m.mode == adopting || m.mode == serving || !m.position().before(response) {
-		return
-	}
-	if m.mode == pulling && snapshot.Voter != m.source.Voter || m.mode == reading {
-		return
-	}
-	configurations, err := unpack(snapshot.Configurations, snapshot.History, m.settings.Limits.Configuration)
-	if err != nil {
-		s.Event("config-log-unreadable", int(errcode.FrameBad), snapshot.Epoch, err.Error())
-		return
+// beginServing ends the takeover: a majority has the log in this epoch.
+func (m *Machine) beginServing(env *statemachine.Env) {
+	m.leader.phase = serving
+	source := m.leader.takeover.source
+	cause := fmt.Sprintf("after (%d,%d) of %s", source.AtEpoch, source.AtSeq, source.Voter)
+	env.Event(eventServing, 0, m.leader.term, cause)
+	for _, configName := range m.log.configNames() {
+		m.publish(env, configName)
 	}
-	m.absorb(message.ConfigStoreState{Epoch: snapshot.AtEpoch, Seq: snapshot.AtSeq, Configurations: configurations, History: snapshot.History})
-	reached := m.position()
-	asHolder, term := m.mode == pulling, m.term
-	m.WriteSnapshot(s, func(s *statemachine.Env, failure error) {
-		if failure != nil {
-			return
-		}
-		m.synced = reached
-		if asHolder && m.mode == pulling && m.term == term {
-			m.adopt(s)
-		} else if !asHolder {
-			m.confirm(s, from)
-		}
-	})
 }
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -329,7 +329,7 @@
 		}
 		w.holders[held] = life
 		w.checkDecidedList(p)
-	case "config-log-serving", "configuration-settled", "usage-sealed":
+	case "config-log-serving", "configuration-committed", "usage-sealed":
 		w.checkDecidedList(p)
 	}
 }
