--- a/internal/configstore/metrics.go
+++ b/internal/configstore/metrics.go
@@ -7,7 +7,7 @@
 
 // metrics returns the control machine's samples for the metrics page.
 func (m *Machine) metrics(env *statemachine.Env) []metrics.Sample {
-	samples := append(m.Core.Metrics(), m.leases.Metrics(env.Now)...)
+	samples := append(m.Metrics(), m.leases.Metrics(env.Now)...)
 	samples = append(samples, m.membership.Metrics()...)
 	for _, configName := range m.log.configNames() {
 		newest := float64(m.NewestVersion(configName))
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -16,9 +16,9 @@
 	f.Add(slots[0], slots[1], log)
 	f.Add(slots[0], slots[1], []byte{})
 	f.Add(slots[0][:len(slots[0])-1], slots[1], log)
-	f.Add(slots[0], []byte{}, log[:len(log)-frameHead])
-	f.Add([]byte{}, []byte{}, logHeadOf(1))
-	f.Add(slotOf(1<<63, []byte("far")), slots[1], append(logHeadOf(1<<63), currentFormat(1<<63).frameOf([][]byte{{}, []byte("x")})...))
+	f.Add(slots[0], []byte{}, log[:len(log)-frameHeaderBytes])
+	f.Add([]byte{}, []byte{}, encodeLogHeader(1))
+	f.Add(encodeSlot(1<<63, []byte("far")), slots[1], append(encodeLogHeader(1<<63), currentFormat(1<<63).encodeFrame([][]byte{{}, []byte("x")})...))
 	f.Fuzz(func(t *testing.T, first, second, log []byte) {
 		disk := &memory{files: map[string][]byte{}}
 		for name, body := range map[string][]byte{slotNames[0]: first, slotNames[1]: second, logName: log} {
--- a/internal/storage/powerloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -1,4 +1,3 @@
-// What a loss of power may leave of the writes that were not synced yet.
 package storage
 
 import (
@@ -245,10 +244,10 @@
 	c := qt.New(t)
 	disk := filled(c)
 	older := frameFormat{number: oldestLogFormat, generation: 1}
-	head := logHeadOf(1)
+	head := encodeLogHeader(1)
 	binary.BigEndian.PutUint32(head[4:], oldestLogFormat)
-	binary.BigEndian.PutUint32(head[logSumAt:], crc32.Checksum(head[:logSumAt], sumTable))
-	disk.durable[logName] = append(head, older.frameOf([][]byte{[]byte("first")})...)
+	binary.BigEndian.PutUint32(head[logChecksumAt:], crc32.Checksum(head[:logChecksumAt], checksumTable))
+	disk.durable[logName] = append(head, older.encodeFrame([][]byte{[]byte("first")})...)
 	store, snapshot, records, err := Open(disk)
 	c.Assert(err, qt.IsNil)
 	c.Assert(storedState(snapshot, records), qt.Equals, storedState([]byte("one"), [][]byte{[]byte("first")}))
@@ -262,7 +261,7 @@
 	c.Assert(storedState(snapshot, records), qt.Equals, storedState([]byte("two"), nil))
 
 	// The cut of the length is lost.
-	disk.durable[logName] = append(logHeadOf(2), older.frameOf([][]byte{[]byte("first")})...)
+	disk.durable[logName] = append(encodeLogHeader(2), older.encodeFrame([][]byte{[]byte("first")})...)
 	_, snapshot, records, err = Open(disk)
 	c.Assert(err, qt.IsNil)
 	c.Assert(storedState(snapshot, records), qt.Equals, storedState([]byte("two"), nil))
--- a/internal/storage/recover.go
+++ b/internal/storage/recover.go
@@ -1,18 +1,18 @@
 package storage
 
-// Restorable is a state machine that is built from what a folder holds and can tell its
-// whole state.
+// Restorable is a state machine that is built from what a directory holds, and returns its whole state.
 type Restorable interface {
+	// Snapshot returns the whole state, from which the machine can be built again.
 	Snapshot() []byte
 }
 
-// Recover opens a folder anew after a write has failed. What an earlier sync left open
-// may be readable and yet not durable, so nothing that was read counts until the whole
-// state is in a slot that was written and synced since. While the disk takes no writes an
-// error comes back and Recover is to be called again later.
-func Recover[M Restorable](folder Directory, build func(snapshot []byte, records [][]byte) (M, error)) (*Store, M, error) {
+// Recover opens a directory anew after a write has failed. What an earlier sync left open may be readable
+// and yet not durable, so nothing that was read counts until the whole state is in a slot that was written
+// and synced since; only then does Recover return a store. While the disk takes no writes it returns an
+// error, and is to be called again later.
+func Recover[M Restorable](directory Directory, build func(snapshot []byte, records [][]byte) (M, error)) (*Store, M, error) {
 	var none M
-	store, snapshot, records, err := Open(folder)
+	store, snapshot, records, err := Open(directory)
 	if err != nil {
 		return nil, none, err
 	}
--- a/internal/storage/recover_test.go
+++ b/internal/storage/recover_test.go
@@ -7,16 +7,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fullFolder is a real folder whose disk may refuse to take more bytes, in the middle of
+// fullDirectory is a real directory whose disk may refuse to take more bytes, in the middle of
 // a write.
-type fullFolder struct {
+type fullDirectory struct {
 	OSDirectory
 	full bool
 }
 
 var errFull = errors.New("no space left on device")
 
-func (f *fullFolder) Write(name string, body []byte) error {
+func (f *fullDirectory) Write(name string, body []byte) error {
 	if f.full {
 		f.OSDirectory.Write(name, body[:len(body)/2])
 		return errFull
@@ -24,7 +24,7 @@
 	return f.OSDirectory.Write(name, body)
 }
 
-func (f *fullFolder) Append(name string, body []byte) error {
+func (f *fullDirectory) Append(name string, body []byte) error {
 	if f.full {
 		f.OSDirectory.Append(name, body[:len(body)/2])
 		return errFull
@@ -56,21 +56,21 @@
 			c := qt.New(t)
 			directory, err := NewOSDirectory(t.TempDir())
 			c.Assert(err, qt.IsNil)
-			folder := &fullFolder{OSDirectory: directory}
-			store, _, _, err := Open(folder)
+			disk := &fullDirectory{OSDirectory: directory}
+			store, _, _, err := Open(disk)
 			c.Assert(err, qt.IsNil)
 			c.Assert(store.Compact([]byte("one ")), qt.IsNil)
 			c.Assert(store.Append([][]byte{[]byte("two ")}), qt.IsNil)
-			folder.full = true
+			disk.full = true
 			c.Assert(fail(store), qt.IsNotNil)
-			_, _, err = Recover(folder, buildLines)
+			_, _, err = Recover(disk, buildLines)
 			c.Assert(err, qt.IsNotNil)
-			folder.full = false
-			store, machine, err := Recover(folder, buildLines)
+			disk.full = false
+			store, machine, err := Recover(disk, buildLines)
 			c.Assert(err, qt.IsNil)
 			c.Assert(machine.text, qt.Equals, "one two ")
 			c.Assert(store.Append([][]byte{[]byte("three")}), qt.IsNil)
-			_, snapshot, records, err := Open(folder)
+			_, snapshot, records, err := Open(disk)
 			c.Assert(err, qt.IsNil)
 			machine, _ = buildLines(snapshot, records)
 			c.Assert(machine.text, qt.Equals, "one two three")
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -1,4 +1,3 @@
-// What a crash and a bad disk may do to a store.
 package storage
 
 import (
@@ -108,17 +107,17 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(store.Append([][]byte{bytes.Repeat([]byte("long "), 300), []byte("x")}), qt.IsNil)
 	whole := len(disk.files[logName])
-	sectors := whole/sector + 1
+	sectors := whole/sectorBytes + 1
 	for missing := 1; missing < 1<<sectors; missing++ {
 		crashed := disk.copy()
 		lost := false
 		for number := range sectors {
-			for index := max(committed, number*sector); missing>>number&1 == 1 && index < min(whole, (number+1)*sector); index++ {
+			for index := max(committed, number*sectorBytes); missing>>number&1 == 1 && index < min(whole, (number+1)*sectorBytes); index++ {
 				crashed.files[logName][index], lost = 0, true
 			}
 		}
 		behind := crashed.copy()
-		behind.files[logName] = append(behind.files[logName], currentFormat(2).frameOf([][]byte{[]byte("settled later")})...)
+		behind.files[logName] = append(behind.files[logName], currentFormat(2).encodeFrame([][]byte{[]byte("settled later")})...)
 		again, _, records, err := Open(crashed)
 		c.Assert(err, qt.IsNil, qt.Commentf("sectors %b of %d", missing, sectors))
 		c.Assert(records, qt.HasLen, map[bool]int{true: 2, false: 4}[lost])
@@ -161,7 +160,7 @@
 	store, _, _, err := Open(disk)
 	c.Assert(err, qt.IsNil)
 	c.Assert(store.Compact([]byte("three")), qt.IsNil)
-	next := slotNames[store.generation%2]
+	next := slotNames[store.slots.generation%2]
 	for size := range len(disk.files[next]) {
 		torn := before.copy()
 		torn.files[next] = append([]byte{}, disk.files[next][:size]...)
