--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -18,7 +18,8 @@
 		if number > 0 {
 			document.WriteByte(',')
 		}
-		fmt.Fprintf(&document, `{"name":"r-%x","host":"%x.example","prefix":"/%x/%x/","kind":"repeatable","timeout_ms":%d,"aim_ms":800,"priority":2,"service":"s%x","attempts":2,"open":false}`,
+		fmt.Fprintf(&document, `{"name":"r-%x","host":"%x.example","prefix":"/%x/%x/","kind":"repeatable","timeout_ms":%d,`+
+			`"aim_ms":800,"priority":2,"service":"s%x","attempts":2,"open":false}`,
 			dice.Uint32(), dice.Uint32(), dice.Uint32(), dice.Uint32(), 500+dice.IntN(4)*500, dice.IntN(3))
 	}
 	document.WriteString(`],"services":["s0","s1","s2"]}`)
@@ -82,15 +83,15 @@
 	}
 }
 
-func TestSpoiltDifferencesAreRefused(t *testing.T) {
+func TestCorruptDifferencesAreRefused(t *testing.T) {
 	dice := rand.New(rand.NewPCG(7, 8))
 	base := configuration(dice, 5)
 	difference := Encode(base, configuration(dice, 6))
 	for range 2000 {
-		spoilt := bytes.Clone(difference)
-		spoilt[dice.IntN(len(spoilt))] ^= byte(1 + dice.IntN(255))
+		corrupt := bytes.Clone(difference)
+		corrupt[dice.IntN(len(corrupt))] ^= byte(1 + dice.IntN(255))
 		// Whatever comes out must come without a panic and within the limit.
-		if rebuilt, err := Apply(base, spoilt, 4096); err == nil && len(rebuilt) > 4096 {
+		if rebuilt, err := Apply(base, corrupt, 4096); err == nil && len(rebuilt) > 4096 {
 			t.Fatalf("%d bytes, the limit is 4096", len(rebuilt))
 		}
 	}
