--- a/internal/configstore/committed_versions_test.go
+++ b/internal/configstore/committed_versions_test.go
@@ -27,7 +27,8 @@
 			c.Assert(int64(len(b.m.log.versions["main"])) < last, qt.IsTrue)
 			for version := int64(1); version <= last; version++ {
 				c.Assert(b.code(c, version, numbered(version)), qt.Equals, errcode.OK, qt.Commentf("version %d", version))
-				c.Assert(b.code(c, version, numbered(version+1)), qt.Equals, errcode.ConfigurationConflict, qt.Commentf("version %d", version))
+				conflicting := numbered(version + 1)
+				c.Assert(b.code(c, version, conflicting), qt.Equals, errcode.ConfigurationConflict, qt.Commentf("version %d", version))
 			}
 			current, _ := b.m.current("main")
 			c.Assert(current.Version, qt.Equals, last)
@@ -57,8 +58,8 @@
 	c.Assert(highest.code(c, 39, numbered(1)), qt.Equals, errcode.OK)
 }
 
-// What is remembered comes back from the disk, from a snapshot and from records alike, and
-// names the same content.
+// What is remembered comes back from the disk, from a snapshot and from records alike, and gives the same
+// position.
 func TestHistoryIsRestored(t *testing.T) {
 	c := qt.New(t)
 	b := newConfigLog(c, settings.WritesRising)
@@ -75,8 +76,9 @@
 	}
 	c.Assert(whole.log.history.outcome("main", 1, []byte(numbered(1))), qt.Equals, forgotten)
 	before := b.m.Snapshot()
-	record, err := message.Encode(message.LogAppend{Epoch: b.m.log.epoch, Seq: b.m.log.seq + 1,
-		Configuration: message.StoredConfiguration{ConfigName: "main", Version: 61, Epoch: b.m.log.epoch, Seq: b.m.log.seq + 1, Body: []byte(numbered(61))}})
+	epoch, seq := b.m.log.epoch, b.m.log.seq+1
+	next := message.StoredConfiguration{ConfigName: "main", Version: 61, Epoch: epoch, Seq: seq, Body: []byte(numbered(61))}
+	record, err := message.Encode(message.LogAppend{Epoch: epoch, Seq: seq, Configuration: next})
 	c.Assert(err, qt.IsNil)
 	c.Assert(b.code(c, 61, numbered(61)), qt.Equals, errcode.OK)
 	replayed, err := New(b.m.settings, message.Member{Name: "configstore/one"}, before, [][]byte{record})
--- a/internal/configstore/decision_test.go
+++ b/internal/configstore/decision_test.go
@@ -117,14 +117,15 @@
 	c.Assert(b.m.log.versions["main"], qt.HasLen, 1)
 }
 
-// An older number is acknowledged only behind what is in flight.
+// A lower number is acknowledged only after the write in flight.
 func TestOlderNumberWaitsForTheWriteInFlight(t *testing.T) {
 	c := qt.New(t)
 	b := newConfigLog(c, settings.WritesHighest)
 	c.Assert(b.code(c, 1, configName("")), qt.Equals, errcode.OK)
 	b.response = nil
 	for _, version := range []int64{9, 9, 3} {
-		b.m.Handle(b.env, "10.0.0.9:1", message.WriteRequest{RequestID: version, ConfigName: "main", Version: version, Body: []byte(configName(""))})
+		request := message.WriteRequest{RequestID: version, ConfigName: "main", Version: version, Body: []byte(configName(""))}
+		b.m.Handle(b.env, "10.0.0.9:1", request)
 	}
 	b.drain()
 	c.Assert(b.response, qt.HasLen, 0)
@@ -136,14 +137,15 @@
 	}
 }
 
-// What the registry has checked is not checked again on the thread that renews the lease,
-// and its findings are what the operator is told.
+// A content that the registry has checked is not checked again on the thread that renews the lease, and
+// the client gets the faults that the registry found.
 func TestContentIsCheckedBeforeItComes(t *testing.T) {
 	c := qt.New(t)
 	b := newConfigLog(c, settings.WritesRising)
 	send := func(version int64, body string, check message.ContentCheck) message.StoreResponse {
 		b.response = nil
-		b.m.Handle(b.env, "10.0.0.9:1", message.WriteRequest{RequestID: version, ConfigName: "main", Version: version, Body: []byte(body), Check: check})
+		request := message.WriteRequest{RequestID: version, ConfigName: "main", Version: version, Body: []byte(body), Check: check}
+		b.m.Handle(b.env, "10.0.0.9:1", request)
 		b.drain()
 		b.sync()
 		c.Assert(b.response, qt.HasLen, 1)
@@ -152,7 +154,8 @@
 	refused := send(1, configName(""), message.ContentCheck{Done: true, Faults: []string{"found elsewhere"}})
 	c.Assert(errcode.Code(refused.Code), qt.Equals, errcode.ConfigurationBad)
 	c.Assert(refused.Faults, qt.DeepEquals, []string{"found elsewhere"})
-	c.Assert(errcode.Code(send(1, configName(""), message.ContentCheck{Done: true, TooLarge: true}).Code), qt.Equals, errcode.ConfigurationTooLarge)
+	refused = send(1, configName(""), message.ContentCheck{Done: true, TooLarge: true})
+	c.Assert(errcode.Code(refused.Code), qt.Equals, errcode.ConfigurationTooLarge)
 	c.Assert(errcode.Code(send(1, "no check would let this pass", message.ContentCheck{Done: true}).Code), qt.Equals, errcode.OK)
 	c.Assert(errcode.Code(send(2, "no check would let this pass", message.ContentCheck{}).Code), qt.Equals, errcode.ConfigurationBad)
 }
--- a/internal/configstore/differences_test.go
+++ b/internal/configstore/differences_test.go
@@ -24,8 +24,10 @@
 		for version := range count {
 			lines[dice.IntN(routes)] = fmt.Sprintf("changed %d", dice.IntN(1000))
 			body := []byte(strings.Join(lines, "\n"))
-			list = append(list, message.StoredConfiguration{ConfigName: configName, Version: int64(version + 1), Epoch: 1, Seq: int64(version), Body: body})
-			digests = append(digests, message.VersionDigest{ConfigName: configName, Version: int64(version + 1), Digest: contentDigest(body)})
+			number := int64(version + 1)
+			entry := message.StoredConfiguration{ConfigName: configName, Version: number, Epoch: 1, Seq: int64(version), Body: body}
+			list = append(list, entry)
+			digests = append(digests, message.VersionDigest{ConfigName: configName, Version: number, Digest: contentDigest(body)})
 		}
 	}
 	return list, digests
@@ -66,8 +68,8 @@
 	}
 }
 
-// Differences that don't give what the digests say are refused, and nothing of them is taken.
-func TestSpoiltLogIsRefused(t *testing.T) {
+// Differences that don't give what the digests say are refused as a whole.
+func TestCorruptDifferencesAreRefused(t *testing.T) {
 	c := qt.New(t)
 	list, digests := versionsOf(rand.New(rand.NewPCG(1, 7)), 4, 50)
 	encoded := (&differenceEncoder{}).encode(list)
@@ -93,7 +95,10 @@
 	encoder.encode([]message.StoredConfiguration{base, lost})
 	encoder.compress(lost.Body)
 	list := []message.StoredConfiguration{base, taken}
-	digests := []message.VersionDigest{{ConfigName: "main", Version: 4, Digest: contentDigest(base.Body)}, {ConfigName: "main", Version: 5, Digest: contentDigest(taken.Body)}}
+	digests := []message.VersionDigest{
+		{ConfigName: "main", Version: 4, Digest: contentDigest(base.Body)},
+		{ConfigName: "main", Version: 5, Digest: contentDigest(taken.Body)},
+	}
 	decoded, err := decodeDifferences(encoder.encode(list), digests, 1<<20)
 	c.Assert(err, qt.IsNil)
 	c.Assert(reflect.DeepEqual(decoded, list), qt.IsTrue)
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -1,5 +1,3 @@
-// Whatever comes over a connection or stands in a log is refused or read, and what was
-// read says the same when it is written again.
 package message
 
 import (
@@ -10,13 +8,13 @@
 	"testing"
 )
 
-// sealed puts a right checksum behind a frame, so that the fuzzer reaches the records.
+// sealed returns a frame with a right checksum, so that the fuzzer reaches the records.
 func sealed(kind byte, record []byte) []byte {
 	frame := append([]byte{kind}, record...)
 	return binary.BigEndian.AppendUint32(frame, crc32.Checksum(frame, checksumTable))
 }
 
-// filled is a message of a type with something in every field.
+// filled returns a message of a type with a value in every field.
 func filled(goType reflect.Type, depth int) reflect.Value {
 	value := reflect.New(goType).Elem()
 	switch goType.Kind() {
@@ -43,6 +41,7 @@
 	return value
 }
 
+// Any frame is refused, or decoded to a message that is the same after it was encoded again.
 func FuzzDecode(f *testing.F) {
 	for kind, entry := range byKind {
 		for _, depth := range []int{0, 2} {
@@ -74,24 +73,34 @@
 	})
 }
 
-// Frames without a right checksum never pass.
+// checksumHolds computes the checksum of a frame apart from Decode.
+func checksumHolds(frame []byte) bool {
+	if len(frame) < 1+checksumBytes {
+		return false
+	}
+	content, sum := frame[:len(frame)-checksumBytes], frame[len(frame)-checksumBytes:]
+	return crc32.Checksum(content, checksumTable) == binary.BigEndian.Uint32(sum)
+}
+
+// A frame with a wrong checksum is never decoded.
 func FuzzDecodeUnsealed(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(sealed(1, []byte{1, 2, 3}))
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		decoded, err := Decode(frame)
-		if err == nil && (len(frame) < 1+checksumBytes || crc32.Checksum(frame[:len(frame)-checksumBytes], checksumTable) != binary.BigEndian.Uint32(frame[len(frame)-checksumBytes:])) {
+		if err == nil && !checksumHolds(frame) {
 			t.Fatalf("%T was read from a frame with a wrong checksum", decoded)
 		}
 	})
 }
 
-// An array that claims more elements than any message has is refused before memory is
-// taken for it: the fuzzer's seeds ended the process with 96 GiB wanted.
+// An array that claims more elements than any message has is refused before memory is allocated for it.
+// Without that the fuzzer's seeds ended the process, which asked for 96 GiB.
 func TestClaimedElementsTakeNoMemory(t *testing.T) {
 	count := []byte{0xff, 0xff, 0xff, 0xff, 0x0f}
 	for kind, entry := range byKind {
-		if _, err := Decode(sealed(kind, count)); err == nil && entry.goType.NumField() > 0 && entry.goType.Field(0).Type.Kind() == reflect.Slice {
+		beginsWithArray := entry.goType.NumField() > 0 && entry.goType.Field(0).Type.Kind() == reflect.Slice
+		if _, err := Decode(sealed(kind, count)); err == nil && beginsWithArray {
 			t.Errorf("%s is read from a claim of 2^32 elements", entry.goType)
 		}
 	}
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -1,4 +1,3 @@
-// Every message survives the connection, the largest included.
 package message
 
 import (
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Whatever stands in slots and log, opening refuses or gives a state that takes more, and
-// that the next opening gives again with what it took.
+// Whatever slots and log hold, Open refuses, or returns a store that takes further records and a state that
+// the next Open returns again together with these records.
 func FuzzOpen(f *testing.F) {
 	disk := written(qt.New(f))
 	slots := [2][]byte{disk.files[slotNames[0]], disk.files[slotNames[1]]}
@@ -18,7 +18,9 @@
 	f.Add(slots[0][:len(slots[0])-1], slots[1], log)
 	f.Add(slots[0], []byte{}, log[:len(log)-frameHeaderBytes])
 	f.Add([]byte{}, []byte{}, encodeLogHeader(1))
-	f.Add(encodeSlot(1<<63, []byte("far")), slots[1], append(encodeLogHeader(1<<63), currentFormat(1<<63).encodeFrame([][]byte{{}, []byte("x")})...))
+	const highest = 1 << 63
+	frame := currentFormat(highest).encodeFrame([][]byte{{}, []byte("x")})
+	f.Add(encodeSlot(highest, []byte("far")), slots[1], append(encodeLogHeader(highest), frame...))
 	f.Fuzz(func(t *testing.T, first, second, log []byte) {
 		disk := &memory{files: map[string][]byte{}}
 		for name, body := range map[string][]byte{slotNames[0]: first, slotNames[1]: second, logName: log} {
--- a/internal/storage/powerloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -125,7 +125,9 @@
 		return list
 	}
 	for kept := 1; kept < len(c.body); kept++ {
-		list = append(list, outcome{fmt.Sprintf("first %d bytes", kept), kept, false}, outcome{fmt.Sprintf("first %d bytes, then zeros", kept), kept, true})
+		list = append(list,
+			outcome{fmt.Sprintf("first %d bytes", kept), kept, false},
+			outcome{fmt.Sprintf("first %d bytes, then zeros", kept), kept, true})
 	}
 	return list
 }
@@ -161,7 +163,8 @@
 						left[other] = append([]change{}, kept...)
 					}
 					left[name] = append(left[name], next.after(done)...)
-					grown = append(grown, lost{left, fmt.Sprintf("%s %s@%d cut=%t: %s;", state.how, name, next.offset, next.cut, done.name)})
+					how := fmt.Sprintf("%s %s@%d cut=%t: %s;", state.how, name, next.offset, next.cut, done.name)
+					grown = append(grown, lost{left, how})
 				}
 			}
 			states = grown
@@ -226,7 +229,8 @@
 // before, or the snapshot alone, and never the snapshot with the old records behind it.
 func TestPowerLossWhileTheLogIsReplaced(t *testing.T) {
 	c := qt.New(t)
-	lossDuring(c, filled(c), storedState([]byte("one"), [][]byte{[]byte("first"), []byte("second"), []byte("third")}), storedState([]byte("two"), nil),
+	records := [][]byte{[]byte("first"), []byte("second"), []byte("third")}
+	lossDuring(c, filled(c), storedState([]byte("one"), records), storedState([]byte("two"), nil),
 		func(store *Store) error { return store.Compact([]byte("two")) })
 }
 
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -146,7 +146,8 @@
 				refused++
 				continue
 			}
-			c.Assert(fmt.Sprintf("%s %s", snapshot, records), qt.Equals, "two [first record second record]", qt.Commentf("%s byte %d", name, index))
+			found := fmt.Sprintf("%s %s", snapshot, records)
+			c.Assert(found, qt.Equals, "two [first record second record]", qt.Commentf("%s byte %d", name, index))
 		}
 	}
 	c.Assert(refused > 50, qt.IsTrue)
