--- a/internal/configstore/catchup.go
+++ b/internal/configstore/catchup.go
@@ -59,11 +59,11 @@
 	if !m.log.position().before(position{epoch: snapshot.AtEpoch, seq: snapshot.AtSeq}) {
 		return false
 	}
-	switch m.leader.phase {
+	switch m.leadership.phase {
 	case following:
 		return true
 	case fetchingSnapshot:
-		return snapshot.Voter == m.leader.takeover.source.Voter
+		return snapshot.Voter == m.leadership.takeover.source.Voter
 	default:
 		return false
 	}
@@ -87,13 +87,13 @@
 		History:        snapshot.History,
 	})
 	reached := m.log.position()
-	asHolder, term := m.leader.phase == fetchingSnapshot, m.leader.term
+	asHolder, term := m.leadership.phase == fetchingSnapshot, m.leadership.term
 	m.WriteSnapshot(env, func(env *statemachine.Env, failure error) {
 		if failure != nil {
 			return
 		}
 		m.log.synced = reached
-		if asHolder && m.leader.phase == fetchingSnapshot && m.leader.term == term {
+		if asHolder && m.leadership.phase == fetchingSnapshot && m.leadership.term == term {
 			m.beginRecommit(env)
 		} else if !asHolder {
 			m.acknowledge(env, from)
@@ -103,7 +103,7 @@
 
 // keepsUp reports whether a voter has confirmed the whole log, with the disk that the quorum knows it by.
 func (m *Machine) keepsUp(voter string) bool {
-	last, known := m.leader.followers[voter]
+	last, known := m.leadership.followers[voter]
 	return known && last.match >= m.log.seq && m.quorum.Accepts(voter, last.identity)
 }
 
@@ -113,7 +113,7 @@
 func (m *Machine) remindLaggards(env *statemachine.Env) {
 	for _, peer := range m.Peers() {
 		if peer.Voter != "" && peer.Voter != m.quorum.Voter && !m.keepsUp(peer.Voter) {
-			env.Send(peer.Address, m.recommitMessage(position{m.leader.term, m.log.seq, m.log.hash}))
+			env.Send(peer.Address, m.recommitMessage(position{m.leadership.term, m.log.seq, m.log.hash}))
 		}
 	}
 }
--- a/internal/configstore/differences_test.go
+++ b/internal/configstore/differences_test.go
@@ -85,7 +85,7 @@
 
 // A version that was in flight and lost may be committed with another content later, at a
 // store that encoded the first: what it packs then is what it holds.
-func TestPackedContentIsTheOneHeld(t *testing.T) {
+func TestDifferencesAreCachedByContent(t *testing.T) {
 	c := qt.New(t)
 	base := message.StoredConfiguration{ConfigName: "main", Version: 4, Body: []byte(strings.Repeat("base ", 300))}
 	lost, taken := base, base
--- a/internal/configstore/leadership.go
+++ b/internal/configstore/leadership.go
@@ -32,22 +32,22 @@
 
 // canServe reports whether this voter may answer clients now.
 func (m *Machine) canServe(now time.Duration) bool {
-	return m.leader.phase == serving && m.leases.Holding(settings.ConfigLogTag, now)
+	return m.leadership.phase == serving && m.leases.Holding(settings.ConfigLogTag, now)
 }
 
 // step sends again what the phase waits for. Messages are repeated until they are answered, since any of
 // them may be lost.
 func (m *Machine) step(env *statemachine.Env) {
-	if m.leader.phase != following && !m.leases.Holding(settings.ConfigLogTag, env.Now) {
+	if m.leadership.phase != following && !m.leases.Holding(settings.ConfigLogTag, env.Now) {
 		return
 	}
 	m.sendConfirmedResponses(env)
-	recentlySent := env.Now-m.leader.sentAt < m.settings.DigestEvery() && m.leader.sentAt != 0
-	if m.leader.phase == following || recentlySent {
+	recentlySent := env.Now-m.leadership.sentAt < m.settings.DigestEvery() && m.leadership.sentAt != 0
+	if m.leadership.phase == following || recentlySent {
 		return
 	}
-	m.leader.sentAt = env.Now
-	switch m.leader.phase {
+	m.leadership.sentAt = env.Now
+	switch m.leadership.phase {
 	case readingPositions:
 		m.requestPositions(env)
 		m.chooseSource(env)
@@ -66,19 +66,19 @@
 
 // handleAppended counts an acknowledgement of a voter, this one included.
 func (m *Machine) handleAppended(env *statemachine.Env, appended message.LogAppended) {
-	if appended.Epoch != m.leader.term {
+	if appended.Epoch != m.leadership.term {
 		return
 	}
-	m.leader.followers.record(appended)
+	m.leadership.followers.record(appended)
 	switch {
-	case m.leader.phase == recommitting:
-		m.leader.acks[appended.Voter] = appended.Identity
-		if m.quorum.Majority(m.leader.acks) || guardsOff.recommit {
+	case m.leadership.phase == recommitting:
+		m.leadership.acks[appended.Voter] = appended.Identity
+		if m.quorum.Majority(m.leadership.acks) || guardsOff.recommit {
 			m.beginServing(env)
 		}
-	case m.leader.phase == serving && m.proposal.inFlight() && appended.Seq >= m.proposal.entry.Seq:
-		m.leader.acks[appended.Voter] = appended.Identity
-		if m.quorum.Majority(m.leader.acks) || guardsOff.majorityCommit {
+	case m.leadership.phase == serving && m.proposal.inFlight() && appended.Seq >= m.proposal.entry.Seq:
+		m.leadership.acks[appended.Voter] = appended.Identity
+		if m.quorum.Majority(m.leadership.acks) || guardsOff.majorityCommit {
 			m.commitProposal(env)
 		}
 	}
@@ -87,7 +87,7 @@
 // recommitMessage asks a voter to take the log that ends at a position into this term.
 func (m *Machine) recommitMessage(at position) message.LogRecommit {
 	return message.LogRecommit{
-		Epoch:    m.leader.term,
+		Epoch:    m.leadership.term,
 		Voter:    m.quorum.Voter,
 		Identity: m.quorum.Signature(),
 		AtEpoch:  at.epoch,
@@ -100,7 +100,7 @@
 // committed by the next holder, so its client is told that the result is not known; all others may ask
 // again elsewhere.
 func (m *Machine) leaseLost(env *statemachine.Env, _ string, _ int64) {
-	m.leader.phase = following
+	m.leadership.phase = following
 	if m.proposal.inFlight() {
 		m.respond(env, m.proposal.client.from, message.StoreResponse{
 			RequestID: m.proposal.client.request.RequestID,
--- a/internal/configstore/machine.go
+++ b/internal/configstore/machine.go
@@ -25,14 +25,14 @@
 	leases       *lease.Manager
 	distribution *distribution.Distribution
 
-	log       replicatedLog
-	leader    leadership
-	proposal  proposal
-	writes    []pendingWrite
-	responses []pendingResponse
-	encoder   differenceEncoder
-	backoff   snapshotBackoff
-	stopping  bool
+	log        replicatedLog
+	leadership leadership
+	proposal   proposal
+	writes     []pendingWrite
+	responses  []pendingResponse
+	encoder    differenceEncoder
+	backoff    snapshotBackoff
+	stopping   bool
 }
 
 // New restores a machine from what its disk held: a snapshot, nil for an empty disk, and the records
@@ -59,7 +59,7 @@
 	m.UseVoters(m.quorum)
 	m.leases = lease.New(cfg, m, m.quorum, []string{settings.ConfigLogTag}, restored.Votes,
 		lease.Callbacks{Eligible: m.eligible, OnAcquired: m.leaseAcquired, OnLost: m.leaseLost})
-	m.distribution.ServeWhen(m.canServe, func() []string { return []string{m.holderName()} })
+	m.distribution.ServeWhen(m.canServe, func() []string { return []string{m.leaseHolderName()} })
 	return m, nil
 }
 
@@ -81,8 +81,8 @@
 	return m.Failure() == nil && !m.stopping && !m.membership.Superseded()
 }
 
-// holderName returns the member name of the holder of the lease, "" if this voter doesn't know it.
-func (m *Machine) holderName() string {
+// leaseHolderName returns the member name of the holder of the lease, "" if this voter doesn't know it.
+func (m *Machine) leaseHolderName() string {
 	voter := m.leases.Holder(settings.ConfigLogTag)
 	for _, peer := range m.Peers() {
 		if peer.Voter == voter && peer.Address == m.quorum.AddressOf(voter) {
@@ -129,12 +129,12 @@
 	case message.LogAppended:
 		m.handleAppended(env, received)
 	default:
-		m.handleFromHolder(env, from, msg)
+		m.handleHolderRequest(env, from, msg)
 	}
 }
 
-// handleFromHolder takes what only the holder of the lease may ask of a voter.
-func (m *Machine) handleFromHolder(env *statemachine.Env, from string, msg any) {
+// handleHolderRequest takes what only the holder of the lease may ask of a voter.
+func (m *Machine) handleHolderRequest(env *statemachine.Env, from string, msg any) {
 	switch received := msg.(type) {
 	case message.LogPositionRequest:
 		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
@@ -185,7 +185,7 @@
 }
 
 // Serving reports whether this voter holds the lease and has taken over the log.
-func (m *Machine) Serving() bool { return m.leader.phase == serving }
+func (m *Machine) Serving() bool { return m.leadership.phase == serving }
 
 // VoterState returns what this disk says of its voter.
 func (m *Machine) VoterState() message.VoterState { return m.quorum.State }
--- a/internal/configstore/metrics.go
+++ b/internal/configstore/metrics.go
@@ -14,7 +14,7 @@
 		samples = append(samples, metrics.About("configuration_newest", "configuration", configName, newest))
 	}
 	return append(samples,
-		metrics.Flag("log_serving", m.leader.phase == serving),
+		metrics.Flag("log_serving", m.leadership.phase == serving),
 		metrics.Of("log_epoch", float64(m.log.epoch)),
 		metrics.Of("log_sequence", float64(m.log.seq)),
 		metrics.Of("writes_waiting", float64(len(m.writes))),
--- a/internal/configstore/persistence.go
+++ b/internal/configstore/persistence.go
@@ -57,8 +57,8 @@
 // DiscardState drops what rested on a voter that another disk holds now.
 func (m *Machine) DiscardState(env *statemachine.Env) {
 	m.leases.Forget(env)
-	m.leader.term, m.leader.phase = 0, following
-	m.leader.takeover.positions, m.leader.acks = nil, nil
+	m.leadership.term, m.leadership.phase = 0, following
+	m.leadership.takeover.positions, m.leadership.acks = nil, nil
 	m.log.replace(message.ConfigStoreState{})
 	m.log.synced = m.log.position()
 }
--- a/internal/configstore/proposal.go
+++ b/internal/configstore/proposal.go
@@ -85,14 +85,14 @@
 	entry := message.StoredConfiguration{
 		ConfigName: client.request.ConfigName,
 		Version:    client.request.Version,
-		Epoch:      m.leader.term,
+		Epoch:      m.leadership.term,
 		Seq:        m.log.seq + 1,
 		Body:       client.request.Body,
 	}
 	m.proposal = proposal{entry: &entry, append: m.appendDelta(entry), client: client}
-	m.leader.acks = map[string]string{}
+	m.leadership.acks = map[string]string{}
 	m.log.append(m.log.epoch, entry.Seq, entry)
-	reached, term := m.log.position(), m.leader.term
+	reached, term := m.log.position(), m.leadership.term
 	record := message.LogAppend{
 		Epoch:         term,
 		Seq:           entry.Seq,
@@ -105,7 +105,7 @@
 			return
 		}
 		m.log.synced = reached
-		if m.leader.term == term {
+		if m.leadership.term == term {
 			m.handleAppended(env, m.ownAppended(term, entry.Seq))
 		}
 	})
@@ -114,9 +114,9 @@
 
 // sendProposal sends the write in flight to the voters that have not acknowledged it.
 func (m *Machine) sendProposal(env *statemachine.Env) {
-	m.leader.sentAt = env.Now
+	m.leadership.sentAt = env.Now
 	for _, peer := range m.Peers() {
-		if !m.quorum.Accepts(peer.Voter, m.leader.acks[peer.Voter]) {
+		if !m.quorum.Accepts(peer.Voter, m.leadership.acks[peer.Voter]) {
 			m.proposal.append.Identity = m.quorum.Signature()
 			env.Send(peer.Address, m.proposal.append)
 		}
@@ -127,7 +127,7 @@
 func (m *Machine) commitProposal(env *statemachine.Env) {
 	committed, client := *m.proposal.entry, m.proposal.client
 	m.proposal.entry = nil
-	env.Event(eventCommitted, 0, m.leader.term, fmt.Sprintf("%s %d", committed.ConfigName, committed.Version))
+	env.Event(eventCommitted, 0, m.leadership.term, fmt.Sprintf("%s %d", committed.ConfigName, committed.Version))
 	m.publish(env, committed.ConfigName)
 	m.respond(env, client.from, message.StoreResponse{
 		RequestID:  client.request.RequestID,
--- a/internal/configstore/responses.go
+++ b/internal/configstore/responses.go
@@ -31,7 +31,7 @@
 
 // sendConfirmedResponses sends the responses whose renewal has been confirmed.
 func (m *Machine) sendConfirmedResponses(env *statemachine.Env) {
-	if m.leader.phase != serving {
+	if m.leadership.phase != serving {
 		return
 	}
 	waiting := []pendingResponse{}
@@ -68,15 +68,15 @@
 // notServingResponse refuses a request and names the holder of the lease, as far as this voter knows it.
 func (m *Machine) notServingResponse(requestID int64) message.StoreResponse {
 	code := errcode.ConfigurationNoHolder
-	if m.leader.phase != following {
+	if m.leadership.phase != following {
 		code = errcode.ConfigurationBehind
 	}
-	return message.StoreResponse{RequestID: requestID, Code: int64(code), Holder: m.holderName()}
+	return message.StoreResponse{RequestID: requestID, Code: int64(code), Holder: m.leaseHolderName()}
 }
 
 // handleRead answers a read from the committed versions, as they are when the response is sent.
 func (m *Machine) handleRead(env *statemachine.Env, from string, request message.ReadRequest) {
-	if m.leader.phase != serving {
+	if m.leadership.phase != serving {
 		m.respond(env, from, m.notServingResponse(request.RequestID))
 		return
 	}
--- a/internal/configstore/takeover.go
+++ b/internal/configstore/takeover.go
@@ -19,11 +19,11 @@
 
 // leaseAcquired is called when this voter has become the holder of the lease.
 func (m *Machine) leaseAcquired(env *statemachine.Env, _ string, epoch int64) {
-	m.leader.term, m.leader.phase, m.leader.sentAt = epoch, readingPositions, 0
-	m.leader.followers = followerProgress{}
+	m.leadership.term, m.leadership.phase, m.leadership.sentAt = epoch, readingPositions, 0
+	m.leadership.followers = followerProgress{}
 	own := m.positionResponse(epoch, m.log.position())
 	own.Identity = m.quorum.State.Identity
-	m.leader.takeover.positions = map[string]message.LogPositionResponse{m.quorum.Voter: own}
+	m.leadership.takeover.positions = map[string]message.LogPositionResponse{m.quorum.Voter: own}
 	m.proposal.entry = nil
 	m.step(env)
 }
@@ -32,7 +32,7 @@
 func (m *Machine) requestPositions(env *statemachine.Env) {
 	for _, peer := range m.Peers() {
 		env.Send(peer.Address, message.LogPositionRequest{
-			Epoch:    m.leader.term,
+			Epoch:    m.leadership.term,
 			Voter:    m.quorum.Voter,
 			Identity: m.quorum.Signature(),
 		})
@@ -53,15 +53,15 @@
 
 // handlePosition takes the end of another voter's log.
 func (m *Machine) handlePosition(env *statemachine.Env, response message.LogPositionResponse) {
-	if m.leader.phase == readingPositions && response.Epoch == m.leader.term {
-		m.leader.takeover.positions[response.Voter] = response
+	if m.leadership.phase == readingPositions && response.Epoch == m.leadership.term {
+		m.leadership.takeover.positions[response.Voter] = response
 		m.chooseSource(env)
 	}
 }
 
 // chooseSource takes the voter with the highest position for the source, once a majority was read.
 func (m *Machine) chooseSource(env *statemachine.Env) {
-	positions := m.leader.takeover.positions
+	positions := m.leadership.takeover.positions
 	read := map[string]string{}
 	for voter, response := range positions {
 		read[voter] = response.Identity
@@ -76,13 +76,13 @@
 			source = response
 		}
 	}
-	m.leader.takeover.source = source
-	m.leader.sentAt = 0
+	m.leadership.takeover.source = source
+	m.leadership.sentAt = 0
 	if source.Voter == m.quorum.Voter {
 		m.beginRecommit(env)
 		return
 	}
-	m.leader.phase = fetchingSnapshot
+	m.leadership.phase = fetchingSnapshot
 	m.step(env)
 }
 
@@ -94,8 +94,8 @@
 // fetchFromSource asks the source for its log.
 func (m *Machine) fetchFromSource(env *statemachine.Env) {
 	for _, peer := range m.Peers() {
-		if peer.Voter == m.leader.takeover.source.Voter {
-			env.Send(peer.Address, m.snapshotRequest(m.leader.term))
+		if peer.Voter == m.leadership.takeover.source.Voter {
+			env.Send(peer.Address, m.snapshotRequest(m.leadership.term))
 		}
 	}
 }
@@ -103,16 +103,16 @@
 // beginRecommit commits the whole log again in this term. The log is written to disk in the new epoch
 // before this voter acknowledges it to itself.
 func (m *Machine) beginRecommit(env *statemachine.Env) {
-	m.leader.takeover.recommit = m.recommitMessage(m.log.position())
-	m.leader.phase, m.leader.acks, m.leader.sentAt = recommitting, map[string]string{}, 0
-	m.log.recommit(m.leader.term)
-	term, reached := m.leader.term, m.log.position()
+	m.leadership.takeover.recommit = m.recommitMessage(m.log.position())
+	m.leadership.phase, m.leadership.acks, m.leadership.sentAt = recommitting, map[string]string{}, 0
+	m.log.recommit(m.leadership.term)
+	term, reached := m.leadership.term, m.log.position()
 	m.WriteSnapshot(env, func(env *statemachine.Env, failure error) {
 		if failure != nil {
 			return
 		}
 		m.log.synced = reached
-		if m.leader.term == term {
+		if m.leadership.term == term {
 			m.handleAppended(env, m.ownAppended(term, 0))
 		}
 	})
@@ -126,9 +126,9 @@
 
 // sendRecommit asks all voters to take the log into this term.
 func (m *Machine) sendRecommit(env *statemachine.Env) {
-	m.leader.takeover.recommit.Identity = m.quorum.Signature()
+	m.leadership.takeover.recommit.Identity = m.quorum.Signature()
 	for _, peer := range m.Peers() {
-		env.Send(peer.Address, m.leader.takeover.recommit)
+		env.Send(peer.Address, m.leadership.takeover.recommit)
 	}
 }
 
@@ -161,10 +161,10 @@
 
 // beginServing ends the takeover: a majority has the log in this epoch.
 func (m *Machine) beginServing(env *statemachine.Env) {
-	m.leader.phase = serving
-	source := m.leader.takeover.source
+	m.leadership.phase = serving
+	source := m.leadership.takeover.source
 	cause := fmt.Sprintf("after (%d,%d) of %s", source.AtEpoch, source.AtSeq, source.Voter)
-	env.Event(eventServing, 0, m.leader.term, cause)
+	env.Event(eventServing, 0, m.leadership.term, cause)
 	for _, configName := range m.log.configNames() {
 		m.publish(env, configName)
 	}
--- a/internal/storage/recover.go
+++ b/internal/storage/recover.go
@@ -10,13 +10,15 @@
 // and yet not durable, so nothing that was read counts until the whole state is in a slot that was written
 // and synced since; only then does Recover return a store. While the disk takes no writes it returns an
 // error, and is to be called again later.
-func Recover[M Restorable](directory Directory, build func(snapshot []byte, records [][]byte) (M, error)) (*Store, M, error) {
+func Recover[M Restorable](
+	directory Directory, build func(snapshot []byte, records [][]byte) (M, error),
+) (store *Store, machine M, err error) {
 	var none M
 	store, snapshot, records, err := Open(directory)
 	if err != nil {
 		return nil, none, err
 	}
-	machine, err := build(snapshot, records)
+	machine, err = build(snapshot, records)
 	if err != nil {
 		return nil, none, err
 	}
