--- a/internal/registry/answers.go
+++ b/internal/registry/answer.go
@@ -1,19 +1,17 @@
 package registry
 
-// This file is the shape of what a registry answers outside, as JSON. The fields of each
-// answer stand in the order of the alphabet.
-
 import (
 	"encoding/json"
 
 	"beaconvane/internal/errcode"
 )
 
-// Answer is what goes back outside.
+// Answer is what goes back to an operator. The types of the JSON bodies follow below; the fields of
+// each stand in the order of the alphabet, which is their order on the wire.
 type Answer struct {
 	Code errcode.Code
-	Body []byte
-	Raw  bool
+	Body []byte // JSON, unless Raw
+	Raw  bool   // the body is a configuration, byte for byte as it was committed
 }
 
 // codeAnswer says how a call ended, and nothing more.
@@ -144,6 +142,7 @@
 	Slices map[string][]registrationAnswer `json:"slices"`
 }
 
+// answerJSON makes an answer of a body.
 func answerJSON(code errcode.Code, body any) Answer {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -152,6 +151,7 @@
 	return Answer{Code: code, Body: text}
 }
 
+// answerCode makes an answer that has a result code and a detail only.
 func answerCode(code errcode.Code, detail string) Answer {
 	return answerJSON(code, codeAnswer{Code: code, Detail: detail, Result: code.String()})
 }
--- /dev/null
+++ b/internal/registry/machine.go
@@ -0,0 +1,204 @@
+package registry
+
+import (
+	"slices"
+	"time"
+
+	"beaconvane/internal/distribution"
+	"beaconvane/internal/lease"
+	"beaconvane/internal/membership"
+	"beaconvane/internal/message"
+	"beaconvane/internal/quorum"
+	"beaconvane/internal/settings"
+	"beaconvane/internal/statemachine"
+)
+
+// Group is the name of the registries' voters as a group.
+const Group = "registry"
+
+// Machine is the registry's control state.
+type Machine struct {
+	*quorum.Core
+	settings     settings.Settings
+	membership   *membership.Membership
+	quorum       *quorum.Quorum
+	leases       *lease.Leases
+	distribution *distribution.Distribution
+
+	zones       map[string]*zoneReplica // by name of the zone
+	heartbeats  *heartbeatTable
+	proxies     proxyReports
+	changes     *changeTracker
+	replication *replicationState
+	requests    *operatorRequests
+	usage       *usage
+
+	started           bool
+	startedAt         time.Duration // of the first tick
+	lastTickAt        time.Duration
+	nextMaintenanceAt time.Duration
+	stopping          bool
+}
+
+// New restores a machine from what its disk held.
+func New(cfg settings.Settings, self message.Member, snapshot []byte, records [][]byte) (*Machine, error) {
+	kept, err := quorum.DecodeSnapshot[message.RegistryState](snapshot)
+	if err != nil {
+		return nil, err
+	}
+	m := &Machine{
+		settings:    cfg,
+		zones:       newZoneReplicas(cfg.Zones),
+		heartbeats:  newHeartbeatTable(),
+		proxies:     proxyReports{},
+		changes:     newChangeTracker(),
+		replication: newReplicationState(),
+	}
+	m.restoreRoster(kept.Slices)
+	m.membership = membership.New(cfg, self, kept.Seen)
+	m.distribution = m.newDistribution()
+	m.Core = quorum.NewCore(cfg, message.RoleRegistry, m.membership, m.snapshot, snapshot == nil)
+	m.usage = newUsage(m, kept)
+	m.requests = newOperatorRequests(cfg, m.Core, m.membership, m.distribution)
+	restored := quorum.Restored{Voter: kept.Voter, Votes: kept.Votes}
+	if err := restored.Replay(records, m.membership, m.replay); err != nil {
+		return nil, err
+	}
+	m.quorum = quorum.NewQuorum(Group, cfg, m, restored.Voter, func(env *statemachine.Env, fresh bool) {
+		m.leases.BeginVoting(env, fresh)
+	})
+	m.UseVoters(m.quorum)
+	m.leases = lease.NewLeases(cfg, m, m.quorum, leaseNames(cfg), restored.Votes, m.eligible, m.onLeaseAcquired, m.onLeaseLost)
+	m.usage.quorum, m.usage.leases = m.quorum, m.leases
+	return m, nil
+}
+
+// newDistribution returns the node's part in the distribution tree: it wants all configurations
+// and shares all zones.
+func (m *Machine) newDistribution() *distribution.Distribution {
+	tree := distribution.New(m.settings, m.membership, func(*statemachine.Env, string) {})
+	for _, configName := range m.settings.ConfigNames {
+		tree.Want(distribution.ConfigurationTopic(configName))
+	}
+	for _, zone := range m.settings.Zones {
+		tree.ShareSlice(m.zones[zone].slice)
+	}
+	return tree
+}
+
+// leaseNames lists the leases that registries hold: one of each zone, and that of the usage reports.
+func leaseNames(cfg settings.Settings) []string {
+	return append(append([]string{}, cfg.Zones...), settings.UsageTag)
+}
+
+// eligible says whether this registry may become a candidate for a lease. A zone without a
+// complete copy must not: it would drop the registrations that it doesn't know.
+func (m *Machine) eligible(leaseName string) bool {
+	if m.Failure() != nil || m.stopping || m.membership.Superseded() {
+		return false
+	}
+	return leaseName == settings.UsageTag || m.zones[leaseName].complete
+}
+
+func (m *Machine) onLeaseAcquired(env *statemachine.Env, leaseName string, epoch int64) {
+	if leaseName == settings.UsageTag {
+		m.usage.onLeaseAcquired(epoch)
+		return
+	}
+	replica := m.zones[leaseName]
+	replica.acquiredAt = env.Now
+	replica.slice.Adopt(epoch)
+	m.distribution.SliceMoved(env, distribution.SliceTopic(leaseName))
+	m.replication.snapshotDue = true
+}
+
+func (m *Machine) onLeaseLost(_ *statemachine.Env, leaseName string, _ int64) {
+	if leaseName == settings.UsageTag {
+		m.usage.onLeaseLost()
+	}
+}
+
+// holdsZone says that this registry acts for a zone at this moment.
+func (m *Machine) holdsZone(env *statemachine.Env, zone string) bool {
+	return m.leases.Holding(zone, env.Now) && m.zones[zone].slice.Mark.Epoch == m.leases.Epoch(zone)
+}
+
+// Tick is one step of the clock.
+func (m *Machine) Tick(env *statemachine.Env) {
+	m.lastTickAt = env.Now
+	if !m.started {
+		m.started, m.startedAt = true, env.Now
+	}
+	m.membership.Tick(env)
+	m.quorum.Tick(env)
+	m.Keep(env, m.quorum.ShutOut)
+	m.leases.Tick(env)
+	m.distribution.Tick(env)
+	m.requests.tick(env)
+	m.usage.tick(env)
+	m.refreshHeldZones(env)
+	if env.Now >= m.nextMaintenanceAt {
+		m.nextMaintenanceAt = env.Now + m.settings.DigestEvery()
+		m.synchronizeZones(env)
+		m.maintainRoster(env)
+	}
+	m.compactWhenDue(env)
+}
+
+// refreshHeldZones tells the distribution tree that the zones held here are current.
+func (m *Machine) refreshHeldZones(env *statemachine.Env) {
+	for _, zone := range m.settings.Zones {
+		if m.holdsZone(env, zone) {
+			m.distribution.Fresh(distribution.SliceTopic(zone), env.Now)
+		}
+	}
+}
+
+// Handle takes a message from another process.
+func (m *Machine) Handle(env *statemachine.Env, from string, msg any) {
+	if m.membership.Handle(env, from, msg) || m.quorum.Handle(env, from, msg) || m.leases.Handle(env, from, msg) ||
+		m.distribution.Handle(env, from, msg) || m.usage.handle(env, from, msg) || m.requests.handle(env, msg) {
+		return
+	}
+	switch received := msg.(type) {
+	case message.HeartbeatBatch:
+		m.handleHeartbeats(env, from, received)
+	case message.ConfigurationCommitted:
+		m.handleConfigurationCommitted(env, received)
+	case message.UsageUpdate:
+		m.usage.handleUpdate(env, received)
+	case message.RosterChange:
+		m.handleRosterChange(env, received)
+	case message.RosterCheck:
+		m.handleRosterCheck(env, from, received)
+	case message.RosterDigest:
+		m.handleRosterDigest(env, received)
+	case message.RosterPull:
+		m.handleRosterPull(env, from, received)
+	case message.RosterSnapshot:
+		m.handleRosterSnapshot(env, received)
+	}
+}
+
+// VoterState is for tests and status: what this disk says of its voter.
+func (m *Machine) VoterState() message.VoterState { return m.quorum.State }
+
+// Serving is for tests and status: whether it holds the lease of the usage reports or acts
+// for some zone, as of its last tick.
+func (m *Machine) Serving() bool {
+	if m.leases.Holding(settings.UsageTag, m.lastTickAt) {
+		return true
+	}
+	return slices.ContainsFunc(m.settings.Zones, func(zone string) bool {
+		return m.leases.Holding(zone, m.lastTickAt)
+	})
+}
+
+// Registrations is for tests and status: a zone's slice of the roster, by key.
+func (m *Machine) Registrations(zone string) []message.Registration {
+	replica, known := m.zones[zone]
+	if !known {
+		return nil
+	}
+	return replica.slice.List()
+}
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -1,16 +1,16 @@
 package registry
 
-// This file tells operators what this registry knows: of itself, of the others, and of the
-// roster.
-
 import (
 	"beaconvane/internal/distribution"
 	"beaconvane/internal/errcode"
-	"beaconvane/internal/settings"
 	"beaconvane/internal/statemachine"
 )
 
-func (m *Machine) status(s *statemachine.Env) Answer {
+// memberStateNames are the names of a member's states, by their numbers in message.Member.
+var memberStateNames = [...]string{"alive", "suspect", "dead", "left"}
+
+// status gathers all that this registry knows of itself and of the others.
+func (m *Machine) status(env *statemachine.Env) Answer {
 	parent, path, moves := m.distribution.Parent()
 	return answerJSON(errcode.OK, statusAnswer{
 		Node:           m.settings.Node,
@@ -18,82 +18,104 @@
 		Voting:         m.quorum.Voting(),
 		ShutOut:        m.quorum.ShutOut,
 		Members:        m.memberAnswers(),
-		Relays:         m.relayAnswers(s),
-		Leases:         m.leaseAnswers(s),
-		Slices:         m.sliceAnswers(s),
-		Configurations: m.configurationAnswers(s),
+		Relays:         m.relayAnswers(env),
+		Leases:         m.leaseAnswers(env),
+		Slices:         m.sliceAnswers(env),
+		Configurations: m.configurationAnswers(env),
 		Updates:        updatesAnswer{From: parent, Path: path, Moves: moves},
-		Usage:          usageStatusAnswer{Reported: m.usage.reported},
+		Usage:          usageStatusAnswer{Reported: m.usage.sealed.reported},
 	})
 }
 
 func (m *Machine) memberAnswers() []memberAnswer {
 	members := []memberAnswer{}
 	for _, member := range m.membership.All() {
-		members = append(members, memberAnswer{Name: member.Name, Role: member.Role, Voter: member.Voter, Zone: member.Zone,
-			Address: member.Address, State: stateNames[member.State&3], Incarnation: member.Incarnation})
+		members = append(members, memberAnswer{
+			Name:        member.Name,
+			Role:        member.Role,
+			Voter:       member.Voter,
+			Zone:        member.Zone,
+			Address:     member.Address,
+			State:       memberStateNames[member.State&3],
+			Incarnation: member.Incarnation,
+		})
 	}
 	return members
 }
 
-func (m *Machine) leaseAnswers(s *statemachine.Env) map[string]leaseAnswer {
+func (m *Machine) leaseAnswers(env *statemachine.Env) map[string]leaseAnswer {
 	leases := map[string]leaseAnswer{}
-	for _, tag := range append(append([]string{}, m.settings.Zones...), settings.UsageTag) {
-		leases[tag] = leaseAnswer{Epoch: m.leases.Epoch(tag), Holder: m.leases.Holder(tag), Here: m.leases.Holding(tag, s.Now)}
+	for _, name := range leaseNames(m.settings) {
+		leases[name] = leaseAnswer{Epoch: m.leases.Epoch(name), Holder: m.leases.Holder(name), Here: m.leases.Holding(name, env.Now)}
 	}
 	return leases
 }
 
-func (m *Machine) sliceAnswers(s *statemachine.Env) map[string]sliceAnswer {
+func (m *Machine) sliceAnswers(env *statemachine.Env) map[string]sliceAnswer {
 	answers := map[string]sliceAnswer{}
-	for _, tag := range m.settings.Zones {
-		mark := m.slices[tag].Mark
-		age, known := m.distribution.Age(distribution.SliceTopic(tag), s.Now)
-		answers[tag] = sliceAnswer{Epoch: mark.Epoch, Seq: mark.Seq, Count: mark.Count, AgeMS: age.Milliseconds(), Known: known, Whole: m.whole[tag]}
+	for _, zone := range m.settings.Zones {
+		replica := m.zones[zone]
+		mark := replica.slice.Mark
+		age, known := m.distribution.Age(distribution.SliceTopic(zone), env.Now)
+		answers[zone] = sliceAnswer{
+			Epoch: mark.Epoch,
+			Seq:   mark.Seq,
+			Count: mark.Count,
+			AgeMS: age.Milliseconds(),
+			Known: known,
+			Whole: replica.complete,
+		}
 	}
 	return answers
 }
 
-func (m *Machine) configurationAnswers(s *statemachine.Env) map[string]configurationAnswer {
+func (m *Machine) configurationAnswers(env *statemachine.Env) map[string]configurationAnswer {
 	answers := map[string]configurationAnswer{}
 	for _, configName := range m.settings.ConfigNames {
 		version, body, known := m.distribution.ConfigName(configName)
-		age, _ := m.distribution.Age(distribution.ConfigurationTopic(configName), s.Now)
+		age, _ := m.distribution.Age(distribution.ConfigurationTopic(configName), env.Now)
 		answers[configName] = configurationAnswer{Version: version, Bytes: len(body), Known: known, AgeMS: age.Milliseconds()}
 	}
 	return answers
 }
 
-func (m *Machine) relayAnswers(s *statemachine.Env) map[string]relayAnswer {
+func (m *Machine) relayAnswers(env *statemachine.Env) map[string]relayAnswer {
 	relays := map[string]relayAnswer{}
-	for name, seen := range m.proxies {
-		relays[name] = relayAnswer{Path: seen.batch.Path, Ready: seen.batch.Ready, HeardMS: (s.Now - seen.at).Milliseconds()}
+	for name, report := range m.proxies {
+		relays[name] = relayAnswer{Path: report.batch.Path, Ready: report.batch.Ready, HeardMS: (env.Now - report.at).Milliseconds()}
 	}
 	return relays
 }
 
-// roster lists the registrations by zone; a registry that can't vouch for some slice says
-// so by the code.
-func (m *Machine) roster(s *statemachine.Env) Answer {
-	answer, code := rosterAnswer{Slices: map[string][]registrationAnswer{}, AgesMS: map[string]int64{}}, errcode.OK
-	for _, tag := range m.settings.Zones {
-		if stale := m.vouches(s, distribution.SliceTopic(tag)); stale != errcode.OK {
+// roster lists the registrations by zone. The code says so where some slice isn't current here.
+func (m *Machine) roster(env *statemachine.Env) Answer {
+	answer := rosterAnswer{Slices: map[string][]registrationAnswer{}, AgesMS: map[string]int64{}}
+	code := errcode.OK
+	for _, zone := range m.settings.Zones {
+		topic := distribution.SliceTopic(zone)
+		if stale := m.freshness(env, topic); stale != errcode.OK {
 			code = stale
 		}
-		if age, known := m.distribution.Age(distribution.SliceTopic(tag), s.Now); known {
-			answer.AgesMS[tag] = age.Milliseconds()
+		if age, known := m.distribution.Age(topic, env.Now); known {
+			answer.AgesMS[zone] = age.Milliseconds()
 		}
-		answer.Slices[tag] = m.registrationAnswers(tag)
+		answer.Slices[zone] = m.registrationAnswers(zone)
 	}
 	return answerJSON(code, answer)
 }
 
-func (m *Machine) registrationAnswers(tag string) []registrationAnswer {
+func (m *Machine) registrationAnswers(zone string) []registrationAnswer {
 	answers := []registrationAnswer{}
-	for _, registration := range m.slices[tag].List() {
-		answers = append(answers, registrationAnswer{Service: registration.Service, Instance: registration.Instance,
-			Incarnation: registration.Incarnation, Address: registration.Address, Slots: registration.Slots,
-			State: registration.State, ServingProxy: registration.ServingProxy})
+	for _, registration := range m.zones[zone].slice.List() {
+		answers = append(answers, registrationAnswer{
+			Service:      registration.Service,
+			Instance:     registration.Instance,
+			Incarnation:  registration.Incarnation,
+			Address:      registration.Address,
+			Slots:        registration.Slots,
+			State:        registration.State,
+			ServingProxy: registration.ServingProxy,
+		})
 	}
 	return answers
 }
--- /dev/null
+++ b/internal/registry/usage_counts.go
@@ -0,0 +1,161 @@
+package registry
+
+import (
+	"maps"
+	"sort"
+	"strconv"
+	"time"
+
+	"beaconvane/internal/message"
+	"beaconvane/internal/statemachine"
+)
+
+// usageCounts are the counts of the windows that aren't sealed yet. A proxy's counts are kept by
+// its life, since a life begins to count from zero.
+type usageCounts struct {
+	sealed   *sealedWindows
+	byWindow map[int64]map[string]message.UsageLife // by window and life
+	unsaved  map[int64]map[string]bool              // by window and life: changed since the last write
+
+	saving     bool // a write is under way
+	nextSaveAt time.Duration
+}
+
+func newUsageCounts(sealed *sealedWindows) *usageCounts {
+	return &usageCounts{
+		sealed:   sealed,
+		byWindow: map[int64]map[string]message.UsageLife{},
+		unsaved:  map[int64]map[string]bool{},
+	}
+}
+
+// lifeOf names a life of a proxy.
+func lifeOf(update message.UsageUpdate) string {
+	return update.Proxy + "/" + strconv.FormatInt(update.Birth, 36)
+}
+
+// add takes the cumulative counts of a proxy; the update with the highest number of a life holds.
+func (c *usageCounts) add(update message.UsageUpdate) {
+	life := lifeOf(update)
+	for _, window := range update.Counts {
+		held, known := c.byWindow[window.Window][life]
+		if c.sealed.settled(window.Window) || known && update.Number <= held.Number {
+			continue
+		}
+		c.put(message.UsageLife{Window: window.Window, Life: life, Number: update.Number, Counts: window.Counts, Open: window.Open})
+		if !known || !maps.Equal(held.Counts, window.Counts) || !maps.Equal(held.Open, window.Open) {
+			c.markUnsaved(window.Window, life)
+		}
+	}
+}
+
+func (c *usageCounts) put(counts message.UsageLife) {
+	if c.byWindow[counts.Window] == nil {
+		c.byWindow[counts.Window] = map[string]message.UsageLife{}
+	}
+	c.byWindow[counts.Window][counts.Life] = counts
+}
+
+func (c *usageCounts) markUnsaved(window int64, life string) {
+	if c.unsaved[window] == nil {
+		c.unsaved[window] = map[string]bool{}
+	}
+	c.unsaved[window][life] = true
+}
+
+// restore takes counts from this disk.
+func (c *usageCounts) restore(saved message.UsageHeld) {
+	for _, counts := range saved.Lives {
+		if counts.Number >= c.byWindow[counts.Window][counts.Life].Number {
+			c.put(counts)
+		}
+	}
+}
+
+// merge takes the counts of another registry, of windows that aren't reported yet.
+func (c *usageCounts) merge(others message.UsageHeld) {
+	for _, counts := range others.Lives {
+		if counts.Window > c.sealed.reported && counts.Number > c.byWindow[counts.Window][counts.Life].Number {
+			c.put(counts)
+		}
+	}
+}
+
+// dropSealed forgets the counts of windows whose value is known.
+func (c *usageCounts) dropSealed() {
+	for window := range c.byWindow {
+		if c.sealed.settled(window) {
+			delete(c.byWindow, window)
+			delete(c.unsaved, window)
+		}
+	}
+}
+
+// unsealed lists the counts of the windows whose value isn't known, by window and life.
+func (c *usageCounts) unsealed() message.UsageHeld {
+	list := message.UsageHeld{Lives: []message.UsageLife{}}
+	for window, lives := range c.byWindow {
+		if c.sealed.settled(window) {
+			continue
+		}
+		for _, counts := range lives {
+			list.Lives = append(list.Lives, counts)
+		}
+	}
+	sort.Slice(list.Lives, func(i, j int) bool {
+		left, right := list.Lives[i], list.Lives[j]
+		return left.Window < right.Window || left.Window == right.Window && left.Life < right.Life
+	})
+	return list
+}
+
+// takeUnsaved lists the counts that changed since the last write, and takes them as written.
+func (c *usageCounts) takeUnsaved() message.UsageHeld {
+	changed := message.UsageHeld{Lives: []message.UsageLife{}}
+	for _, counts := range c.unsealed().Lives {
+		if c.unsaved[counts.Window][counts.Life] {
+			changed.Lives = append(changed.Lives, counts)
+		}
+	}
+	c.unsaved = map[int64]map[string]bool{}
+	return changed
+}
+
+// sum adds the counts of a window up, by tenant.
+func (c *usageCounts) sum(window int64) map[string]int64 {
+	sums := map[string]int64{}
+	for _, counts := range c.byWindow[window] {
+		for tenant, count := range counts.Counts {
+			sums[tenant] += count
+		}
+		// Requests that a life had open when it last reported have most likely been answered
+		// before its end: they take as long to run as a report takes to be safe.
+		for tenant, count := range counts.Open {
+			sums[tenant] += count
+		}
+	}
+	return sums
+}
+
+// saveCounts puts changed counts on disk, one write at a time, the next as soon as the last is
+// done. After a write that took longer than SlowSync, the disk is left to the votes for as long.
+func (u *usage) saveCounts(env *statemachine.Env) {
+	counts := u.counts
+	if counts.saving || env.Now < counts.nextSaveAt || len(counts.unsaved) == 0 {
+		return
+	}
+	changed := counts.takeUnsaved()
+	if len(changed.Lives) == 0 {
+		return
+	}
+	counts.saving = true
+	began := env.Now
+	u.core.Persist(env, changed, func(env *statemachine.Env, _ error) {
+		counts.saving = false
+		counts.nextSaveAt = began + u.settings.SaveEvery()
+		if took := env.Now - began; took > u.settings.SlowSync() {
+			counts.nextSaveAt = env.Now + took
+		}
+		u.saveCounts(env)
+	})
+}
