--- a/internal/registry/changes.go
+++ b/internal/registry/changes.go
@@ -22,18 +22,18 @@
 	causeAddressTakenBy = "address taken by " // and the key of the other upstream
 )
 
-// causeOf says why a registration takes the place of the one that is held.
-func causeOf(registered bool, held, wanted message.Registration) string {
+// causeOf says why a registration takes the place of the one that is current.
+func causeOf(registered bool, current, wanted message.Registration) string {
 	switch {
 	case !registered:
 		return causeCreated
-	case held.Incarnation != wanted.Incarnation:
+	case current.Incarnation != wanted.Incarnation:
 		return causeNewIncarnation
-	case held.State != wanted.State && wanted.State == message.StateLeaving:
+	case current.State != wanted.State && wanted.State == message.StateLeaving:
 		return causeDrain
-	case held.State != wanted.State:
+	case current.State != wanted.State:
 		return wanted.State
-	case held.ServingProxy != wanted.ServingProxy:
+	case current.ServingProxy != wanted.ServingProxy:
 		return causeServingProxyChanged
 	}
 	return causeOtherFields
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// heartbeatsKeptFor is for how many heartbeat bounds the newest heartbeat of a silent
-	// upstream is kept.
-	heartbeatsKeptFor = 4
-	// signOffsKeptFor is for how many heartbeat bounds a sign-off is kept, so that late
+	// heartbeatRetention is how long the newest heartbeat of a silent upstream is kept, in
+	// heartbeat bounds.
+	heartbeatRetention = 4
+	// signOffRetention is how long a sign-off is kept, in heartbeat bounds, so that late
 	// heartbeats of the ended incarnation don't register it again.
-	signOffsKeptFor = 10
+	signOffRetention = 10
 )
 
 // upstreamHeartbeat is the newest heartbeat of an upstream.
@@ -113,7 +113,7 @@
 
 // reconcileHeartbeats holds all recent heartbeats against the roster, and drops old ones.
 func (m *Machine) reconcileHeartbeats(env *statemachine.Env) {
-	oldest := env.Now - m.settings.HeartbeatBound()*heartbeatsKeptFor
+	oldest := env.Now - m.settings.HeartbeatBound()*heartbeatRetention
 	for _, key := range slices.Sorted(maps.Keys(m.heartbeats.newest)) {
 		if m.heartbeats.newest[key].at < oldest {
 			delete(m.heartbeats.newest, key)
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -42,7 +42,7 @@
 
 // New restores a machine from what its disk held.
 func New(cfg settings.Settings, self message.Member, snapshot []byte, records [][]byte) (*Machine, error) {
-	kept, err := quorum.DecodeSnapshot[message.RegistryState](snapshot)
+	saved, err := quorum.DecodeSnapshot[message.RegistryState](snapshot)
 	if err != nil {
 		return nil, err
 	}
@@ -54,13 +54,13 @@
 		changes:     newChangeTracker(),
 		replication: newReplicationState(),
 	}
-	m.restoreRoster(kept.Slices)
-	m.membership = membership.New(cfg, self, kept.Seen)
+	m.restoreRoster(saved.Slices)
+	m.membership = membership.New(cfg, self, saved.Seen)
 	m.distribution = m.newDistribution()
 	m.Core = quorum.NewCore(cfg, message.RoleRegistry, m.membership, m.snapshot, snapshot == nil)
-	m.usage = newUsage(m, kept)
+	m.usage = newUsage(m, saved)
 	m.requests = newOperatorRequests(cfg, m.Core, m.membership, m.distribution)
-	restored := quorum.Restored{Voter: kept.Voter, Votes: kept.Votes}
+	restored := quorum.Restored{Voter: saved.Voter, Votes: saved.Votes}
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
 		return nil, err
 	}
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -5,9 +5,9 @@
 	"beaconvane/internal/statemachine"
 )
 
-// metrics are the control machine's figures for the metrics page.
-func (m *Machine) metrics(env *statemachine.Env) []metrics.Sample {
-	samples := append(m.Core.Metrics(), m.leases.Metrics(env.Now)...)
+// samples are the machine's figures for the metrics page.
+func (m *Machine) samples(env *statemachine.Env) []metrics.Sample {
+	samples := append(m.Metrics(), m.leases.Metrics(env.Now)...)
 	samples = append(samples, m.distribution.Metrics(env.Now)...)
 	samples = append(samples, m.membership.Metrics()...)
 	for _, zone := range m.settings.Zones {
--- a/internal/registry/persistence.go
+++ b/internal/registry/persistence.go
@@ -7,8 +7,8 @@
 )
 
 // restoreRoster takes the roster of the snapshot.
-func (m *Machine) restoreRoster(kept []message.RosterSnapshot) {
-	for _, snapshot := range kept {
+func (m *Machine) restoreRoster(saved []message.RosterSnapshot) {
+	for _, snapshot := range saved {
 		if replica, known := m.zones[snapshot.Tag]; known {
 			replica.slice.Replace(snapshot.Mark, snapshot.Registrations)
 		}
@@ -17,17 +17,17 @@
 
 // replay takes a record of the log on disk.
 func (m *Machine) replay(record any) {
-	switch kept := record.(type) {
+	switch saved := record.(type) {
 	case message.RosterChange:
-		if replica, known := m.replicaOfTopic(kept.Mark.Topic); known {
-			replica.slice.Change(kept.Mark.Epoch, kept.Registration, kept.Gone, kept.Cause)
+		if replica, known := m.replicaOfTopic(saved.Mark.Topic); known {
+			replica.slice.Change(saved.Mark.Epoch, saved.Registration, saved.Gone, saved.Cause)
 		}
 	case message.UsageSealed:
-		m.usage.sealed.learn(kept)
+		m.usage.sealed.learn(saved)
 	case message.UsageHeld:
-		m.usage.counts.restore(kept)
+		m.usage.counts.restore(saved)
 	case message.UsageReported:
-		m.usage.sealed.learnReported(kept.Window)
+		m.usage.sealed.learnReported(saved.Window)
 	}
 }
 
--- a/internal/registry/questions.go
+++ b/internal/registry/questions.go
@@ -67,7 +67,7 @@
 	case ReadReadiness:
 		env.Reply(requestID, m.readiness(env))
 	case metrics.Read:
-		env.Reply(requestID, m.metrics(env))
+		env.Reply(requestID, m.samples(env))
 	case UsageDelivered:
 		m.usage.handleDelivered(env, asked.Window)
 	case statemachine.Reseeded:
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -11,7 +11,7 @@
 // expires upstreams that were silent for too long.
 func (m *Machine) maintainRoster(env *statemachine.Env) {
 	m.reconcileHeartbeats(env)
-	m.heartbeats.forgetSignOffs(env.Now - m.settings.HeartbeatBound()*signOffsKeptFor)
+	m.heartbeats.forgetSignOffs(env.Now - m.settings.HeartbeatBound()*signOffRetention)
 	m.proxies.forget(env.Now - m.settings.ForgetAfter())
 	for _, zone := range m.settings.Zones {
 		if !m.holdsZone(env, zone) {
@@ -30,18 +30,18 @@
 		m.commitChange(env, zone, removal(registration, causeSignedOff))
 		return
 	}
-	silence := m.silence(env, zone, registration)
+	silentFor := m.silentFor(env, zone, registration)
 	switch {
-	case silence > m.settings.HeartbeatBound():
+	case silentFor > m.settings.HeartbeatBound():
 		m.commitChange(env, zone, removal(registration, causeHeartbeatsStopped))
-	case silence > m.settings.HeartbeatBound()/2 || registration.State == message.StateCreated:
+	case silentFor > m.settings.HeartbeatBound()/2 || registration.State == message.StateCreated:
 		m.requestProbe(env, zone, registration)
 	}
 }
 
-// silence is how long an upstream was not heard. A new holder gives each upstream the whole bound,
+// silentFor is how long an upstream was not heard. A new holder gives each upstream the whole bound,
 // counted from the acquisition of the lease: the heartbeats may have gone to others before.
-func (m *Machine) silence(env *statemachine.Env, zone string, registration message.Registration) time.Duration {
+func (m *Machine) silentFor(env *statemachine.Env, zone string, registration message.Registration) time.Duration {
 	sinceAcquired := env.Now - m.zones[zone].acquiredAt
 	newest, heard := m.heartbeats.newest[registration.Key()]
 	if !heard {
@@ -111,15 +111,15 @@
 // register puts an upstream on the roster of its zone as its heartbeat says, unless a later
 // incarnation is registered.
 func (m *Machine) register(env *statemachine.Env, zone string, heartbeat message.Heartbeat) {
-	held, registered := m.zones[zone].slice.Registrations[heartbeat.Registration.Key()]
-	if registered && held.Incarnation > heartbeat.Registration.Incarnation {
+	current, registered := m.zones[zone].slice.Registrations[heartbeat.Registration.Key()]
+	if registered && current.Incarnation > heartbeat.Registration.Incarnation {
 		return
 	}
-	wanted := wantedRegistration(heartbeat, held, registered)
-	if registered && held == wanted {
+	wanted := wantedRegistration(heartbeat, current, registered)
+	if registered && current == wanted {
 		return
 	}
-	m.commitChange(env, zone, registrationChange{registration: wanted, cause: causeOf(registered, held, wanted)})
+	m.commitChange(env, zone, registrationChange{registration: wanted, cause: causeOf(registered, current, wanted)})
 	if wanted.State == message.StateCreated {
 		m.requestProbe(env, zone, wanted)
 	}
@@ -127,15 +127,15 @@
 
 // wantedRegistration is what the roster should say of an upstream. Leaving is final for an
 // incarnation, and one that wasn't probed yet stays created whatever it says of itself.
-func wantedRegistration(heartbeat message.Heartbeat, held message.Registration, registered bool) message.Registration {
+func wantedRegistration(heartbeat message.Heartbeat, current message.Registration, registered bool) message.Registration {
 	wanted := heartbeat.Registration
-	newIncarnation := !registered || held.Incarnation < wanted.Incarnation
+	newIncarnation := !registered || current.Incarnation < wanted.Incarnation
 	switch {
-	case !newIncarnation && held.State == message.StateLeaving:
+	case !newIncarnation && current.State == message.StateLeaving:
 		wanted.State = message.StateLeaving
 	case wanted.State == message.StateLeaving:
 		// It drains, probed or not.
-	case heartbeat.Probed != message.ProbeAnswered && (newIncarnation || held.State == message.StateCreated):
+	case heartbeat.Probed != message.ProbeAnswered && (newIncarnation || current.State == message.StateCreated):
 		wanted.State = message.StateCreated
 	}
 	return wanted
--- a/internal/registry/replication.go
+++ b/internal/registry/replication.go
@@ -8,8 +8,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// digestRoundsKept is how many rounds back the answer to a digest request still counts.
-const digestRoundsKept = 64
+// digestRoundRetention is how many rounds back the answer to a digest request still counts.
+const digestRoundRetention = 64
 
 // replicationState is how this registry keeps its copies of the zones that others hold.
 type replicationState struct {
@@ -27,7 +27,7 @@
 func (r *replicationState) beginRound(now time.Duration) {
 	r.round++
 	r.askedAt[r.round] = now
-	delete(r.askedAt, r.round-digestRoundsKept)
+	delete(r.askedAt, r.round-digestRoundRetention)
 }
 
 // synchronizeZones asks the holders for the digests of the zones that are complete here, and the
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -35,8 +35,8 @@
 
 // newUsage restores the usage reports from a snapshot. The quorum and the leases are set later,
 // since they begin from what the log on disk says as well.
-func newUsage(m *Machine, kept message.RegistryState) *usage {
-	sealed := newSealedWindows(kept.Sealed, kept.Reported)
+func newUsage(m *Machine, saved message.RegistryState) *usage {
+	sealed := newSealedWindows(saved.Sealed, saved.Reported)
 	u := &usage{
 		settings: m.settings,
 		core:     m.Core,
@@ -44,7 +44,7 @@
 		counts:   newUsageCounts(sealed),
 		clock:    newWindowClock(m.settings, m.membership, m.proxies),
 	}
-	u.counts.restore(kept.Usage)
+	u.counts.restore(saved.Usage)
 	return u
 }
 
--- a/internal/registry/usage_clock.go
+++ b/internal/registry/usage_clock.go
@@ -14,8 +14,8 @@
 	// earlySealRatio is the part of the wait for a window's counts after which it is sealed, if
 	// all proxies have closed it by then.
 	earlySealRatio = 8
-	// windowEndsKept is how many windows back the end of one may be noted late.
-	windowEndsKept = 8
+	// windowEndRetention is how many windows back the end of one may be noted late.
+	windowEndRetention = 8
 )
 
 // closedReport is a proxy's newest word on which windows it has closed.
@@ -75,7 +75,7 @@
 // noteEnds remembers when the windows that aren't reported yet were first known to be over.
 func (c *windowClock) noteEnds(env *statemachine.Env, reported int64) {
 	current := c.current(env)
-	for window := max(reported+1, current-windowEndsKept); window < current; window++ {
+	for window := max(reported+1, current-windowEndRetention); window < current; window++ {
 		if _, known := c.endSeenAt[window]; !known {
 			c.endSeenAt[window] = env.Now
 		}
--- a/internal/registry/usage_sealing.go
+++ b/internal/registry/usage_sealing.go
@@ -77,7 +77,7 @@
 	if u.sealed.reported == 0 {
 		u.sealed.reported = u.beforeFirst(current)
 	}
-	for window := max(u.sealed.reported+1, current-windowsKept); window < current; window++ {
+	for window := max(u.sealed.reported+1, current-windowRetention); window < current; window++ {
 		if u.sealed.final[window] {
 			continue
 		}
--- a/internal/registry/usage_values.go
+++ b/internal/registry/usage_values.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// windowsKept is how many windows back a value or a count may be.
-	windowsKept = 720
-	// windowsRead is how many sealed windows an answer to a read holds: far more than may wait
+	// windowRetention is how many windows back a value or a count may be.
+	windowRetention = 720
+	// windowsPerRead is how many sealed windows an answer to a read holds: far more than may wait
 	// to be reported.
-	windowsRead = windowsKept / 4
+	windowsPerRead = windowRetention / 4
 )
 
 // sealedWindows are the values of the windows, as far as they are known here. They are part of the
@@ -22,9 +22,9 @@
 	reported int64                         // the collector has all windows up to this one
 }
 
-func newSealedWindows(kept []message.UsageSealed, reported int64) *sealedWindows {
+func newSealedWindows(saved []message.UsageSealed, reported int64) *sealedWindows {
 	w := &sealedWindows{values: map[int64]message.UsageSealed{}, final: map[int64]bool{}, reported: reported}
-	for _, value := range kept {
+	for _, value := range saved {
 		w.learn(value)
 	}
 	return w
@@ -35,7 +35,7 @@
 	if known, sealed := w.values[value.Window]; !sealed || known.Epoch <= value.Epoch {
 		w.values[value.Window] = value
 	}
-	oldest := w.newest() - windowsKept
+	oldest := w.newest() - windowRetention
 	for window := range w.values {
 		if window < oldest {
 			delete(w.values, window)
@@ -67,7 +67,7 @@
 // latest gives the newest values by window: those that may not have been reported yet.
 func (w *sealedWindows) latest() []message.UsageSealed {
 	list := w.list()
-	return list[max(0, len(list)-windowsRead):]
+	return list[max(0, len(list)-windowsPerRead):]
 }
 
 // settled says that no more counts of a window are needed, since its value is known here.
