--- a/internal/routeconfig/calendar.go
+++ b/internal/routeconfig/calendar.go
@@ -1,12 +1,5 @@
 package routeconfig
 
-// This file is the calendar of a route: cron-like opening times in a named time zone,
-// read by a library. A calendar is a list of entries, each with the cron expression at
-// which it opens and for how many minutes; the route is open while any entry is, so
-// that overlapping entries join. Times are local to the zone: at a change of the
-// clocks an opening that does not exist that day is skipped by the library, and the
-// length counts in real minutes.
-
 import (
 	"fmt"
 	"strings"
@@ -17,48 +10,61 @@
 	"github.com/tidwall/gjson"
 )
 
-const longestOpening = 7 * 24 * 60
+// maxOpeningMinutes bounds one opening: a week.
+const maxOpeningMinutes = 7 * 24 * 60
 
-// Calendar says when a route is open.
+// Calendar says when a route is open: at cron-like times in a named time zone. Each entry has the
+// cron expression at which it opens and for how many minutes; the route is open while any entry
+// is, so that overlapping entries join. Times are local to the zone: an opening that doesn't exist
+// on a day on which the clocks change is skipped by the cron library, and the length counts in real
+// minutes.
 type Calendar struct {
 	zone    *time.Location
 	entries []opening
 }
 
+// opening is an entry of a calendar.
 type opening struct {
 	schedule cron.Schedule
 	length   time.Duration
 }
 
-// checkCalendar lists the faults of a calendar.
+// checkCalendar lists what is wrong with a calendar.
 func checkCalendar(value gjson.Result) []string {
-	faults := []string{}
 	if !value.IsObject() {
-		return []string{"want an object"}
+		return []string{wantObject}
 	}
+	problems := []string{}
 	value.ForEach(func(key, _ gjson.Result) bool {
-		if key.String() != "zone" && key.String() != "open" {
-			faults = append(faults, "unknown field "+key.String())
+		if name := key.String(); name != "zone" && name != "open" {
+			problems = append(problems, "unknown field "+name)
 		}
 		return true
 	})
-	if _, err := time.LoadLocation(value.Get("zone").String()); err != nil || value.Get("zone").String() == "" {
-		faults = append(faults, "zone: want a named time zone")
+	zone := value.Get("zone").String()
+	if _, err := time.LoadLocation(zone); err != nil || zone == "" {
+		problems = append(problems, "zone: want a named time zone")
 	}
 	entries := value.Get("open").Array()
 	if len(entries) == 0 {
-		faults = append(faults, "open: want at least one entry")
+		problems = append(problems, "open: want at least one entry")
 	}
 	for index, entry := range entries {
-		at := entry.Get("at").String()
-		if _, err := cron.ParseStandard(at); err != nil || strings.HasPrefix(at, "@") || strings.Contains(at, "TZ=") {
-			faults = append(faults, fmt.Sprintf("open.%d.at: not a cron expression of five fields", index))
+		if !isCronExpression(entry.Get("at").String()) {
+			problems = append(problems, fmt.Sprintf("open.%d.at: not a cron expression of five fields", index))
 		}
-		if minutes := entry.Get("minutes").Int(); minutes < 1 || minutes > longestOpening {
-			faults = append(faults, fmt.Sprintf("open.%d.minutes: want 1 to %d", index, longestOpening))
+		if minutes := entry.Get("minutes").Int(); minutes < 1 || minutes > maxOpeningMinutes {
+			problems = append(problems, fmt.Sprintf("open.%d.minutes: want 1 to %d", index, maxOpeningMinutes))
 		}
 	}
-	return faults
+	return problems
+}
+
+// isCronExpression allows the five fields alone, and not the library's own additions: descriptors
+// such as @every, and a time zone in front.
+func isCronExpression(text string) bool {
+	_, err := cron.ParseStandard(text)
+	return err == nil && !strings.HasPrefix(text, "@") && !strings.Contains(text, "TZ=")
 }
 
 // parseCalendar reads a checked calendar.
@@ -70,7 +76,8 @@
 	calendar := &Calendar{zone: zone}
 	for _, entry := range value.Get("open").Array() {
 		if schedule, err := cron.ParseStandard(entry.Get("at").String()); err == nil {
-			calendar.entries = append(calendar.entries, opening{schedule, time.Duration(entry.Get("minutes").Int()) * time.Minute})
+			length := time.Duration(entry.Get("minutes").Int()) * time.Minute
+			calendar.entries = append(calendar.entries, opening{schedule, length})
 		}
 	}
 	return calendar
@@ -81,7 +88,8 @@
 	local := at.In(c.zone)
 	for _, entry := range c.entries {
 		// The newest opening before now is after now-length, or the route is closed.
-		if begins := entry.schedule.Next(local.Add(-entry.length)); !begins.IsZero() && !begins.After(local) {
+		begins := entry.schedule.Next(local.Add(-entry.length))
+		if !begins.IsZero() && !begins.After(local) {
 			return true
 		}
 	}
--- a/internal/routeconfig/callerlimits.go
+++ b/internal/routeconfig/callerlimits.go
@@ -1,6 +1,3 @@
-// This file reads what a configuration allows callers: how large the heads and bodies of
-// their requests may be, how long a head may take, and how long a connection may rest.
-
 package routeconfig
 
 import (
@@ -9,27 +6,39 @@
 	"github.com/tidwall/gjson"
 )
 
-// CallerLimits bound what a caller may send, and for how long a connection may take or
-// rest; 0 is not told.
+// CallerLimits bound what a caller may send, and for how long a connection may take or rest. 0 is
+// not set, and bounds nothing.
 type CallerLimits struct {
-	HeadBytes int64
-	BodyBytes int64
-	HeadTime  time.Duration
-	IdleTime  time.Duration
+	HeadBytes int64         // of a request
+	BodyBytes int64         // of a request
+	HeadTime  time.Duration // within which a request's head must have come
+	IdleTime  time.Duration // for which a connection may rest between requests
 }
 
 func parseCallerLimits(value gjson.Result) CallerLimits {
-	milliseconds := func(name string) time.Duration {
-		return time.Duration(max(0, value.Get(name).Num) * float64(time.Millisecond))
+	return CallerLimits{
+		HeadBytes: notNegative(value.Get("head_bytes")),
+		BodyBytes: notNegative(value.Get("body_bytes")),
+		HeadTime:  unboundedMilliseconds(value.Get("head_ms")),
+		IdleTime:  unboundedMilliseconds(value.Get("idle_ms")),
 	}
-	return CallerLimits{HeadBytes: max(0, value.Get("head_bytes").Int()), BodyBytes: max(0, value.Get("body_bytes").Int()),
-		HeadTime: milliseconds("head_ms"), IdleTime: milliseconds("idle_ms")}
 }
 
-// Widest takes the larger of two limits, each; one that is not told bounds nothing.
+func notNegative(value gjson.Result) int64 { return max(0, value.Int()) }
+
+// unboundedMilliseconds reads a time as milliseconds does, but only from a number, and without a bound.
+func unboundedMilliseconds(value gjson.Result) time.Duration {
+	return time.Duration(max(0, value.Num) * float64(time.Millisecond))
+}
+
+// Widest returns the larger of each two limits; one that is not set bounds nothing.
 func (l CallerLimits) Widest(other CallerLimits) CallerLimits {
-	return CallerLimits{HeadBytes: widest(l.HeadBytes, other.HeadBytes), BodyBytes: widest(l.BodyBytes, other.BodyBytes),
-		HeadTime: widest(l.HeadTime, other.HeadTime), IdleTime: widest(l.IdleTime, other.IdleTime)}
+	return CallerLimits{
+		HeadBytes: widest(l.HeadBytes, other.HeadBytes),
+		BodyBytes: widest(l.BodyBytes, other.BodyBytes),
+		HeadTime:  widest(l.HeadTime, other.HeadTime),
+		IdleTime:  widest(l.IdleTime, other.IdleTime),
+	}
 }
 
 func widest[T int64 | time.Duration](left, right T) T {
--- a/internal/routeconfig/next_test.go
+++ b/internal/routeconfig/next_test.go
@@ -35,8 +35,8 @@
 			body := randomConfiguration(dice, version)
 			current = current.Next("main", int64(version), body, limits)
 			wanted := Parse("main", int64(version), body, limits)
-			c.Assert(fmt.Sprint(current.keys, current.tenants, current.ranks, current.hosts, current.kinds, current.Version), qt.Equals,
-				fmt.Sprint(wanted.keys, wanted.tenants, wanted.ranks, wanted.hosts, wanted.kinds, wanted.Version))
+			c.Assert(fmt.Sprint(current.tenantByKey, current.tenantsWithKey, current.priorities, current.routesByHost, current.services, current.Version), qt.Equals,
+				fmt.Sprint(wanted.tenantByKey, wanted.tenantsWithKey, wanted.priorities, wanted.routesByHost, wanted.services, wanted.Version))
 			c.Assert(current.Routes, qt.DeepEquals, wanted.Routes, qt.Commentf("seed %d: %s", seed, body))
 			for _, host := range []string{"a.example", "b.example", "other"} {
 				for number := range 4 {
--- /dev/null
+++ b/internal/routeconfig/parse_route.go
@@ -0,0 +1,121 @@
+package routeconfig
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/tidwall/gjson"
+)
+
+// Values of a route's fields.
+const (
+	matchExact  = "exact" // the default
+	matchPrefix = "prefix"
+
+	kindRepeatable = "repeatable"
+	kindOnce       = "once" // the default
+	kindUpload     = "upload"
+)
+
+// allMethods are the methods that a route may name; requests of the readMethods may run again.
+var (
+	allMethods  = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
+	readMethods = []string{"GET", "HEAD"}
+)
+
+// weightScale makes whole numbers of weights, which may be fractions.
+const weightScale = 1000
+
+// routeFields are the fields of a route's text, each as it stands first.
+type routeFields map[string]gjson.Result
+
+// read takes the fields of an object in one pass, in place of those read before.
+func (f routeFields) read(object gjson.Result) {
+	clear(f)
+	object.ForEach(func(name, value gjson.Result) bool {
+		if _, repeated := f[name.Str]; !repeated {
+			f[name.Str] = value
+		}
+		return true
+	})
+}
+
+func parseRoute(fields routeFields, limits Limits) *Route {
+	route := &Route{
+		Name:          fields["name"].String(),
+		Host:          strings.ToLower(fields["host"].String()),
+		Path:          fields["path"].String(),
+		Prefix:        fields["match"].String() == matchPrefix,
+		Methods:       nameSet(fields["methods"]),
+		Callers:       nameSet(fields["callers"]),
+		Tenants:       nameSet(fields["tenants"]),
+		Public:        fields["open"].Bool(),
+		Service:       fields["service"].String(),
+		Split:         parseSplit(fields["split"]),
+		Timeout:       parseTimeout(fields["timeout_ms"], limits),
+		LatencyTarget: milliseconds(fields["aim_ms"]),
+		MaxAttempts:   fields["attempts"].Int(),
+		MaxBodyBytes:  fields["body_bytes"].Int(),
+		Priority:      LowestPriority,
+	}
+	if route.Host != "" {
+		route.Path, route.Prefix = fields["prefix"].String(), true
+	}
+	if priority := fields["priority"]; priority.Exists() {
+		route.Priority = priority.Int()
+	}
+	route.AtMostOnce = atMostOnce(fields, route.Methods)
+	if calendar := fields["calendar"]; calendar.Exists() {
+		route.Calendar = parseCalendar(calendar)
+	}
+	return route
+}
+
+// parseTimeout reads a route's time-out; without one, or above the limit, it is the limit.
+func parseTimeout(value gjson.Result, limits Limits) time.Duration {
+	timeout := milliseconds(value)
+	if timeout <= 0 || timeout > limits.MaxTimeout {
+		return limits.MaxTimeout
+	}
+	return timeout
+}
+
+func parseSplit(value gjson.Result) []WeightedService {
+	var split []WeightedService
+	for _, share := range value.Array() {
+		weight := int64(share.Get("weight").Float() * weightScale)
+		split = append(split, WeightedService{share.Get("service").String(), weight})
+	}
+	return split
+}
+
+// atMostOnce says that a route's requests may run once only. Where the route doesn't say, its
+// methods do: only requests that read may run again.
+func atMostOnce(fields routeFields, methods map[string]bool) bool {
+	if once := fields["once"]; once.Exists() {
+		return once.Bool()
+	}
+	if kind := fields["kind"]; kind.Exists() {
+		return kind.String() != kindRepeatable
+	}
+	for method := range methods {
+		if !slices.Contains(readMethods, method) {
+			return true
+		}
+	}
+	return len(methods) == 0
+}
+
+// nameSet reads a list of names; an empty one is nil.
+func nameSet(value gjson.Result) map[string]bool {
+	list := value.Array()
+	if len(list) == 0 {
+		return nil
+	}
+	names := make(map[string]bool, len(list))
+	for _, item := range list {
+		names[item.String()] = true
+	}
+	return names
+}
