--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -68,7 +68,8 @@
 		m.leases.BeginVoting(env, fresh)
 	})
 	m.UseVoters(m.quorum)
-	m.leases = lease.NewLeases(cfg, m, m.quorum, leaseNames(cfg), restored.Votes, m.eligible, m.onLeaseAcquired, m.onLeaseLost)
+	m.leases = lease.NewLeases(cfg, m, m.quorum, leaseNames(cfg), restored.Votes,
+		m.eligible, m.onLeaseAcquired, m.onLeaseLost)
 	m.usage.quorum, m.usage.leases = m.quorum, m.leases
 	return m, nil
 }
--- a/internal/registry/operator_requests.go
+++ b/internal/registry/operator_requests.go
@@ -45,7 +45,13 @@
 
 func newOperatorRequests(cfg settings.Settings, core *quorum.Core, members *membership.Membership,
 	tree *distribution.Distribution) *operatorRequests {
-	return &operatorRequests{settings: cfg, core: core, membership: members, distribution: tree, pending: map[int64]*pendingRequest{}}
+	return &operatorRequests{
+		settings:     cfg,
+		core:         core,
+		membership:   members,
+		distribution: tree,
+		pending:      map[int64]*pendingRequest{},
+	}
 }
 
 // write forwards a write.
@@ -191,7 +197,8 @@
 }
 
 // conclude makes the answer of a final response, and takes the effects of a write that succeeded.
-func (r *operatorRequests) conclude(env *statemachine.Env, request *pendingRequest, response message.StoreResponse) Answer {
+func (r *operatorRequests) conclude(env *statemachine.Env, request *pendingRequest,
+	response message.StoreResponse) Answer {
 	body, err := r.unpack(response)
 	if err != nil {
 		return answerCode(errcode.Internal, err.Error())
@@ -235,7 +242,8 @@
 // publish passes a committed version on to the distribution tree and to the peers at once, whatever
 // becomes of the configstore that committed it. The response has a body where another version
 // than the written one is in force.
-func (r *operatorRequests) publish(env *statemachine.Env, request *pendingRequest, response message.StoreResponse, responseBody []byte) {
+func (r *operatorRequests) publish(env *statemachine.Env, request *pendingRequest,
+	response message.StoreResponse, responseBody []byte) {
 	body, packed := request.body, request.write.Body
 	if len(responseBody) > 0 {
 		body, packed = responseBody, response.Body
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -127,7 +127,8 @@
 
 // wantedRegistration is what the roster should say of an upstream. Leaving is final for an
 // incarnation, and one that wasn't probed yet stays created whatever it says of itself.
-func wantedRegistration(heartbeat message.Heartbeat, current message.Registration, registered bool) message.Registration {
+func wantedRegistration(heartbeat message.Heartbeat, current message.Registration,
+	registered bool) message.Registration {
 	wanted := heartbeat.Registration
 	newIncarnation := !registered || current.Incarnation < wanted.Incarnation
 	switch {
--- a/internal/registry/replication.go
+++ b/internal/registry/replication.go
@@ -42,7 +42,7 @@
 		}
 		for _, peer := range m.Peers() {
 			if replica.complete {
-				env.Send(peer.Address, message.RosterCheck{Tag: zone, Round: m.replication.round, Voter: m.quorum.Voter, Mark: replica.slice.Mark})
+				env.Send(peer.Address, m.rosterCheck(zone))
 			} else {
 				env.Send(peer.Address, message.RosterPull{Tag: zone, Voter: m.quorum.Voter})
 			}
@@ -53,6 +53,15 @@
 	}
 }
 
+func (m *Machine) rosterCheck(zone string) message.RosterCheck {
+	return message.RosterCheck{
+		Tag:   zone,
+		Round: m.replication.round,
+		Voter: m.quorum.Voter,
+		Mark:  m.zones[zone].slice.Mark,
+	}
+}
+
 // nobodyIsComplete says that all other voters have answered that their copy isn't complete, as when
 // all registries start, or that the time for an answer is up.
 func (m *Machine) nobodyIsComplete(env *statemachine.Env, replica *zoneReplica) bool {
@@ -88,7 +97,12 @@
 	if !known || !m.holdsZone(env, check.Tag) {
 		return
 	}
-	env.Send(from, message.RosterDigest{Tag: check.Tag, Round: check.Round, Voter: m.quorum.Voter, Mark: replica.slice.Mark})
+	env.Send(from, message.RosterDigest{
+		Tag:   check.Tag,
+		Round: check.Round,
+		Voter: m.quorum.Voter,
+		Mark:  replica.slice.Mark,
+	})
 }
 
 // handleRosterDigest compares the holder's digest with that of the copy. The same one says that
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -46,7 +46,11 @@
 func (m *Machine) leaseAnswers(env *statemachine.Env) map[string]leaseAnswer {
 	leases := map[string]leaseAnswer{}
 	for _, name := range leaseNames(m.settings) {
-		leases[name] = leaseAnswer{Epoch: m.leases.Epoch(name), Holder: m.leases.Holder(name), Here: m.leases.Holding(name, env.Now)}
+		leases[name] = leaseAnswer{
+			Epoch:  m.leases.Epoch(name),
+			Holder: m.leases.Holder(name),
+			Here:   m.leases.Holding(name, env.Now),
+		}
 	}
 	return leases
 }
@@ -82,7 +86,11 @@
 func (m *Machine) relayAnswers(env *statemachine.Env) map[string]relayAnswer {
 	relays := map[string]relayAnswer{}
 	for name, report := range m.proxies {
-		relays[name] = relayAnswer{Path: report.batch.Path, Ready: report.batch.Ready, HeardMS: (env.Now - report.at).Milliseconds()}
+		relays[name] = relayAnswer{
+			Path:    report.batch.Path,
+			Ready:   report.batch.Ready,
+			HeardMS: (env.Now - report.at).Milliseconds(),
+		}
 	}
 	return relays
 }
--- a/internal/registry/usage_counts.go
+++ b/internal/registry/usage_counts.go
@@ -42,7 +42,13 @@
 		if c.sealed.settled(window.Window) || known && update.Number <= held.Number {
 			continue
 		}
-		c.put(message.UsageLife{Window: window.Window, Life: life, Number: update.Number, Counts: window.Counts, Open: window.Open})
+		c.put(message.UsageLife{
+			Window: window.Window,
+			Life:   life,
+			Number: update.Number,
+			Counts: window.Counts,
+			Open:   window.Open,
+		})
 		if !known || !maps.Equal(held.Counts, window.Counts) || !maps.Equal(held.Open, window.Open) {
 			c.markUnsaved(window.Window, life)
 		}
--- a/internal/registry/usage_sealing.go
+++ b/internal/registry/usage_sealing.go
@@ -54,7 +54,11 @@
 func (u *usage) sendRead(env *statemachine.Env) {
 	u.sealer.sentAt = env.Now
 	for _, peer := range u.core.Peers() {
-		env.Send(peer.Address, message.UsageRead{Epoch: u.sealer.epoch, Voter: u.quorum.Voter, Identity: u.quorum.Signature()})
+		env.Send(peer.Address, message.UsageRead{
+			Epoch:    u.sealer.epoch,
+			Voter:    u.quorum.Voter,
+			Identity: u.quorum.Signature(),
+		})
 	}
 }
 
@@ -161,9 +165,14 @@
 	u.nextReportAt = 0
 }
 
+// mayAnswer says that this process votes, and knows the sender as the one that holds a voter.
+func (u *usage) mayAnswer(voter, identity string) bool {
+	return u.quorum.Voting() && u.quorum.Holds(voter, identity)
+}
+
 // handleRead answers a holder, as a voter, with the values and counts that are known here.
 func (u *usage) handleRead(env *statemachine.Env, from string, read message.UsageRead) {
-	if u.leases.Epoch(settings.UsageTag) != read.Epoch || !u.quorum.Voting() || !u.quorum.Holds(read.Voter, read.Identity) {
+	if read.Epoch != u.leases.Epoch(settings.UsageTag) || !u.mayAnswer(read.Voter, read.Identity) {
 		return
 	}
 	env.Send(from, message.UsageReadResponse{
@@ -191,7 +200,7 @@
 
 // handleSeal takes a holder's proposal, as a voter, and confirms it once it is on disk.
 func (u *usage) handleSeal(env *statemachine.Env, from string, seal message.UsageSeal) {
-	if seal.Sealed.Epoch < u.leases.Epoch(settings.UsageTag) || !u.quorum.Voting() || !u.quorum.Holds(seal.Voter, seal.Identity) {
+	if seal.Sealed.Epoch < u.leases.Epoch(settings.UsageTag) || !u.mayAnswer(seal.Voter, seal.Identity) {
 		return
 	}
 	u.sealed.learnReported(seal.Reported)
--- a/internal/routeconfig/bench_test.go
+++ b/internal/routeconfig/bench_test.go
@@ -17,12 +17,14 @@
 		}
 		fmt.Fprintf(&text, `{"name":"tenant%d","keys":["key-%d-aaaaaaaaaaaa","key-%d-bbbbbbbbbbbb"],"priority":1}`, number, number, number)
 	}
-	text.WriteString(`],"services":[{"name":"quoter","health":"/health","connections":130},{"name":"bookings","health":"/health","connections":130}],"routes":[`)
+	text.WriteString(`],"services":[{"name":"quoter","health":"/health","connections":130},`)
+	text.WriteString(`{"name":"bookings","health":"/health","connections":130}],"routes":[`)
 	for number := range routes {
 		if number > 0 {
 			text.WriteString(",")
 		}
-		fmt.Fprintf(&text, `{"name":"r-%d","host":"host%d.example","prefix":"/path%d/","kind":"repeatable","aim_ms":500,"priority":2,"open":false,"service":"quoter","timeout_ms":1200,"attempts":2}`, number, number%9, number)
+		fmt.Fprintf(&text, `{"name":"r-%d","host":"host%d.example","prefix":"/path%d/",`, number, number%9, number)
+		text.WriteString(`"kind":"repeatable","aim_ms":500,"priority":2,"open":false,"service":"quoter","timeout_ms":1200,"attempts":2}`)
 	}
 	text.WriteString(`]}`)
 	return []byte(text.String())
--- a/internal/routeconfig/check_route.go
+++ b/internal/routeconfig/check_route.go
@@ -8,8 +8,10 @@
 )
 
 var (
-	routeFieldNames = []string{"name", "service", "path", "match", "methods", "callers", "tenants", "once", "timeout_ms", "body_bytes",
-		"calendar", "host", "prefix", "kind", "split", "attempts", "aim_ms", "priority", "open"}
+	routeFieldNames = []string{
+		"name", "service", "path", "match", "methods", "callers", "tenants", "once", "timeout_ms", "body_bytes",
+		"calendar", "host", "prefix", "kind", "split", "attempts", "aim_ms", "priority", "open",
+	}
 	allMatches = []string{matchExact, matchPrefix}
 	allKinds   = []string{kindRepeatable, kindOnce, kindUpload}
 )
--- a/internal/routeconfig/fuzz_test.go
+++ b/internal/routeconfig/fuzz_test.go
@@ -9,9 +9,10 @@
 // Any bytes are refused with faults or give a configuration that answers every question;
 // the same bytes always get the same verdict, for every voter checks alone.
 func FuzzCheck(f *testing.F) {
-	f.Add([]byte(configName), "host", "/x/y")
-	f.Add([]byte(strings.Replace(configName, "[", "{", 1)), "", "/")
-	f.Add([]byte(`{"version":1,"services":[{"name":"a","weight":1e400}],"routes":[{"name":"r","host":"h","prefix":"/p","split":{"a":9223372036854775807}}]}`), "h", "/p/..")
+	f.Add([]byte(pathConfiguration), "host", "/x/y")
+	f.Add([]byte(strings.Replace(pathConfiguration, "[", "{", 1)), "", "/")
+	f.Add([]byte(`{"version":1,"services":[{"name":"a","weight":1e400}],`+
+		`"routes":[{"name":"r","host":"h","prefix":"/p","split":{"a":9223372036854775807}}]}`), "h", "/p/..")
 	f.Add([]byte(`{"services":["a"],"routes":[{"name":"r","service":"a","path":"/%2e","open":{"zone":"UTC"}}]}`), "", "/%2E")
 	f.Add([]byte(`null`), "", "")
 	f.Fuzz(func(t *testing.T, body []byte, host, path string) {
--- a/internal/routeconfig/hosted_test.go
+++ b/internal/routeconfig/hosted_test.go
@@ -11,11 +11,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const hosted = `{"version":7,"limits":{"head_bytes":16384,"body_bytes":67108864,"head_ms":3000,"idle_ms":15000},
+const hostConfiguration = `{"version":7,"limits":{"head_bytes":16384,"body_bytes":67108864,"head_ms":3000,"idle_ms":15000},
 "tenants":[{"name":"first","keys":["k1","k2"],"priority":1},{"name":"silent","keys":["k3"]}],
 "services":[{"name":"a","health":"/health","connections":130,"protocol":"h1","tls":false},{"name":"b"},"c"],
-"routes":[{"name":"short","host":"One.example","prefix":"/x/","service":"a","kind":"repeatable","timeout_ms":1200,"attempts":2,"aim_ms":500,"priority":2},
-{"name":"long","host":"one.example","prefix":"/x/y/","split":[{"service":"a","weight":90},{"service":"b","weight":10},{"service":"c","weight":0}],"kind":"once","timeout_ms":1500},
+"routes":[{"name":"short","host":"One.example","prefix":"/x/","service":"a","kind":"repeatable",
+"timeout_ms":1200,"attempts":2,"aim_ms":500,"priority":2},
+{"name":"long","host":"one.example","prefix":"/x/y/","split":[{"service":"a","weight":90},{"service":"b","weight":10},
+{"service":"c","weight":0}],"kind":"once","timeout_ms":1500},
 {"name":"big","host":"one.example","prefix":"/big/","service":"c","kind":"upload","timeout_ms":4000,"open":true},
 {"name":"half","host":"half.example","prefix":"/half","service":"b","timeout_ms":1000},
 {"name":"silent","host":"two.example","prefix":"/","service":"b","timeout_ms":1000},
@@ -30,13 +32,15 @@
 // The longest prefix of the request's own host; a host that has routes has those alone.
 func TestHostsAndLongestPrefixes(t *testing.T) {
 	c := qt.New(t)
-	configuration := parsed(c, hosted)
+	configuration := parsed(c, hostConfiguration)
 	for request, wanted := range map[string]string{
-		"one.example /x/1": "short", "one.example /x/": "short", "one.example /x": "", "one.example /xy/1": "", "ONE.example:8080 /x/z/y/": "short",
-		"one.example /x/y/1": "long", "one.example /x/y/": "long", "one.example /x/y": "short", "one.example /x/yy/1": "short",
+		"one.example /x/1": "short", "one.example /x/": "short", "one.example /x": "", "one.example /xy/1": "",
+		"ONE.example:8080 /x/z/y/": "short",
+		"one.example /x/y/1":       "long", "one.example /x/y/": "long", "one.example /x/y": "short", "one.example /x/yy/1": "short",
 		"one.example /x//y/1": "short", "one.example /x/%79/1": "short", "one.example /big/1/2/3": "big", "one.example /": "",
 		"half.example /half": "half", "half.example /half/1": "half", "half.example /halfway": "", "half.example /hal": "",
-		"two.example /x/1": "silent", "two.example /": "silent", "three.example /x/1": "unbound", " /x/1": "unbound", "three.example /big/1": "",
+		"two.example /x/1": "silent", "two.example /": "silent",
+		"three.example /x/1": "unbound", " /x/1": "unbound", "three.example /big/1": "",
 	} {
 		host, path, _ := strings.Cut(request, " ")
 		route, found := configuration.MatchHost(host, "GET", path)
@@ -52,7 +56,7 @@
 // Services of a split get their parts by weight, and none that has no weight.
 func TestSplitsFallByWeight(t *testing.T) {
 	c := qt.New(t)
-	configuration := parsed(c, hosted)
+	configuration := parsed(c, hostConfiguration)
 	long, _ := configuration.RouteNamed("long")
 	fallen := map[string]int{}
 	for number := range 1000 {
@@ -72,7 +76,7 @@
 // What may be repeated is what the configuration says may be; all else runs at most once.
 func TestKindsOfRoutes(t *testing.T) {
 	c := qt.New(t)
-	configuration := parsed(c, hosted)
+	configuration := parsed(c, hostConfiguration)
 	for name, once := range map[string]bool{"short": false, "long": true, "big": true, "silent": true, "unbound": false} {
 		route, _ := configuration.RouteNamed(name)
 		c.Check(route.AtMostOnce, qt.Equals, once, qt.Commentf(name))
@@ -89,7 +93,7 @@
 // A route may be open, and a configuration without tenants wants no key at all.
 func TestOpenRoutesAndConfigurationsWithoutTenants(t *testing.T) {
 	c := qt.New(t)
-	configuration := parsed(c, hosted)
+	configuration := parsed(c, hostConfiguration)
 	big, _ := configuration.RouteNamed("big")
 	c.Assert(big.Public, qt.IsTrue)
 	c.Assert(configuration.Keyless(), qt.IsFalse)
@@ -110,7 +114,9 @@
 // tenant that names none is behind those that do, and what a running request asks is not.
 func TestPriorities(t *testing.T) {
 	c := qt.New(t)
-	configuration := parsed(c, strings.Replace(hosted, `{"name":"silent","keys":["k3"]}`, `{"name":"silent","keys":["k3"]},{"name":"best","keys":["k4"],"priority":0}`, 1))
+	silent := `{"name":"silent","keys":["k3"]}`
+	best := `{"name":"best","keys":["k4"],"priority":0}`
+	configuration := parsed(c, strings.Replace(hostConfiguration, silent, silent+","+best, 1))
 	last := int64(-1)
 	for _, pair := range []string{"best short", "best long", "first short", "first long", "silent short", "silent long"} {
 		tenant, name, _ := strings.Cut(pair, " ")
@@ -129,28 +135,29 @@
 	lenient := limits
 	lenient.Lenient = true
 	replaced := func(old, with string) string {
-		c.Assert(strings.Contains(hosted, old), qt.IsTrue, qt.Commentf(old))
-		return strings.Replace(hosted, old, with, 1)
+		c.Assert(strings.Contains(hostConfiguration, old), qt.IsTrue, qt.Commentf(old))
+		return strings.Replace(hostConfiguration, old, with, 1)
 	}
+	withoutWeight := strings.Replace(replaced(`"weight":90`, `"weight":0`), `"weight":10`, `"weight":0`, 1)
 	bodies := map[string]string{
-		replaced(`"service":"a","kind"`, `"service":"z","kind"`):                               "routes.0.service: unknown service z",
-		replaced(`{"service":"b","weight"`, `{"service":"z","weight"`):                         "routes.1.split.1.service: unknown service z",
-		replaced(`"timeout_ms":1200`, `"timeout_ms":0`):                                        "routes.0.timeout_ms: want a whole number above 0",
-		replaced(`"timeout_ms":1200`, `"timeout_ms":-1`):                                       "routes.0.timeout_ms: want a whole number above 0",
-		replaced(`"timeout_ms":1200,`, ``):                                                     "routes.0.timeout_ms: missing",
-		replaced(`"prefix":"/x/y/"`, `"prefix":"x/y/"`):                                        "routes.1.prefix: must begin with /",
-		replaced(`"prefix":"/x/y/"`, `"prefix":""`):                                            "routes.1.prefix: want a text",
-		replaced(`"host":"One.example"`, `"host":""`):                                          "routes.0.host: want a text",
-		replaced(`"k3"`, `"k1"`):                                                               "key stands already at tenants.0.keys.0",
-		replaced(`"prefix":"/x/y/"`, `"prefix":"/x/"`):                                         "routes.1: stands at the place of routes.0",
-		replaced(`"kind":"once"`, `"kind":"twice"`):                                            "routes.1.kind: want repeatable",
-		replaced(`"weight":90`, `"weight":-90`):                                                "routes.1.split.0.weight: want a whole number",
-		strings.Replace(replaced(`"weight":90`, `"weight":0`), `"weight":10`, `"weight":0`, 1): "routes.1.split: want a weight above 0",
-		replaced(`"priority":1}`, `"priority":"high"}`):                                        "tenants.0.priority: want a whole number",
-		replaced(`"services":[`, `"services":5,"was":[`):                                       "services: want a list",
+		replaced(`"service":"a","kind"`, `"service":"z","kind"`):       "routes.0.service: unknown service z",
+		replaced(`{"service":"b","weight"`, `{"service":"z","weight"`): "routes.1.split.1.service: unknown service z",
+		replaced(`"timeout_ms":1200`, `"timeout_ms":0`):                "routes.0.timeout_ms: want a whole number above 0",
+		replaced(`"timeout_ms":1200`, `"timeout_ms":-1`):               "routes.0.timeout_ms: want a whole number above 0",
+		replaced(`"timeout_ms":1200,`, ``):                             "routes.0.timeout_ms: missing",
+		replaced(`"prefix":"/x/y/"`, `"prefix":"x/y/"`):                "routes.1.prefix: must begin with /",
+		replaced(`"prefix":"/x/y/"`, `"prefix":""`):                    "routes.1.prefix: want a text",
+		replaced(`"host":"One.example"`, `"host":""`):                  "routes.0.host: want a text",
+		replaced(`"k3"`, `"k1"`):                                       "key stands already at tenants.0.keys.0",
+		replaced(`"prefix":"/x/y/"`, `"prefix":"/x/"`):                 "routes.1: stands at the place of routes.0",
+		replaced(`"kind":"once"`, `"kind":"twice"`):                    "routes.1.kind: want repeatable",
+		replaced(`"weight":90`, `"weight":-90`):                        "routes.1.split.0.weight: want a whole number",
+		withoutWeight:                                                  "routes.1.split: want a weight above 0",
+		replaced(`"priority":1}`, `"priority":"high"}`):                "tenants.0.priority: want a whole number",
+		replaced(`"services":[`, `"services":5,"was":[`):               "services: want a list",
 	}
-	for _, part := range []int{1, len(hosted) / 3, len(hosted) / 2, len(hosted) - 1} {
-		bodies[hosted[:part]] = "$: not JSON"
+	for _, part := range []int{1, len(hostConfiguration) / 3, len(hostConfiguration) / 2, len(hostConfiguration) - 1} {
+		bodies[hostConfiguration[:part]] = "$: not JSON"
 	}
 	for body, wanted := range bodies {
 		for _, given := range []Limits{limits, lenient} {
@@ -165,9 +172,14 @@
 	c := qt.New(t)
 	lenient := limits
 	lenient.Lenient = true
-	for place, with := range map[string]string{`{"version":7`: `{"colour":1,"version":7`, `{"head_bytes"`: `{"colour":1,"head_bytes"`, `{"name":"first"`: `{"colour":1,"name":"first"`,
-		`{"name":"b"`: `{"colour":1,"name":"b"`, `{"name":"short"`: `{"colour":{"deep":[1]},"name":"short"`} {
-		body := strings.Replace(hosted, place, with, 1)
+	for place, with := range map[string]string{
+		`{"version":7`:    `{"colour":1,"version":7`,
+		`{"head_bytes"`:   `{"colour":1,"head_bytes"`,
+		`{"name":"first"`: `{"colour":1,"name":"first"`,
+		`{"name":"b"`:     `{"colour":1,"name":"b"`,
+		`{"name":"short"`: `{"colour":{"deep":[1]},"name":"short"`,
+	} {
+		body := strings.Replace(hostConfiguration, place, with, 1)
 		faults, _ := Check([]byte(body), limits)
 		c.Check(strings.Join(faults, "\n"), qt.Contains, "colour: unknown field", qt.Commentf(place))
 		faults, _ = Check([]byte(body), lenient)
@@ -177,6 +189,6 @@
 		c.Check(route.Name, qt.Equals, "long")
 	}
 	// Known once is known: a field that stands twice could be read either way.
-	faults, _ := Check([]byte(strings.Replace(hosted, `"kind":"once"`, `"kind":"once","kind":"repeatable"`, 1)), lenient)
+	faults, _ := Check([]byte(strings.Replace(hostConfiguration, `"kind":"once"`, `"kind":"once","kind":"repeatable"`, 1)), lenient)
 	c.Assert(fmt.Sprint(faults), qt.Contains, "key stands twice")
 }
--- a/internal/routeconfig/allowed_test.go
+++ b/internal/routeconfig/lenient_test.go
@@ -1,4 +1,4 @@
-// Lenient configurations: what the platform's page calls invalid is refused, and nothing
+// Tests of lenient configurations: what the platform page calls invalid is refused, and nothing
 // else, over generated configurations.
 package routeconfig
 
@@ -27,7 +27,9 @@
 	for number := range 1 + random.IntN(4) {
 		name := fmt.Sprintf("service-%d", number)
 		serviceNames = append(serviceNames, name)
-		services = append(services, map[string]any{"name": name, "health": "/health", "connections": pick(random, 0, 1, 130, 100000), "protocol": "h1", "tls": false})
+		connections := pick(random, 0, 1, 130, 100000)
+		services = append(services, map[string]any{"name": name, "health": "/health", "connections": connections,
+			"protocol": "h1", "tls": false})
 	}
 	tenants := []any{}
 	for number := range random.IntN(4) {
@@ -42,9 +44,17 @@
 	}
 	routes := []any{}
 	for number := range random.IntN(pick(random, 5, 400)) {
-		route := map[string]any{"name": pick(random, fmt.Sprintf("route-%d", number), "same"), "host": fmt.Sprintf("host-%d.example", number%7),
-			"prefix": fmt.Sprintf("/p%d/", number), "kind": pick(random, "repeatable", "once", "upload"), "timeout_ms": pick(random, 0.5, 1, 1234.5, 59999, 60001, 600001, 1e8, 1e14),
-			"aim_ms": pick(random, 0, 0.25, 500, 1e8), "attempts": pick(random, 0, 1, 2, 100), "priority": random.IntN(5), "open": random.IntN(2) == 0}
+		route := map[string]any{
+			"name":       pick(random, fmt.Sprintf("route-%d", number), "same"),
+			"host":       fmt.Sprintf("host-%d.example", number%7),
+			"prefix":     fmt.Sprintf("/p%d/", number),
+			"kind":       pick(random, "repeatable", "once", "upload"),
+			"timeout_ms": pick(random, 0.5, 1, 1234.5, 59999, 60001, 600001, 1e8, 1e14),
+			"aim_ms":     pick(random, 0, 0.25, 500, 1e8),
+			"attempts":   pick(random, 0, 1, 2, 100),
+			"priority":   random.IntN(5),
+			"open":       random.IntN(2) == 0,
+		}
 		if random.IntN(2) == 0 {
 			route["service"] = pick(random, serviceNames...)
 		} else {
@@ -74,7 +84,8 @@
 		c.Assert(faults, qt.HasLen, 0, qt.Commentf("%s", body))
 		c.Assert(tooLarge, qt.IsFalse)
 		for _, route := range Parse("main", 1, body, lenientLimits).Routes {
-			c.Assert(route.Timeout > 0 && route.Timeout <= lenientLimits.MaxTimeout, qt.IsTrue, qt.Commentf("%s: %v", route.Name, route.Timeout))
+			bounded := route.Timeout > 0 && route.Timeout <= lenientLimits.MaxTimeout
+			c.Assert(bounded, qt.IsTrue, qt.Commentf("%s: %v", route.Name, route.Timeout))
 			c.Assert(route.LatencyTarget >= 0, qt.IsTrue)
 			c.Assert(route.RoutesTo(route.PickService(0.3)), qt.IsTrue)
 		}
@@ -97,10 +108,15 @@
 		"prefix without slash": func(_, route map[string]any) { route["prefix"] = "p/" },
 		"empty host":           func(_, route map[string]any) { route["host"] = "" },
 		"key of two tenants": func(configuration, _ map[string]any) {
-			configuration["tenants"] = []any{map[string]any{"name": "a", "keys": []string{"k"}}, map[string]any{"name": "b", "keys": []string{"k"}}}
+			configuration["tenants"] = []any{
+				map[string]any{"name": "a", "keys": []string{"k"}},
+				map[string]any{"name": "b", "keys": []string{"k"}},
+			}
 		},
 		"two routes at one place": func(configuration, route map[string]any) {
-			configuration["routes"] = append(configuration["routes"].([]any), map[string]any{"name": "twin", "host": route["host"], "prefix": route["prefix"], "service": "service-0", "timeout_ms": 1})
+			twin := map[string]any{"name": "twin", "host": route["host"], "prefix": route["prefix"],
+				"service": "service-0", "timeout_ms": 1}
+			configuration["routes"] = append(configuration["routes"].([]any), twin)
 		},
 		"no weight": func(_, route map[string]any) {
 			route["split"] = []any{map[string]any{"service": "service-0", "weight": 0}}
--- a/internal/routeconfig/routeconfig_test.go
+++ b/internal/routeconfig/routeconfig_test.go
@@ -11,34 +11,36 @@
 
 var limits = Limits{MaxBytes: 4000, MaxEntries: 20, MaxTimeout: 5 * time.Second}
 
-const configName = `{"services":["a","b"],"tenants":[{"name":"t","keys":["k1"]},{"name":"u","keys":["k2"]}],
+const pathConfiguration = `{"services":["a","b"],"tenants":[{"name":"t","keys":["k1"]},{"name":"u","keys":["k2"]}],
 "routes":[{"name":"all","service":"a","path":"/x","match":"prefix","methods":["GET","POST"],"callers":["*"]},
 {"name":"deep","service":"b","path":"/x/y","match":"prefix","methods":["GET"],"callers":["c"],"tenants":["t"]},
 {"name":"one","service":"b","path":"/x/y","methods":["POST"],"callers":["c"],"once":false,"timeout_ms":700}]}`
 
 func TestFaultsAreAllListedByPath(t *testing.T) {
 	c := qt.New(t)
-	faults, tooLarge := Check([]byte(configName), limits)
+	faults, tooLarge := Check([]byte(pathConfiguration), limits)
 	c.Assert(faults, qt.HasLen, 0)
 	c.Assert(tooLarge, qt.IsFalse)
+	replaced := func(old, with string) string { return strings.Replace(pathConfiguration, old, with, 1) }
+	ambiguous := replaced(`"path":"/x/y","methods":["POST"]`, `"path":"/x","match":"prefix","methods":["POST"]`)
 	for body, wanted := range map[string]string{
 		`{"services":`:                        "$: not JSON",
 		`[]`:                                  "$: want an object",
 		`{"services":["a"],"colour":1}`:       "colour: unknown field",
 		`{"services":["a"],"services":["a"]}`: "services: key stands twice",
-		strings.Replace(configName, `"service":"b"`, `"service":"z"`, 1):                                                      "routes.1.service: unknown service z",
-		strings.Replace(configName, `"k2"`, `"k1"`, 1):                                                                        "tenants.1.keys.0: key stands already at tenants.0.keys.0",
-		strings.Replace(configName, `"path":"/x/y","methods":["POST"]`, `"path":"/x","match":"prefix","methods":["POST"]`, 1): "routes.2: ambiguous with routes.0 for POST",
-		strings.Replace(configName, `"/x/y"`, `"/x/../y"`, 1):                                                                 "routes.1.path: want a normalised path that begins with /",
-		strings.Replace(configName, `"tenants":["t"]`, `"tenants":["w"]`, 1):                                                  "routes.1.tenants: unknown tenant w",
-		strings.Replace(configName, `700`, `70000`, 1):                                                                        "routes.2.timeout_ms: the settings allow at most 5000",
-		strings.Replace(configName, `"once":false`, `"once":"no"`, 1):                                                         "routes.2.once: want true or false",
+		replaced(`"service":"b"`, `"service":"z"`):     "routes.1.service: unknown service z",
+		replaced(`"k2"`, `"k1"`):                       "tenants.1.keys.0: key stands already at tenants.0.keys.0",
+		replaced(`"/x/y"`, `"/x/../y"`):                "routes.1.path: want a normalised path that begins with /",
+		replaced(`"tenants":["t"]`, `"tenants":["w"]`): "routes.1.tenants: unknown tenant w",
+		replaced(`700`, `70000`):                       "routes.2.timeout_ms: the settings allow at most 5000",
+		replaced(`"once":false`, `"once":"no"`):        "routes.2.once: want true or false",
+		ambiguous:                                      "routes.2: ambiguous with routes.0 for POST",
 	} {
 		faults, tooLarge := Check([]byte(body), limits)
 		c.Check(tooLarge, qt.IsFalse)
 		c.Check(strings.Join(faults, "\n"), qt.Contains, wanted)
 	}
-	two := strings.Replace(strings.Replace(configName, `700`, `-1`, 1), `"service":"b"`, `"service":"z"`, 1)
+	two := strings.Replace(strings.Replace(pathConfiguration, `700`, `-1`, 1), `"service":"b"`, `"service":"z"`, 1)
 	faults, _ = Check([]byte(two), limits)
 	c.Assert(faults, qt.HasLen, 2)
 	_, tooLarge = Check([]byte(strings.Repeat(" ", 4001)), limits)
@@ -49,9 +51,11 @@
 
 func TestMatching(t *testing.T) {
 	c := qt.New(t)
-	configuration := Parse("main", 3, []byte(configName), limits)
-	for request, wanted := range map[string]string{"GET /x": "all", "GET /x/z": "all", "GET /x/y": "deep", "GET /x/y/z": "deep", "POST /x/y": "one",
-		"POST /x/y/z": "all", "GET /xy": "", "DELETE /x": "", "GET /": ""} {
+	configuration := Parse("main", 3, []byte(pathConfiguration), limits)
+	for request, wanted := range map[string]string{
+		"GET /x": "all", "GET /x/z": "all", "GET /x/y": "deep", "GET /x/y/z": "deep", "POST /x/y": "one",
+		"POST /x/y/z": "all", "GET /xy": "", "DELETE /x": "", "GET /": "",
+	} {
 		method, path, _ := strings.Cut(request, " ")
 		route, _ := configuration.Match(method, path)
 		c.Check(route.Name, qt.Equals, wanted, qt.Commentf(request))
@@ -77,7 +81,9 @@
 		c.Check(err, qt.IsNil)
 		c.Check(normal, qt.Equals, wanted)
 	}
-	for _, raw := range []string{"", "a", "/a/../b", "/a/./b", "/%2e%2e/b", "/a%2fb", "/a%5cb", "/a//b", "/a%00", "/a%0a", "/a%", "/a%zz", "/a b"} {
+	for _, raw := range []string{
+		"", "a", "/a/../b", "/a/./b", "/%2e%2e/b", "/a%2fb", "/a%5cb", "/a//b", "/a%00", "/a%0a", "/a%", "/a%zz", "/a b",
+	} {
 		_, err := NormalizePath(raw)
 		c.Check(err, qt.IsNotNil, qt.Commentf("%q", raw))
 	}
@@ -86,7 +92,11 @@
 // Berlin changes its clocks; openings there join, shift and fall away as documented.
 func TestCalendars(t *testing.T) {
 	c := qt.New(t)
-	body := strings.Replace(configName, `"once":false`, `"once":false,"calendar":{"zone":"Europe/Berlin","open":[{"at":"0 8 * * *","minutes":120},{"at":"30 9 * * *","minutes":60},{"at":"30 2 * * *","minutes":10}]}`, 1)
+	withCalendar := func(calendar string) string {
+		return strings.Replace(pathConfiguration, `"once":false`, `"once":false,"calendar":`+calendar, 1)
+	}
+	body := withCalendar(`{"zone":"Europe/Berlin","open":[{"at":"0 8 * * *","minutes":120},` +
+		`{"at":"30 9 * * *","minutes":60},{"at":"30 2 * * *","minutes":10}]}`)
 	faults, _ := Check([]byte(body), limits)
 	c.Assert(faults, qt.HasLen, 0)
 	configuration := Parse("main", 1, []byte(body), limits)
@@ -102,9 +112,14 @@
 	}
 	when, _ := time.Parse(time.RFC3339, "2026-07-01T09:00:00Z")
 	c.Assert(one.Calendar.UntilOpen(when), qt.Equals, 15*time.Hour+30*time.Minute)
-	for _, bad := range []string{`{"zone":"Mars/Base","open":[{"at":"0 8 * * *","minutes":1}]}`, `{"zone":"UTC","open":[{"at":"@every 1h","minutes":1}]}`,
-		`{"zone":"UTC","open":[{"at":"0 8 * * *","minutes":0}]}`, `{"zone":"UTC","open":[]}`, `{"zone":"UTC","open":[{"at":"0 8 * *","minutes":5}]}`} {
-		faults, _ := Check([]byte(strings.Replace(configName, `"once":false`, `"once":false,"calendar":`+bad, 1)), limits)
+	for _, bad := range []string{
+		`{"zone":"Mars/Base","open":[{"at":"0 8 * * *","minutes":1}]}`,
+		`{"zone":"UTC","open":[{"at":"@every 1h","minutes":1}]}`,
+		`{"zone":"UTC","open":[{"at":"0 8 * * *","minutes":0}]}`,
+		`{"zone":"UTC","open":[]}`,
+		`{"zone":"UTC","open":[{"at":"0 8 * *","minutes":5}]}`,
+	} {
+		faults, _ := Check([]byte(withCalendar(bad)), limits)
 		c.Check(faults, qt.Not(qt.HasLen), 0, qt.Commentf(bad))
 	}
 }
