--- a/internal/registry/changes.go
+++ b/internal/registry/changes.go
@@ -13,7 +13,7 @@
 	causeCreated             = "created"
 	causeNewIncarnation      = "new incarnation"
 	causeDrain               = "drain"
-	causeServingProxyChanged = "new home"
+	causeServingProxyChanged = "new serving proxy"
 	causeOtherFields         = "changed"
 	causeSignedOff           = "signed off"
 	causeHeartbeatsStopped   = "heartbeats stopped"
