--- a/internal/lease/guards_test.go
+++ b/internal/lease/guards_test.go
@@ -11,8 +11,8 @@
 	"beaconvane/internal/lease"
 )
 
-// lost are the rules that a lost or rewritten acknowledged version may break first.
-const lost = "durable one-content no-false-refusal linearizable"
+// lostVersionRules are the rules that a lost or rewritten acknowledged version may break first.
+const lostVersionRules = "durable one-content no-false-refusal linearizable"
 
 // mostWalks is how many walks may pass before a fault is found.
 const mostWalks = 2000
@@ -22,7 +22,7 @@
 	five  = explore.Options{Voters: 5, Rounds: 120, Faults: 12}
 )
 
-// noContact looks behind the rule that is broken first.
+// noContact leaves out the rule "contact", which is broken first, to see what is broken behind it.
 func noContact(options explore.Options) explore.Options {
 	options.Except = []string{"contact"}
 	return options
@@ -38,8 +38,8 @@
 	"syncedVote":   {five, 1549, "one-holder-an-epoch"},
 	"higherEpoch":  {three, 1, "one-holder-an-epoch"},
 	"oneHolder":    {three, 649, "one-holder-an-epoch"},
-	"spentEpoch":   {noContact(three), 1601, lost},
-	"majorityVote": {noContact(three), 1, lost + " one-holder-an-epoch"},
+	"spentEpoch":   {noContact(three), 1601, lostVersionRules},
+	"majorityVote": {noContact(three), 1, lostVersionRules + " one-holder-an-epoch"},
 }
 
 // With any of these guards off the exploration finds a broken promise; with all of them
