--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -84,7 +84,7 @@
 	if !known {
 		return
 	}
-	m.noteOtherHolder(env, tag, request)
+	m.recordOtherHolder(env, tag, request)
 	if !m.mayVote(env.Now, tag, request) {
 		return
 	}
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// noteOtherHolder writes down that another voter asks for a tag in earnest, which it does only as its
+// recordOtherHolder records that another voter asks for a tag in earnest, which it does only as its
 // holder or with a majority of pre-votes: it matters to this voter's own cool-down.
-func (m *Manager) noteOtherHolder(env *statemachine.Env, tag *tagState, request message.LeaseRequest) {
+func (m *Manager) recordOtherHolder(env *statemachine.Env, tag *tagState, request message.LeaseRequest) {
 	candidate := &tag.candidate
 	if request.Trial || request.Voter == m.quorum.Voter || request.Voter == candidate.otherHolder {
 		return
--- a/internal/lease/restart_test.go
+++ b/internal/lease/restart_test.go
@@ -26,9 +26,9 @@
 				v.boot()
 			}
 			c.Assert(g.holder(), qt.Equals, "")
-			took := g.run(10*time.Second, true)
+			elapsed := g.run(10*time.Second, true)
 			c.Assert(g.holder(), qt.Equals, holder)
-			c.Assert(took < settings.Default().Lease()/4, qt.IsTrue, qt.Commentf("%v", took))
+			c.Assert(elapsed < settings.Default().Lease()/4, qt.IsTrue, qt.Commentf("%v", elapsed))
 		})
 	}
 }
@@ -46,9 +46,9 @@
 				v.boot()
 				v.up = v.name != holder
 			}
-			took := g.run(10*time.Second, true)
+			elapsed := g.run(10*time.Second, true)
 			c.Assert(g.holder(), qt.Not(qt.Equals), "")
-			c.Assert(took >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("%v", took))
+			c.Assert(elapsed >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("%v", elapsed))
 		})
 	}
 }
@@ -84,9 +84,9 @@
 					lose(v, votes)
 				}
 			}
-			took := g.run(10*time.Second, true)
+			elapsed := g.run(10*time.Second, true)
 			c.Assert(g.holder(), qt.Not(qt.Equals), "")
-			c.Assert(took >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("%v", took))
+			c.Assert(elapsed >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("%v", elapsed))
 		})
 	}
 }
@@ -107,6 +107,6 @@
 		v.state.MemberList = memberList
 		v.boot()
 	}
-	took := g.run(10*time.Second, true)
-	c.Assert(took >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("%v", took))
+	elapsed := g.run(10*time.Second, true)
+	c.Assert(elapsed >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("%v", elapsed))
 }
--- a/internal/lease/transfer_test.go
+++ b/internal/lease/transfer_test.go
@@ -19,10 +19,10 @@
 	first := g.at("a" + g.holder())
 	g.run(4*time.Second, false)
 	first.leases.TransferAll(first.env)
-	took := g.run(10*time.Second, true)
+	elapsed := g.run(10*time.Second, true)
 	c.Assert(g.holder(), qt.Not(qt.Equals), "")
 	c.Assert(g.holder(), qt.Not(qt.Equals), first.name)
-	c.Assert(took < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("%v", took))
+	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("%v", elapsed))
 }
 
 // Within the cool-down the tag does not go back to the voter that it came from.
@@ -40,9 +40,9 @@
 		g.run(time.Second, false)
 		second.leases.TransferAll(second.env)
 		c.Assert(g.holder(), qt.Equals, "")
-		took := g.run(settings.Default().HolderRest()-time.Second*3/2, true)
+		elapsed := g.run(settings.Default().HolderRest()-time.Second*3/2, true)
 		if g.holder() != "" {
-			c.Assert(g.holder(), qt.Not(qt.Equals), first.name, qt.Commentf("after %v", took))
+			c.Assert(g.holder(), qt.Not(qt.Equals), first.name, qt.Commentf("after %v", elapsed))
 		}
 	}
 }
@@ -56,8 +56,8 @@
 	g.run(4*time.Second, false)
 	first.failure = errors.New("no space left")
 	g.run(25*time.Millisecond, false)
-	took := g.run(10*time.Second, true)
+	elapsed := g.run(10*time.Second, true)
 	c.Assert(g.holder(), qt.Not(qt.Equals), "")
 	c.Assert(g.holder(), qt.Not(qt.Equals), first.name)
-	c.Assert(took < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("%v", took))
+	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("%v", elapsed))
 }
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -1,71 +1,75 @@
-// This file compares what two nodes know without sending it: the members fall into parts
-// by their names, and each part has a sum. Whoever joins names its sums, and is told the
-// members of those parts that differ.
-
 package membership
 
 import (
 	"fmt"
 	"hash/fnv"
+	"slices"
 
 	"beaconvane/internal/message"
 	"beaconvane/internal/statemachine"
 )
 
-// digestParts is into how many parts the members fall; at a hundred members a part has
-// about as many as one answer holds.
-const digestParts = 16
+const (
+	// digestParts is how many sums a digest has; at a hundred members a part has about as many as one
+	// response carries. It is a part of the wire format.
+	digestParts = 16
+	// membersPerResponse is how many members one JoinResponse carries.
+	membersPerResponse = 6
+)
 
-// partOf is the part that a name falls into.
+// partOf returns the part of the digest that a name falls into.
 func partOf(name string) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
 	return int(hash.Sum32() % digestParts)
 }
 
-// digest sums up what is known of every node, this one included, by part. Suspicions
-// come and go and are no reason to send anything.
+// digest returns a sum of what is known of every node, this one included, for each part of the names.
+// Two nodes whose sums of a part are equal know the same of its members. Suspicions are left out: they
+// come and go, and are no reason to send anything.
 func (m *Membership) digest() []int64 {
 	sums := make([]int64, digestParts)
-	add := func(member message.Member) {
-		hash := fnv.New64a()
-		state := member.State
-		if state == message.Suspect {
-			state = message.Alive
-		}
-		fmt.Fprintf(hash, "%s|%s|%d|%d|%s", member.Name, member.Address, member.Birth, state, member.Voter)
-		sums[partOf(member.Name)] += int64(hash.Sum64())
-	}
 	for _, known := range m.members {
-		if known.member.State <= message.Suspect {
-			add(known.member)
+		if counted(known.member) {
+			sums[partOf(known.member.Name)] += checksum(known.member)
 		}
 	}
-	add(m.self)
+	sums[partOf(m.self.Name)] += checksum(m.self)
 	return sums
 }
 
-// answerJoin sends the members of the parts in which the asker knows something else, in
-// as many responses as that takes; a single empty one where nothing differs.
+// checksum returns a hash of what a digest covers of a member.
+func checksum(member message.Member) int64 {
+	state := member.State
+	if state == message.Suspect {
+		state = message.Alive
+	}
+	hash := fnv.New64a()
+	fmt.Fprintf(hash, "%s|%s|%d|%d|%s", member.Name, member.Address, member.Birth, state, member.Voter)
+	return int64(hash.Sum64())
+}
+
+// answerJoin sends the members of those parts of the digest in which the asker knows something else,
+// in as many responses as that takes; a single empty one where nothing differs.
 func (m *Membership) answerJoin(env *statemachine.Env, request message.JoinRequest) {
-	sums := m.digest()
-	batch := []message.Member{}
-	sent := false
-	flush := func() {
+	differing := m.differingMembers(request.Known)
+	if len(differing) == 0 {
+		env.Datagram(request.From.Address, message.JoinResponse{From: m.self, Members: differing})
+	}
+	for batch := range slices.Chunk(differing, membersPerResponse) {
 		env.Datagram(request.From.Address, message.JoinResponse{From: m.self, Members: batch})
-		batch, sent = []message.Member{}, true
 	}
+}
+
+// differingMembers returns the members, by name, of the parts in which a digest differs from this node's.
+func (m *Membership) differingMembers(digest []int64) []message.Member {
+	sums := m.digest()
+	differing := []message.Member{}
 	for _, name := range m.names() {
 		part := partOf(name)
-		if part < len(request.Known) && request.Known[part] == sums[part] {
-			continue
-		}
-		batch = append(batch, m.members[name].member)
-		if len(batch) == membersPerResponse {
-			flush()
+		if part >= len(digest) || digest[part] != sums[part] {
+			differing = append(differing, m.members[name].member)
 		}
 	}
-	if len(batch) > 0 || !sent {
-		flush()
-	}
+	return differing
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,11 +1,3 @@
-// Package membership knows which nodes there are, by the SWIM protocol: each node probes the others in
-// turn, asks third ones to probe a silent node before it suspects it, suspects before it removes, and
-// passes changes on with its probes (gossip). A suspected node refutes by a higher incarnation. A
-// node's birth tells two lives of one name apart, and an answer counts only when it bears the name
-// that was asked for, so that an address that passed to another node is not taken for its old owner.
-//
-// Besides, each node now and then asks a seed, or an address it has seen before, for the member list:
-// so cut halves find each other again, and seeds may be replaced.
 package membership
 
 import (
@@ -19,36 +11,50 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Membership is the membership machine of one node.
+// recentSuspicions is for how many suspicion timeouts after its death a member counts as recently
+// alive.
+const recentSuspicions = 8
+
+// Membership is one node's view of the fleet, and its part in the protocol.
 type Membership struct {
 	settings   settings.Settings
 	self       message.Member
 	members    map[string]*entry // the other nodes, by name
-	order      []string          // who is probed next in this round
-	current    *probe
-	number     int64             // of the last probe
-	relays     map[int64]relayed // by our own number
-	nextAt     time.Duration     // of the next probe
-	joinAt     time.Duration     // of the next request for the member list
-	joins      int
-	lastTick   time.Duration
-	seen       []string          // addresses of an earlier life
-	away       map[string]string // addresses of members forgotten since, by name
-	edition    int64
-	left       bool
-	superseded bool
+	version    int64             // counts changes; only the fingerprint of package explore reads it
+	left       bool              // this node has told the others that it stops
+	superseded bool              // a later life of this node's name is at another address
+	lastTickAt time.Duration
+
+	probe        *probe                // the one under way, if any
+	probeOrder   []string              // the members that are still to be probed in this round
+	nextProbeAt  time.Duration         // when the next probe begins
+	lastSequence int64                 // number of the last ping
+	pingRequests map[int64]pingRequest // that this node serves, by the number of its own ping
+
+	nextJoinAt         time.Duration
+	joinAttempts       int
+	earlierAddresses   []string          // of other nodes, known from an earlier life
+	forgottenAddresses map[string]string // of members that were forgotten, by name
 }
 
-// entry is what is known of one other node.
+// entry is what this node knows of another one.
 type entry struct {
 	member    message.Member
 	changedAt time.Duration
-	sends     int // how often it was sent as gossip since it changed
+	sends     int // how often it was piggybacked since it changed
 }
 
-// New makes the machine; seen are addresses remembered from an earlier life.
-func New(cfg settings.Settings, self message.Member, seen []string) *Membership {
-	return &Membership{settings: cfg, self: self, members: map[string]*entry{}, relays: map[int64]relayed{}, seen: seen, away: map[string]string{}}
+// New returns the membership of a node that knows no other yet. earlierAddresses are addresses of
+// other nodes that it remembers from an earlier life.
+func New(cfg settings.Settings, self message.Member, earlierAddresses []string) *Membership {
+	return &Membership{
+		settings:           cfg,
+		self:               self,
+		members:            map[string]*entry{},
+		pingRequests:       map[int64]pingRequest{},
+		earlierAddresses:   earlierAddresses,
+		forgottenAddresses: map[string]string{},
+	}
 }
 
 // Self returns this node as the others see it.
@@ -56,38 +62,40 @@
 
 // SetVoter tells the others which voter this node holds from now on.
 func (m *Membership) SetVoter(voter string) {
-	if m.self.Voter != voter {
-		m.self.Voter = voter
-		m.self.Incarnation++
-		m.edition++
+	if m.self.Voter == voter {
+		return
 	}
+	m.self.Voter = voter
+	m.self.Incarnation++
+	m.version++
 }
 
-// Edition returns a number that rises whenever the membership changes.
-func (m *Membership) Edition() int64 { return m.edition }
-
 // Joined reports whether any other node is known alive.
 func (m *Membership) Joined() bool { return len(m.Alive("")) > 0 }
 
-// Alive returns the other nodes of a role ("" for all) that are not known dead, by name.
+// Alive returns the other nodes of a role ("" for all) that are alive or only suspected, by name.
 func (m *Membership) Alive(role string) []message.Member {
 	list := []message.Member{}
 	for _, known := range m.members {
-		if known.member.State <= message.Suspect && (role == "" || known.member.Role == role) {
+		if counted(known.member) && (role == "" || known.member.Role == role) {
 			list = append(list, known.member)
 		}
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
+	sortByName(list)
 	return list
 }
 
-// RecentlyAlive returns those of a role that are alive or were until a short while ago: a node that was only
-// cut off gets what it missed as soon as the link is mended.
+// counted reports whether a member still counts as one: a suspicion may be refuted.
+func counted(member message.Member) bool { return member.State <= message.Suspect }
+
+// RecentlyAlive returns the nodes of a role that are alive, and then those that were until a short
+// while ago: a node that was only cut off gets what it missed as soon as the link is mended.
 func (m *Membership) RecentlyAlive(role string, now time.Duration) []message.Member {
 	list := m.Alive(role)
+	limit := m.settings.SuspectFor() * recentSuspicions
 	for _, name := range m.names() {
 		known := m.members[name]
-		if known.member.Role == role && known.member.State == message.Dead && now-known.changedAt < m.settings.SuspectFor()*latelySuspicions {
+		if known.member.Role == role && known.member.State == message.Dead && now-known.changedAt < limit {
 			list = append(list, known.member)
 		}
 	}
@@ -100,7 +108,7 @@
 	for _, known := range m.members {
 		list = append(list, known.member)
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
+	sortByName(list)
 	return append([]message.Member{m.self}, list...)
 }
 
@@ -119,35 +127,14 @@
 	return known.member, true
 }
 
-// SetSeeds replaces the seeds, when the settings have changed.
-func (m *Membership) SetSeeds(seeds []string) { m.settings.Seeds = slices.Clone(seeds) }
-
-// AddKnownAddresses adds addresses known from an earlier life.
-func (m *Membership) AddKnownAddresses(addresses []string) { m.seen = append(m.seen, addresses...) }
-
-// KnownAddresses returns the addresses worth remembering for the next life.
-func (m *Membership) KnownAddresses() []string {
-	list := []string{}
-	for _, member := range m.Alive("") {
-		list = append(list, member.Address)
-	}
-	if len(list) == 0 {
-		return m.seen
-	}
-	for _, name := range slices.Sorted(maps.Keys(m.away)) {
-		list = append(list, m.away[name])
-	}
-	return list
-}
-
 // Leave tells the others that this node stops.
 func (m *Membership) Leave(env *statemachine.Env) {
 	m.left = true
 	m.self.Incarnation++
 	m.self.State = message.Left
 	for _, member := range m.Alive("") {
-		m.number++
-		env.Datagram(member.Address, message.Ping{Number: m.number, Target: member.Name, From: m.self})
+		m.lastSequence++
+		env.Datagram(member.Address, message.Ping{Number: m.lastSequence, Target: member.Name, From: m.self})
 	}
 }
 
@@ -156,32 +143,20 @@
 
 // Tick advances probes, suspicions and joins.
 func (m *Membership) Tick(env *statemachine.Env) {
-	m.forgiveOwnLateness(env)
+	m.excuseOwnPause(env)
 	if m.left {
 		return
 	}
-	m.ageMembers(env)
-	if env.Now >= m.joinAt {
+	m.expireMembers(env)
+	if env.Now >= m.nextJoinAt {
 		m.join(env)
 	}
-	if m.current != nil && !m.current.asked && env.Now-m.current.sentAt > m.settings.ProbeLimit() {
-		m.askHelpers(env)
-	}
-	if env.Now >= m.nextAt {
-		m.nextAt = env.Now + m.settings.ProbeEvery()
-		if m.current != nil {
-			m.accuse(env, m.current.target)
-		}
-		m.probeNext(env)
-	}
-	for number, held := range m.relays {
-		if env.Now-held.at > m.settings.ProbeEvery()*relayKept {
-			delete(m.relays, number)
-		}
-	}
+	m.tickProbe(env)
+	m.expirePingRequests(env.Now)
 }
 
-// Handle takes a message; it returns false when the message is another part's.
+// Handle takes a message from another node. It returns false when the message is none of the
+// membership's.
 func (m *Membership) Handle(env *statemachine.Env, _ string, received any) bool {
 	switch received := received.(type) {
 	case message.Ping:
@@ -189,12 +164,12 @@
 	case message.Ack:
 		m.handleAck(env, received)
 	case message.PingFor:
-		m.handlePingFor(env, received)
+		m.handlePingRequest(env, received)
 	case message.JoinRequest:
-		m.meet(env, received.From)
+		m.mergeSender(env, received.From)
 		m.answerJoin(env, received)
 	case message.JoinResponse:
-		m.meet(env, received.From)
+		m.mergeSender(env, received.From)
 		m.mergeAll(env, received.Members)
 	default:
 		return false
@@ -204,3 +179,7 @@
 
 // names returns the names of the other nodes in order.
 func (m *Membership) names() []string { return slices.Sorted(maps.Keys(m.members)) }
+
+func sortByName(members []message.Member) {
+	sort.Slice(members, func(i, j int) bool { return members[i].Name < members[j].Name })
+}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,3 @@
-// Seeds that change while a node runs.
 package membership
 
 import (
@@ -14,12 +13,12 @@
 	"beaconvane/internal/statemachine"
 )
 
-// joined plays some time and gives the addresses that were asked for the list.
-func joined(s *statemachine.Env, c *Membership, length time.Duration) map[string]bool {
+// joinTargetsDuring lets some time pass and returns the addresses that were asked for the member list.
+func joinTargetsDuring(env *statemachine.Env, node *Membership, length time.Duration) map[string]bool {
 	asked := map[string]bool{}
-	for end := s.Now + length; s.Now < end; s.Now += 25 * time.Millisecond {
-		c.Tick(s)
-		for _, effect := range s.Drain() {
+	for end := env.Now + length; env.Now < end; env.Now += 25 * time.Millisecond {
+		node.Tick(env)
+		for _, effect := range env.Drain() {
 			if sent, isDatagram := effect.(statemachine.Datagram); isDatagram {
 				if _, isJoin := sent.Message.(message.JoinRequest); isJoin {
 					asked[sent.To] = true
@@ -30,43 +29,47 @@
 	return asked
 }
 
-// A lonely node asks the seeds that it was told last, and a joined one does so too.
+// A node asks the seeds that were set last, whether it has joined or not.
 func TestReseededNodeAsksTheNewSeeds(t *testing.T) {
-	for _, meets := range []bool{false, true} {
+	for _, joined := range []bool{false, true} {
 		c := qt.New(t)
 		cfg := settings.Default()
 		cfg.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1"}
-		nodeName := New(cfg, message.Member{Name: "proxy/me", Address: "10.0.0.9:1"}, nil)
-		s := statemachine.NewEnv(1)
-		c.Assert(joined(s, nodeName, cfg.JoinEvery()*4), qt.DeepEquals, map[string]bool{"10.0.0.1:1": true, "10.0.0.2:1": true})
+		node := New(cfg, message.Member{Name: "proxy/me", Address: "10.0.0.9:1"}, nil)
+		env := statemachine.NewEnv(1)
+		c.Assert(joinTargetsDuring(env, node, cfg.JoinEvery()*4), qt.DeepEquals, map[string]bool{"10.0.0.1:1": true, "10.0.0.2:1": true})
 		wanted := map[string]bool{"10.0.0.3:1": true, "10.0.0.4:1": true}
-		if meets {
-			nodeName.Handle(s, "", message.JoinResponse{From: message.Member{Name: "proxy/other", Address: "10.0.0.8:1", Birth: 1}})
+		if joined {
+			node.Handle(env, "", message.JoinResponse{From: message.Member{Name: "proxy/other", Address: "10.0.0.8:1", Birth: 1}})
 			wanted["10.0.0.8:1"] = true
 		}
 		given := []string{"10.0.0.3:1", "10.0.0.4:1"}
-		nodeName.SetSeeds(given)
+		node.SetSeeds(given)
 		given[0] = "changed by its owner"
-		asked := joined(s, nodeName, cfg.JoinEvery()*40)
-		c.Assert(asked, qt.DeepEquals, wanted)
+		c.Assert(joinTargetsDuring(env, node, cfg.JoinEvery()*40), qt.DeepEquals, wanted)
 	}
 }
 
-// crowd makes a node that knows so many others.
-func crowd(s *statemachine.Env, name string, count int) *Membership {
+// nodeKnowing returns a node that knows so many others.
+func nodeKnowing(env *statemachine.Env, name string, count int) *Membership {
 	node := New(settings.Default(), message.Member{Name: "proxy/" + name, Role: message.RoleProxy, Address: name, Birth: 1}, nil)
 	for number := range count {
-		other := fmt.Sprintf("proxy/%d", number)
-		node.Handle(s, "", message.JoinResponse{From: message.Member{Name: other, Role: message.RoleProxy, Zone: "z", Address: fmt.Sprintf("10.0.0.%d:7000", number), Birth: 1}})
+		node.Handle(env, "", message.JoinResponse{From: message.Member{
+			Name:    fmt.Sprintf("proxy/%d", number),
+			Role:    message.RoleProxy,
+			Zone:    "z",
+			Address: fmt.Sprintf("10.0.0.%d:7000", number),
+			Birth:   1,
+		}})
 	}
-	s.Drain()
+	env.Drain()
 	return node
 }
 
-// answers gives the members that a node is told when it asks another, and the bytes.
-func answers(c *qt.C, s *statemachine.Env, asker, asked *Membership) (members []message.Member, bytes int) {
-	asked.Handle(s, "", message.JoinRequest{From: asker.Self(), Known: asker.digest()})
-	for _, effect := range s.Drain() {
+// joinAnswer returns the members that a node is told when it asks another, and how many bytes that takes.
+func joinAnswer(c *qt.C, env *statemachine.Env, asker, asked *Membership) (members []message.Member, bytes int) {
+	asked.Handle(env, "", message.JoinRequest{From: asker.Self(), Known: asker.digest()})
+	for _, effect := range env.Drain() {
 		sent, isDatagram := effect.(statemachine.Datagram)
 		response, isResponse := sent.Message.(message.JoinResponse)
 		if !isDatagram || !isResponse {
@@ -79,30 +82,30 @@
 	return members, bytes
 }
 
-// Two nodes that differ in one member of eighty tell each other a few members, not all.
+// A node tells another that differs in one member of eighty a few members, not all.
 func TestOnlyWhatDiffersIsAnswered(t *testing.T) {
 	c := qt.New(t)
-	s := statemachine.NewEnv(1)
-	asker, asked := crowd(s, "asker", 80), crowd(s, "asked", 80)
-	asker.Handle(s, "", message.JoinResponse{From: asked.Self()})
-	asked.Handle(s, "", message.JoinResponse{From: asker.Self()})
-	s.Drain()
-	members, _ := answers(c, s, asker, asked)
+	env := statemachine.NewEnv(1)
+	asker, asked := nodeKnowing(env, "asker", 80), nodeKnowing(env, "asked", 80)
+	asker.Handle(env, "", message.JoinResponse{From: asked.Self()})
+	asked.Handle(env, "", message.JoinResponse{From: asker.Self()})
+	env.Drain()
+	members, _ := joinAnswer(c, env, asker, asked)
 	c.Assert(len(members), qt.Equals, 0)
 
 	reborn := message.Member{Name: "proxy/17", Role: message.RoleProxy, Zone: "z", Address: "10.0.0.17:7000", Birth: 2}
-	asked.Handle(s, "", message.JoinResponse{From: reborn})
-	s.Drain()
-	members, bytes := answers(c, s, asker, asked)
+	asked.Handle(env, "", message.JoinResponse{From: reborn})
+	env.Drain()
+	members, bytes := joinAnswer(c, env, asker, asked)
 	c.Assert(slices.Contains(members, reborn), qt.IsTrue)
 	c.Assert(len(members) < 80/4, qt.IsTrue, qt.Commentf("%d members, %d bytes", len(members), bytes))
 }
 
-// Who knows nobody is told everybody.
+// A node that knows nobody is told of all members.
 func TestANewNodeIsToldEverybody(t *testing.T) {
 	c := qt.New(t)
-	s := statemachine.NewEnv(1)
-	asker, asked := crowd(s, "asker", 0), crowd(s, "asked", 80)
-	members, _ := answers(c, s, asker, asked)
+	env := statemachine.NewEnv(1)
+	asker, asked := nodeKnowing(env, "asker", 0), nodeKnowing(env, "asked", 80)
+	members, _ := joinAnswer(c, env, asker, asked)
 	c.Assert(len(members) >= 80, qt.IsTrue)
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,160 +8,160 @@
 )
 
 const (
-	gossipPerDatagram  = 6  // members in one probe or answer
-	membersPerResponse = 6  // members in one part of the member list
-	helpers            = 3  // members that are asked to probe a silent one
-	awayKept           = 64 // addresses kept of members that were forgotten
-	// latelySuspicions is for how many suspicion times after its death a member counts as lately
-	// alive.
-	latelySuspicions = 8
-	// relayKept is for how many probe intervals a probe for another is remembered.
-	relayKept = 4
+	// indirectProbers is how many members are asked to probe a silent one.
+	indirectProbers = 3
+	// pingRequestIntervals is for how many probe intervals the ack to a ping-req is waited for.
+	pingRequestIntervals = 4
 )
 
-// probe is the one that is under way.
+// probe is a probe of one member that is under way.
 type probe struct {
-	target string
-	number int64
-	sentAt time.Duration
-	asked  bool // others were asked to probe the target
+	target   string
+	sequence int64
+	sentAt   time.Duration
+	indirect bool // other members were asked to probe the target
 }
 
-// relayed is a probe that is made for another node.
-type relayed struct {
-	asker  string // its address
-	number int64  // its own number of the probe
-	at     time.Duration
+// pingRequest is another node's request to probe a member on its behalf.
+type pingRequest struct {
+	requester  string // its address
+	sequence   int64  // of the requester's own ping
+	receivedAt time.Duration
 }
 
-// forgiveOwnLateness gives up the current probe, and gives suspects more time, when this node itself
-// was held up: its own lateness accuses nobody.
-func (m *Membership) forgiveOwnLateness(env *statemachine.Env) {
-	gap := env.Now - m.lastTick
-	m.lastTick = env.Now
-	if gap <= m.settings.ProbeEvery() {
+// tickProbe asks others for help with a probe that stays unanswered, and begins the next one when it
+// is time. A member that hasn't answered by then is suspected.
+func (m *Membership) tickProbe(env *statemachine.Env) {
+	if m.probe != nil && !m.probe.indirect && env.Now-m.probe.sentAt > m.settings.ProbeLimit() {
+		m.probeIndirectly(env)
+	}
+	if env.Now < m.nextProbeAt {
 		return
 	}
-	m.current = nil
-	for _, known := range m.members {
-		if known.member.State == message.Suspect {
-			known.changedAt += gap
-		}
+	m.nextProbeAt = env.Now + m.settings.ProbeEvery()
+	if m.probe != nil {
+		m.suspect(env, m.probe.target)
 	}
+	m.probeNext(env)
 }
 
-// ageMembers declares suspects dead and forgets the dead, each when its time is over.
-func (m *Membership) ageMembers(env *statemachine.Env) {
-	for _, name := range m.names() {
-		known := m.members[name]
-		age := env.Now - known.changedAt
-		switch known.member.State {
-		case message.Suspect:
-			if age > m.settings.SuspectFor() {
-				gone := known.member
-				gone.State = message.Dead
-				m.merge(env, gone)
-				env.Event("member-dead", 0, gone.Incarnation, name)
-			}
-		case message.Dead, message.Left:
-			if age > m.settings.ForgetAfter() {
-				m.forget(name)
-			}
+// probeNext pings the next member of the round. When a round is over the next one begins, in a new
+// random order.
+func (m *Membership) probeNext(env *statemachine.Env) {
+	m.probe = nil
+	for range len(m.members) + 1 {
+		if len(m.probeOrder) == 0 {
+			m.shuffleProbeOrder(env)
+		}
+		if len(m.probeOrder) == 0 {
+			return
+		}
+		name := m.probeOrder[0]
+		m.probeOrder = m.probeOrder[1:]
+		if known, found := m.members[name]; found && counted(known.member) {
+			m.ping(env, known.member)
+			return
 		}
 	}
 }
 
-// forget drops a member and keeps its address, within a limit.
-func (m *Membership) forget(name string) {
-	if len(m.away) < awayKept {
-		m.away[name] = m.members[name].member.Address
+// shuffleProbeOrder begins a round: every member that is alive, in random order.
+func (m *Membership) shuffleProbeOrder(env *statemachine.Env) {
+	for _, member := range m.Alive("") {
+		m.probeOrder = append(m.probeOrder, member.Name)
 	}
-	delete(m.members, name)
-	m.edition++
+	env.Random.Shuffle(len(m.probeOrder), func(i, j int) {
+		m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i]
+	})
 }
 
-// askHelpers asks some others to probe the current target.
-func (m *Membership) askHelpers(env *statemachine.Env) {
-	m.current.asked = true
-	target, found := m.members[m.current.target]
+// ping begins a probe.
+func (m *Membership) ping(env *statemachine.Env, target message.Member) {
+	m.lastSequence++
+	m.probe = &probe{target: target.Name, sequence: m.lastSequence, sentAt: env.Now}
+	env.Datagram(target.Address, message.Ping{
+		Number: m.lastSequence,
+		Target: target.Name,
+		From:   m.self,
+		Gossip: m.piggybackFor(target.Name),
+	})
+}
+
+// probeIndirectly sends a ping-req to a few random members.
+func (m *Membership) probeIndirectly(env *statemachine.Env) {
+	m.probe.indirect = true
+	target, found := m.members[m.probe.target]
 	if !found {
 		return
 	}
 	others := m.Alive("")
 	env.Random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	asked := 0
-	for _, helper := range others {
-		if helper.Name == m.current.target || helper.State != message.Alive || asked == helpers {
+	for _, prober := range others {
+		if asked == indirectProbers {
+			return
+		}
+		if prober.Name == m.probe.target || prober.State != message.Alive {
 			continue
 		}
 		asked++
-		env.Datagram(helper.Address, message.PingFor{Number: m.current.number, Target: m.current.target,
-			Address: target.member.Address, From: m.self, Gossip: m.gossip()})
-	}
-}
-
-// probeNext probes the next member in a round in random order.
-func (m *Membership) probeNext(env *statemachine.Env) {
-	m.current = nil
-	for range len(m.members) + 1 {
-		if len(m.order) == 0 {
-			for _, member := range m.Alive("") {
-				m.order = append(m.order, member.Name)
-			}
-			env.Random.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
-			if len(m.order) == 0 {
-				return
-			}
-		}
-		name := m.order[0]
-		m.order = m.order[1:]
-		if known, found := m.members[name]; found && known.member.State <= message.Suspect {
-			m.number++
-			m.current = &probe{target: name, number: m.number, sentAt: env.Now}
-			env.Datagram(known.member.Address, message.Ping{Number: m.number, Target: name, From: m.self, Gossip: m.gossipFor(name)})
-			return
-		}
+		env.Datagram(prober.Address, message.PingFor{
+			Number:  m.probe.sequence,
+			Target:  m.probe.target,
+			Address: target.member.Address,
+			From:    m.self,
+			Gossip:  m.piggyback(),
+		})
 	}
 }
 
-// accuse makes a member suspect that did not answer.
-func (m *Membership) accuse(env *statemachine.Env, name string) {
-	known, found := m.members[name]
-	if !found || known.member.State != message.Alive {
-		return
-	}
-	accused := known.member
-	accused.State = message.Suspect
-	m.merge(env, accused)
-}
-
+// handlePing acks a ping, unless it was meant for a node that had this address before.
 func (m *Membership) handlePing(env *statemachine.Env, ping message.Ping) {
-	m.meet(env, ping.From)
+	m.mergeSender(env, ping.From)
 	m.mergeAll(env, ping.Gossip)
-	if ping.Target == m.self.Name {
-		env.Datagram(ping.From.Address, message.Ack{Number: ping.Number, From: m.self, Gossip: m.gossipFor(ping.From.Name)})
+	if ping.Target != m.self.Name {
+		return
 	}
+	env.Datagram(ping.From.Address, message.Ack{
+		Number: ping.Number,
+		From:   m.self,
+		Gossip: m.piggybackFor(ping.From.Name),
+	})
 }
 
-// handleAck ends the current probe, or passes the answer on to the node that the probe was made for.
+// handleAck ends the probe under way, or passes the ack on to the node that asked for the ping.
 func (m *Membership) handleAck(env *statemachine.Env, ack message.Ack) {
-	m.meet(env, ack.From)
+	m.mergeSender(env, ack.From)
 	m.mergeAll(env, ack.Gossip)
-	if held, found := m.relays[ack.Number]; found {
-		delete(m.relays, ack.Number)
-		env.Datagram(held.asker, message.Ack{Number: held.number, From: ack.From})
+	if request, found := m.pingRequests[ack.Number]; found {
+		delete(m.pingRequests, ack.Number)
+		env.Datagram(request.requester, message.Ack{Number: request.sequence, From: ack.From})
 		return
 	}
-	if m.current != nil && ack.Number == m.current.number && ack.From.Name == m.current.target {
-		m.current = nil
+	if m.probe != nil && ack.Number == m.probe.sequence && ack.From.Name == m.probe.target {
+		m.probe = nil
 	}
 }
 
-// handlePingFor probes a member for another one.
-func (m *Membership) handlePingFor(env *statemachine.Env, request message.PingFor) {
-	m.meet(env, request.From)
+// handlePingRequest pings a member on another node's behalf.
+func (m *Membership) handlePingRequest(env *statemachine.Env, request message.PingFor) {
+	m.mergeSender(env, request.From)
 	m.mergeAll(env, request.Gossip)
-	m.number++
-	m.relays[m.number] = relayed{request.From.Address, request.Number, env.Now}
-	env.Datagram(request.Address, message.Ping{Number: m.number, Target: request.Target, From: m.self})
+	m.lastSequence++
+	m.pingRequests[m.lastSequence] = pingRequest{
+		requester:  request.From.Address,
+		sequence:   request.Number,
+		receivedAt: env.Now,
+	}
+	env.Datagram(request.Address, message.Ping{Number: m.lastSequence, Target: request.Target, From: m.self})
+}
+
+// expirePingRequests forgets the requests of others whose target has not answered.
+func (m *Membership) expirePingRequests(now time.Duration) {
+	limit := m.settings.ProbeEvery() * pingRequestIntervals
+	for sequence, request := range m.pingRequests {
+		if now-request.receivedAt > limit {
+			delete(m.pingRequests, sequence)
+		}
+	}
 }
