--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -24,21 +24,17 @@
 	otherHolderSince time.Duration
 }
 
-// round is one request to all voters, with the grants that answer it. Candidates ask in rounds, and
-// so do holders that renew.
-type round struct {
-	number    int64
-	startedAt time.Duration
-	grants    map[string]string // signatures, by voter
-	pending   bool              // no majority has granted it yet
-	followUp  bool              // another round is wanted as soon as this one is granted
-}
-
 // inPreVote reports whether a pre-vote is under way that goes before those of later voters.
 func (c *candidateState) inPreVote(now time.Duration) bool {
 	return c.preVote && now < c.nextAttemptAt && c.preVotes <= maxPrecedentPreVotes
 }
 
+// backOff forbids the next attempt for a random time between wait and twice wait, so that candidates
+// that collided don't collide again.
+func (c *candidateState) backOff(env *statemachine.Env, wait time.Duration) {
+	c.nextAttemptAt = env.Now + wait + randomUpTo(env, wait)
+}
+
 // tickCandidate begins a campaign when the tag is free and nothing speaks for another candidate.
 func (m *Manager) tickCandidate(env *statemachine.Env, tag *tagState) {
 	candidate := &tag.candidate
@@ -109,7 +105,7 @@
 		return false
 	}
 	part := m.settings.Lease() / 3
-	candidate.nextAttemptAt = env.Now + part + randomUpTo(env, part)
+	candidate.backOff(env, part)
 	if m.quorum.Discovered() && m.settings.Active[tag.name] == "" {
 		candidate.nextAttemptAt -= part
 	}
@@ -137,20 +133,19 @@
 	candidate.epoch = max(tag.acceptor.vote.Epoch, candidate.highestSeen, candidate.epoch) + 1
 	candidate.preVote = true
 	candidate.preVotes++
-	retryAfter := m.settings.RenewEvery() / 2
-	candidate.nextAttemptAt = env.Now + retryAfter + randomUpTo(env, retryAfter)
+	candidate.backOff(env, m.settings.RenewEvery()/2)
 	m.startRound(env, tag)
 }
 
 // requestVote asks for votes, after a majority has granted the pre-vote.
 func (m *Manager) requestVote(env *statemachine.Env, tag *tagState) {
 	tag.candidate.preVote = false
-	retryAfter := m.settings.Lease() / 2
-	tag.candidate.nextAttemptAt = env.Now + retryAfter + randomUpTo(env, retryAfter)
+	tag.candidate.backOff(env, m.settings.Lease()/2)
 	m.startRound(env, tag)
 }
 
 // postponePreVote ends this voter's own pre-vote, if it makes one, in favour of another candidate's.
+// Rounds are numbered from 1, so no answer that is still on its way counts.
 func (m *Manager) postponePreVote(env *statemachine.Env, tag *tagState) {
 	candidate := &tag.candidate
 	if !candidate.preVote {
@@ -158,40 +153,7 @@
 	}
 	candidate.preVote = false
 	candidate.round.number = 0
-	retryAfter := m.settings.RenewEvery()
-	candidate.nextAttemptAt = env.Now + retryAfter + randomUpTo(env, retryAfter)
-}
-
-// startRound asks all voters, this one last, for the epoch of the candidate or the holder.
-func (m *Manager) startRound(env *statemachine.Env, tag *tagState) {
-	m.lastRound++
-	tag.candidate.round = round{
-		number:    m.lastRound,
-		startedAt: env.Now,
-		grants:    map[string]string{},
-		pending:   true,
-	}
-	tag.holder.renewAt = env.Now + m.settings.RenewEvery()
-	request := message.LeaseRequest{
-		Group:    m.quorum.Group,
-		Tag:      tag.name,
-		Epoch:    tag.candidate.epoch,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		Round:    m.lastRound,
-		Trial:    tag.candidate.preVote,
-	}
-	m.sendToPeers(env, request)
-	m.handleRequest(env, "", request)
-}
-
-// sendToPeers sends a message to the processes of the other voters.
-func (m *Manager) sendToPeers(env *statemachine.Env, sent any) {
-	for _, peer := range m.host.Peers() {
-		if peer.Voter != m.quorum.Voter {
-			env.Send(peer.Address, sent)
-		}
-	}
+	candidate.backOff(env, m.settings.RenewEvery())
 }
 
 // recordOtherHolder records that another voter asks for a tag in earnest, which it does only as its
@@ -206,39 +168,6 @@
 	}
 }
 
-// handleVote counts a voter's answer to this voter's own requests.
-func (m *Manager) handleVote(env *statemachine.Env, vote message.LeaseVote) {
-	tag, known := m.tags[vote.Tag]
-	if !known {
-		return
-	}
-	candidate := &tag.candidate
-	candidate.highestSeen = max(candidate.highestSeen, vote.Seen)
-	if vote.Epoch != candidate.epoch || vote.Epoch <= candidate.spentEpoch && !guardsOff.spentEpoch {
-		return
-	}
-	if !m.quorum.Accepts(vote.Voter, vote.Identity) {
-		return
-	}
-	if !vote.Granted {
-		m.handleRefusal(env, tag, vote)
-		return
-	}
-	if vote.Round != candidate.round.number || vote.Trial != candidate.preVote {
-		return
-	}
-	candidate.round.grants[vote.Voter] = vote.Identity
-	if !m.quorum.Majority(candidate.round.grants) && !guardsOff.majorityVote {
-		return
-	}
-	switch {
-	case candidate.preVote:
-		m.requestVote(env, tag)
-	case tag.acceptor.vote.Epoch <= candidate.epoch:
-		m.completeRound(env, tag)
-	}
-}
-
 // randomUpTo returns a random duration from 0 up to, but without, limit.
 func randomUpTo(env *statemachine.Env, limit time.Duration) time.Duration {
 	return time.Duration(env.Random.Int64N(int64(limit)))
--- /dev/null
+++ b/internal/lease/round.go
@@ -0,0 +1,83 @@
+package lease
+
+import (
+	"time"
+
+	"beaconvane/internal/message"
+	"beaconvane/internal/statemachine"
+)
+
+// round is one request to all voters, with the grants that answer it. Candidates ask in rounds, and
+// so do holders that renew.
+type round struct {
+	number    int64
+	startedAt time.Duration
+	grants    map[string]string // signatures, by voter
+	pending   bool              // no majority has granted it yet
+	followUp  bool              // another round is wanted as soon as this one is granted
+}
+
+// startRound asks all voters, this one last, for the epoch of the candidate or the holder.
+func (m *Manager) startRound(env *statemachine.Env, tag *tagState) {
+	m.lastRound++
+	tag.candidate.round = round{
+		number:    m.lastRound,
+		startedAt: env.Now,
+		grants:    map[string]string{},
+		pending:   true,
+	}
+	tag.holder.renewAt = env.Now + m.settings.RenewEvery()
+	request := message.LeaseRequest{
+		Group:    m.quorum.Group,
+		Tag:      tag.name,
+		Epoch:    tag.candidate.epoch,
+		Voter:    m.quorum.Voter,
+		Identity: m.quorum.Signature(),
+		Round:    m.lastRound,
+		Trial:    tag.candidate.preVote,
+	}
+	m.sendToPeers(env, request)
+	m.handleRequest(env, "", request)
+}
+
+// sendToPeers sends a message to the processes of the other voters.
+func (m *Manager) sendToPeers(env *statemachine.Env, sent any) {
+	for _, peer := range m.host.Peers() {
+		if peer.Voter != m.quorum.Voter {
+			env.Send(peer.Address, sent)
+		}
+	}
+}
+
+// handleVote counts a voter's answer to this voter's own requests.
+func (m *Manager) handleVote(env *statemachine.Env, vote message.LeaseVote) {
+	tag, known := m.tags[vote.Tag]
+	if !known {
+		return
+	}
+	candidate := &tag.candidate
+	candidate.highestSeen = max(candidate.highestSeen, vote.Seen)
+	if vote.Epoch != candidate.epoch || vote.Epoch <= candidate.spentEpoch && !guardsOff.spentEpoch {
+		return
+	}
+	if !m.quorum.Accepts(vote.Voter, vote.Identity) {
+		return
+	}
+	if !vote.Granted {
+		m.handleRefusal(env, tag, vote)
+		return
+	}
+	if vote.Round != candidate.round.number || vote.Trial != candidate.preVote {
+		return
+	}
+	candidate.round.grants[vote.Voter] = vote.Identity
+	if !m.quorum.Majority(candidate.round.grants) && !guardsOff.majorityVote {
+		return
+	}
+	switch {
+	case candidate.preVote:
+		m.requestVote(env, tag)
+	case tag.acceptor.vote.Epoch <= candidate.epoch:
+		m.completeRound(env, tag)
+	}
+}
--- a/internal/lease/transfer.go
+++ b/internal/lease/transfer.go
@@ -14,7 +14,7 @@
 	freshStatuses = 25
 )
 
-// reservedAgainst reports whether the last holder has transferred the tag to another than this voter.
+// reservedAgainst reports whether the last holder has transferred the tag to another voter than voter.
 func (a *acceptorState) reservedAgainst(voter string) bool {
 	return a.reservedFor != "" && a.reservedFor != voter
 }
