--- a/internal/frontend/retry.go
+++ b/internal/frontend/retry.go
@@ -33,9 +33,9 @@
 // EndingOf reads an outcome; whatever it does not know counts as unsure.
 func EndingOf(outcome message.Outcome) Ending {
 	switch {
-	case outcome.Kind == message.StartedWhole:
+	case outcome.Kind == message.Completed:
 		return Answered
-	case outcome.Kind == message.NotStarted && outcome.Sent:
+	case outcome.Kind == message.NotStarted && outcome.ReachedUpstream:
 		return TurnedAway
 	case outcome.Kind == message.NotStarted:
 		return NeverOffered
@@ -71,20 +71,20 @@
 
 // mostReached: no further upstream may be offered the request.
 func (r *Request) mostReached() bool {
-	return r.Route.Attempts > 0 && r.Sent >= r.Route.Attempts && safeguard.MostUpstreams.On()
+	return r.Route.MaxAttempts > 0 && r.Sent >= r.Route.MaxAttempts && safeguard.MostUpstreams.On()
 }
 
 // afterAttempt gives the final answer after an attempt that brought none, or nil for
 // another attempt.
-func (f *Frontend) afterAttempt(now time.Duration, request *Request, ending Ending, code errcode.Code) *Final {
+func (f *Frontend) afterAttempt(now time.Duration, request *Request, ending Ending, code errcode.Code) *Response {
 	unsure := code
 	if code == errcode.OK || ending != Unsure || code.Status() == http.StatusServiceUnavailable {
 		// Nothing that promises "not run" is said of a request that may have run.
 		unsure = errcode.UnknownOutcome
 	}
 	switch {
-	case ending == Unsure && (request.Route.Once && safeguard.OnceOnly.On() || now >= request.Deadline):
-		return Refusal(unsure)
+	case ending == Unsure && (request.Route.AtMostOnce && safeguard.OnceOnly.On() || now >= request.Deadline):
+		return NewRefusal(unsure)
 	case ending != Unsure && (now >= request.Deadline || code == errcode.BusyDeadline):
 		return f.giveUp(request, errcode.BusyDeadline)
 	case ending != Unsure && code.Status() != http.StatusServiceUnavailable:
@@ -102,9 +102,9 @@
 
 // giveUp ends a request that gets no further attempt: with a promise that it has not run
 // only while that is so.
-func (f *Frontend) giveUp(request *Request, code errcode.Code) *Final {
+func (f *Frontend) giveUp(request *Request, code errcode.Code) *Response {
 	if !request.promised() {
-		return Refusal(errcode.UnknownOutcome)
+		return NewRefusal(errcode.UnknownOutcome)
 	}
-	return Refusal(code)
+	return NewRefusal(code)
 }
--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -15,7 +15,7 @@
 	voteSynced      bool          // the vote is on disk
 	promisedUntil   time.Duration // no other candidate is granted before
 	holderConfirmed bool          // the candidate voted for has renewed, so it did hold the tag
-	coolDownFrom    time.Duration // when the cool-down of the holder before, vote.Former, began
+	coolDownFrom    time.Duration // when the cool-down of the holder before, vote.PreviousHolder, began
 	// heldUntil is when each voter that cools down held the tag last, at the latest.
 	heldUntil     map[string]time.Duration
 	reservedFor   string // the voter to which the last holder has transferred the tag
@@ -89,13 +89,13 @@
 		return
 	}
 	answer := message.LeaseVote{
-		Group: request.Group,
-		Tag:   request.Tag,
-		Epoch: request.Epoch,
-		Round: request.Round,
-		Voter: m.quorum.Voter,
-		Trial: request.Trial,
-		Seen:  max(tag.acceptor.vote.Epoch, tag.candidate.highestSeen),
+		Group:        request.Group,
+		Tag:          request.Tag,
+		Epoch:        request.Epoch,
+		Round:        request.Round,
+		Voter:        m.quorum.Voter,
+		PreVote:      request.PreVote,
+		HighestEpoch: max(tag.acceptor.vote.Epoch, tag.candidate.highestSeen),
 	}
 	decided := decide(tag, request, decisionInputs{
 		now:      env.Now,
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -160,7 +160,7 @@
 // holder or with a majority of pre-votes: it matters to this voter's own cool-down.
 func (m *Manager) recordOtherHolder(env *statemachine.Env, tag *tagState, request message.LeaseRequest) {
 	candidate := &tag.candidate
-	if request.Trial || request.Voter == m.quorum.Voter || request.Voter == candidate.otherHolder {
+	if request.PreVote || request.Voter == m.quorum.Voter || request.Voter == candidate.otherHolder {
 		return
 	}
 	if request.Epoch >= tag.acceptor.vote.Epoch && m.quorum.Accepts(request.Voter, request.Identity) {
--- a/internal/lease/decision.go
+++ b/internal/lease/decision.go
@@ -72,7 +72,7 @@
 			return decision{refuse, reason}
 		}
 	}
-	if request.Trial {
+	if request.PreVote {
 		return decision{action: grantPreVote}
 	}
 	return decision{action: castVote}
@@ -84,7 +84,7 @@
 	switch {
 	case !acceptor.votedFor(request.Voter, request.Identity) && !guardsOff.oneHolder:
 		return decision{refuse, refusedEpochGiven}
-	case request.Trial:
+	case request.PreVote:
 		return decision{refuse, refusedEpochInUse}
 	case !acceptor.voteSynced:
 		return decision{action: ignore}
@@ -102,7 +102,7 @@
 		return refusedTransferred, true
 	case acceptor.inCoolDown(request.Voter, inputs.now, inputs.coolDown):
 		return refusedCoolDown, true
-	case request.Trial && tag.candidate.inPreVote(inputs.now) && inputs.precedes:
+	case request.PreVote && tag.candidate.inPreVote(inputs.now) && inputs.precedes:
 		return refusedPrecedence, true
 	}
 	return "", false
--- a/internal/lease/decision_test.go
+++ b/internal/lease/decision_test.go
@@ -35,7 +35,7 @@
 		want: decision{action: castVote},
 	},
 	"pre-vote for a free tag": {
-		change: func(_ *tagState, request *message.LeaseRequest, _ *decisionInputs) { request.Trial = true },
+		change: func(_ *tagState, request *message.LeaseRequest, _ *decisionInputs) { request.PreVote = true },
 		want:   decision{action: grantPreVote},
 	},
 	"not on the member list": {
@@ -71,7 +71,7 @@
 	},
 	"pre-vote for the epoch that it holds": {
 		change: func(_ *tagState, request *message.LeaseRequest, _ *decisionInputs) {
-			request.Epoch, request.Voter, request.Identity, request.Trial = 7, "1", "disk of 1", true
+			request.Epoch, request.Voter, request.Identity, request.PreVote = 7, "1", "disk of 1", true
 		},
 		want: decision{refuse, refusedEpochInUse},
 	},
@@ -108,13 +108,13 @@
 	},
 	"former holder in its cool-down": {
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
-			tag.acceptor.vote.Former, tag.acceptor.coolDownFrom = "2", testNow-testCoolDown+1
+			tag.acceptor.vote.PreviousHolder, tag.acceptor.coolDownFrom = "2", testNow-testCoolDown+1
 		},
 		want: decision{refuse, refusedCoolDown},
 	},
 	"former holder after its cool-down": {
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
-			tag.acceptor.vote.Former, tag.acceptor.coolDownFrom = "2", testNow-testCoolDown
+			tag.acceptor.vote.PreviousHolder, tag.acceptor.coolDownFrom = "2", testNow-testCoolDown
 		},
 		want: decision{action: castVote},
 	},
@@ -133,21 +133,21 @@
 	},
 	"pre-vote beside this voter's own, which goes first": {
 		change: func(tag *tagState, request *message.LeaseRequest, inputs *decisionInputs) {
-			request.Trial, inputs.precedes = true, true
+			request.PreVote, inputs.precedes = true, true
 			tag.candidate.preVote, tag.candidate.preVotes, tag.candidate.nextAttemptAt = true, 2, testNow+1
 		},
 		want: decision{refuse, refusedPrecedence},
 	},
 	"pre-vote beside this voter's own, which failed often": {
 		change: func(tag *tagState, request *message.LeaseRequest, inputs *decisionInputs) {
-			request.Trial, inputs.precedes = true, true
+			request.PreVote, inputs.precedes = true, true
 			tag.candidate.preVote, tag.candidate.preVotes, tag.candidate.nextAttemptAt = true, 3, testNow+1
 		},
 		want: decision{action: grantPreVote},
 	},
 	"pre-vote beside this voter's own, which comes later": {
 		change: func(tag *tagState, request *message.LeaseRequest, _ *decisionInputs) {
-			request.Trial = true
+			request.PreVote = true
 			tag.candidate.preVote, tag.candidate.preVotes, tag.candidate.nextAttemptAt = true, 1, testNow+1
 		},
 		want: decision{action: grantPreVote},
--- a/internal/lease/group_test.go
+++ b/internal/lease/group_test.go
@@ -92,7 +92,7 @@
 	})
 }
 
-func (v *voter) Persist(_ *statemachine.Env, record any, then storage.Then) {
+func (v *voter) Persist(_ *statemachine.Env, record any, then storage.SyncCallback) {
 	v.writes = append(v.writes, func() {
 		if vote, isVote := record.(message.Vote); isVote {
 			v.votes = []message.Vote{vote}
@@ -101,15 +101,17 @@
 	})
 }
 
-func (v *voter) WriteSnapshot(s *statemachine.Env, then storage.Then) { v.Persist(s, nil, then) }
-func (v *voter) Failure() error                                       { return v.failure }
-func (v *voter) WriteLatency() time.Duration                          { return 0 }
-func (v *voter) StateForGrant() []byte                                { return nil }
-func (v *voter) MergeGrantedStates(*statemachine.Env, [][]byte)       {}
-func (v *voter) AnnounceVoter(string)                                 {}
-func (v *voter) DiscardState(s *statemachine.Env)                     { v.leases.Forget(s) }
-func (v *voter) NodeGone(*statemachine.Env, string) bool              { return false }
-func (v *voter) Superseded() bool                                     { return false }
+func (v *voter) WriteSnapshot(s *statemachine.Env, then storage.SyncCallback) {
+	v.Persist(s, nil, then)
+}
+func (v *voter) Failure() error                                 { return v.failure }
+func (v *voter) WriteLatency() time.Duration                    { return 0 }
+func (v *voter) StateForGrant() []byte                          { return nil }
+func (v *voter) MergeGrantedStates(*statemachine.Env, [][]byte) {}
+func (v *voter) AnnounceVoter(string)                           {}
+func (v *voter) DiscardState(s *statemachine.Env)               { v.leases.Forget(s) }
+func (v *voter) NodeGone(*statemachine.Env, string) bool        { return false }
+func (v *voter) Superseded() bool                               { return false }
 
 func (v *voter) Peers() []message.Member {
 	peers := []message.Member{}
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -94,7 +94,7 @@
 // that is as high, at most once a lease. A voter that says it is still promised to another is left
 // alone: its promise ends by itself.
 func (m *Manager) handleRefusal(env *statemachine.Env, tag *tagState, vote message.LeaseVote) {
-	if !tag.holder.holding || vote.Seen < tag.candidate.epoch || vote.Reason == string(refusedHeldByAnother) {
+	if !tag.holder.holding || vote.HighestEpoch < tag.candidate.epoch || vote.Reason == string(refusedHeldByAnother) {
 		return
 	}
 	if env.Now < tag.holder.nextRaiseAt || !m.callbacks.Eligible(tag.name) {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -21,7 +21,7 @@
 // Host is what a Manager needs of the machine that it is a part of.
 type Host interface {
 	// Persist appends a record to the log and calls then when it is synced, or has failed.
-	Persist(env *statemachine.Env, record any, then storage.Then)
+	Persist(env *statemachine.Env, record any, then storage.SyncCallback)
 	// Failure returns the error of the disk, or nil while it takes writes.
 	Failure() error
 	// WriteLatency returns about how long a synced write takes.
--- a/internal/lease/round.go
+++ b/internal/lease/round.go
@@ -34,7 +34,7 @@
 		Voter:    m.quorum.Voter,
 		Identity: m.quorum.Signature(),
 		Round:    m.lastRound,
-		Trial:    tag.candidate.preVote,
+		PreVote:  tag.candidate.preVote,
 	}
 	m.sendToPeers(env, request)
 	m.handleRequest(env, "", request)
@@ -56,7 +56,7 @@
 		return
 	}
 	candidate := &tag.candidate
-	candidate.highestSeen = max(candidate.highestSeen, vote.Seen)
+	candidate.highestSeen = max(candidate.highestSeen, vote.HighestEpoch)
 	if vote.Epoch != candidate.epoch || vote.Epoch <= candidate.spentEpoch && !guardsOff.spentEpoch {
 		return
 	}
@@ -67,7 +67,7 @@
 		m.handleRefusal(env, tag, vote)
 		return
 	}
-	if vote.Round != candidate.round.number || vote.Trial != candidate.preVote {
+	if vote.Round != candidate.round.number || vote.PreVote != candidate.preVote {
 		return
 	}
 	candidate.round.grants[vote.Voter] = vote.Identity
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -45,7 +45,7 @@
 		state = message.Alive
 	}
 	hash := fnv.New64a()
-	fmt.Fprintf(hash, "%s|%s|%d|%d|%s", member.Name, member.Address, member.Birth, state, member.Voter)
+	fmt.Fprintf(hash, "%s|%s|%d|%d|%s", member.Name, member.Address, member.StartTime, state, member.Voter)
 	return int64(hash.Sum64())
 }
 
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -8,7 +8,7 @@
 // (gossip.go), and a rule of precedence decides between what a node knows and what it is told
 // (merge.go).
 //
-// Two things go beyond the paper. A node's birth tells two lives of one name apart, and an ack counts
+// Two things go beyond the paper. A start time tells two lives of one name apart, and an ack counts
 // only when it bears the name that was probed, so that an address that passed to another node is not
 // taken for its old owner. And each node asks a seed, or an address that it has known before, for the
 // member list now and then, so that the halves of a network partition find each other again and
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -163,7 +163,7 @@
 		m.handlePing(env, received)
 	case message.Ack:
 		m.handleAck(env, received)
-	case message.PingFor:
+	case message.IndirectPing:
 		m.handlePingRequest(env, received)
 	case message.JoinRequest:
 		m.mergeSender(env, received.From)
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -38,7 +38,7 @@
 	if !found || known.member.State == message.Alive || sender.State != message.Alive {
 		return
 	}
-	if known.member.Birth == sender.Birth && known.member.Incarnation >= sender.Incarnation {
+	if known.member.StartTime == sender.StartTime && known.member.Incarnation >= sender.Incarnation {
 		known.sends = 0
 	}
 }
@@ -64,7 +64,7 @@
 	if !overrides(stated, known.member) {
 		return
 	}
-	if stated.State != known.member.State || stated.Address != known.member.Address || stated.Birth != known.member.Birth {
+	if stated.State != known.member.State || stated.Address != known.member.Address || stated.StartTime != known.member.StartTime {
 		m.version++
 		env.Event(stateEvents[stated.State&3], 0, stated.Incarnation, stated.Name)
 	}
@@ -82,11 +82,11 @@
 	env.Event("member-joined", 0, stated.Incarnation, stated.Name+" "+stated.Address)
 }
 
-// overrides reports whether a statement overrides what is known of a node: by its birth, then by its
+// overrides reports whether a statement overrides what is known of a node: by its start time, then by its
 // incarnation, then by its state.
 func overrides(stated, known message.Member) bool {
-	if stated.Birth != known.Birth {
-		return stated.Birth > known.Birth
+	if stated.StartTime != known.StartTime {
+		return stated.StartTime > known.StartTime
 	}
 	if stated.Incarnation != known.Incarnation {
 		return stated.Incarnation > known.Incarnation
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -105,7 +105,7 @@
 			continue
 		}
 		asked++
-		env.Datagram(prober.Address, message.PingFor{
+		env.Datagram(prober.Address, message.IndirectPing{
 			Number:  m.probe.sequence,
 			Target:  m.probe.target,
 			Address: target.member.Address,
@@ -144,7 +144,7 @@
 }
 
 // handlePingRequest pings a member on another node's behalf.
-func (m *Membership) handlePingRequest(env *statemachine.Env, request message.PingFor) {
+func (m *Membership) handlePingRequest(env *statemachine.Env, request message.IndirectPing) {
 	m.mergeSender(env, request.From)
 	m.mergeAll(env, request.Gossip)
 	m.lastSequence++
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -70,19 +70,19 @@
 }
 
 // refute corrects what others say wrongly of this node, by a higher incarnation or, against an earlier
-// life whose clock was ahead, a higher birth.
+// life whose clock was ahead, a later start time.
 func (m *Membership) refute(env *statemachine.Env, stated message.Member) {
 	switch {
-	case stated.Birth > m.self.Birth && stated.Address == m.self.Address:
-		m.self.Birth = stated.Birth + 1
+	case stated.StartTime > m.self.StartTime && stated.Address == m.self.Address:
+		m.self.StartTime = stated.StartTime + 1
 		m.version++
-	case stated.Birth > m.self.Birth:
+	case stated.StartTime > m.self.StartTime:
 		// The name lives on at another address: this life is the older one.
 		if !m.superseded {
 			env.Event("member-superseded", 0, stated.Incarnation, stated.Name+" at "+stated.Address)
 		}
 		m.superseded = true
-	case stated.Birth == m.self.Birth && stated.State != message.Alive && stated.Incarnation >= m.self.Incarnation && !m.left:
+	case stated.StartTime == m.self.StartTime && stated.State != message.Alive && stated.Incarnation >= m.self.Incarnation && !m.left:
 		m.self.Incarnation = stated.Incarnation + 1
 	}
 }
