--- a/internal/membership/digest_golden_test.go
+++ b/internal/membership/digest_golden_test.go
@@ -29,22 +29,22 @@
 }
 
 // Nodes of different versions compare digests of their member lists: sixteen sums, into which a
-// member goes by the FNV-1a of its name, and with that of its name, address, birth, state and
+// member goes by the FNV-1a of its name, and with that of its name, address, start time, state and
 // voter. One that is only suspected counts as alive.
 func TestMemberListDigestStaysAsItIs(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
 	cfg.Seeds = []string{"10.0.0.2:1"}
 	self := message.Member{
-		Name: "registry/one", Role: message.RoleRegistry, Voter: "1", Zone: "east", Address: "10.0.0.1:1", Birth: 100,
+		Name: "registry/one", Role: message.RoleRegistry, Voter: "1", Zone: "east", Address: "10.0.0.1:1", StartTime: 100,
 	}
 	node := membership.New(cfg, self, nil)
 	node.Handle(statemachine.NewEnv(1), "", message.JoinResponse{
-		From: message.Member{Name: "registry/two", Role: message.RoleRegistry, Voter: "2", Address: "10.0.0.2:1", Birth: 200},
+		From: message.Member{Name: "registry/two", Role: message.RoleRegistry, Voter: "2", Address: "10.0.0.2:1", StartTime: 200},
 		Members: []message.Member{
 			{
 				Name: "proxy/three", Role: message.RoleProxy, Address: "10.0.0.3:1",
-				Birth: 300, Incarnation: 4, State: message.Suspect,
+				StartTime: 300, Incarnation: 4, State: message.Suspect,
 			},
 		},
 	})
