--- a/internal/distribution/drift_test.go
+++ b/internal/distribution/antientropy_test.go
@@ -32,7 +32,7 @@
 		told := l.s.Now
 		l.hear("far", 2)
 		c.Assert(l.play(l.settings.Reparent()/2, func() bool { return l.inForce() == 2 }), qt.IsTrue, qt.Commentf("seed %d: asked %v", seed, l.asked))
-		c.Assert(l.s.Now-told <= l.distribution.driftPatience()+l.settings.TickEvery(), qt.IsTrue)
+		c.Assert(l.s.Now-told <= l.distribution.missingLimit()+l.settings.TickEvery(), qt.IsTrue)
 		c.Assert(l.parent(), qt.Equals, "far")
 	}
 }
@@ -72,7 +72,7 @@
 	l := newTestTree(c, 1, "near", "far", "other")
 	l.committed("near")
 	l.version["other"] = 2
-	l.distribution.unanswered["far"] = l.s.Now + time.Hour
+	l.distribution.selection.silent["far"] = l.s.Now + time.Hour
 	l.hear("far", 2)
 	l.hear("other", 2)
 	l.hear("far", 2)
@@ -86,9 +86,7 @@
 	c := qt.New(t)
 	l := newTestTree(c, 1, "near", "far")
 	l.committed("near")
-	for _, shunned := range []map[string]time.Duration{l.distribution.avoid, l.distribution.failed, l.distribution.spoilt} {
-		shunned["far"] = l.s.Now + time.Hour
-	}
+	l.distribution.selection.ejectStale("far", l.s.Now+time.Hour)
 	l.version["far"] = 2
 	l.hear("far", 2)
 	c.Assert(l.play(l.settings.Reparent()/2, func() bool { return l.inForce() == 2 }), qt.IsTrue)
--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -171,13 +171,13 @@
 	c := qt.New(t)
 	for topic, wanted := range map[string]bool{ConfigurationTopic("main"): true, SliceTopic("d"): false} {
 		l := newTestTree(c, 1, "near", "far")
-		held := l.distribution.topicState(topic)
-		l.distribution.own = map[string]bool{topic: true}
+		held := l.distribution.topic(topic)
+		l.distribution.subscribed = map[string]bool{topic: true}
 		held.known, held.freshAt = true, 0
 		limit := l.settings.Reparent()
-		c.Assert(l.distribution.late(limit), qt.IsFalse)
-		c.Assert(l.distribution.late(limit+1), qt.Equals, wanted)
-		c.Assert(l.distribution.late(limit+l.settings.TakeOver()+1), qt.IsTrue)
+		c.Assert(l.distribution.behind(limit), qt.IsFalse)
+		c.Assert(l.distribution.behind(limit+1), qt.Equals, wanted)
+		c.Assert(l.distribution.behind(limit+l.settings.TakeOver()+1), qt.IsTrue)
 	}
 }
 
--- a/internal/distribution/history_test.go
+++ b/internal/distribution/history_test.go
@@ -187,9 +187,9 @@
 	held := &topicState{}
 	for version := int64(1); version < 200; version++ {
 		body := routes(version, 20+int(version)%2*200, 0, int(version))
-		held.moveTo(configurationMark("configuration:main", version, body), body)
-		c.Assert(len(held.history.patches) <= patchesKept, qt.IsTrue)
-		c.Assert(patchBytes(held.history.patches) <= patchBytesKept, qt.IsTrue)
+		held.setConfiguration(configurationMark("configuration:main", version, body), body)
+		c.Assert(len(held.history.patches) <= maxPatches, qt.IsTrue)
+		c.Assert(patchBytes(held.history.patches) <= maxPatchBytes, qt.IsTrue)
 	}
 	c.Assert(len(held.history.patches) > 1, qt.IsTrue)
 }
--- a/internal/distribution/metrics.go
+++ b/internal/distribution/metrics.go
@@ -6,25 +6,25 @@
 	"beaconvane/internal/metrics"
 )
 
-// Metrics are the figures of this node's place in the tree: how old each topic is, who the
-// parent is, and how often it was changed.
-func (c *Distribution) Metrics(now time.Duration) []metrics.Sample {
+// Metrics returns the figures of this node's place in the tree: how old each topic is, who the parent
+// is, and how often it was changed.
+func (d *Distribution) Metrics(now time.Duration) []metrics.Sample {
 	samples := []metrics.Sample{
-		metrics.Of("parent_changes_total", float64(c.moves)),
-		metrics.Of("parent_depth", float64(len(c.path))),
-		metrics.Of("children", float64(len(c.children))),
+		metrics.Of("parent_changes_total", float64(d.parent.changes)),
+		metrics.Of("parent_depth", float64(len(d.parent.path))),
+		metrics.Of("children", float64(len(d.subscribers))),
 	}
-	for topic, held := range c.topicStates {
-		if !c.own[topic] && held.slice == nil {
+	for topic, state := range d.topics {
+		if !d.subscribed[topic] && state.slice == nil {
 			continue
 		}
-		samples = append(samples, metrics.About("topic_sequence", "topic", topic, float64(held.at().Seq)))
-		if age, known := c.Age(topic, now); known {
+		samples = append(samples, metrics.About("topic_sequence", "topic", topic, float64(state.position().Seq)))
+		if age, known := d.Age(topic, now); known {
 			samples = append(samples, metrics.About("topic_age_seconds", "topic", topic, metrics.Seconds(age)))
 		}
 	}
-	if c.parent != "" {
-		samples = append(samples, metrics.About("parent_silence_seconds", "parent", c.parent, metrics.Seconds(now-c.answered)))
+	if d.parent.exists() {
+		samples = append(samples, metrics.About("parent_silence_seconds", "parent", d.parent.name, metrics.Seconds(now-d.parent.answeredAt)))
 	}
 	return samples
 }
--- a/internal/distribution/late_test.go
+++ b/internal/distribution/requests_test.go
@@ -59,14 +59,14 @@
 func TestPatienceGrowsWithFruitlessParents(t *testing.T) {
 	c := qt.New(t)
 	l := newTestTree(c, 1, "near", "far")
-	first := l.distribution.firstPatience()
+	first := l.distribution.selection.firstAnswerLimit()
 	c.Assert(first, qt.Equals, l.settings.UpdatesEvery())
-	l.distribution.fruitless = patientTries
-	c.Assert(l.distribution.firstPatience(), qt.Equals, first)
-	l.distribution.fruitless = patientTries + 2
-	c.Assert(l.distribution.firstPatience(), qt.Equals, first*4)
-	l.distribution.fruitless = 100
-	c.Assert(l.distribution.firstPatience(), qt.Equals, l.settings.Reparent())
+	l.distribution.selection.unanswered = constantAnswerLimits
+	c.Assert(l.distribution.selection.firstAnswerLimit(), qt.Equals, first)
+	l.distribution.selection.unanswered = constantAnswerLimits + 2
+	c.Assert(l.distribution.selection.firstAnswerLimit(), qt.Equals, first*4)
+	l.distribution.selection.unanswered = 100
+	c.Assert(l.distribution.selection.firstAnswerLimit(), qt.Equals, l.settings.Reparent())
 }
 
 // A node that was held up itself, right after it asked a new parent, does not leave that one:
--- /dev/null
+++ b/internal/distribution/roster_slice.go
@@ -0,0 +1,122 @@
+package distribution
+
+import (
+	"hash/fnv"
+	"sort"
+
+	"beaconvane/internal/message"
+)
+
+// maxChanges is how many changes of a slice are kept for nodes that are behind.
+const maxChanges = 256
+
+// RosterSlice is the registrations of one zone, their position, and the last changes: a follower
+// that is a little behind is sent those, one that is further behind the snapshot. The digest in the
+// position is a sum over the registrations, so that each change updates it in place.
+type RosterSlice struct {
+	Mark          message.Mark
+	Registrations map[string]message.Registration // by key
+	changes       []message.RosterChange          // in a row, up to Mark
+}
+
+// NewRosterSlice returns an empty slice.
+func NewRosterSlice(topic string) *RosterSlice {
+	return &RosterSlice{Mark: message.Mark{Topic: topic}, Registrations: map[string]message.Registration{}}
+}
+
+// Append makes the next change in an epoch, applies it and returns it.
+func (s *RosterSlice) Append(epoch int64, registration message.Registration, gone bool, cause string) message.RosterChange {
+	if epoch != s.Mark.Epoch {
+		s.StartEpoch(epoch)
+	}
+	s.set(registration, gone)
+	s.Mark.Seq++
+	change := message.RosterChange{Mark: s.Mark, Registration: registration, Gone: gone, Cause: cause}
+	s.keep(change)
+	return change
+}
+
+// StartEpoch moves the slice to a new epoch with its content as it is.
+func (s *RosterSlice) StartEpoch(epoch int64) {
+	s.Mark.Epoch, s.Mark.Seq = epoch, 0
+	s.changes = nil
+}
+
+// Apply applies a change that another node made, if it is the one after this position. It reports
+// whether the slice is then where that node was.
+func (s *RosterSlice) Apply(change message.RosterChange) bool {
+	if change.Mark.Epoch != s.Mark.Epoch || change.Mark.Seq != s.Mark.Seq+1 {
+		return false
+	}
+	s.set(change.Registration, change.Gone)
+	s.Mark.Seq++
+	s.keep(change)
+	return s.Mark.Same(change.Mark)
+}
+
+// Replace replaces the content by a snapshot's.
+func (s *RosterSlice) Replace(mark message.Mark, registrations []message.Registration) {
+	s.Registrations = map[string]message.Registration{}
+	s.Mark.Count, s.Mark.Hash = 0, 0
+	for _, registration := range registrations {
+		s.set(registration, false)
+	}
+	s.StartEpoch(mark.Epoch)
+	s.Mark.Seq = mark.Seq
+}
+
+// List returns the registrations in the order of their keys.
+func (s *RosterSlice) List() []message.Registration {
+	list := make([]message.Registration, 0, len(s.Registrations))
+	for _, registration := range s.Registrations {
+		list = append(list, registration)
+	}
+	sort.Slice(list, func(i, j int) bool { return list[i].Key() < list[j].Key() })
+	return list
+}
+
+// Since returns the changes after a position, or false where they are not all kept and the
+// snapshot is needed.
+func (s *RosterSlice) Since(mark message.Mark) ([]message.RosterChange, bool) {
+	if mark.Epoch != s.Mark.Epoch || mark.Seq > s.Mark.Seq || len(s.changes) == 0 {
+		return nil, false
+	}
+	first := s.changes[0].Mark.Seq
+	if first > mark.Seq+1 {
+		return nil, false
+	}
+	return append([]message.RosterChange{}, s.changes[mark.Seq+1-first:]...), true
+}
+
+// set adds, replaces or removes a registration, and updates the count and the digest.
+func (s *RosterSlice) set(registration message.Registration, gone bool) {
+	key := registration.Key()
+	if old, held := s.Registrations[key]; held {
+		s.Mark.Hash -= digest(old)
+		delete(s.Registrations, key)
+	}
+	if !gone {
+		s.Mark.Hash += digest(registration)
+		s.Registrations[key] = registration
+	}
+	s.Mark.Count = int64(len(s.Registrations))
+}
+
+func (s *RosterSlice) keep(change message.RosterChange) {
+	s.changes = append(s.changes, change)
+	if len(s.changes) > maxChanges {
+		s.changes = append([]message.RosterChange{}, s.changes[len(s.changes)-maxChanges:]...)
+	}
+}
+
+// digest returns what a registration adds to the digest of its slice.
+func digest(registration message.Registration) int64 {
+	body, err := message.Encode(registration)
+	if err != nil {
+		// Only a type that the encoding does not know fails, which is a programming error.
+		panic("distribution: encode registration: " + err.Error())
+	}
+	hash := fnv.New64a()
+	hash.Write(body)
+	return int64(hash.Sum64())
+}
--- /dev/null
+++ b/internal/distribution/topic.go
@@ -0,0 +1,155 @@
+package distribution
+
+import (
+	"hash/fnv"
+	"strings"
+	"time"
+
+	"beaconvane/internal/delta"
+	"beaconvane/internal/message"
+)
+
+// The prefixes tell the two kinds of topic apart; they are part of the messages.
+const (
+	configurationPrefix = "configuration:"
+	slicePrefix         = "slice:"
+)
+
+// ConfigurationTopic names the topic of a configuration.
+func ConfigurationTopic(configName string) string { return configurationPrefix + configName }
+
+// SliceTopic names the topic of a zone's slice of the roster.
+func SliceTopic(zone string) string { return slicePrefix + zone }
+
+// IsConfiguration reports whether a topic is a configuration; the others are slices.
+func IsConfiguration(topic string) bool { return strings.HasPrefix(topic, configurationPrefix) }
+
+// never is the freshAt of a topic that was not known current in this life.
+const never = time.Duration(-1 << 62)
+
+// topicState is what a node has of one topic. A slice has its content in slice; a configuration
+// in mark, body and history.
+type topicState struct {
+	known   bool          // there is content
+	freshAt time.Duration // when the content was last known current at the source, or never
+
+	slice *RosterSlice // nil for a configuration
+
+	mark    message.Mark
+	body    []byte
+	history versionHistory
+
+	// mismatched is set when a difference did not give the version that it names. The node then
+	// asks for the whole configuration.
+	mismatched bool
+}
+
+func newTopicState(topic string) *topicState {
+	state := &topicState{mark: message.Mark{Topic: topic}, freshAt: never}
+	if !IsConfiguration(topic) {
+		state.slice = NewRosterSlice(topic)
+	}
+	return state
+}
+
+// position returns the position of the content.
+func (t *topicState) position() message.Mark {
+	if t.slice != nil {
+		return t.slice.Mark
+	}
+	return t.mark
+}
+
+// requestPosition returns the position to name in a request, so that the answer holds what is
+// missing here.
+func (t *topicState) requestPosition() message.Mark {
+	if t.mismatched {
+		return message.Mark{Topic: t.mark.Topic}
+	}
+	return t.position()
+}
+
+// fresh reports whether the content was ever known current in this life.
+func (t *topicState) fresh() bool { return t.known && t.freshAt != never }
+
+// setConfiguration moves a configuration to a version whose whole body is here.
+func (t *topicState) setConfiguration(mark message.Mark, body []byte) {
+	if t.known {
+		patch := message.ConfigurationPatch{From: t.mark, To: mark, Difference: delta.Encode(t.body, body)}
+		t.history.add(patch)
+	}
+	t.mark, t.body, t.known, t.mismatched = mark, body, true, false
+}
+
+// applyPatches applies differences to a configuration, from the one that begins at its version on,
+// and reports whether the version moved. At the first difference whose result is not what it names
+// it stops and marks the topic as mismatched.
+func (t *topicState) applyPatches(patches []message.ConfigurationPatch, sizeLimit int64) bool {
+	moved := false
+	for _, patch := range patches {
+		if !patch.From.Same(t.mark) {
+			continue
+		}
+		body, err := delta.Apply(t.body, patch.Difference, sizeLimit)
+		if err != nil || !configurationMark(patch.To.Topic, patch.To.Seq, body).Same(patch.To) {
+			t.mismatched = true
+			return moved
+		}
+		t.history.add(patch)
+		t.mark, t.body = patch.To, body
+		moved = true
+	}
+	return moved
+}
+
+// applyChanges applies changes to a slice and reports whether its position moved.
+func (t *topicState) applyChanges(changes []message.RosterChange) bool {
+	moved := false
+	for _, change := range changes {
+		if t.slice.Apply(change) {
+			moved = true
+		}
+	}
+	return moved
+}
+
+// applySnapshot replaces the content by a snapshot's and reports whether it could. A configuration
+// that does not have the digest which its position names is not taken.
+func (t *topicState) applySnapshot(mark message.Mark, encoded []byte, sizeLimit int64) bool {
+	if t.slice == nil {
+		body, err := delta.Apply(nil, encoded, sizeLimit)
+		if err != nil || !configurationMark(mark.Topic, mark.Seq, body).Same(mark) {
+			return false
+		}
+		t.setConfiguration(mark, body)
+		return true
+	}
+	decoded, err := message.Decode(encoded)
+	snapshot, isSlice := decoded.(message.RosterSlice)
+	if err != nil || !isSlice {
+		return false
+	}
+	t.slice.Replace(mark, snapshot.Registrations)
+	t.known = true
+	return true
+}
+
+// snapshot returns the whole content as it is sent: a configuration compressed, a slice encoded.
+func (t *topicState) snapshot() []byte {
+	if t.slice == nil {
+		return t.history.snapshot(t.body)
+	}
+	encoded, err := message.Encode(message.RosterSlice{Registrations: t.slice.List()})
+	if err != nil {
+		// Only a type that the encoding does not know fails, which is a programming error.
+		panic("distribution: encode snapshot: " + err.Error())
+	}
+	return encoded
+}
+
+// configurationMark returns the position of a version of a configuration, with its digest.
+func configurationMark(topic string, version int64, body []byte) message.Mark {
+	hash := fnv.New64a()
+	hash.Write(body)
+	return message.Mark{Topic: topic, Seq: version, Count: 1, Hash: int64(hash.Sum64())}
+}
--- /dev/null
+++ b/internal/distribution/update_item.go
@@ -0,0 +1,79 @@
+package distribution
+
+import (
+	"time"
+
+	"beaconvane/internal/message"
+)
+
+// unknownAge is the age of an item whose content was never known current, and of pushes.
+const unknownAge = -1
+
+// updateItem returns what a child that is at a position of a topic needs to be where this node is:
+// nothing, the changes since, or the snapshot.
+func (d *Distribution) updateItem(now time.Duration, mark message.Mark) message.UpdateItem {
+	state := d.topic(mark.Topic)
+	item := message.UpdateItem{
+		Mark:    message.Mark{Topic: mark.Topic},
+		Age:     unknownAge,
+		Body:    []byte{},
+		Changes: []message.RosterChange{},
+		Patches: []message.ConfigurationPatch{},
+	}
+	if !state.known {
+		return item
+	}
+	item.Known, item.Mark = true, state.position()
+	if state.fresh() {
+		item.Age = int64(now - state.freshAt)
+	}
+	if item.Mark.Same(mark) || item.Mark.Before(mark) || state.addDifference(&item, mark) {
+		return item
+	}
+	snapshot := d.snapshotItem(state, 0)
+	snapshot.Age = item.Age
+	return snapshot
+}
+
+// addDifference adds what leads from an older position to the current one, and reports whether that
+// is known and worth it: differences of a configuration may be longer than its snapshot.
+func (t *topicState) addDifference(item *message.UpdateItem, from message.Mark) bool {
+	if t.slice == nil {
+		patches, found := t.history.since(from)
+		if !found || patchBytes(patches) >= len(t.snapshot()) {
+			return false
+		}
+		item.Patches = patches
+		return true
+	}
+	if !from.Before(t.slice.Mark) {
+		return false
+	}
+	changes, found := t.slice.Since(from)
+	if found {
+		item.Changes = changes
+	}
+	return found
+}
+
+// snapshotItem returns the part of a topic's snapshot that begins at an offset.
+func (d *Distribution) snapshotItem(state *topicState, offset int64) message.UpdateItem {
+	body := state.snapshot()
+	end := min(int64(len(body)), offset+int64(d.partBytes))
+	return message.UpdateItem{
+		Mark:     state.position(),
+		Age:      unknownAge,
+		Known:    true,
+		Snapshot: true,
+		Body:     body[min(offset, end):end],
+		Total:    int64(len(body)),
+		Offset:   offset,
+		Changes:  []message.RosterChange{},
+		Patches:  []message.ConfigurationPatch{},
+	}
+}
+
+// isWhole reports whether an item holds the whole body of a snapshot, not a part.
+func isWhole(item message.UpdateItem) bool {
+	return item.Offset == 0 && item.Total == int64(len(item.Body))
+}
