--- a/internal/distribution/antientropy.go
+++ b/internal/distribution/antientropy.go
@@ -55,8 +55,9 @@
 	return newer
 }
 
-// noteParentHas notes a position that the parent has: it will bring the content.
-func (d *Distribution) noteParentHas(mark message.Mark) {
+// resolveMissing takes a position that the parent has: it will bring the content, so that the node has
+// no reason to leave it for a registry.
+func (d *Distribution) resolveMissing(mark message.Mark) {
 	if missing, reported := d.missing[mark.Topic]; reported && !mark.Before(missing.mark) {
 		delete(d.missing, mark.Topic)
 	}
--- a/internal/distribution/antientropy_test.go
+++ b/internal/distribution/antientropy_test.go
@@ -1,4 +1,3 @@
-// A child whose parent lacks what a registry tells it of.
 package distribution
 
 import (
@@ -10,15 +9,10 @@
 	"beaconvane/internal/message"
 )
 
-// hear is a registry's answer to a heartbeat: it has a version of the configuration.
-func (l *testTree) hear(registry string, version int64) {
-	mark := configurationMark(ConfigurationTopic("main"), version, []byte("a configuration"))
-	l.distribution.HandleNewerMarks(l.s, registry, []message.Mark{mark})
-}
-
-func (l *testTree) inForce() int64 {
-	version, _, _ := l.distribution.Configuration("main")
-	return version
+// reportNewer is a registry's answer to a heartbeat: it has a version of the configuration.
+func (tree *testTree) reportNewer(registry string, version int64) {
+	mark := configurationMark(ConfigurationTopic("main"), version, []byte(testBody))
+	tree.distribution.HandleNewerMarks(tree.env, registry, []message.Mark{mark})
 }
 
 // The parent passes for current, as one does below a root that is cut off from the store
@@ -26,69 +20,70 @@
 func TestParentThatLacksANewerVersionIsLeft(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(10) {
-		l := newTestTree(c, seed, "near", "far", "other")
-		l.committed("near")
-		l.version["far"] = 2
-		told := l.s.Now
-		l.hear("far", 2)
-		c.Assert(l.play(l.settings.Reparent()/2, func() bool { return l.inForce() == 2 }), qt.IsTrue, qt.Commentf("seed %d: asked %v", seed, l.asked))
-		c.Assert(l.s.Now-told <= l.distribution.missingLimit()+l.settings.TickEvery(), qt.IsTrue)
-		c.Assert(l.parent(), qt.Equals, "far")
+		tree := newTestTree(c, seed, "near", "far", "other")
+		tree.settle("near")
+		tree.version["far"] = 2
+		told := tree.env.Now
+		tree.reportNewer("far", 2)
+		moved := tree.play(tree.settings.Reparent()/2, func() bool { return tree.configurationVersion() == 2 })
+		c.Assert(moved, qt.IsTrue, qt.Commentf("seed %d: asked %v", seed, tree.asked))
+		c.Assert(tree.env.Now-told <= tree.distribution.missingLimit()+tree.settings.TickEvery(), qt.IsTrue)
+		c.Assert(tree.parent(), qt.Equals, "far")
 	}
 }
 
 // A parent that brings the version in time is kept, also while versions follow in a row.
 func TestParentThatBringsTheNewerVersionIsKept(t *testing.T) {
 	c := qt.New(t)
-	l := newTestTree(c, 1, "near", "far")
-	l.committed("near")
+	tree := newTestTree(c, 1, "near", "far")
+	tree.settle("near")
 	for version := int64(2); version < 12; version++ {
-		l.version["far"] = version
-		l.hear("far", version)
-		l.play(l.settings.UpdatesEvery()/2, nil)
-		l.version["near"] = version
-		l.play(l.settings.UpdatesEvery()*3/2, nil)
-		c.Assert(l.inForce(), qt.Equals, version)
-		c.Assert(l.parent(), qt.Equals, "near")
+		tree.version["far"] = version
+		tree.reportNewer("far", version)
+		tree.play(tree.settings.UpdatesEvery()/2, nil)
+		tree.version["near"] = version
+		tree.play(tree.settings.UpdatesEvery()*3/2, nil)
+		c.Assert(tree.configurationVersion(), qt.Equals, version)
+		c.Assert(tree.parent(), qt.Equals, "near")
 	}
 }
 
 // Versions that follow in a row don't put the move off.
 func TestARowOfVersionsDoesNotPutTheMoveOff(t *testing.T) {
 	c := qt.New(t)
-	l := newTestTree(c, 1, "near", "far")
-	l.committed("near")
+	tree := newTestTree(c, 1, "near", "far")
+	tree.settle("near")
 	for version := int64(2); version < 12; version++ {
-		l.version["far"] = version
-		l.hear("far", version)
-		l.play(l.settings.UpdatesEvery()/2, nil)
+		tree.version["far"] = version
+		tree.reportNewer("far", version)
+		tree.play(tree.settings.UpdatesEvery()/2, nil)
 	}
-	c.Assert(l.parent(), qt.Equals, "far")
+	c.Assert(tree.parent(), qt.Equals, "far")
 }
 
 // The registry that told can't be reached from here: another that told is joined.
 func TestAnotherTellerIsJoinedWhereTheFirstFailed(t *testing.T) {
 	c := qt.New(t)
-	l := newTestTree(c, 1, "near", "far", "other")
-	l.committed("near")
-	l.version["other"] = 2
-	l.distribution.selection.silent["far"] = l.s.Now + time.Hour
-	l.hear("far", 2)
-	l.hear("other", 2)
-	l.hear("far", 2)
-	c.Assert(l.play(l.settings.Reparent()/2, func() bool { return l.inForce() == 2 }), qt.IsTrue)
-	c.Assert(l.parent(), qt.Equals, "other")
+	tree := newTestTree(c, 1, "near", "far", "other")
+	tree.settle("near")
+	tree.version["other"] = 2
+	tree.distribution.selection.silent["far"] = tree.env.Now + time.Hour
+	tree.reportNewer("far", 2)
+	tree.reportNewer("other", 2)
+	tree.reportNewer("far", 2)
+	c.Assert(tree.play(tree.settings.Reparent()/2, func() bool { return tree.configurationVersion() == 2 }), qt.IsTrue)
+	c.Assert(tree.parent(), qt.Equals, "other")
 }
 
 // A registry that was as stale as all others when it was asked, and tells of a newer version
 // since, is no longer passed over.
 func TestTellerOfANewerVersionIsTrustedAgain(t *testing.T) {
 	c := qt.New(t)
-	l := newTestTree(c, 1, "near", "far")
-	l.committed("near")
-	l.distribution.selection.ejectStale("far", l.s.Now+time.Hour)
-	l.version["far"] = 2
-	l.hear("far", 2)
-	c.Assert(l.play(l.settings.Reparent()/2, func() bool { return l.inForce() == 2 }), qt.IsTrue)
-	c.Assert(l.parent(), qt.Equals, "far")
+	tree := newTestTree(c, 1, "near", "far")
+	tree.settle("near")
+	tree.distribution.selection.ejectStale("far", tree.env.Now+time.Hour)
+	tree.version["far"] = 2
+	tree.reportNewer("far", 2)
+	c.Assert(tree.play(tree.settings.Reparent()/2, func() bool { return tree.configurationVersion() == 2 }), qt.IsTrue)
+	c.Assert(tree.parent(), qt.Equals, "far")
 }
--- a/internal/distribution/download.go
+++ b/internal/distribution/download.go
@@ -22,7 +22,7 @@
 // is here, and requests the next part before that.
 func (d *Distribution) receiveSnapshot(env *statemachine.Env, item message.UpdateItem) (body []byte, complete bool) {
 	topic := item.Mark.Topic
-	if isWhole(item) {
+	if isComplete(item) {
 		delete(d.downloads, topic)
 		return item.Body, true
 	}
--- a/internal/distribution/history_test.go
+++ b/internal/distribution/history_test.go
@@ -1,4 +1,3 @@
-// Configurations on their way over narrow links: what a change costs in bytes.
 package distribution
 
 import (
@@ -15,20 +14,26 @@
 	"beaconvane/internal/statemachine"
 )
 
-// chain is a configstore, a registry below it and proxies below that, with a transport
+// testChain is a configstore, a registry below it and proxies below that, with a transport
 // that counts the bytes of updates by receiver.
-type chain struct {
-	c     *qt.C
-	env   *statemachine.Env
-	nodes map[string]*Distribution
-	order []string
-	bytes map[string]int
-	held  map[string]bool // receivers whose links carry nothing at the moment
-	spoil func(item *message.UpdateItem)
+type testChain struct {
+	c       *qt.C
+	env     *statemachine.Env
+	nodes   map[string]*Distribution
+	order   []string
+	bytes   map[string]int
+	blocked map[string]bool // nodes whose links carry nothing at the moment
+	corrupt func(item *message.UpdateItem)
 }
 
-func newChain(c *qt.C, proxies ...string) *chain {
-	n := &chain{c: c, env: statemachine.NewEnv(1), nodes: map[string]*Distribution{}, bytes: map[string]int{}, held: map[string]bool{}}
+func newTestChain(c *qt.C, proxies ...string) *testChain {
+	chain := &testChain{
+		c:       c,
+		env:     statemachine.NewEnv(1),
+		nodes:   map[string]*Distribution{},
+		bytes:   map[string]int{},
+		blocked: map[string]bool{},
+	}
 	members := []message.Member{
 		{Name: "store", Role: message.RoleConfigStore, Zone: "z", Address: "store", Birth: 1},
 		{Name: "registry", Role: message.RoleRegistry, Zone: "z", Address: "registry", Birth: 1},
@@ -41,63 +46,67 @@
 		cfg.Zone, cfg.Seeds, cfg.Limits.Fanout = "z", []string{"10.0.0.1:1"}, 16
 		known := membership.New(cfg, self, nil)
 		for _, other := range members {
-			known.Handle(n.env, "", message.JoinResponse{From: other})
+			known.Handle(chain.env, "", message.JoinResponse{From: other})
 		}
-		n.nodes[self.Name] = New(cfg, known, func(*statemachine.Env, string) {})
-		n.nodes[self.Name].Subscribe(ConfigurationTopic("main"))
-		n.order = append(n.order, self.Name)
+		chain.nodes[self.Name] = New(cfg, known, func(*statemachine.Env, string) {})
+		chain.nodes[self.Name].Subscribe(ConfigurationTopic("main"))
+		chain.order = append(chain.order, self.Name)
 	}
-	n.env.Drain()
-	return n
+	chain.env.Drain()
+	return chain
 }
 
 // play lets time pass; the configstore knows its content current all the while.
-func (n *chain) play(length time.Duration) {
-	for end := n.env.Now + length; n.env.Now < end; n.env.Now += 25 * time.Millisecond {
-		n.nodes["store"].SetFreshAt(ConfigurationTopic("main"), n.env.Now)
-		for _, name := range n.order {
-			n.nodes[name].Tick(n.env)
-			n.deliver(name)
+func (chain *testChain) play(length time.Duration) {
+	for end := chain.env.Now + length; chain.env.Now < end; chain.env.Now += 25 * time.Millisecond {
+		chain.nodes["store"].SetFreshAt(ConfigurationTopic("main"), chain.env.Now)
+		for _, name := range chain.order {
+			chain.nodes[name].Tick(chain.env)
+			chain.deliver(name)
 		}
 	}
 }
 
-// deliver carries what a node has left on the environment, and what that leads to.
-func (n *chain) deliver(from string) {
-	for _, effect := range n.env.Drain() {
+// deliver carries the messages that a node has sent, and those that they lead to.
+func (chain *testChain) deliver(from string) {
+	for _, effect := range chain.env.Drain() {
 		sent, isSend := effect.(statemachine.Send)
-		if !isSend || n.held[sent.To] || n.held[from] {
+		if !isSend || chain.blocked[sent.To] || chain.blocked[from] {
 			continue
 		}
 		response, isResponse := sent.Message.(message.UpdatesResponse)
 		if isResponse {
 			frame, err := message.Encode(response)
-			n.c.Assert(err, qt.IsNil)
-			n.bytes[sent.To] += len(frame)
+			chain.c.Assert(err, qt.IsNil)
+			chain.bytes[sent.To] += len(frame)
 			for index := range response.Items {
-				if n.spoil != nil {
-					n.spoil(&response.Items[index])
+				if chain.corrupt != nil {
+					chain.corrupt(&response.Items[index])
 				}
 			}
 		}
-		n.nodes[sent.To].Handle(n.env, from, sent.Message)
-		n.deliver(sent.To)
+		chain.nodes[sent.To].Handle(chain.env, from, sent.Message)
+		chain.deliver(sent.To)
 	}
 }
 
-func (n *chain) write(version int64, body []byte) {
-	n.nodes["store"].WriteConfiguration(n.env, "main", version, body)
-	n.deliver("store")
+func (chain *testChain) write(version int64, body []byte) {
+	chain.nodes["store"].WriteConfiguration(chain.env, "main", version, body)
+	chain.deliver("store")
 }
 
-func (n *chain) holds(name string, version int64, body []byte) {
-	n.c.Helper()
-	held, have, known := n.nodes[name].Configuration("main")
-	n.c.Assert(known, qt.IsTrue)
-	n.c.Assert(held, qt.Equals, version)
-	n.c.Assert(bytes.Equal(have, body), qt.IsTrue)
+func (chain *testChain) assertHolds(name string, version int64, body []byte) {
+	chain.c.Helper()
+	held, have, known := chain.nodes[name].Configuration("main")
+	chain.c.Assert(known, qt.IsTrue)
+	chain.c.Assert(held, qt.Equals, version)
+	chain.c.Assert(bytes.Equal(have, body), qt.IsTrue)
 }
 
+// routeFormat is a route of a configuration, and the comma behind it.
+const routeFormat = `{"name":"r-%d","host":"h%d.example","prefix":"/p%d/","kind":"repeatable","timeout_ms":%d,` +
+	`"aim_ms":800,"service":"s","attempts":2},`
+
 // routes makes a configuration of so many routes, one of them with a timeout of its own.
 func routes(version int64, count, changed int, timeout int) []byte {
 	var body bytes.Buffer
@@ -107,7 +116,7 @@
 		if number == changed {
 			wait = timeout
 		}
-		fmt.Fprintf(&body, `{"name":"r-%d","host":"h%d.example","prefix":"/p%d/","kind":"repeatable","timeout_ms":%d,"aim_ms":800,"service":"s","attempts":2},`, number*7919, number*104729, number*1299709, wait)
+		fmt.Fprintf(&body, routeFormat, number*7919, number*104729, number*1299709, wait)
 	}
 	body.WriteString(`{}],"services":["s"]}`)
 	return body.Bytes()
@@ -117,79 +126,82 @@
 // five whole configurations alone would take seconds.
 func TestSmallChangesTravelAsDifferences(t *testing.T) {
 	c := qt.New(t)
-	n := newChain(c, "a", "b")
-	n.write(1, routes(1, 1700, 0, 900))
-	n.play(2 * time.Second)
+	chain := newTestChain(c, "a", "b")
+	chain.write(1, routes(1, 1700, 0, 900))
+	chain.play(2 * time.Second)
 	whole := len(routes(1, 1700, 0, 900))
-	n.bytes = map[string]int{}
+	chain.bytes = map[string]int{}
 	for version := int64(2); version <= 6; version++ {
-		n.write(version, routes(version, 1700, int(version)*100, 1500))
-		n.play(500 * time.Millisecond)
+		chain.write(version, routes(version, 1700, int(version)*100, 1500))
+		chain.play(500 * time.Millisecond)
 	}
 	for _, name := range []string{"a", "b"} {
-		n.holds(name, 6, routes(6, 1700, 600, 1500))
-		c.Assert(n.bytes[name] < whole/10, qt.IsTrue, qt.Commentf("%s was sent %d bytes, the configuration has %d", name, n.bytes[name], whole))
+		chain.assertHolds(name, 6, routes(6, 1700, 600, 1500))
+		sent := chain.bytes[name]
+		c.Assert(sent < whole/10, qt.IsTrue, qt.Commentf("%s was sent %d bytes, the configuration has %d", name, sent, whole))
 	}
 }
 
 // A node that hears nothing while versions change is sent the differences in a row.
 func TestANodeThatIsBehindFollowsInARow(t *testing.T) {
 	c := qt.New(t)
-	n := newChain(c, "a", "b")
-	n.write(1, routes(1, 300, 0, 900))
-	n.play(2 * time.Second)
-	n.held["a"] = true
+	chain := newTestChain(c, "a", "b")
+	chain.write(1, routes(1, 300, 0, 900))
+	chain.play(2 * time.Second)
+	chain.blocked["a"] = true
 	for version := int64(2); version <= 5; version++ {
-		n.write(version, routes(version, 300, int(version), 1500))
-		n.play(25 * time.Millisecond)
+		chain.write(version, routes(version, 300, int(version), 1500))
+		chain.play(25 * time.Millisecond)
 	}
-	n.held["a"] = false
-	n.bytes = map[string]int{}
-	n.play(time.Second)
-	n.holds("a", 5, routes(5, 300, 5, 1500))
-	c.Assert(n.bytes["a"] < len(routes(5, 300, 5, 1500))/10, qt.IsTrue, qt.Commentf("%d bytes", n.bytes["a"]))
+	chain.blocked["a"] = false
+	chain.bytes = map[string]int{}
+	chain.play(time.Second)
+	chain.assertHolds("a", 5, routes(5, 300, 5, 1500))
+	c.Assert(chain.bytes["a"] < len(routes(5, 300, 5, 1500))/10, qt.IsTrue, qt.Commentf("%d bytes", chain.bytes["a"]))
 }
 
 // A node that knows nothing, or a version that its parent never had, gets the whole
 // configuration, compressed.
 func TestWholeConfigurationsAreCompressed(t *testing.T) {
 	c := qt.New(t)
-	n := newChain(c, "a", "b")
-	n.nodes["a"].WriteConfiguration(n.env, "main", 1, []byte("a version that the others never had"))
-	n.write(9, routes(9, 1700, 0, 900))
-	n.play(2 * time.Second)
+	chain := newTestChain(c, "a", "b")
+	chain.nodes["a"].WriteConfiguration(chain.env, "main", 1, []byte("a version that the others never had"))
+	chain.write(9, routes(9, 1700, 0, 900))
+	chain.play(2 * time.Second)
 	for _, name := range []string{"a", "b"} {
-		n.holds(name, 9, routes(9, 1700, 0, 900))
-		c.Assert(n.bytes[name] < len(routes(9, 1700, 0, 900))/3, qt.IsTrue, qt.Commentf("%s was sent %d bytes", name, n.bytes[name]))
+		chain.assertHolds(name, 9, routes(9, 1700, 0, 900))
+		sent := chain.bytes[name]
+		c.Assert(sent < len(routes(9, 1700, 0, 900))/3, qt.IsTrue, qt.Commentf("%s was sent %d bytes", name, sent))
 	}
 }
 
-// A difference that does not give what it names is not in force; the whole comes instead.
-func TestASpoiltDifferenceIsReplacedByTheWhole(t *testing.T) {
+// A difference that does not give the version which it names is not applied; the whole configuration
+// comes instead.
+func TestACorruptDifferenceIsReplacedByTheWhole(t *testing.T) {
 	c := qt.New(t)
-	n := newChain(c, "a")
-	n.write(1, routes(1, 300, 0, 900))
-	n.play(2 * time.Second)
-	n.spoil = func(item *message.UpdateItem) {
+	chain := newTestChain(c, "a")
+	chain.write(1, routes(1, 300, 0, 900))
+	chain.play(2 * time.Second)
+	chain.corrupt = func(item *message.UpdateItem) {
 		for index := range item.Patches {
-			item.Patches[index].Difference = []byte("spoilt")
+			item.Patches[index].Difference = []byte("corrupt")
 		}
 	}
-	n.write(2, routes(2, 300, 2, 1500))
-	n.holds("a", 1, routes(1, 300, 0, 900))
-	n.play(time.Second)
-	n.holds("a", 2, routes(2, 300, 2, 1500))
+	chain.write(2, routes(2, 300, 2, 1500))
+	chain.assertHolds("a", 1, routes(1, 300, 0, 900))
+	chain.play(time.Second)
+	chain.assertHolds("a", 2, routes(2, 300, 2, 1500))
 }
 
 // The chain of differences is bounded in number and in bytes.
 func TestHistoryIsBounded(t *testing.T) {
 	c := qt.New(t)
-	held := &topicState{}
+	state := &topicState{}
 	for version := int64(1); version < 200; version++ {
 		body := routes(version, 20+int(version)%2*200, 0, int(version))
-		held.setConfiguration(configurationMark("configuration:main", version, body), body)
-		c.Assert(len(held.history.patches) <= maxPatches, qt.IsTrue)
-		c.Assert(patchBytes(held.history.patches) <= maxPatchBytes, qt.IsTrue)
+		state.setConfiguration(configurationMark("configuration:main", version, body), body)
+		c.Assert(len(state.history.patches) <= maxPatches, qt.IsTrue)
+		c.Assert(patchBytes(state.history.patches) <= maxPatchBytes, qt.IsTrue)
 	}
-	c.Assert(len(held.history.patches) > 1, qt.IsTrue)
+	c.Assert(len(state.history.patches) > 1, qt.IsTrue)
 }
--- a/internal/distribution/metrics.go
+++ b/internal/distribution/metrics.go
@@ -24,7 +24,8 @@
 		}
 	}
 	if d.parent.exists() {
-		samples = append(samples, metrics.About("parent_silence_seconds", "parent", d.parent.name, metrics.Seconds(now-d.parent.answeredAt)))
+		silence := metrics.Seconds(now - d.parent.answeredAt)
+		samples = append(samples, metrics.About("parent_silence_seconds", "parent", d.parent.name, silence))
 	}
 	return samples
 }
--- a/internal/distribution/parent.go
+++ b/internal/distribution/parent.go
@@ -129,7 +129,7 @@
 		d.selection.resetStaleGrace(env.Random)
 	}
 	if health.silent {
-		d.selection.noteSilent(env.Now, d.parent.name)
+		d.selection.markSilent(env.Now, d.parent.name)
 	}
 	if health.silent && unresponsive {
 		d.selection.unanswered++
--- a/internal/distribution/parent_selection.go
+++ b/internal/distribution/parent_selection.go
@@ -212,8 +212,8 @@
 	p.staleGrace = interval*staleGraceIntervals + time.Duration(random.Int64N(int64(interval)))
 }
 
-// noteSilent notes that a member does not answer requests.
-func (p *parentSelection) noteSilent(now time.Duration, name string) {
+// markSilent records that a member does not answer requests.
+func (p *parentSelection) markSilent(now time.Duration, name string) {
 	p.silent[name] = now + p.settings.Reparent()*backOffReparents
 }
 
--- a/internal/distribution/requests_test.go
+++ b/internal/distribution/requests_test.go
@@ -1,4 +1,3 @@
-// Answers that take longer than a node waits for them.
 package distribution
 
 import (
@@ -7,7 +6,6 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"beaconvane/internal/delta"
 	"beaconvane/internal/message"
 	"beaconvane/internal/statemachine"
 )
@@ -15,36 +13,33 @@
 // slowAnswers plays a node whose parents answer after a while each, and says whether it has
 // the configuration current in time.
 func slowAnswers(c *qt.C, seed uint64, slow, limit time.Duration) (current bool) {
-	l := newTestTree(c, seed, "near", "far")
+	tree := newTestTree(c, seed, "near", "far")
 	type answer struct {
 		at       time.Duration
 		response message.UpdatesResponse
 	}
 	due := []answer{}
-	body := []byte("a configuration")
-	packed := delta.Encode(nil, body)
-	for end := l.s.Now + limit; l.s.Now < end && !current; l.s.Now += l.settings.TickEvery() {
-		l.distribution.Tick(l.s)
-		for len(due) > 0 && due[0].at <= l.s.Now {
-			l.distribution.Handle(l.s, due[0].response.Parent, due[0].response)
+	for end := tree.env.Now + limit; tree.env.Now < end && !current; tree.env.Now += tree.settings.TickEvery() {
+		tree.distribution.Tick(tree.env)
+		for len(due) > 0 && due[0].at <= tree.env.Now {
+			tree.distribution.Handle(tree.env, due[0].response.Parent, due[0].response)
 			due = due[1:]
 		}
-		for _, effect := range l.s.Drain() {
+		for _, effect := range tree.env.Drain() {
 			sent, _ := effect.(statemachine.Send)
 			request, isRequest := sent.Message.(message.UpdatesRequest)
 			if !isRequest {
 				continue
 			}
-			due = append(due, answer{l.s.Now + slow, message.UpdatesResponse{Round: request.Round, Parent: sent.To, Path: []string{sent.To}, Try: []string{},
-				Items: []message.UpdateItem{{Mark: configurationMark(ConfigurationTopic("main"), 2, body), Known: true, Snapshot: true, Body: packed, Total: int64(len(packed))}}}})
+			due = append(due, answer{tree.env.Now + slow, testResponse(request.Round, []string{sent.To}, configurationItem(2))})
 		}
-		_, current = l.distribution.FreshAt(ConfigurationTopic("main"))
+		_, current = tree.distribution.FreshAt(ConfigurationTopic("main"))
 	}
 	return current
 }
 
-// Every answer comes later than the first patience of a node: it has the configuration all
-// the same, as soon as the first answer is there.
+// Every answer comes later than a new parent is waited for at first: the node has the configuration
+// all the same, as soon as the first answer is there.
 func TestLateAnswersAreTaken(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
@@ -54,34 +49,33 @@
 	}
 }
 
-// The patience with a new parent grows with each that never answered, and is back at once
-// when one answers.
-func TestPatienceGrowsWithFruitlessParents(t *testing.T) {
+// A new parent is waited for longer with each that never answered.
+func TestFirstAnswerLimitGrowsWithUnansweredParents(t *testing.T) {
 	c := qt.New(t)
-	l := newTestTree(c, 1, "near", "far")
-	first := l.distribution.selection.firstAnswerLimit()
-	c.Assert(first, qt.Equals, l.settings.UpdatesEvery())
-	l.distribution.selection.unanswered = constantAnswerLimits
-	c.Assert(l.distribution.selection.firstAnswerLimit(), qt.Equals, first)
-	l.distribution.selection.unanswered = constantAnswerLimits + 2
-	c.Assert(l.distribution.selection.firstAnswerLimit(), qt.Equals, first*4)
-	l.distribution.selection.unanswered = 100
-	c.Assert(l.distribution.selection.firstAnswerLimit(), qt.Equals, l.settings.Reparent())
+	tree := newTestTree(c, 1, "near", "far")
+	first := tree.distribution.selection.firstAnswerLimit()
+	c.Assert(first, qt.Equals, tree.settings.UpdatesEvery())
+	tree.distribution.selection.unanswered = constantAnswerLimits
+	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, first)
+	tree.distribution.selection.unanswered = constantAnswerLimits + 2
+	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, first*4)
+	tree.distribution.selection.unanswered = 100
+	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, tree.settings.Reparent())
 }
 
-// A node that was held up itself, right after it asked a new parent, does not leave that one:
-// the answer waits for it.
-func TestOwnLatenessIsNoSilenceOfTheParent(t *testing.T) {
+// A node that was held up itself, right after it asked a new parent, does not leave that one: the
+// answer may be waiting for it.
+func TestOwnDelayIsNotCountedAgainstTheParent(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
-		l := newTestTree(c, seed, "near", "far")
-		l.distribution.Tick(l.s)
-		l.s.Drain()
-		asked, _, moves := l.distribution.Parent()
+		tree := newTestTree(c, seed, "near", "far")
+		tree.distribution.Tick(tree.env)
+		tree.env.Drain()
+		asked, _, moves := tree.distribution.Parent()
 		c.Assert(asked, qt.Not(qt.Equals), "")
-		l.s.Now += l.settings.UpdatesEvery() * 3
-		l.distribution.Tick(l.s)
-		parent, _, later := l.distribution.Parent()
+		tree.env.Now += tree.settings.UpdatesEvery() * 3
+		tree.distribution.Tick(tree.env)
+		parent, _, later := tree.distribution.Parent()
 		c.Assert(parent, qt.Equals, asked, qt.Commentf("seed %d", seed))
 		c.Assert(later, qt.Equals, moves)
 	}
--- a/internal/distribution/response.go
+++ b/internal/distribution/response.go
@@ -34,7 +34,7 @@
 		d.acceptAnswer(env, response)
 	}
 	for _, item := range response.Items {
-		d.noteParentHas(item.Mark)
+		d.resolveMissing(item.Mark)
 		d.apply(env, item, sentAt, isAnswer)
 	}
 }
@@ -52,7 +52,7 @@
 		d.selection.unanswered = 0
 	}
 	for _, item := range response.Items {
-		if !item.Snapshot || isWhole(item) {
+		if !item.Snapshot || isComplete(item) {
 			d.apply(env, item, request.sentAt, isAnswer)
 		}
 	}
--- a/internal/distribution/roster_slice.go
+++ b/internal/distribution/roster_slice.go
@@ -25,13 +25,13 @@
 }
 
 // Append makes the next change in an epoch, applies it and returns it.
-func (s *RosterSlice) Append(epoch int64, registration message.Registration, gone bool, cause string) message.RosterChange {
+func (s *RosterSlice) Append(epoch int64, registration message.Registration, removed bool, cause string) message.RosterChange {
 	if epoch != s.Mark.Epoch {
 		s.StartEpoch(epoch)
 	}
-	s.set(registration, gone)
+	s.set(registration, removed)
 	s.Mark.Seq++
-	change := message.RosterChange{Mark: s.Mark, Registration: registration, Gone: gone, Cause: cause}
+	change := message.RosterChange{Mark: s.Mark, Registration: registration, Gone: removed, Cause: cause}
 	s.keep(change)
 	return change
 }
@@ -89,13 +89,13 @@
 }
 
 // set adds, replaces or removes a registration, and updates the count and the digest.
-func (s *RosterSlice) set(registration message.Registration, gone bool) {
+func (s *RosterSlice) set(registration message.Registration, removed bool) {
 	key := registration.Key()
-	if old, held := s.Registrations[key]; held {
+	if old, found := s.Registrations[key]; found {
 		s.Mark.Hash -= digest(old)
 		delete(s.Registrations, key)
 	}
-	if !gone {
+	if !removed {
 		s.Mark.Hash += digest(registration)
 		s.Registrations[key] = registration
 	}
--- a/internal/distribution/subscribers.go
+++ b/internal/distribution/subscribers.go
@@ -202,7 +202,7 @@
 		}
 		path := d.parent.pathTo(d.membership.Self().Name)
 		d.send(env, child.address, pushRound, path, []message.UpdateItem{item})
-		if !item.Snapshot || isWhole(item) {
+		if !item.Snapshot || isComplete(item) {
 			child.marks[topic] = item.Mark
 		}
 	}
--- a/internal/distribution/update_item.go
+++ b/internal/distribution/update_item.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// isWhole reports whether an item holds the whole body of a snapshot, not a part.
-func isWhole(item message.UpdateItem) bool {
+// isComplete reports whether an item holds the whole body of a snapshot, not a part.
+func isComplete(item message.UpdateItem) bool {
 	return item.Offset == 0 && item.Total == int64(len(item.Body))
 }
