--- a/internal/proxy/change_test.go
+++ b/internal/proxy/configuration_change_test.go
@@ -1,4 +1,3 @@
-// What a change of a large configuration costs a proxy's control thread.
 package proxy
 
 import (
@@ -16,6 +15,10 @@
 // manyRoutes is about what a large site's configuration holds.
 const manyRoutes = 1400
 
+// routeFormat is a route of a configuration, and the comma behind it.
+const routeFormat = `{"name":"r-%d","host":"host%d.example","prefix":"/path%d/","kind":"repeatable","service":"quoter",` +
+	`"timeout_ms":%d},`
+
 func largeConfiguration(version int) []byte {
 	text := strings.Builder{}
 	fmt.Fprintf(&text, `{"version":%d,"services":["quoter"],"routes":[`, version)
@@ -24,13 +27,13 @@
 		if number == version%manyRoutes {
 			timeout += version
 		}
-		fmt.Fprintf(&text, `{"name":"r-%d","host":"host%d.example","prefix":"/path%d/","kind":"repeatable","service":"quoter","timeout_ms":%d},`, number, number%9, number, timeout)
+		fmt.Fprintf(&text, routeFormat, number, number%9, number, timeout)
 	}
 	return []byte(strings.TrimSuffix(text.String(), ",") + "]}")
 }
 
-// A proxy that follows changes of one route each does not read the other routes again: when
-// hundreds of changes come, its control thread has to renew, answer probes and follow on.
+// A proxy that follows changes of one route each does not parse the other routes again: when hundreds
+// of changes come, its control goroutine still has to send heartbeats and answer probes.
 func TestAChangeOfOneRouteIsNoWholeParse(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
@@ -50,5 +53,5 @@
 	writing := testing.AllocsPerRun(20, func() { largeConfiguration(version) })
 	allocations := testing.AllocsPerRun(20, changes) - writing
 	c.Assert(allocations < manyRoutes, qt.IsTrue, qt.Commentf("%.0f allocations for one changed route of %d", allocations, manyRoutes))
-	c.Assert(m.configurations[configName].Version, qt.Equals, int64(version))
+	c.Assert(m.configurations[configName].latest.Version, qt.Equals, int64(version))
 }
--- /dev/null
+++ b/internal/proxy/heartbeat.go
@@ -0,0 +1,44 @@
+package proxy
+
+import (
+	"beaconvane/internal/message"
+	"beaconvane/internal/statemachine"
+)
+
+// sendHeartbeat sends what is known of the upstreams beside this proxy to every registry.
+func (m *Machine) sendHeartbeat(env *statemachine.Env) {
+	batch := message.HeartbeatBatch{
+		Proxy:      m.membership.Self().Name,
+		Birth:      m.birth,
+		Ready:      m.published.Ready(env.Now, m.settings.StaleReady()),
+		Heartbeats: m.upstreams.heartbeats(env.Now),
+		Ends:       m.upstreams.recentSignOffs(env.Now),
+		Marks:      m.distribution.Marks(),
+		Path:       []string{},
+		Window:     int64(env.Wall / m.settings.UsageWindow()),
+	}
+	if _, path, _ := m.distribution.Parent(); path != nil {
+		batch.Path = path
+	}
+	for _, registry := range m.membership.Lately(message.RoleRegistry, env.Now) {
+		env.Send(registry.Address, batch)
+	}
+}
+
+// handleAnnounced takes an accepted announcement. A change is told to the registries at once.
+func (m *Machine) handleAnnounced(env *statemachine.Env, registration message.Registration) {
+	self := m.membership.Self()
+	registration.ServingProxy = self.Name
+	registration.ServingProxyAddress = self.Address
+	registration.ServingProxyBirth = m.birth
+	if m.upstreams.announce(env.Now, registration) {
+		m.nextHeartbeat = env.Now
+	}
+}
+
+// handleProbed takes the result of a probe. A change is told to the registries at once.
+func (m *Machine) handleProbed(env *statemachine.Env, result Probed) {
+	if m.upstreams.recordProbe(result) {
+		m.nextHeartbeat = env.Now
+	}
+}
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -5,11 +5,14 @@
 	"beaconvane/internal/statemachine"
 )
 
-// metrics are the control machine's figures for the metrics page.
+// metrics returns the control machine's figures for the metrics page.
 func (m *Machine) metrics(env *statemachine.Env) []metrics.Sample {
 	samples := append(m.distribution.Metrics(env.Now), m.membership.Metrics()...)
-	for configName, version := range m.inForce {
-		samples = append(samples, metrics.About("configuration_in_force", "configuration", configName, float64(version)))
+	for configName, state := range m.configurations {
+		if state.inForce == 0 {
+			continue
+		}
+		samples = append(samples, metrics.About("configuration_in_force", "configuration", configName, float64(state.inForce)))
 	}
 	return samples
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,7 +1,7 @@
-// Package proxy is the proxy's control machine: it keeps the membership, takes the updates of
-// configurations and slices, tells the registries of the upstreams beside it, and hands the traffic
-// side an immutable snapshot after every change. Traffic itself is in packages frontend (the caller's
-// side) and backend (the upstream's side).
+// Package proxy is the proxy's control machine. It keeps the membership, receives configurations and
+// rosters through the relay tree, tells the registries of the upstreams beside it and of their usage,
+// and hands the traffic side an immutable Snapshot after every change. Traffic itself is in packages
+// frontend (the caller's side) and backend (the upstream's side).
 package proxy
 
 import (
@@ -16,30 +16,40 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Machine is the proxy's control state; it implements statemachine.Machine and keeps nothing on disk.
+// Machine is the proxy's control state. It implements statemachine.Machine and keeps nothing on disk.
 type Machine struct {
 	settings       settings.Settings
 	membership     *membership.Membership
 	distribution   *distribution.Distribution
-	locals         map[string]*local  // by key of the registration
-	ends           map[string]signOff // by key of the registration
-	configurations map[string]*routeconfig.Configuration
-	begun          map[string]bool  // configurations that were known current in this life
-	inForce        map[string]int64 // versions that were published, by configuration
+	birth          int64                          // of this life, whatever the membership makes of it
+	configurations map[string]*configurationState // by name; those that were received
+	upstreams      localUpstreams
 	usage          usageSender
-	sealed         map[string]int64 // windows below this are sealed, as each registry says
-	heartbeatAt    time.Duration    // when the next heartbeat is due
-	snapshotAt     time.Duration    // when the next snapshot is due
+	sealed         map[string]int64 // the window below which each registry says that usage is sealed
+	published      *Snapshot        // the last one; nil before the first
+	nextHeartbeat  time.Duration
+	nextSnapshot   time.Duration
 	stopping       bool
-	published      *Snapshot
-	birth          int64 // of this life, whatever the membership makes of it
 }
 
-// New makes the machine; a proxy keeps nothing on disk.
+// configurationState is a configuration that was received.
+type configurationState struct {
+	latest    *routeconfig.Configuration
+	confirmed bool  // it was known current at some time in this life
+	inForce   int64 // the version that was published last; 0 before
+}
+
+// New returns the control machine of a proxy.
 func New(cfg settings.Settings, self message.Member) *Machine {
-	m := &Machine{settings: cfg, locals: map[string]*local{}, ends: map[string]signOff{}, configurations: map[string]*routeconfig.Configuration{}, begun: map[string]bool{}, inForce: map[string]int64{}, sealed: map[string]int64{}, birth: self.Birth}
+	m := &Machine{
+		settings:       cfg,
+		birth:          self.Birth,
+		configurations: map[string]*configurationState{},
+		upstreams:      newLocalUpstreams(cfg),
+		sealed:         map[string]int64{},
+	}
 	m.membership = membership.New(cfg, self, nil)
-	m.distribution = distribution.New(cfg, m.membership, m.changed)
+	m.distribution = distribution.New(cfg, m.membership, m.onTopicChange)
 	for _, configName := range cfg.ConfigNames {
 		m.distribution.Subscribe(distribution.ConfigurationTopic(configName))
 	}
@@ -49,45 +59,19 @@
 	return m
 }
 
-// changed takes a configuration or a slice that has changed.
-func (m *Machine) changed(env *statemachine.Env, topic string) {
-	for _, configName := range m.settings.ConfigNames {
-		if distribution.ConfigurationTopic(configName) != topic {
-			continue
-		}
-		if version, body, known := m.distribution.Configuration(configName); known {
-			m.configurations[configName] = m.configurations[configName].Next(configName, version, body, m.settings.ConfigurationLimits())
-			m.heartbeatAt = env.Now
-		}
-	}
-	m.snapshotAt = env.Now
-}
-
-// Tick advances membership, updates, heartbeats and snapshots.
+// Tick advances membership and updates, and sends what is due.
 func (m *Machine) Tick(env *statemachine.Env) {
 	m.membership.Tick(env)
 	m.distribution.Tick(env)
 	m.sendDue(env)
 }
 
-// sendDue sends heartbeats and publishes snapshots, where their time has come.
-func (m *Machine) sendDue(env *statemachine.Env) {
-	if env.Now >= m.heartbeatAt {
-		m.heartbeatAt = env.Now + m.settings.HeartbeatEvery()
-		m.heartbeat(env)
-	}
-	if env.Now >= m.snapshotAt {
-		m.snapshotAt = env.Now + m.settings.UpdatesEvery()
-		m.publish(env)
-	}
-}
-
 // Handle takes a message from another process.
 func (m *Machine) Handle(env *statemachine.Env, from string, received any) {
 	if !m.membership.Handle(env, from, received) && !m.distribution.Handle(env, from, received) {
 		switch received := received.(type) {
 		case message.ProbeRequest:
-			m.handleProbeRequest(env, received)
+			m.upstreams.probe(env, received)
 		case message.HeartbeatResponse:
 			m.sealed[received.Registry] = received.Sealed
 			m.distribution.HandleNewerMarks(env, received.Registry, received.Newer)
@@ -96,15 +80,16 @@
 	m.sendDue(env)
 }
 
-// Asked takes a question or a notice from the process.
+// Asked takes a notice or a query from the process.
 func (m *Machine) Asked(env *statemachine.Env, requestID int64, question any) {
 	switch asked := question.(type) {
 	case Announced:
-		m.announced(env, asked.Registration)
+		m.handleAnnounced(env, asked.Registration)
 	case SignedOff:
-		m.signedOff(env, asked)
+		m.upstreams.signOff(env.Now, asked)
+		m.nextHeartbeat = env.Now
 	case Probed:
-		m.probed(env, asked)
+		m.handleProbed(env, asked)
 	case UsageCounted:
 		m.sendUsage(env, asked)
 	case statemachine.Reseeded:
@@ -125,5 +110,42 @@
 	m.sendDue(env)
 }
 
-// Synced is never called: nothing is written.
+// Synced is never called, since nothing is written.
 func (m *Machine) Synced(*statemachine.Env, int64, error) {}
+
+// onTopicChange takes a configuration or a slice whose content has changed.
+func (m *Machine) onTopicChange(env *statemachine.Env, topic string) {
+	for _, configName := range m.settings.ConfigNames {
+		if distribution.ConfigurationTopic(configName) != topic {
+			continue
+		}
+		if version, body, known := m.distribution.Configuration(configName); known {
+			m.readConfiguration(configName, version, body)
+			m.nextHeartbeat = env.Now
+		}
+	}
+	m.nextSnapshot = env.Now
+}
+
+// readConfiguration parses a version of a configuration. Routes that did not change since the version
+// before are not parsed again.
+func (m *Machine) readConfiguration(configName string, version int64, body []byte) {
+	state, received := m.configurations[configName]
+	if !received {
+		state = &configurationState{}
+		m.configurations[configName] = state
+	}
+	state.latest = state.latest.Next(configName, version, body, m.settings.ConfigurationLimits())
+}
+
+// sendDue sends a heartbeat and publishes a snapshot, where their times have come.
+func (m *Machine) sendDue(env *statemachine.Env) {
+	if env.Now >= m.nextHeartbeat {
+		m.nextHeartbeat = env.Now + m.settings.HeartbeatEvery()
+		m.sendHeartbeat(env)
+	}
+	if env.Now >= m.nextSnapshot {
+		m.nextSnapshot = env.Now + m.settings.UpdatesEvery()
+		m.publish(env)
+	}
+}
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -10,22 +10,28 @@
 )
 
 // Snapshot is what traffic sees of the control state. It is never changed after it was published.
+// Instants are by the process clock.
 type Snapshot struct {
 	Configurations        []*routeconfig.Configuration
-	Upstreams             map[string][]message.Registration // by service
-	ProxyCount            int                               // in the fleet, this one included
-	ConfigurationsFreshAt time.Duration                     // when all configurations were last known current
-	ConfigurationsKnown   bool                              // every configuration is here
-	RosterFreshAt         time.Duration                     // when all slices were last known current
-	RosterKnown           bool                              // every slice is here
-	Joined                bool                              // any other node is known
-	Stopping              bool
+	ConfigurationsKnown   bool          // every configuration is here
+	ConfigurationsFreshAt time.Duration // when all configurations were last known current
+
+	Upstreams     map[string][]message.Registration // by service
+	RosterKnown   bool                              // every slice is here
+	RosterFreshAt time.Duration                     // when all slices were last known current
+
+	ProxyCount int  // proxies in the fleet, this one included
+	Joined     bool // any other node is known
+	Stopping   bool
 }
 
-// Ready reports whether this node should get traffic; staleAfter is the age past which its
-// configurations or roster are too old.
-func (v *Snapshot) Ready(now time.Duration, staleAfter time.Duration) bool {
-	return v != nil && v.Joined && !v.Stopping && v.ConfigurationsKnown && v.RosterKnown && now-v.ConfigurationsFreshAt <= staleAfter && now-v.RosterFreshAt <= staleAfter
+// Ready reports whether this node should get traffic. staleAfter is the age past which its
+// configurations or roster are too old. The snapshot may be nil, which is not ready.
+func (s *Snapshot) Ready(now time.Duration, staleAfter time.Duration) bool {
+	if s == nil || !s.Joined || s.Stopping || !s.ConfigurationsKnown || !s.RosterKnown {
+		return false
+	}
+	return now-s.ConfigurationsFreshAt <= staleAfter && now-s.RosterFreshAt <= staleAfter
 }
 
 // publish hands the traffic side a snapshot; heartbeats tell the readiness of the last one published.
@@ -37,14 +43,14 @@
 // snapshot returns the control state as traffic is to see it.
 func (m *Machine) snapshot(env *statemachine.Env) *Snapshot {
 	snapshot := &Snapshot{
-		Upstreams:             map[string][]message.Registration{},
 		ConfigurationsKnown:   true,
+		ConfigurationsFreshAt: env.Now,
+		Upstreams:             map[string][]message.Registration{},
 		RosterKnown:           true,
+		RosterFreshAt:         env.Now,
+		ProxyCount:            m.proxyCount(),
 		Joined:                m.membership.Joined(),
 		Stopping:              m.stopping,
-		ProxyCount:            m.proxies(),
-		ConfigurationsFreshAt: env.Now,
-		RosterFreshAt:         env.Now,
 	}
 	for _, configName := range m.settings.ConfigNames {
 		m.addConfiguration(env, snapshot, configName)
@@ -55,24 +61,24 @@
 	return snapshot
 }
 
-// addConfiguration adds a configuration that may be applied. A life begins only with a configuration
-// that was known current: an old one from a relay that is cut off may be behind what the life before
-// had in force.
+// addConfiguration adds a configuration, if it may be applied. In each life of the process it must
+// first have been known current: an old one from a relay that is cut off may be behind what the life
+// before had in force.
 func (m *Machine) addConfiguration(env *statemachine.Env, snapshot *Snapshot, configName string) {
-	configuration, held := m.configurations[configName]
+	state, received := m.configurations[configName]
 	freshAt, fresh := m.distribution.FreshAt(distribution.ConfigurationTopic(configName))
-	if held && fresh && env.Now-freshAt <= m.settings.Reparent() {
-		m.begun[configName] = true
+	if received && fresh && env.Now-freshAt <= m.settings.Reparent() {
+		state.confirmed = true
 	}
-	if !held || !m.begun[configName] {
+	if !received || !state.confirmed {
 		snapshot.ConfigurationsKnown = false
 		return
 	}
-	if m.inForce[configName] != configuration.Version {
-		m.inForce[configName] = configuration.Version
-		env.Event("configuration-in-force", 0, configuration.Version, configName)
+	if version := state.latest.Version; state.inForce != version {
+		state.inForce = version
+		env.Event("configuration-in-force", 0, version, configName)
 	}
-	snapshot.Configurations = append(snapshot.Configurations, configuration)
+	snapshot.Configurations = append(snapshot.Configurations, state.latest)
 	snapshot.ConfigurationsFreshAt = min(snapshot.ConfigurationsFreshAt, freshAt)
 }
 
@@ -101,9 +107,9 @@
 	return known && servingProxy.State >= message.Dead && servingProxy.Birth >= registration.ServingProxyBirth
 }
 
-// proxies returns how many proxies there are, with those that seem lost: behind a cut each side still
-// shares the fleet's allowance of retries with the other.
-func (m *Machine) proxies() int {
+// proxyCount returns how many proxies there are, with those that seem lost: in a partition each side
+// still shares the fleet's allowance of retries with the other.
+func (m *Machine) proxyCount() int {
 	count := 0
 	for _, member := range m.membership.All() {
 		if member.Role == message.RoleProxy && member.State != message.Left {
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Status is the answer to ReadStatus: what the control machine knows, for the counters.
+// Status is the answer to ReadStatus: what the control machine knows. The counters page shows it.
 type Status struct {
 	AgesMS         map[string]int64 `json:"ages_ms"`        // milliseconds since each topic was known current
 	Configurations map[string]int64 `json:"configurations"` // version by configuration
@@ -19,8 +19,8 @@
 			status.AgesMS[mark.Topic] = age.Milliseconds()
 		}
 	}
-	for configName, configuration := range m.configurations {
-		status.Configurations[configName] = configuration.Version
+	for configName, state := range m.configurations {
+		status.Configurations[configName] = state.latest.Version
 	}
 	status.Parent, status.Path, status.Moves = m.distribution.Parent()
 	status.Members = len(m.membership.Alive("")) + 1
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -6,124 +6,125 @@
 	"time"
 
 	"beaconvane/internal/message"
+	"beaconvane/internal/settings"
 	"beaconvane/internal/statemachine"
 )
 
-// keptBounds is for how many heartbeat bounds a silent upstream, or one that ended, is still told of.
-const keptBounds = 2
+// retainedBounds is for how many heartbeat bounds the registries are still told of an upstream that
+// is silent or has ended.
+const retainedBounds = 2
 
-// local is an upstream beside this proxy.
-type local struct {
+// localUpstreams is the upstreams that announce themselves to this proxy, by keys of registrations.
+type localUpstreams struct {
+	settings settings.Settings
+	running  map[string]*localUpstream
+	ended    map[string]endedUpstream
+}
+
+// localUpstream is an upstream that has announced itself and has not ended.
+type localUpstream struct {
 	registration message.Registration
-	announcedAt  time.Duration
-	probed       int64 // message.NotProbed, ProbeAnswered or ProbeRefused
+	announcedAt  time.Duration // last
+	probed       int64         // message.NotProbed, ProbeAnswered or ProbeRefused
 }
 
-// signOff is an end that is repeated to the registries for a while.
-type signOff struct {
-	end message.SignOff
-	at  time.Duration
+// endedUpstream is the end of an upstream, which the registries are told repeatedly for a while.
+type endedUpstream struct {
+	signOff message.SignOff
+	at      time.Duration
 }
 
-// heartbeat sends what is known of the upstreams beside this proxy to every registry.
-func (m *Machine) heartbeat(env *statemachine.Env) {
-	batch := message.HeartbeatBatch{
-		Proxy:      m.membership.Self().Name,
-		Birth:      m.birth,
-		Ready:      m.published.Ready(env.Now, m.settings.StaleReady()),
-		Heartbeats: m.heartbeats(env),
-		Ends:       m.recentEnds(env),
-		Marks:      m.distribution.Marks(),
-		Path:       []string{},
-		Window:     int64(env.Wall / m.settings.UsageWindow()),
-	}
-	if _, path, _ := m.distribution.Parent(); path != nil {
-		batch.Path = path
+func newLocalUpstreams(cfg settings.Settings) localUpstreams {
+	return localUpstreams{settings: cfg, running: map[string]*localUpstream{}, ended: map[string]endedUpstream{}}
+}
+
+// announce takes an accepted announcement, and reports whether anything but its time changed. The
+// result of a probe stays with an incarnation at its address.
+func (u *localUpstreams) announce(now time.Duration, registration message.Registration) bool {
+	key := registration.Key()
+	upstream, known := u.running[key]
+	if known && upstream.registration == registration {
+		upstream.announcedAt = now
+		return false
 	}
-	for _, registryNode := range m.membership.Lately(message.RoleRegistry, env.Now) {
-		env.Send(registryNode.Address, batch)
+	probed := message.NotProbed
+	if known && upstream.registration.Incarnation == registration.Incarnation && upstream.registration.Address == registration.Address {
+		probed = upstream.probed
 	}
+	u.running[key] = &localUpstream{registration, now, probed}
+	return true
 }
 
-// heartbeats returns a heartbeat for each upstream, and forgets those that have been silent for long.
-func (m *Machine) heartbeats(env *statemachine.Env) []message.Heartbeat {
-	heartbeats := []message.Heartbeat{}
-	for _, key := range slices.Sorted(maps.Keys(m.locals)) {
-		held := m.locals[key]
-		age := env.Now - held.announcedAt
-		if age > m.settings.HeartbeatBound()*keptBounds {
-			delete(m.locals, key)
-			continue
-		}
-		heartbeats = append(heartbeats, message.Heartbeat{Registration: held.registration, Age: int64(age), Probed: held.probed})
+// signOff takes the end of an incarnation.
+func (u *localUpstreams) signOff(now time.Duration, notice SignedOff) {
+	key := upstreamKey(notice.Service, notice.Instance)
+	signOff := message.SignOff{Service: notice.Service, Instance: notice.Instance, Incarnation: notice.Incarnation}
+	u.ended[key] = endedUpstream{signOff, now}
+	if upstream, known := u.running[key]; known && upstream.registration.Incarnation <= notice.Incarnation {
+		delete(u.running, key)
 	}
-	return heartbeats
 }
 
-// recentEnds returns the ends of upstreams that are still repeated, and forgets older ones.
-func (m *Machine) recentEnds(env *statemachine.Env) []message.SignOff {
-	ends := []message.SignOff{}
-	for _, key := range slices.Sorted(maps.Keys(m.ends)) {
-		if env.Now-m.ends[key].at > m.settings.HeartbeatBound()*keptBounds {
-			delete(m.ends, key)
-			continue
-		}
-		ends = append(ends, m.ends[key].end)
+// recordProbe takes the result of a probe, and reports whether it differs from the one before.
+func (u *localUpstreams) recordProbe(result Probed) bool {
+	upstream, known := u.running[result.Key]
+	if !known || upstream.registration.Incarnation != result.Incarnation {
+		return false
+	}
+	before := upstream.probed
+	upstream.probed = message.ProbeRefused
+	if result.Answered {
+		upstream.probed = message.ProbeAnswered
 	}
-	return ends
+	return upstream.probed != before
 }
 
-// announced takes an accepted announcement; what changes is told to the registries at once.
-func (m *Machine) announced(env *statemachine.Env, registration message.Registration) {
-	self := m.membership.Self()
-	registration.ServingProxy = self.Name
-	registration.ServingProxyAddress = self.Address
-	registration.ServingProxyBirth = m.birth
-	key := registration.Key()
-	held, known := m.locals[key]
-	if known && held.registration == registration {
-		held.announcedAt = env.Now
+// probe probes an upstream for a registry, if it announced itself here lately.
+func (u *localUpstreams) probe(env *statemachine.Env, request message.ProbeRequest) {
+	key := upstreamKey(request.Service, request.Instance)
+	upstream, known := u.running[key]
+	if !known || upstream.registration.Incarnation != request.Incarnation {
 		return
 	}
-	probed := message.NotProbed
-	if known && held.registration.Incarnation == registration.Incarnation && held.registration.Address == registration.Address {
-		probed = held.probed
+	if env.Now-upstream.announcedAt < u.settings.HeartbeatBound() {
+		env.Probe(upstream.registration.Address, key, request.Incarnation)
 	}
-	m.locals[key] = &local{registration, env.Now, probed}
-	m.heartbeatAt = env.Now
 }
 
-// signedOff takes the end of an incarnation, and tells the registries at once.
-func (m *Machine) signedOff(env *statemachine.Env, ended SignedOff) {
-	key := ended.Service + "/" + ended.Instance
-	m.ends[key] = signOff{message.SignOff{Service: ended.Service, Instance: ended.Instance, Incarnation: ended.Incarnation}, env.Now}
-	if held, known := m.locals[key]; known && held.registration.Incarnation <= ended.Incarnation {
-		delete(m.locals, key)
+// heartbeats returns a heartbeat for each upstream, and forgets those that have been silent for long.
+func (u *localUpstreams) heartbeats(now time.Duration) []message.Heartbeat {
+	heartbeats := []message.Heartbeat{}
+	for _, key := range slices.Sorted(maps.Keys(u.running)) {
+		upstream := u.running[key]
+		age := now - upstream.announcedAt
+		if age > u.retention() {
+			delete(u.running, key)
+			continue
+		}
+		heartbeat := message.Heartbeat{Registration: upstream.registration, Age: int64(age), Probed: upstream.probed}
+		heartbeats = append(heartbeats, heartbeat)
 	}
-	m.heartbeatAt = env.Now
+	return heartbeats
 }
 
-// probed takes the result of a probe; a changed one is told to the registries at once.
-func (m *Machine) probed(env *statemachine.Env, result Probed) {
-	held, known := m.locals[result.Key]
-	if !known || held.registration.Incarnation != result.Incarnation {
-		return
-	}
-	before := held.probed
-	held.probed = message.ProbeRefused
-	if result.Answered {
-		held.probed = message.ProbeAnswered
-	}
-	if held.probed != before {
-		m.heartbeatAt = env.Now
+// recentSignOffs returns the ends that are still repeated, and forgets older ones.
+func (u *localUpstreams) recentSignOffs(now time.Duration) []message.SignOff {
+	signOffs := []message.SignOff{}
+	for _, key := range slices.Sorted(maps.Keys(u.ended)) {
+		if now-u.ended[key].at > u.retention() {
+			delete(u.ended, key)
+			continue
+		}
+		signOffs = append(signOffs, u.ended[key].signOff)
 	}
+	return signOffs
 }
 
-// handleProbeRequest probes an upstream that announced itself here lately.
-func (m *Machine) handleProbeRequest(env *statemachine.Env, request message.ProbeRequest) {
-	key := request.Service + "/" + request.Instance
-	held, known := m.locals[key]
-	if known && held.registration.Incarnation == request.Incarnation && env.Now-held.announcedAt < m.settings.HeartbeatBound() {
-		env.Probe(held.registration.Address, key, request.Incarnation)
-	}
+func (u *localUpstreams) retention() time.Duration {
+	return u.settings.HeartbeatBound() * retainedBounds
+}
+
+// upstreamKey returns the key of the registrations of an instance.
+func upstreamKey(service, instance string) string {
+	return message.Registration{Service: service, Instance: instance}.Key()
 }
--- a/internal/proxy/usage.go
+++ b/internal/proxy/usage.go
@@ -1,7 +1,3 @@
-// This file tells the registries how many requests the upstreams beside this proxy have
-// begun. Most of the time only the running window changes, and only that one is sent: the
-// windows that are over are repeated at a slower rhythm until they are sealed.
-
 package proxy
 
 import (
@@ -12,60 +8,64 @@
 	"beaconvane/internal/statemachine"
 )
 
-// usageRepeatHeartbeats is how many rounds of heartbeats lie between two updates that
-// hold every window, where no window that is over has changed.
-const usageRepeatHeartbeats = 2
+// fullUpdateHeartbeats is how many heartbeat intervals lie between two updates that hold every window,
+// where no closed window has changed.
+const fullUpdateHeartbeats = 2
 
-// usageSender is what was sent last.
+// usageSender is what was last sent of the requests that the upstreams beside this proxy have begun.
+// Most of the time only the running window changes, and only that one is sent. Closed windows are
+// repeated in full updates, at a slower rhythm, until they are sealed.
 type usageSender struct {
-	number  int64                // of the last update, in this life
-	closed  int64                // windows below it were over in the last whole update
-	over    []message.UsageCount // those windows, as they were sent
-	running []message.UsageCount
-	wholeAt time.Duration // when the next whole update is due
+	number         int64                // of the last update, in this life
+	closedBelow    int64                // windows below it were closed in the last full update
+	closed         []message.UsageCount // those windows, as they were sent
+	running        []message.UsageCount // the other windows, as they were sent
+	nextFullUpdate time.Duration
 }
 
-// sendUsage sends the counts to the registries: all windows when a window that is over
-// has changed or the time has come, else the running one where that has changed.
+// sendUsage sends the counts to the registries: all windows where a closed window has changed or a full
+// update is due, else the running one where that has changed.
 func (m *Machine) sendUsage(env *statemachine.Env, counted UsageCounted) {
-	over, running := splitUsage(counted)
+	closed, running := splitUsage(counted)
 	sent := &m.usage
-	whole := counted.Closed != sent.closed || !reflect.DeepEqual(over, sent.over) || env.Now >= sent.wholeAt
-	if !whole && reflect.DeepEqual(running, sent.running) {
+	closedChanged := counted.Closed != sent.closedBelow || !reflect.DeepEqual(closed, sent.closed)
+	full := closedChanged || env.Now >= sent.nextFullUpdate
+	if !full && reflect.DeepEqual(running, sent.running) {
 		return
 	}
 	sent.number++
 	sent.running = running
 	update := message.UsageUpdate{Proxy: m.membership.Self().Name, Birth: m.birth, Number: sent.number, Counts: running}
-	if whole {
-		// Only what holds a window's last counts may say that the window is over.
-		update.Counts, update.Closed = append(append([]message.UsageCount{}, over...), running...), counted.Closed
-		sent.over, sent.closed = over, counted.Closed
-		sent.wholeAt = env.Now + usageRepeatHeartbeats*m.settings.HeartbeatEvery()
+	if full {
+		// Only what holds a window's last counts may say that the window is closed.
+		update.Counts = append(append([]message.UsageCount{}, closed...), running...)
+		update.Closed = counted.Closed
+		sent.closed, sent.closedBelow = closed, counted.Closed
+		sent.nextFullUpdate = env.Now + fullUpdateHeartbeats*m.settings.HeartbeatEvery()
 	}
-	for _, registryNode := range m.counters(env.Now) {
-		env.Send(registryNode.Address, update)
+	for _, registry := range m.usageRecipients(env.Now) {
+		env.Send(registry.Address, update)
 	}
 }
 
-// splitUsage parts the windows that are over from the running one.
-func splitUsage(counted UsageCounted) (over, running []message.UsageCount) {
-	over, running = []message.UsageCount{}, []message.UsageCount{}
+// splitUsage parts the closed windows from the running one.
+func splitUsage(counted UsageCounted) (closed, running []message.UsageCount) {
+	closed, running = []message.UsageCount{}, []message.UsageCount{}
 	for _, count := range counted.Usage {
 		if count.Window < counted.Closed {
-			over = append(over, count)
+			closed = append(closed, count)
 		} else {
 			running = append(running, count)
 		}
 	}
-	return over, running
+	return closed, running
 }
 
-// SealedBelow is the lowest window that some registry still has to seal.
+// SealedBelow returns the window below which all usage is sealed, as far as any registry has told.
 func (m *Machine) SealedBelow() int64 {
 	highest := int64(0)
-	for _, below := range m.sealed {
-		highest = max(highest, below)
+	for _, window := range m.sealed {
+		highest = max(highest, window)
 	}
 	return highest
 }
--- a/internal/proxy/usage_test.go
+++ b/internal/proxy/usage_test.go
@@ -1,4 +1,3 @@
-// What a proxy sends of its usage counts, and when.
 package proxy
 
 import (
@@ -14,28 +13,30 @@
 	"beaconvane/internal/statemachine"
 )
 
-// counting is a proxy among registries.
-type counting struct {
+// countingProxy is a proxy among registries.
+type countingProxy struct {
 	c       *qt.C
 	machine *Machine
 	env     *statemachine.Env
 }
 
-func newCounting(c *qt.C) *counting {
+func newCountingProxy(c *qt.C) *countingProxy {
 	cfg := settings.Default()
 	cfg.Zone, cfg.Zones, cfg.Seeds, cfg.Counted = "z", []string{"z"}, []string{"10.0.0.1:1"}, settings.CountBegun
 	cfg.Voters = settings.VoterNames(5)
-	p := &counting{c: c, machine: New(cfg, message.Member{Name: "proxy/me", Role: message.RoleProxy, Zone: "z", Address: "me", Birth: 7}), env: statemachine.NewEnv(1)}
+	self := message.Member{Name: "proxy/me", Role: message.RoleProxy, Zone: "z", Address: "me", Birth: 7}
+	p := &countingProxy{c: c, machine: New(cfg, self), env: statemachine.NewEnv(1)}
 	for number := range 5 {
 		name := fmt.Sprintf("registry/%d", number)
-		p.machine.Handle(p.env, "", message.JoinResponse{From: message.Member{Name: name, Role: message.RoleRegistry, Zone: "z", Address: name, Birth: 1}})
+		registry := message.Member{Name: name, Role: message.RoleRegistry, Zone: "z", Address: name, Birth: 1}
+		p.machine.Handle(p.env, "", message.JoinResponse{From: registry})
 	}
 	p.env.Drain()
 	return p
 }
 
-// count hands counts over and gives the updates that the first registry is sent.
-func (p *counting) count(closed int64, usage ...message.UsageCount) []message.UsageUpdate {
+// count hands counts over and returns the updates that the first registry is sent.
+func (p *countingProxy) count(closed int64, usage ...message.UsageCount) []message.UsageUpdate {
 	p.machine.Asked(p.env, 0, UsageCounted{Usage: usage, Closed: closed})
 	updates := []message.UsageUpdate{}
 	for _, effect := range p.env.Drain() {
@@ -51,11 +52,11 @@
 	return message.UsageCount{Window: number, Counts: map[string]int64{"tenant": requests}, Open: map[string]int64{}}
 }
 
-// Between whole updates only the running window is sent, and nothing where it stands
-// still; what is over goes at once when it changes, and again after a while.
+// Between full updates only the running window is sent, and nothing where that has not changed. Closed
+// windows are sent at once when they change, and again after a while.
 func TestOnlyTheRunningWindowIsSentEachTime(t *testing.T) {
 	c := qt.New(t)
-	p := newCounting(c)
+	p := newCountingProxy(c)
 	updates := p.count(4, window(3, 10), window(4, 1))
 	c.Assert(len(updates), qt.Equals, 1)
 	c.Assert(len(updates[0].Counts), qt.Equals, 2)
@@ -71,7 +72,7 @@
 	p.env.Now += 125 * time.Millisecond
 	c.Assert(len(p.count(4, window(3, 10), window(4, 2))), qt.Equals, 0)
 
-	// One that was begun in a window that is over did not run after all.
+	// One that was begun in a closed window did not run after all.
 	updates = p.count(4, window(3, 9), window(4, 2))
 	c.Assert(len(updates), qt.Equals, 1)
 	c.Assert(len(updates[0].Counts), qt.Equals, 2)
@@ -82,7 +83,7 @@
 	c.Assert(len(updates[0].Counts), qt.Equals, 3)
 	c.Assert(updates[0].Closed, qt.Equals, int64(5))
 
-	p.env.Now += usageRepeatHeartbeats * p.machine.settings.HeartbeatEvery()
+	p.env.Now += fullUpdateHeartbeats * p.machine.settings.HeartbeatEvery()
 	updates = p.count(5, window(3, 9), window(4, 3), window(5, 1))
 	c.Assert(len(updates), qt.Equals, 1)
 	c.Assert(len(updates[0].Counts), qt.Equals, 3, qt.Commentf("an update may be lost on its way"))
@@ -92,16 +93,19 @@
 // tenth of a link of 2.3 Mbit/s if each held everything.
 func TestUsageLeavesTheLinkToOthers(t *testing.T) {
 	c := qt.New(t)
-	p := newCounting(c)
-	over, running := map[string]int64{}, map[string]int64{}
+	p := newCountingProxy(c)
+	closed, running := map[string]int64{}, map[string]int64{}
 	for tenant := range 81 {
-		over[fmt.Sprintf("tenant%03d", tenant)] = 100
+		closed[fmt.Sprintf("tenant%03d", tenant)] = 100
 	}
 	sent, everything := 0, 0
 	for step := range 40 {
 		running[fmt.Sprintf("tenant%03d", step*7%81)]++
-		usage := []message.UsageCount{{Window: 3, Counts: over, Open: map[string]int64{}}, {Window: 4, Counts: over, Open: map[string]int64{}},
-			{Window: 5, Counts: maps.Clone(running), Open: map[string]int64{}}}
+		usage := []message.UsageCount{
+			{Window: 3, Counts: closed, Open: map[string]int64{}},
+			{Window: 4, Counts: closed, Open: map[string]int64{}},
+			{Window: 5, Counts: maps.Clone(running), Open: map[string]int64{}},
+		}
 		frame, err := message.Encode(message.UsageUpdate{Proxy: "proxy/me", Counts: usage, Closed: 5})
 		c.Assert(err, qt.IsNil)
 		everything += len(frame)
