--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,7 +100,12 @@
 // Run binds the address, lets the traffic side begin, and starts the control goroutine.
 func (n *Node) Run(machine statemachine.Machine, begin func(network *transport.Transport)) error {
 	n.machine = machine
-	network, err := transport.New(n.Group, n.Settings.Address, n.Settings.Limits.Frame, int(n.Settings.Limits.Queue), n.Settings.ConnectionDial(), n.inbound)
+	network, err := transport.New(n.Group, transport.Config{
+		Address:     n.Settings.Address,
+		FrameLimit:  n.Settings.Limits.Frame,
+		QueueLength: int(n.Settings.Limits.Queue),
+		DialTimeout: n.Settings.ConnectionDial(),
+	}, n.inbound)
 	if err != nil {
 		return err
 	}
--- a/internal/transport/accept_test.go
+++ b/internal/transport/listener_test.go
@@ -1,4 +1,3 @@
-// A process that is out of descriptors for a moment.
 package transport
 
 import (
@@ -13,13 +12,18 @@
 	"beaconvane/internal/message"
 )
 
-// exhausted fails its first accepts as the kernel does when no descriptor is left.
-type exhausted struct {
+// testConfig is the configuration of a transport on a free port of this machine.
+func testConfig(queueLength int) Config {
+	return Config{Address: "127.0.0.1:0", FrameLimit: 1 << 20, QueueLength: queueLength, DialTimeout: time.Second}
+}
+
+// exhaustedListener fails its first accepts as the kernel does when no file descriptor is left.
+type exhaustedListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *exhausted) Accept() (net.Conn, error) {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -45,12 +49,12 @@
 	c := qt.New(t)
 	group := goroutine.New()
 	defer group.Stop(time.Second)
-	heard := make(chan any, 16)
-	from, err := New(group, "127.0.0.1:0", 1<<20, 16, time.Second, func(string, any, func(any) error) {})
+	received := make(chan any, 16)
+	from, err := New(group, testConfig(16), func(string, any, func(any) error) {})
 	c.Assert(err, qt.IsNil)
-	to, err := New(group, "127.0.0.1:0", 1<<20, 16, time.Second, func(_ string, msg any, _ func(any) error) { heard <- msg })
+	to, err := New(group, testConfig(16), func(_ string, msg any, _ func(any) error) { received <- msg })
 	c.Assert(err, qt.IsNil)
-	to.listener, to.packets = &exhausted{to.listener, 3}, &exhaustedPackets{to.packets, 3}
+	to.listener, to.datagrams = &exhaustedListener{to.listener, 3}, &exhaustedPackets{to.datagrams, 3}
 	from.Start()
 	to.Start()
 	defer from.Close()
@@ -60,7 +64,7 @@
 	c.Assert(from.Datagram(to.address, message.Ping{Number: 1, Gossip: []message.Member{}}), qt.IsNil)
 	for range 2 {
 		select {
-		case <-heard:
+		case <-received:
 		case <-time.After(2 * time.Second):
 			c.Fatal("it accepts nothing any more")
 		}
--- a/internal/transport/pacer.go
+++ b/internal/transport/pacer.go
@@ -1,38 +1,37 @@
 package transport
 
-// This file gives traffic its turns on the machine's link. Whatever is posted reserves the
-// time that its bytes take at a rate somewhat below the link's; traffic frames are written
-// when their time comes, control messages at once. So the kernel's buffers and the link's
-// queue stay short, and a control message does not wait behind requests and answers.
-
 import (
 	"sync"
 	"time"
 )
 
-// pacedBurst is how much unused time may be caught up on.
-const pacedBurst = 20 * time.Millisecond
+// maxBurst is how much unused time on the link may be made up for.
+const maxBurst = 20 * time.Millisecond
 
-// pacer is the link's reservations. Its zero value bounds nothing.
+// pacer gives frames their turns on the machine's link. Whatever is posted reserves the time that its
+// bytes take at a rate somewhat below the link's. Traffic frames are written when their time comes,
+// control messages at once, so that the kernel's buffers and the link's queue stay short, and a control
+// message does not wait behind requests and answers. The zero value bounds nothing.
 type pacer struct {
-	lock sync.Mutex
-	rate int64     // bytes a second; 0: not bounded
-	free time.Time // when all that was accepted will have been sent
+	rate int64 // bytes a second; 0: not bounded
+
+	lock   sync.Mutex
+	freeAt time.Time // when all that was accepted will have been sent
 }
 
-// reserve offers a frame of so many bytes together with the moment of its turn, and
-// counts it when it was taken.
-func (p *pacer) reserve(size int, take func(due time.Time) bool) bool {
+// reserve offers the turn of a frame of so many bytes to accept, and counts the frame if that takes it.
+// The turn is zero, which means at once, without a rate.
+func (p *pacer) reserve(size int, accept func(due time.Time) bool) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.rate == 0 {
-		return take(time.Time{})
+		return accept(time.Time{})
 	}
-	due := p.start(time.Now())
-	if !take(due) {
+	due := p.nextTurn(time.Now())
+	if !accept(due) {
 		return false
 	}
-	p.free = due.Add(time.Duration(int64(size) * int64(time.Second) / p.rate))
+	p.freeAt = due.Add(time.Duration(int64(size) * int64(time.Second) / p.rate))
 	return true
 }
 
@@ -41,26 +40,20 @@
 	p.reserve(size, func(time.Time) bool { return true })
 }
 
-// backlog is how long a frame that was posted now would wait for its turn.
+// backlog returns how long a frame that was posted now would wait for its turn.
 func (p *pacer) backlog() time.Duration {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.rate == 0 {
 		return 0
 	}
-	return max(0, time.Until(p.free))
+	return max(0, time.Until(p.freeAt))
 }
 
-// start is the turn of the next frame.
-func (p *pacer) start(now time.Time) time.Time {
-	if earliest := now.Add(-pacedBurst); p.free.Before(earliest) {
+// nextTurn returns the turn of the next frame.
+func (p *pacer) nextTurn(now time.Time) time.Time {
+	if earliest := now.Add(-maxBurst); p.freeAt.Before(earliest) {
 		return earliest
 	}
-	return p.free
+	return p.freeAt
 }
-
-// LimitRate bounds what traffic sends to so many bytes a second; before Start.
-func (w *Transport) LimitRate(bytesPerSecond int64) { w.pacer.rate = bytesPerSecond }
-
-// Backlog is how long a frame that was posted now would wait for its turn on the link.
-func (w *Transport) Backlog() time.Duration { return w.pacer.backlog() }
--- a/internal/transport/pacer_test.go
+++ b/internal/transport/pacer_test.go
@@ -1,4 +1,3 @@
-// Turns on the link: traffic waits for them, control messages do not.
 package transport
 
 import (
@@ -22,7 +21,7 @@
 	}
 	// 99 frames of 10 ms each go before the last one, less what may be caught up on.
 	wait := last.Sub(began)
-	c.Assert(wait >= 990*time.Millisecond-pacedBurst, qt.IsTrue, qt.Commentf("%v", wait))
+	c.Assert(wait >= 990*time.Millisecond-maxBurst, qt.IsTrue, qt.Commentf("%v", wait))
 	c.Assert(wait <= 1200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", wait))
 	backlog := p.backlog()
 	c.Assert(backlog > 500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", backlog))
@@ -49,7 +48,7 @@
 	control chan struct{}
 }
 
-func (r *receiver) inbound(_ string, msg any, _ func(msg any) error) {
+func (r *receiver) handle(_ string, msg any, _ func(msg any) error) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	switch received := msg.(type) {
@@ -66,17 +65,17 @@
 	return r.traffic
 }
 
-// A proxy that has far more traffic to send than its link carries keeps the link's share
-// for it, and a control message goes at once, past the frames that wait.
+// A proxy that has far more traffic to send than its link carries keeps to its share of the link, and
+// a control message goes at once, past the frames that wait.
 func TestControlDoesNotWaitBehindTraffic(t *testing.T) {
 	c := qt.New(t)
 	group := goroutine.New()
 	defer group.Stop(time.Second)
 	received := &receiver{control: make(chan struct{})}
-	const frameCap, queue, rate, body = 1 << 20, 512, 200000, 4000
-	from, err := New(group, "127.0.0.1:0", frameCap, queue, time.Second, func(string, any, func(any) error) {})
+	const queueLength, rate, body = 512, 200000, 4000
+	from, err := New(group, testConfig(queueLength), func(string, any, func(any) error) {})
 	c.Assert(err, qt.IsNil)
-	to, err := New(group, "127.0.0.1:0", frameCap, queue, time.Second, received.inbound)
+	to, err := New(group, testConfig(queueLength), received.handle)
 	c.Assert(err, qt.IsNil)
 	from.LimitRate(rate)
 	from.Start()
@@ -98,7 +97,7 @@
 		c.Fatal("the control message is not there after a second")
 	}
 	time.Sleep(300 * time.Millisecond)
-	took := time.Since(began) + pacedBurst
+	took := time.Since(began) + maxBurst
 	most := int(took.Seconds()*rate) + body
 	c.Assert(received.bytes() <= most, qt.IsTrue, qt.Commentf("%d bytes in %v, the link's share is %d", received.bytes(), took, most))
 	c.Assert(received.bytes() > 0, qt.IsTrue)
