--- a/internal/distribution/parent.go
+++ b/internal/distribution/parent.go
@@ -8,15 +8,18 @@
 	"beaconvane/internal/statemachine"
 )
 
-// How long members are not asked again, and how long parents are waited for.
+// Back-off: how long a member is not asked again after it was left, in reparent times or in update
+// intervals of the settings.
 const (
-	backOffReparents     = 2 // of a parent that was left, or refused for lack of room
-	refusedIntervals     = 2 // of one that could not serve for the moment
-	lagIntervals         = 3 // of one that knew less, in update intervals
-	disconnectedInterval = 3 // of one whose connection ended, in update intervals
-	silentRequests       = 3 // requests without an answer after which a parent may count as silent
+	backOffReparents      = 2 // one that was silent, gone or stale, or had no room
+	refusedIntervals      = 2 // one that could not serve for the moment
+	lagIntervals          = 3 // one that knew less
+	disconnectedIntervals = 3 // one whose connection ended
 )
 
+// silentRequests is how many requests must be unanswered before a parent counts as silent.
+const silentRequests = 3
+
 // delayedTicks is how many tick intervals may pass without a tick before a node counts as delayed.
 const delayedTicks = 2
 
@@ -43,7 +46,7 @@
 // answered reports whether the parent has answered a request since it was joined.
 func (p *parentLink) answered() bool { return len(p.path) > 0 }
 
-// root returns the first member on the way to the parent that is known.
+// root returns the first member on the path to the parent, or the parent where its path is not known.
 func (p *parentLink) root() string {
 	if len(p.path) > 0 {
 		return p.path[0]
@@ -99,7 +102,7 @@
 // ConnectionBroke leaves a parent whose process has ended, without waiting for its silence.
 func (d *Distribution) ConnectionBroke(env *statemachine.Env, address string) {
 	if d.parent.exists() && d.parent.address == address {
-		d.leaveParent(env, leftForConnection, d.settings.UpdatesEvery()*disconnectedInterval)
+		d.leaveParent(env, leftForConnection, d.settings.UpdatesEvery()*disconnectedIntervals)
 		d.nextRequestAt = env.Now
 	}
 }
--- a/internal/distribution/parent_selection.go
+++ b/internal/distribution/parent_selection.go
@@ -49,9 +49,12 @@
 	silent   timeouts // did not answer requests
 
 	lastRoot   string // of the parent that was left last
-	leftStale  bool   // a parent was left as stale, and none was joined since: its zone's proxies are likely to be stale too
 	unanswered int    // parents in a row that never answered
 
+	// leftStale is set from when a parent is left as stale until another has answered. The proxies of
+	// this zone are then likely to be stale too.
+	leftStale bool
+
 	// staleGrace is how long a parent is kept before it can be left as stale. It grows with each that
 	// is left so, for the fault may lie with the source itself.
 	staleGrace time.Duration
