--- a/internal/distribution/antientropy.go
+++ b/internal/distribution/antientropy.go
@@ -17,14 +17,14 @@
 // configstore, the age of what it says tells of the cut only once the lost lease has run out and the
 // age has passed its limit, which may be later than a configuration has to be in force.
 type missingVersion struct {
-	mark       message.Mark
+	mark       message.Position
 	reportedBy string        // the member that told last, of those that answer requests
 	since      time.Duration // when the position was first told of
 }
 
 // HandleNewerMarks takes the positions of configurations that a registry has and this node, by its
 // heartbeat, has not.
-func (d *Distribution) HandleNewerMarks(env *statemachine.Env, registry string, marks []message.Mark) {
+func (d *Distribution) HandleNewerMarks(env *statemachine.Env, registry string, marks []message.Position) {
 	for _, mark := range marks {
 		state, found := d.topics[mark.Topic]
 		if !found || !d.subscribed[mark.Topic] || !state.position().Before(mark) || d.selection.isSilent(registry) {
@@ -44,8 +44,8 @@
 
 // NewerThan returns the positions of the configurations of which this node has a newer version than
 // another node, given the positions of that one.
-func (d *Distribution) NewerThan(marks []message.Mark) []message.Mark {
-	newer := []message.Mark{}
+func (d *Distribution) NewerThan(marks []message.Position) []message.Position {
+	newer := []message.Position{}
 	for _, mark := range marks {
 		state, found := d.topics[mark.Topic]
 		if found && state.known && IsConfiguration(mark.Topic) && mark.Before(state.position()) {
@@ -57,7 +57,7 @@
 
 // resolveMissing takes a position that the parent has: it will bring the content, so that the node has
 // no reason to leave it for a registry.
-func (d *Distribution) resolveMissing(mark message.Mark) {
+func (d *Distribution) resolveMissing(mark message.Position) {
 	if missing, reported := d.missing[mark.Topic]; reported && !mark.Before(missing.mark) {
 		delete(d.missing, mark.Topic)
 	}
--- a/internal/distribution/antientropy_test.go
+++ b/internal/distribution/antientropy_test.go
@@ -12,7 +12,7 @@
 // reportNewer is a registry's answer to a heartbeat: it has a version of the configuration.
 func (tree *testTree) reportNewer(registry string, version int64) {
 	mark := configurationMark(ConfigurationTopic("main"), version, []byte(testBody))
-	tree.distribution.HandleNewerMarks(tree.env, registry, []message.Mark{mark})
+	tree.distribution.HandleNewerMarks(tree.env, registry, []message.Position{mark})
 }
 
 // The parent passes for current, as one does below a root that is cut off from the store
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -139,8 +139,8 @@
 }
 
 // Marks returns the positions of the topics that this node wants for itself.
-func (d *Distribution) Marks() []message.Mark {
-	marks := []message.Mark{}
+func (d *Distribution) Marks() []message.Position {
+	marks := []message.Position{}
 	for _, topic := range d.topicNames() {
 		if state := d.topics[topic]; state.known && d.subscribed[topic] {
 			marks = append(marks, state.position())
--- a/internal/distribution/doc.go
+++ b/internal/distribution/doc.go
@@ -4,7 +4,7 @@
 //
 // What travels are topics: each configuration, and each zone's slice of the roster (Topic names are
 // made by ConfigurationTopic and SliceTopic). A node sends its parent a request in a steady rhythm,
-// with the position (message.Mark) that it has of each topic. The parent answers with what came
+// with the position (message.Position) that it has of each topic. The parent answers with what came
 // since: a row of differences or changes, or a snapshot where it does not know the child's position
 // any more. A parent also pushes each change at once; the next request repairs a push that was lost.
 //
--- a/internal/distribution/download.go
+++ b/internal/distribution/download.go
@@ -12,7 +12,7 @@
 
 // download is a snapshot that arrives in parts, each requested when the one before has arrived.
 type download struct {
-	mark       message.Mark
+	mark       message.Position
 	total      int64 // bytes of the whole snapshot
 	received   []byte
 	progressAt time.Duration
@@ -21,7 +21,7 @@
 // receiveSnapshot takes a snapshot or a part of one. It returns the whole snapshot once all of it
 // is here, and requests the next part before that.
 func (d *Distribution) receiveSnapshot(env *statemachine.Env, item message.UpdateItem) (body []byte, complete bool) {
-	topic := item.Mark.Topic
+	topic := item.Position.Topic
 	if isComplete(item) {
 		delete(d.downloads, topic)
 		return item.Body, true
@@ -43,15 +43,15 @@
 // downloadFor returns the download that a part belongs to. A first part begins one; it returns nil
 // for any other part of a snapshot that is not being downloaded.
 func (d *Distribution) downloadFor(item message.UpdateItem) *download {
-	topic := item.Mark.Topic
+	topic := item.Position.Topic
 	current, running := d.downloads[topic]
-	if running && current.mark.Same(item.Mark) {
+	if running && current.mark.Same(item.Position) {
 		return current
 	}
 	if item.Offset != 0 {
 		return nil
 	}
-	d.downloads[topic] = &download{mark: item.Mark, total: item.Total}
+	d.downloads[topic] = &download{mark: item.Position, total: item.Total}
 	return d.downloads[topic]
 }
 
@@ -70,11 +70,11 @@
 func (d *Distribution) requestPart(env *statemachine.Env, topic string, current *download) {
 	self := d.membership.Self()
 	env.Send(d.parent.address, message.UpdatesRequest{
-		Round:  partRound,
-		Child:  self.Name,
-		Role:   self.Role,
-		Marks:  []message.Mark{current.mark},
-		PartOf: topic,
-		Part:   int64(len(current.received)),
+		Round:     partRound,
+		Child:     self.Name,
+		Role:      self.Role,
+		Positions: []message.Position{current.mark},
+		PartOf:    topic,
+		Part:      int64(len(current.received)),
 	})
 }
--- a/internal/distribution/history.go
+++ b/internal/distribution/history.go
@@ -32,7 +32,7 @@
 
 // since returns the differences that lead from a version to the current one, or false where the
 // history does not reach back to that version.
-func (h *versionHistory) since(from message.Mark) ([]message.ConfigurationPatch, bool) {
+func (h *versionHistory) since(from message.Position) ([]message.ConfigurationPatch, bool) {
 	for index, patch := range h.patches {
 		if patch.From.Same(from) {
 			return h.patches[index:len(h.patches):len(h.patches)], true
--- a/internal/distribution/history_test.go
+++ b/internal/distribution/history_test.go
@@ -35,11 +35,11 @@
 		blocked: map[string]bool{},
 	}
 	members := []message.Member{
-		{Name: "store", Role: message.RoleConfigStore, Zone: "z", Address: "store", Birth: 1},
-		{Name: "registry", Role: message.RoleRegistry, Zone: "z", Address: "registry", Birth: 1},
+		{Name: "store", Role: message.RoleConfigStore, Zone: "z", Address: "store", StartTime: 1},
+		{Name: "registry", Role: message.RoleRegistry, Zone: "z", Address: "registry", StartTime: 1},
 	}
 	for _, name := range proxies {
-		members = append(members, message.Member{Name: name, Role: message.RoleProxy, Zone: "z", Address: name, Birth: 1})
+		members = append(members, message.Member{Name: name, Role: message.RoleProxy, Zone: "z", Address: name, StartTime: 1})
 	}
 	for _, self := range members {
 		cfg := settings.Default()
--- a/internal/distribution/requests.go
+++ b/internal/distribution/requests.go
@@ -73,17 +73,17 @@
 func (d *Distribution) request(env *statemachine.Env) {
 	d.nextRequestAt = env.Now + d.requestInterval()
 	round := d.requests.begin(env.Now)
-	marks := []message.Mark{}
+	positions := []message.Position{}
 	for _, topic := range d.wanted() {
-		marks = append(marks, d.topics[topic].requestPosition())
+		positions = append(positions, d.topics[topic].requestPosition())
 	}
 	self := d.membership.Self()
 	env.Send(d.parent.address, message.UpdatesRequest{
-		Round:  round,
-		Child:  self.Name,
-		Role:   self.Role,
-		Resort: d.parent.lastResort,
-		Marks:  marks,
+		Round:      round,
+		Child:      self.Name,
+		Role:       self.Role,
+		LastResort: d.parent.lastResort,
+		Positions:  positions,
 	})
 	d.resumeDownloads(env)
 }
--- a/internal/distribution/response.go
+++ b/internal/distribution/response.go
@@ -34,7 +34,7 @@
 		d.acceptAnswer(env, response)
 	}
 	for _, item := range response.Items {
-		d.resolveMissing(item.Mark)
+		d.resolveMissing(item.Position)
 		d.apply(env, item, sentAt, isAnswer)
 	}
 }
@@ -74,10 +74,10 @@
 
 // followReferral takes the first member that a refusal names as the parent.
 func (d *Distribution) followReferral(now time.Duration, response message.UpdatesResponse) {
-	if len(response.Try) == 0 {
+	if len(response.Alternatives) == 0 {
 		return
 	}
-	member, found := d.membership.Find(response.Try[0])
+	member, found := d.membership.Find(response.Alternatives[0])
 	if !found || member.State > message.Suspect || member.Name == response.Parent {
 		return
 	}
@@ -117,11 +117,11 @@
 // version.
 func (d *Distribution) knowsLess(items []message.UpdateItem) bool {
 	for _, item := range items {
-		state, found := d.topics[item.Mark.Topic]
-		if !found || !state.known || !IsConfiguration(item.Mark.Topic) {
+		state, found := d.topics[item.Position.Topic]
+		if !found || !state.known || !IsConfiguration(item.Position.Topic) {
 			continue
 		}
-		if !item.Known || item.Mark.Before(state.position()) {
+		if !item.Known || item.Position.Before(state.position()) {
 			return true
 		}
 	}
@@ -132,16 +132,16 @@
 // newer version of any configuration, and some configuration that is stale here is stale there too.
 func (d *Distribution) noFresher(now, sentAt time.Duration, items []message.UpdateItem) bool {
 	for _, item := range items {
-		state, found := d.topics[item.Mark.Topic]
-		if found && IsConfiguration(item.Mark.Topic) && state.position().Before(item.Mark) {
+		state, found := d.topics[item.Position.Topic]
+		if found && IsConfiguration(item.Position.Topic) && state.position().Before(item.Position) {
 			// However long ago that was known current.
 			return false
 		}
 	}
 	limit := d.settings.Reparent()
 	for _, item := range items {
-		state, found := d.topics[item.Mark.Topic]
-		if !found || !IsConfiguration(item.Mark.Topic) {
+		state, found := d.topics[item.Position.Topic]
+		if !found || !IsConfiguration(item.Position.Topic) {
 			continue
 		}
 		staleHere := state.freshAt == never || now-state.freshAt > limit
@@ -168,23 +168,23 @@
 // apply takes what a response says of a topic. Answers to requests tell the age; what is pushed, or
 // comes in parts, does not.
 func (d *Distribution) apply(env *statemachine.Env, item message.UpdateItem, sentAt time.Duration, isAnswer bool) {
-	state := d.topic(item.Mark.Topic)
+	state := d.topic(item.Position.Topic)
 	if !item.Known {
 		return
 	}
-	if item.Snapshot && state.position().Same(item.Mark) {
+	if item.Snapshot && state.position().Same(item.Position) {
 		state.mismatched = false
 	}
 	moved := d.applyContent(env, state, item)
-	if isAnswer && item.Age >= 0 && state.known && !state.position().Before(item.Mark) {
+	if isAnswer && item.Age >= 0 && state.known && !state.position().Before(item.Position) {
 		if state.freshAt == never && !moved {
-			d.onChange(env, item.Mark.Topic)
+			d.onChange(env, item.Position.Topic)
 		}
 		state.freshAt = max(state.freshAt, sentAt-time.Duration(item.Age))
 	}
 	if moved {
-		d.onChange(env, item.Mark.Topic)
-		d.push(env, item.Mark.Topic)
+		d.onChange(env, item.Position.Topic)
+		d.push(env, item.Position.Topic)
 	}
 }
 
@@ -192,14 +192,14 @@
 func (d *Distribution) applyContent(env *statemachine.Env, state *topicState, item message.UpdateItem) bool {
 	sizeLimit := d.settings.Limits.Configuration
 	switch {
-	case item.Snapshot && state.needsSnapshot(item.Mark):
+	case item.Snapshot && state.needsSnapshot(item.Position):
 		body, complete := d.receiveSnapshot(env, item)
-		return complete && state.applySnapshot(item.Mark, body, sizeLimit)
+		return complete && state.applySnapshot(item.Position, body, sizeLimit)
 	case len(item.Patches) > 0 && state.slice == nil && state.known:
 		return state.applyPatches(item.Patches, sizeLimit)
 	case len(item.Changes) > 0 && state.slice != nil:
 		return state.applyChanges(item.Changes)
-	case isInitial(item.Mark) && state.slice != nil && !state.known:
+	case isInitial(item.Position) && state.slice != nil && !state.known:
 		// A slice that no registration has been written to yet is complete without any content.
 		state.known = true
 		return true
@@ -209,7 +209,7 @@
 
 // needsSnapshot reports whether a snapshot at a position is to be applied. A slice whose content
 // differs at the same position is replaced; a configuration never is.
-func (t *topicState) needsSnapshot(mark message.Mark) bool {
+func (t *topicState) needsSnapshot(mark message.Position) bool {
 	if !t.known || t.position().Before(mark) {
 		return true
 	}
@@ -217,4 +217,6 @@
 }
 
 // isInitial reports whether a position is that of a slice without any change.
-func isInitial(mark message.Mark) bool { return mark.Seq == 0 && mark.Epoch == 0 && mark.Count == 0 }
+func isInitial(mark message.Position) bool {
+	return mark.Seq == 0 && mark.Epoch == 0 && mark.Count == 0
+}
--- a/internal/distribution/roster_slice.go
+++ b/internal/distribution/roster_slice.go
@@ -14,14 +14,14 @@
 // that is a little behind is sent those, one that is further behind the snapshot. The digest in the
 // position is a sum over the registrations, so that each change updates it in place.
 type RosterSlice struct {
-	Mark          message.Mark
+	Mark          message.Position
 	Registrations map[string]message.Registration // by key
 	changes       []message.RosterChange          // in a row, up to Mark
 }
 
 // NewRosterSlice returns an empty slice.
 func NewRosterSlice(topic string) *RosterSlice {
-	return &RosterSlice{Mark: message.Mark{Topic: topic}, Registrations: map[string]message.Registration{}}
+	return &RosterSlice{Mark: message.Position{Topic: topic}, Registrations: map[string]message.Registration{}}
 }
 
 // Append makes the next change in an epoch, applies it and returns it.
@@ -31,7 +31,7 @@
 	}
 	s.set(registration, removed)
 	s.Mark.Seq++
-	change := message.RosterChange{Mark: s.Mark, Registration: registration, Gone: removed, Cause: cause}
+	change := message.RosterChange{Position: s.Mark, Registration: registration, Removed: removed, Cause: cause}
 	s.keep(change)
 	return change
 }
@@ -45,17 +45,17 @@
 // Apply applies a change that another node made, if it is the one after this position. It reports
 // whether the slice is then where that node was.
 func (s *RosterSlice) Apply(change message.RosterChange) bool {
-	if change.Mark.Epoch != s.Mark.Epoch || change.Mark.Seq != s.Mark.Seq+1 {
+	if change.Position.Epoch != s.Mark.Epoch || change.Position.Seq != s.Mark.Seq+1 {
 		return false
 	}
-	s.set(change.Registration, change.Gone)
+	s.set(change.Registration, change.Removed)
 	s.Mark.Seq++
 	s.keep(change)
-	return s.Mark.Same(change.Mark)
+	return s.Mark.Same(change.Position)
 }
 
 // Replace replaces the content by a snapshot's.
-func (s *RosterSlice) Replace(mark message.Mark, registrations []message.Registration) {
+func (s *RosterSlice) Replace(mark message.Position, registrations []message.Registration) {
 	s.Registrations = map[string]message.Registration{}
 	s.Mark.Count, s.Mark.Hash = 0, 0
 	for _, registration := range registrations {
@@ -77,11 +77,11 @@
 
 // Since returns the changes after a position, or false where they are not all kept and the
 // snapshot is needed.
-func (s *RosterSlice) Since(mark message.Mark) ([]message.RosterChange, bool) {
+func (s *RosterSlice) Since(mark message.Position) ([]message.RosterChange, bool) {
 	if mark.Epoch != s.Mark.Epoch || mark.Seq > s.Mark.Seq || len(s.changes) == 0 {
 		return nil, false
 	}
-	first := s.changes[0].Mark.Seq
+	first := s.changes[0].Position.Seq
 	if first > mark.Seq+1 {
 		return nil, false
 	}
--- a/internal/distribution/subscribers.go
+++ b/internal/distribution/subscribers.go
@@ -31,15 +31,15 @@
 	name       string
 	address    string
 	heardAt    time.Duration
-	marks      map[string]message.Mark // what it has, by topic that it wants
-	round      int64                   // of its last request; a lower one is from a later life
-	deliveries map[string]delivery     // large updates on their way to it, by topic
+	marks      map[string]message.Position // what it has, by topic that it wants
+	round      int64                       // of its last request; a lower one is from a later life
+	deliveries map[string]delivery         // large updates on their way to it, by topic
 }
 
 // delivery is a snapshot, or differences as long, that was sent. A subscriber on a narrow link
 // requests again before it has arrived, and must not be sent it anew each time.
 type delivery struct {
-	mark message.Mark
+	mark message.Position
 	at   time.Duration
 }
 
@@ -50,11 +50,11 @@
 	if !large || item.Offset > 0 {
 		return true
 	}
-	last, sent := s.deliveries[item.Mark.Topic]
-	if sent && last.mark.Same(item.Mark) && now-last.at < resendAfter {
+	last, sent := s.deliveries[item.Position.Topic]
+	if sent && last.mark.Same(item.Position) && now-last.at < resendAfter {
 		return false
 	}
-	s.deliveries[item.Mark.Topic] = delivery{item.Mark, now}
+	s.deliveries[item.Position.Topic] = delivery{item.Position, now}
 	return true
 }
 
@@ -66,8 +66,8 @@
 	}
 	s.round = request.Round
 	s.address, s.heardAt = from, now
-	s.marks = map[string]message.Mark{}
-	for _, mark := range request.Marks {
+	s.marks = map[string]message.Position{}
+	for _, mark := range request.Positions {
 		s.marks[mark.Topic] = mark
 	}
 }
@@ -108,21 +108,21 @@
 
 // refusal is why a request is not served, and which members may serve it instead.
 type refusal struct {
-	reason string // one of the message.Refused constants
-	try    []string
+	reason       string // one of the message.Refused constants
+	alternatives []string
 }
 
 // handleRequest answers a child's request for updates, or for a part of a snapshot.
 func (d *Distribution) handleRequest(env *statemachine.Env, from string, request message.UpdatesRequest) {
 	if refused := d.refuse(env.Now, request); refused != nil {
 		env.Send(from, message.UpdatesResponse{
-			Round:   request.Round,
-			Parent:  d.membership.Self().Name,
-			Path:    []string{},
-			Refused: true,
-			Reason:  refused.reason,
-			Try:     refused.try,
-			Items:   []message.UpdateItem{},
+			Round:        request.Round,
+			Parent:       d.membership.Self().Name,
+			Path:         []string{},
+			Refused:      true,
+			Reason:       refused.reason,
+			Alternatives: refused.alternatives,
+			Items:        []message.UpdateItem{},
 		})
 		return
 	}
@@ -133,7 +133,7 @@
 	child := d.subscribers.join(request.Child)
 	child.renew(env.Now, from, request)
 	items := []message.UpdateItem{}
-	for _, mark := range request.Marks {
+	for _, mark := range request.Positions {
 		items = append(items, d.answerItem(env.Now, child, mark))
 	}
 	d.send(env, from, request.Round, d.answerPath(), items)
@@ -156,7 +156,7 @@
 	}
 	_, isChild := d.subscribers[request.Child]
 	full := int64(len(d.subscribers)) >= d.settings.Limits.Fanout
-	unlimited := role == message.RoleConfigStore || request.Resort && role == message.RoleRegistry
+	unlimited := role == message.RoleConfigStore || request.LastResort && role == message.RoleRegistry
 	if !isChild && full && !unlimited {
 		return &refusal{message.RefusedFull, d.subscribers.names()}
 	}
@@ -165,7 +165,7 @@
 
 // answerItem returns what a child's request for a topic is answered with. Where a large update is on
 // its way to the child already, that is only the position and the age.
-func (d *Distribution) answerItem(now time.Duration, child *subscriber, mark message.Mark) message.UpdateItem {
+func (d *Distribution) answerItem(now time.Duration, child *subscriber, mark message.Position) message.UpdateItem {
 	item := d.updateItem(now, mark)
 	if !child.beginDelivery(now, item, d.resendAfter()) {
 		item.Snapshot, item.Body, item.Patches = false, []byte{}, []message.ConfigurationPatch{}
@@ -177,11 +177,11 @@
 // changed since.
 func (d *Distribution) sendPart(env *statemachine.Env, from string, request message.UpdatesRequest) {
 	state, found := d.topics[request.PartOf]
-	if !found || !state.known || len(request.Marks) != 1 {
+	if !found || !state.known || len(request.Positions) != 1 {
 		return
 	}
 	offset := request.Part
-	if !state.position().Same(request.Marks[0]) {
+	if !state.position().Same(request.Positions[0]) {
 		offset = 0
 	}
 	d.send(env, from, partRound, d.answerPath(), []message.UpdateItem{d.snapshotItem(state, offset)})
@@ -203,7 +203,7 @@
 		path := d.parent.pathTo(d.membership.Self().Name)
 		d.send(env, child.address, pushRound, path, []message.UpdateItem{item})
 		if !item.Snapshot || isComplete(item) {
-			child.marks[topic] = item.Mark
+			child.marks[topic] = item.Position
 		}
 	}
 }
@@ -211,11 +211,11 @@
 // send sends items to a child, as the answer to the request of a round or as a push.
 func (d *Distribution) send(env *statemachine.Env, to string, round int64, path []string, items []message.UpdateItem) {
 	env.Send(to, message.UpdatesResponse{
-		Round:  round,
-		Parent: d.membership.Self().Name,
-		Path:   path,
-		Try:    []string{},
-		Items:  items,
+		Round:        round,
+		Parent:       d.membership.Self().Name,
+		Path:         path,
+		Alternatives: []string{},
+		Items:        items,
 	})
 }
 
--- a/internal/distribution/topic.go
+++ b/internal/distribution/topic.go
@@ -35,7 +35,7 @@
 
 	slice *RosterSlice // nil for a configuration
 
-	mark    message.Mark
+	mark    message.Position
 	body    []byte
 	history versionHistory
 
@@ -45,7 +45,7 @@
 }
 
 func newTopicState(topic string) *topicState {
-	state := &topicState{mark: message.Mark{Topic: topic}, freshAt: never}
+	state := &topicState{mark: message.Position{Topic: topic}, freshAt: never}
 	if !IsConfiguration(topic) {
 		state.slice = NewRosterSlice(topic)
 	}
@@ -53,7 +53,7 @@
 }
 
 // position returns the position of the content.
-func (t *topicState) position() message.Mark {
+func (t *topicState) position() message.Position {
 	if t.slice != nil {
 		return t.slice.Mark
 	}
@@ -62,9 +62,9 @@
 
 // requestPosition returns the position to name in a request, so that the answer holds what is
 // missing here.
-func (t *topicState) requestPosition() message.Mark {
+func (t *topicState) requestPosition() message.Position {
 	if t.mismatched {
-		return message.Mark{Topic: t.mark.Topic}
+		return message.Position{Topic: t.mark.Topic}
 	}
 	return t.position()
 }
@@ -73,7 +73,7 @@
 func (t *topicState) fresh() bool { return t.known && t.freshAt != never }
 
 // setConfiguration moves a configuration to a version whose whole body is here.
-func (t *topicState) setConfiguration(mark message.Mark, body []byte) {
+func (t *topicState) setConfiguration(mark message.Position, body []byte) {
 	if t.known {
 		patch := message.ConfigurationPatch{From: t.mark, To: mark, Difference: delta.Encode(t.body, body)}
 		t.history.add(patch)
@@ -115,7 +115,7 @@
 
 // applySnapshot replaces the content by a snapshot's and reports whether it could. A configuration
 // that does not have the digest which its position names is not taken.
-func (t *topicState) applySnapshot(mark message.Mark, encoded []byte, sizeLimit int64) bool {
+func (t *topicState) applySnapshot(mark message.Position, encoded []byte, sizeLimit int64) bool {
 	if t.slice == nil {
 		body, err := delta.Apply(nil, encoded, sizeLimit)
 		if err != nil || !configurationMark(mark.Topic, mark.Seq, body).Same(mark) {
@@ -148,8 +148,8 @@
 }
 
 // configurationMark returns the position of a version of a configuration, with its digest.
-func configurationMark(topic string, version int64, body []byte) message.Mark {
+func configurationMark(topic string, version int64, body []byte) message.Position {
 	hash := fnv.New64a()
 	hash.Write(body)
-	return message.Mark{Topic: topic, Seq: version, Count: 1, Hash: int64(hash.Sum64())}
+	return message.Position{Topic: topic, Seq: version, Count: 1, Hash: int64(hash.Sum64())}
 }
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -58,7 +58,7 @@
 
 // addMember makes a member known, which has its name as its address.
 func (tree *testTree) addMember(name, role, zone string) {
-	member := message.Member{Name: name, Role: role, Zone: zone, Address: name, Birth: 1}
+	member := message.Member{Name: name, Role: role, Zone: zone, Address: name, StartTime: 1}
 	tree.members.Handle(tree.env, "", message.JoinResponse{From: member})
 }
 
@@ -84,7 +84,7 @@
 			if len(tree.asked) == 0 || tree.asked[len(tree.asked)-1] != sent.To {
 				tree.asked = append(tree.asked, sent.To)
 			}
-			if request.Resort {
+			if request.LastResort {
 				tree.lastResorts = append(tree.lastResorts, sent.To)
 			}
 			tree.answer(sent.To, request)
@@ -98,9 +98,9 @@
 
 // answer hands the answer of a parent to the node.
 func (tree *testTree) answer(parent string, request message.UpdatesRequest) {
-	if tree.full[parent] && !request.Resort {
+	if tree.full[parent] && !request.LastResort {
 		tree.distribution.Handle(tree.env, parent, message.UpdatesResponse{
-			Round: request.Round, Parent: parent, Path: []string{}, Refused: true, Reason: message.RefusedFull, Try: []string{},
+			Round: request.Round, Parent: parent, Path: []string{}, Refused: true, Reason: message.RefusedFull, Alternatives: []string{},
 		})
 		return
 	}
@@ -111,7 +111,7 @@
 
 // testResponse is an answer of the last member of a path.
 func testResponse(round int64, path []string, items ...message.UpdateItem) message.UpdatesResponse {
-	return message.UpdatesResponse{Round: round, Parent: path[len(path)-1], Path: path, Try: []string{}, Items: items}
+	return message.UpdatesResponse{Round: round, Parent: path[len(path)-1], Path: path, Alternatives: []string{}, Items: items}
 }
 
 // configurationItem is a version of the configuration as a snapshot that is known current.
@@ -119,8 +119,8 @@
 	body := []byte(testBody)
 	packed := delta.Encode(nil, body)
 	return message.UpdateItem{
-		Mark:  configurationMark(ConfigurationTopic("main"), version, body),
-		Known: true, Snapshot: true, Body: packed, Total: int64(len(packed)),
+		Position: configurationMark(ConfigurationTopic("main"), version, body),
+		Known:    true, Snapshot: true, Body: packed, Total: int64(len(packed)),
 	}
 }
 
--- a/internal/distribution/update_item.go
+++ b/internal/distribution/update_item.go
@@ -11,23 +11,23 @@
 
 // updateItem returns what a child that is at a position of a topic needs to be where this node is:
 // nothing, the changes since, or the snapshot.
-func (d *Distribution) updateItem(now time.Duration, mark message.Mark) message.UpdateItem {
+func (d *Distribution) updateItem(now time.Duration, mark message.Position) message.UpdateItem {
 	state := d.topic(mark.Topic)
 	item := message.UpdateItem{
-		Mark:    message.Mark{Topic: mark.Topic},
-		Age:     unknownAge,
-		Body:    []byte{},
-		Changes: []message.RosterChange{},
-		Patches: []message.ConfigurationPatch{},
+		Position: message.Position{Topic: mark.Topic},
+		Age:      unknownAge,
+		Body:     []byte{},
+		Changes:  []message.RosterChange{},
+		Patches:  []message.ConfigurationPatch{},
 	}
 	if !state.known {
 		return item
 	}
-	item.Known, item.Mark = true, state.position()
+	item.Known, item.Position = true, state.position()
 	if state.fresh() {
 		item.Age = int64(now - state.freshAt)
 	}
-	if item.Mark.Same(mark) || item.Mark.Before(mark) || state.addDifference(&item, mark) {
+	if item.Position.Same(mark) || item.Position.Before(mark) || state.addDifference(&item, mark) {
 		return item
 	}
 	snapshot := d.snapshotItem(state, 0)
@@ -37,7 +37,7 @@
 
 // addDifference adds what leads from an older position to the current one, and reports whether that
 // is known and worth it: differences of a configuration may be longer than its snapshot.
-func (t *topicState) addDifference(item *message.UpdateItem, from message.Mark) bool {
+func (t *topicState) addDifference(item *message.UpdateItem, from message.Position) bool {
 	if t.slice == nil {
 		patches, found := t.history.since(from)
 		if !found || patchBytes(patches) >= len(t.snapshot()) {
@@ -61,7 +61,7 @@
 	body := state.snapshot()
 	end := min(int64(len(body)), offset+int64(d.partBytes))
 	return message.UpdateItem{
-		Mark:     state.position(),
+		Position: state.position(),
 		Age:      unknownAge,
 		Known:    true,
 		Snapshot: true,
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -8,19 +8,19 @@
 // sendHeartbeat sends what is known of the upstreams beside this proxy to every registry.
 func (m *Machine) sendHeartbeat(env *statemachine.Env) {
 	batch := message.HeartbeatBatch{
-		Proxy:      m.membership.Self().Name,
-		Birth:      m.birth,
-		Ready:      m.published.Ready(env.Now, m.settings.StaleReady()),
-		Heartbeats: m.upstreams.heartbeats(env.Now),
-		Ends:       m.upstreams.recentSignOffs(env.Now),
-		Marks:      m.distribution.Marks(),
-		Path:       []string{},
-		Window:     int64(env.Wall / m.settings.UsageWindow()),
+		Proxy:           m.membership.Self().Name,
+		StartTime:       m.startTime,
+		Ready:           m.published.Ready(env.Now, m.settings.StaleReady()),
+		Heartbeats:      m.upstreams.heartbeats(env.Now),
+		Deregistrations: m.upstreams.recentDeregistrations(env.Now),
+		Positions:       m.distribution.Marks(),
+		Path:            []string{},
+		Window:          int64(env.Wall / m.settings.UsageWindow()),
 	}
 	if _, path, _ := m.distribution.Parent(); path != nil {
 		batch.Path = path
 	}
-	for _, registry := range m.membership.Lately(message.RoleRegistry, env.Now) {
+	for _, registry := range m.membership.RecentlyAlive(message.RoleRegistry, env.Now) {
 		env.Send(registry.Address, batch)
 	}
 }
@@ -30,7 +30,7 @@
 	self := m.membership.Self()
 	registration.ServingProxy = self.Name
 	registration.ServingProxyAddress = self.Address
-	registration.ServingProxyBirth = m.birth
+	registration.ServingProxyStartTime = m.startTime
 	if m.upstreams.announce(env.Now, registration) {
 		m.nextHeartbeat = env.Now
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -21,7 +21,7 @@
 	settings       settings.Settings
 	membership     *membership.Membership
 	distribution   *distribution.Distribution
-	birth          int64                          // of this life, whatever the membership makes of it
+	startTime      int64                          // of this life, whatever the membership makes of it
 	configurations map[string]*configurationState // by name; those that were received
 	upstreams      localUpstreams
 	usage          usageSender
@@ -43,7 +43,7 @@
 func New(cfg settings.Settings, self message.Member) *Machine {
 	m := &Machine{
 		settings:       cfg,
-		birth:          self.Birth,
+		startTime:      self.StartTime,
 		configurations: map[string]*configurationState{},
 		upstreams:      newLocalUpstreams(cfg),
 		sealed:         map[string]int64{},
@@ -92,8 +92,8 @@
 		m.handleProbed(env, asked)
 	case UsageCounted:
 		m.sendUsage(env, asked)
-	case statemachine.Reseeded:
-		m.membership.Reseed(asked.Seeds)
+	case statemachine.SeedsChanged:
+		m.membership.SetSeeds(asked.Seeds)
 	case statemachine.ConnectionBroke:
 		m.distribution.ConnectionBroke(env, asked.Address)
 	case ReadSealed:
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -104,7 +104,7 @@
 // have ended or left.
 func (m *Machine) orphaned(registration message.Registration) bool {
 	servingProxy, known := m.membership.Find(registration.ServingProxy)
-	return known && servingProxy.State >= message.Dead && servingProxy.Birth >= registration.ServingProxyBirth
+	return known && servingProxy.State >= message.Dead && servingProxy.StartTime >= registration.ServingProxyStartTime
 }
 
 // proxyCount returns how many proxies there are, with those that seem lost: in a partition each side
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -25,13 +25,13 @@
 type localUpstream struct {
 	registration message.Registration
 	announcedAt  time.Duration // last
-	probed       int64         // message.NotProbed, ProbeAnswered or ProbeRefused
+	probeResult  int64         // message.NotProbed, ProbeAnswered or ProbeRefused
 }
 
 // endedUpstream is the end of an upstream, which the registries are told repeatedly for a while.
 type endedUpstream struct {
-	signOff message.SignOff
-	at      time.Duration
+	deregistration message.Deregistration
+	at             time.Duration
 }
 
 func newLocalUpstreams(cfg settings.Settings) localUpstreams {
@@ -47,19 +47,19 @@
 		upstream.announcedAt = now
 		return false
 	}
-	probed := message.NotProbed
+	probeResult := message.NotProbed
 	if known && upstream.registration.Incarnation == registration.Incarnation && upstream.registration.Address == registration.Address {
-		probed = upstream.probed
+		probeResult = upstream.probeResult
 	}
-	u.running[key] = &localUpstream{registration, now, probed}
+	u.running[key] = &localUpstream{registration, now, probeResult}
 	return true
 }
 
 // signOff takes the end of an incarnation.
 func (u *localUpstreams) signOff(now time.Duration, notice SignedOff) {
 	key := upstreamKey(notice.Service, notice.Instance)
-	signOff := message.SignOff{Service: notice.Service, Instance: notice.Instance, Incarnation: notice.Incarnation}
-	u.ended[key] = endedUpstream{signOff, now}
+	deregistration := message.Deregistration{Service: notice.Service, Instance: notice.Instance, Incarnation: notice.Incarnation}
+	u.ended[key] = endedUpstream{deregistration, now}
 	if upstream, known := u.running[key]; known && upstream.registration.Incarnation <= notice.Incarnation {
 		delete(u.running, key)
 	}
@@ -71,12 +71,12 @@
 	if !known || upstream.registration.Incarnation != result.Incarnation {
 		return false
 	}
-	before := upstream.probed
-	upstream.probed = message.ProbeRefused
+	before := upstream.probeResult
+	upstream.probeResult = message.ProbeRefused
 	if result.Answered {
-		upstream.probed = message.ProbeAnswered
+		upstream.probeResult = message.ProbeAnswered
 	}
-	return upstream.probed != before
+	return upstream.probeResult != before
 }
 
 // probe probes an upstream for a registry, if it announced itself here lately.
@@ -101,23 +101,23 @@
 			delete(u.running, key)
 			continue
 		}
-		heartbeat := message.Heartbeat{Registration: upstream.registration, Age: int64(age), Probed: upstream.probed}
+		heartbeat := message.Heartbeat{Registration: upstream.registration, Age: int64(age), ProbeResult: upstream.probeResult}
 		heartbeats = append(heartbeats, heartbeat)
 	}
 	return heartbeats
 }
 
-// recentSignOffs returns the ends that are still repeated, and forgets older ones.
-func (u *localUpstreams) recentSignOffs(now time.Duration) []message.SignOff {
-	signOffs := []message.SignOff{}
+// recentDeregistrations returns the ends that are still repeated, and forgets older ones.
+func (u *localUpstreams) recentDeregistrations(now time.Duration) []message.Deregistration {
+	deregistrations := []message.Deregistration{}
 	for _, key := range slices.Sorted(maps.Keys(u.ended)) {
 		if now-u.ended[key].at > u.retention() {
 			delete(u.ended, key)
 			continue
 		}
-		signOffs = append(signOffs, u.ended[key].signOff)
+		deregistrations = append(deregistrations, u.ended[key].deregistration)
 	}
-	return signOffs
+	return deregistrations
 }
 
 func (u *localUpstreams) retention() time.Duration {
--- a/internal/proxy/usage.go
+++ b/internal/proxy/usage.go
@@ -35,7 +35,7 @@
 	}
 	sent.number++
 	sent.running = running
-	update := message.UsageUpdate{Proxy: m.membership.Self().Name, Birth: m.birth, Number: sent.number, Counts: running}
+	update := message.UsageUpdate{Proxy: m.membership.Self().Name, StartTime: m.startTime, Number: sent.number, Counts: running}
 	if full {
 		// Only what holds a window's last counts may say that the window is closed.
 		update.Counts = append(append([]message.UsageCount{}, closed...), running...)
--- a/internal/proxy/usage_recipients.go
+++ b/internal/proxy/usage_recipients.go
@@ -13,7 +13,7 @@
 // usageRecipients returns the registries that are sent the usage counts: one more than may be lost,
 // so that any majority that a new lease holder reads has one of them; of a small group all.
 func (m *Machine) usageRecipients(now time.Duration) []message.Member {
-	registries := m.membership.Lately(message.RoleRegistry, now)
+	registries := m.membership.RecentlyAlive(message.RoleRegistry, now)
 	majority := len(m.settings.Voters)/2 + 1
 	if !m.settings.CountsBegun() || len(m.settings.Voters) <= smallVoterGroup || len(registries) <= majority {
 		return registries
--- a/internal/proxy/usage_test.go
+++ b/internal/proxy/usage_test.go
@@ -24,11 +24,11 @@
 	cfg := settings.Default()
 	cfg.Zone, cfg.Zones, cfg.Seeds, cfg.Counted = "z", []string{"z"}, []string{"10.0.0.1:1"}, settings.CountBegun
 	cfg.Voters = settings.VoterNames(5)
-	self := message.Member{Name: "proxy/me", Role: message.RoleProxy, Zone: "z", Address: "me", Birth: 7}
+	self := message.Member{Name: "proxy/me", Role: message.RoleProxy, Zone: "z", Address: "me", StartTime: 7}
 	p := &countingProxy{c: c, machine: New(cfg, self), env: statemachine.NewEnv(1)}
 	for number := range 5 {
 		name := fmt.Sprintf("registry/%d", number)
-		registry := message.Member{Name: name, Role: message.RoleRegistry, Zone: "z", Address: name, Birth: 1}
+		registry := message.Member{Name: name, Role: message.RoleRegistry, Zone: "z", Address: name, StartTime: 1}
 		p.machine.Handle(p.env, "", message.JoinResponse{From: registry})
 	}
 	p.env.Drain()
