--- a/internal/lease/refusals_golden_test.go
+++ b/internal/lease/refusals_golden_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// A vote for the usage lease names the voters that rest, in order and with a comma between; those
+// A vote for the usage lease names the voters that cool down, in order and with a comma between; those
 // that a vote on disk names are refused.
 func TestRestingVotersStayAsTheyAre(t *testing.T) {
 	c := qt.New(t)
@@ -164,9 +164,9 @@
 	}
 	g.run(10*time.Second, true)
 	g.run(renewed, false)
-	resting := map[string]string{"1": "2,3", "2": "1,3", "3": "1,2"}
+	coolingDown := map[string]string{"1": "2,3", "2": "1,3", "3": "1,2"}
 	for _, v := range g.voters {
-		c.Check(v.votes[0].RecentHolders, qt.Equals, resting[g.holder()])
+		c.Check(v.votes[0].RecentHolders, qt.Equals, coolingDown[g.holder()])
 	}
 
 	asked := g.at("a3")
--- a/internal/statemachine/doc.go
+++ b/internal/statemachine/doc.go
@@ -13,7 +13,9 @@
 // many of them in a simulated network.
 //
 //	env := statemachine.NewEnv(seed)
-//	for command := range commands {
+//	for len(queue) > 0 {
+//		command := queue[0]
+//		queue = queue[1:]
 //		env.Now = clock.Now()
 //		command.Apply(machine, env)
 //		for _, effect := range env.Drain() {
@@ -21,8 +23,8 @@
 //			case statemachine.Send:
 //				network.Send(effect.To, effect.Message)
 //			case statemachine.Write:
-//				failure := disk.Write(effect) // and then, as a later command:
-//				commands <- statemachine.Synced{RequestID: effect.RequestID, Failure: failure}
+//				failure := disk.Write(effect)
+//				queue = append(queue, statemachine.Synced{RequestID: effect.RequestID, Failure: failure})
 //			}
 //		}
 //	}
