--- a/internal/storage/disks_generate_golden_test.go
+++ b/internal/storage/disks_generate_golden_test.go
@@ -251,16 +251,16 @@
 
 func goldenUpstream(zone string, number int64) message.Registration {
 	return message.Registration{
-		Service:             fmt.Sprintf("service-%d", number),
-		Instance:            fmt.Sprintf("instance-%d", number),
-		Incarnation:         100 + number,
-		Address:             fmt.Sprintf("10.0.1.%d:80", number),
-		Zone:                zone,
-		Slots:               8 + number,
-		State:               message.StateReady,
-		ServingProxy:        "proxy/p",
-		ServingProxyAddress: proxyAddress,
-		ServingProxyStartTime:   goldenBirth,
+		Service:               fmt.Sprintf("service-%d", number),
+		Instance:              fmt.Sprintf("instance-%d", number),
+		Incarnation:           100 + number,
+		Address:               fmt.Sprintf("10.0.1.%d:80", number),
+		Zone:                  zone,
+		Slots:                 8 + number,
+		State:                 message.StateReady,
+		ServingProxy:          "proxy/p",
+		ServingProxyAddress:   proxyAddress,
+		ServingProxyStartTime: goldenBirth,
 	}
 }
 
--- a/internal/storage/disks_golden_test.go
+++ b/internal/storage/disks_golden_test.go
@@ -135,12 +135,12 @@
 func goldenMember(role string, number int, discovered bool) message.Member {
 	cfg := goldenSettings(number, discovered)
 	return message.Member{
-		Name:    role + "/" + cfg.Node,
-		Role:    role,
-		Voter:   cfg.Voter,
-		Zone:    cfg.Zone,
-		Address: cfg.Address,
-		StartTime:   goldenBirth,
+		Name:      role + "/" + cfg.Node,
+		Role:      role,
+		Voter:     cfg.Voter,
+		Zone:      cfg.Zone,
+		Address:   cfg.Address,
+		StartTime: goldenBirth,
 	}
 }
 
--- a/internal/storage/machines_golden_test.go
+++ b/internal/storage/machines_golden_test.go
@@ -162,12 +162,12 @@
 				Epoch: told.epoch, Voter: told.asker, Identity: signedBy(golden, told.identity),
 			})
 			c.Assert(answer, qt.DeepEquals, any(message.UsageReadResponse{
-				Epoch:    told.epoch,
-				Voter:    told.voter,
-				Identity: signedBy(golden, state.Voter.Identity),
-				Sealed:   state.Sealed,
-				Reported: state.Reported,
-				Unreported:     state.Usage,
+				Epoch:      told.epoch,
+				Voter:      told.voter,
+				Identity:   signedBy(golden, state.Voter.Identity),
+				Sealed:     state.Sealed,
+				Reported:   state.Reported,
+				Unreported: state.Usage,
 			}))
 		})
 	}
