--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -27,8 +27,8 @@
 
 // Names under which a caller shows its tenant's key.
 const (
-	KeyHeader = "X-Api-Key"
-	KeyParam  = "api_key"
+	APIKeyHeader = "X-Api-Key"
+	KeyParam     = "api_key"
 )
 
 type peer struct {
@@ -58,7 +58,7 @@
 type Frontend struct {
 	settings settings.Settings
 	protocol Protocol
-	passOf   func(pass string) (backend.Pass, bool)
+	passOf   func(pass string) (backend.Delegation, bool)
 	lock     sync.Mutex
 	snapshot *proxy.Snapshot
 	peers    map[string]*peer
@@ -73,15 +73,15 @@
 }
 
 // New makes a frontend; passOf asks the backend of the same proxy.
-func New(cfg settings.Settings, passOf func(pass string) (backend.Pass, bool)) *Frontend {
-	return &Frontend{settings: cfg, protocol: Node{}, passOf: passOf, peers: map[string]*peer{}, budgets: map[string]*budget{}, usual: map[string]float64{}, usage: map[int64]map[string]int64{}, open: map[string]int64{}, tallies: map[errcode.Code]int64{}}
+func New(cfg settings.Settings, passOf func(pass string) (backend.Delegation, bool)) *Frontend {
+	return &Frontend{settings: cfg, protocol: NativeProtocol{}, passOf: passOf, peers: map[string]*peer{}, budgets: map[string]*budget{}, usual: map[string]float64{}, usage: map[int64]map[string]int64{}, open: map[string]int64{}, tallies: map[errcode.Code]int64{}}
 }
 
 // UseProtocol sets the callers' manner; before it is used.
 func (f *Frontend) UseProtocol(protocol Protocol) { f.protocol = protocol }
 
-// Show takes a new snapshot of the control state.
-func (f *Frontend) Show(now time.Duration, snapshot *proxy.Snapshot) {
+// UpdateSnapshot takes a new snapshot of the control state.
+func (f *Frontend) UpdateSnapshot(now time.Duration, snapshot *proxy.Snapshot) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.snapshot = snapshot
@@ -128,11 +128,11 @@
 func (f *Frontend) Here() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.snapshot != nil && f.snapshot.Known && f.snapshot.RosterHere
+	return f.snapshot != nil && f.snapshot.ConfigurationsKnown && f.snapshot.RosterKnown
 }
 
-// Choose picks the upstream for the next attempt.
-func (f *Frontend) Choose(now time.Duration, request *Request, random *rand.Rand) *Final {
+// SelectUpstream picks the upstream for the next attempt.
+func (f *Frontend) SelectUpstream(now time.Duration, request *Request, random *rand.Rand) *Response {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if now >= request.Deadline {
@@ -187,8 +187,8 @@
 	return near, far, known
 }
 
-// Judge takes an outcome: a final answer, or nil to choose again.
-func (f *Frontend) Judge(now time.Duration, request *Request, outcome message.Outcome) *Final {
+// EvaluateOutcome takes an outcome: a final answer, or nil to choose again.
+func (f *Frontend) EvaluateOutcome(now time.Duration, request *Request, outcome message.Outcome) *Response {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	code, ending := errcode.Code(outcome.Code), EndingOf(outcome)
@@ -198,13 +198,13 @@
 	if outcome.Slots > 0 {
 		held.reported, held.slots, held.load, held.reportedAt, held.mineThen = outcome.Outstanding, outcome.Slots, outcome.Load, now, held.mine
 	}
-	held.learnLag(now, now-request.chosenAt-time.Duration(outcome.Took))
+	held.learnLag(now, now-request.chosenAt-time.Duration(outcome.ServiceTime))
 	switch ending {
 	case Answered:
 		held.notFull()
 		held.learnFailure(false)
-		f.learnPace(held, request.Route.Name, time.Duration(outcome.Took))
-		return &Final{Code: errcode.OK, Status: int(outcome.Status), Headers: notOwn(outcome.Headers), Body: outcome.Body}
+		f.learnPace(held, request.Route.Name, time.Duration(outcome.ServiceTime))
+		return &Response{Code: errcode.OK, Status: int(outcome.Status), Headers: notOwn(outcome.Headers), Body: outcome.Body}
 	case Unsure:
 		held.notFull()
 		held.learnFailure(true)
@@ -230,7 +230,7 @@
 // must not fill its proxy's link only to be refused.
 func (f *Frontend) fullRest(times int) time.Duration {
 	shortest := f.settings.UpdatesEvery() / 4
-	longest := min(shortest*time.Duration(max(1, f.snapshot.Proxies/proxiesPerRest)), f.settings.UpdatesEvery()*4)
+	longest := min(shortest*time.Duration(max(1, f.snapshot.ProxyCount/proxiesPerRest)), f.settings.UpdatesEvery()*4)
 	return min(shortest<<min(times-1, fullDoublings), longest)
 }
 
@@ -266,11 +266,11 @@
 }
 
 // Abandon says what a caller is told whose time is up while a request is out.
-func (f *Frontend) Abandon(request *Request, forwarded bool, code errcode.Code) *Final {
+func (f *Frontend) Abandon(request *Request, forwarded bool, code errcode.Code) *Response {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if forwarded {
-		return Refusal(errcode.UnknownTimeout)
+		return NewRefusal(errcode.UnknownTimeout)
 	}
 	return f.giveUp(request, code)
 }
@@ -296,14 +296,14 @@
 
 // Forward makes the frame for the chosen serving proxy.
 func (f *Frontend) Forward(now time.Duration, request *Request, self string, attempt string) message.Forward {
-	forward := message.Forward{ID: request.ID + "." + attempt, Proxy: self, ServingProxyBirth: request.Target.ServingProxyBirth, ConfigName: request.Configuration.ConfigName,
+	forward := message.Forward{ID: request.ID + "." + attempt, Proxy: self, ServingProxyStartTime: request.Target.ServingProxyStartTime, ConfigName: request.Configuration.ConfigName,
 		Version: request.Configuration.Version, Route: request.Route.Name, Service: request.Service, Instance: request.Target.Instance,
 		Incarnation: request.Target.Incarnation, Tenant: request.Tenant, Caller: request.Caller, Method: request.Method, Path: request.Path,
-		RawQuery: request.RawQuery, Headers: []message.HeaderLine{}, Body: request.Body, AnswerCap: f.settings.Limits.Answer,
-		Host: request.Host, Name: request.Name, Priority: request.Priority, Once: request.Route.AtMostOnce, Repeat: request.Sent > 0}
+		RawQuery: request.RawQuery, Headers: []message.HeaderLine{}, Body: request.Body, MaxResponseBytes: f.settings.Limits.Answer,
+		Host: request.Host, Name: request.Name, Priority: request.Priority, AtMostOnce: request.Route.AtMostOnce, Retried: request.Sent > 0}
 	remaining := request.Deadline - now
 	if request.Route.LatencyTarget > 0 && !request.nested() {
-		forward.Aim = max(int64(request.Came+request.Route.LatencyTarget-now), 1)
+		forward.TargetRemaining = max(int64(request.ArrivedAt+request.Route.LatencyTarget-now), 1)
 	}
 	forward.Remaining = int64(remaining - min(remaining/20, f.settings.UpdatesEvery()/10))
 	names := make([]string, 0, len(request.Header))
--- a/internal/registry/changes.go
+++ b/internal/registry/changes.go
@@ -80,9 +80,9 @@
 	epoch := m.leases.Epoch(zone)
 	m.changes.inFlight[key] = true
 	record := message.RosterChange{
-		Mark:         message.Mark{Topic: distribution.SliceTopic(zone), Epoch: epoch},
+		Position:     message.Position{Topic: distribution.SliceTopic(zone), Epoch: epoch},
 		Registration: change.registration,
-		Gone:         change.removed,
+		Removed:      change.removed,
 		Cause:        change.cause,
 	}
 	m.Persist(env, record, func(env *statemachine.Env, failure error) {
@@ -96,10 +96,10 @@
 
 // applyChange puts a synced change into effect and broadcasts it.
 func (m *Machine) applyChange(env *statemachine.Env, zone string, epoch int64, change registrationChange) {
-	applied := m.zones[zone].slice.Change(epoch, change.registration, change.removed, change.cause)
+	applied := m.zones[zone].slice.Append(epoch, change.registration, change.removed, change.cause)
 	env.Event("roster-change", 0, epoch, zone+" "+change.registration.Key()+": "+change.cause)
 	for _, peer := range m.Peers() {
 		env.Send(peer.Address, applied)
 	}
-	m.distribution.SliceMoved(env, distribution.SliceTopic(zone))
+	m.distribution.SliceChanged(env, distribution.SliceTopic(zone))
 }
--- a/internal/registry/configuration.go
+++ b/internal/registry/configuration.go
@@ -11,7 +11,7 @@
 // handleConfigurationCommitted takes a version that a peer was told is committed; one that is known
 // here already isn't unpacked.
 func (m *Machine) handleConfigurationCommitted(env *statemachine.Env, committed message.ConfigurationCommitted) {
-	version, _, known := m.distribution.ConfigName(committed.ConfigName)
+	version, _, known := m.distribution.Configuration(committed.ConfigName)
 	if known && version >= committed.Version {
 		return
 	}
@@ -26,7 +26,7 @@
 // configurationStatus says which proxy has which version in force, as its heartbeats tell.
 func (m *Machine) configurationStatus(env *statemachine.Env, configName string, wanted int64) Answer {
 	topic := distribution.ConfigurationTopic(configName)
-	version, _, known := m.distribution.ConfigName(configName)
+	version, _, known := m.distribution.Configuration(configName)
 	if !known {
 		return answerCode(errcode.ConfigurationNotFound, configName)
 	}
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -84,9 +84,9 @@
 	env.Send(from, message.HeartbeatResponse{
 		Registry: m.membership.Self().Name,
 		Sealed:   m.usage.sealed.lowestOpen(),
-		Newer:    m.distribution.NewerThan(batch.Marks),
+		Newer:    m.distribution.NewerThan(batch.Positions),
 	})
-	for _, end := range batch.Ends {
+	for _, end := range batch.Deregistrations {
 		m.heartbeats.recordSignOff(end.Service+"/"+end.Instance, end.Incarnation, env.Now)
 	}
 	for _, heartbeat := range batch.Heartbeats {
@@ -95,11 +95,11 @@
 			m.reconcileHeartbeat(env, heartbeat.Registration.Key())
 		}
 	}
-	m.pullWhereProxyIsAhead(env, batch.Marks)
+	m.pullWhereProxyIsAhead(env, batch.Positions)
 }
 
 // pullWhereProxyIsAhead asks the peers for the zones of which a proxy has a later position.
-func (m *Machine) pullWhereProxyIsAhead(env *statemachine.Env, marks []message.Mark) {
+func (m *Machine) pullWhereProxyIsAhead(env *statemachine.Env, marks []message.Position) {
 	for _, mark := range marks {
 		zone, isSlice := zoneOfTopic(mark.Topic)
 		if !isSlice {
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -22,7 +22,7 @@
 	settings     settings.Settings
 	membership   *membership.Membership
 	quorum       *quorum.Quorum
-	leases       *lease.Leases
+	leases       *lease.Manager
 	distribution *distribution.Distribution
 
 	zones       map[string]*zoneReplica // by name of the zone
@@ -55,7 +55,7 @@
 		replication: newReplicationState(),
 	}
 	m.restoreRoster(saved.Slices)
-	m.membership = membership.New(cfg, self, saved.Seen)
+	m.membership = membership.New(cfg, self, saved.KnownAddresses)
 	m.distribution = m.newDistribution()
 	m.Core = quorum.NewCore(cfg, message.RoleRegistry, m.membership, m.snapshot, snapshot == nil)
 	m.usage = newUsage(m, saved)
@@ -64,12 +64,15 @@
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
 		return nil, err
 	}
-	m.quorum = quorum.NewQuorum(Group, cfg, m, restored.Voter, func(env *statemachine.Env, fresh bool) {
+	m.quorum = quorum.New(Group, cfg, m, restored.Voter, func(env *statemachine.Env, fresh bool) {
 		m.leases.BeginVoting(env, fresh)
 	})
 	m.UseVoters(m.quorum)
-	m.leases = lease.NewLeases(cfg, m, m.quorum, leaseNames(cfg), restored.Votes,
-		m.eligible, m.onLeaseAcquired, m.onLeaseLost)
+	m.leases = lease.New(cfg, m, m.quorum, leaseNames(cfg), restored.Votes, lease.Callbacks{
+		Eligible:   m.eligible,
+		OnAcquired: m.onLeaseAcquired,
+		OnLost:     m.onLeaseLost,
+	})
 	m.usage.quorum, m.usage.leases = m.quorum, m.leases
 	return m, nil
 }
@@ -79,10 +82,10 @@
 func (m *Machine) newDistribution() *distribution.Distribution {
 	tree := distribution.New(m.settings, m.membership, func(*statemachine.Env, string) {})
 	for _, configName := range m.settings.ConfigNames {
-		tree.Want(distribution.ConfigurationTopic(configName))
+		tree.Subscribe(distribution.ConfigurationTopic(configName))
 	}
 	for _, zone := range m.settings.Zones {
-		tree.ShareSlice(m.zones[zone].slice)
+		tree.ServeSlice(m.zones[zone].slice)
 	}
 	return tree
 }
@@ -108,8 +111,8 @@
 	}
 	replica := m.zones[leaseName]
 	replica.acquiredAt = env.Now
-	replica.slice.Adopt(epoch)
-	m.distribution.SliceMoved(env, distribution.SliceTopic(leaseName))
+	replica.slice.StartEpoch(epoch)
+	m.distribution.SliceChanged(env, distribution.SliceTopic(leaseName))
 	m.replication.snapshotDue = true
 }
 
@@ -132,7 +135,7 @@
 	}
 	m.membership.Tick(env)
 	m.quorum.Tick(env)
-	m.Keep(env, m.quorum.ShutOut)
+	m.Maintain(env, m.quorum.Removed)
 	m.leases.Tick(env)
 	m.distribution.Tick(env)
 	m.requests.tick(env)
@@ -150,7 +153,7 @@
 func (m *Machine) refreshHeldZones(env *statemachine.Env) {
 	for _, zone := range m.settings.Zones {
 		if m.holdsZone(env, zone) {
-			m.distribution.Fresh(distribution.SliceTopic(zone), env.Now)
+			m.distribution.SetFreshAt(distribution.SliceTopic(zone), env.Now)
 		}
 	}
 }
--- a/internal/registry/persistence.go
+++ b/internal/registry/persistence.go
@@ -2,7 +2,6 @@
 
 import (
 	"beaconvane/internal/message"
-	"beaconvane/internal/quorum"
 	"beaconvane/internal/statemachine"
 )
 
@@ -10,7 +9,7 @@
 func (m *Machine) restoreRoster(saved []message.RosterSnapshot) {
 	for _, snapshot := range saved {
 		if replica, known := m.zones[snapshot.Tag]; known {
-			replica.slice.Replace(snapshot.Mark, snapshot.Registrations)
+			replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 		}
 	}
 }
@@ -19,12 +18,12 @@
 func (m *Machine) replay(record any) {
 	switch saved := record.(type) {
 	case message.RosterChange:
-		if replica, known := m.replicaOfTopic(saved.Mark.Topic); known {
-			replica.slice.Change(saved.Mark.Epoch, saved.Registration, saved.Gone, saved.Cause)
+		if replica, known := m.replicaOfTopic(saved.Position.Topic); known {
+			replica.slice.Append(saved.Position.Epoch, saved.Registration, saved.Removed, saved.Cause)
 		}
 	case message.UsageSealed:
 		m.usage.sealed.learn(saved)
-	case message.UsageHeld:
+	case message.UnreportedUsage:
 		m.usage.counts.restore(saved)
 	case message.UsageReported:
 		m.usage.sealed.learnReported(saved.Window)
@@ -36,17 +35,17 @@
 
 func (m *Machine) snapshot() []byte {
 	state := message.RegistryState{
-		Voter:    m.quorum.State,
-		Votes:    m.leases.Votes(),
-		Slices:   []message.RosterSnapshot{},
-		Sealed:   m.usage.sealed.list(),
-		Reported: m.usage.sealed.reported,
-		Seen:     m.membership.Seen(),
-		Usage:    m.usage.counts.unsealed(),
+		Voter:          m.quorum.State,
+		Votes:          m.leases.Votes(),
+		Slices:         []message.RosterSnapshot{},
+		Sealed:         m.usage.sealed.list(),
+		Reported:       m.usage.sealed.reported,
+		KnownAddresses: m.membership.KnownAddresses(),
+		Usage:          m.usage.counts.unsealed(),
 	}
 	for _, zone := range m.settings.Zones {
 		slice := m.zones[zone].slice
-		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Mark: slice.Mark, Registrations: slice.List()})
+		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Position: slice.Mark, Registrations: slice.List()})
 	}
 	body, err := message.Encode(state)
 	if err != nil {
@@ -57,11 +56,11 @@
 }
 
 // StateForGrant is the state that this voter hands to one which asks for its grant. With
-// AbsorbGrants and the methods of quorum.Core it makes the machine a quorum.Host.
+// MergeGrantedStates and the methods of quorum.Core it makes the machine a quorum.Host.
 func (m *Machine) StateForGrant() []byte { return m.snapshot() }
 
-// AbsorbGrants takes what the granters of this voter know.
-func (m *Machine) AbsorbGrants(_ *statemachine.Env, states [][]byte) {
+// MergeGrantedStates takes what the granters of this voter know.
+func (m *Machine) MergeGrantedStates(_ *statemachine.Env, states [][]byte) {
 	for _, body := range states {
 		decoded, err := message.Decode(body)
 		state, isState := decoded.(message.RegistryState)
@@ -74,16 +73,16 @@
 		}
 		m.usage.sealed.learnReported(state.Reported)
 		for _, snapshot := range state.Slices {
-			if replica, known := m.zones[snapshot.Tag]; known && replica.slice.Mark.Before(snapshot.Mark) {
-				replica.slice.Replace(snapshot.Mark, snapshot.Registrations)
+			if replica, known := m.zones[snapshot.Tag]; known && replica.slice.Mark.Before(snapshot.Position) {
+				replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 			}
 		}
 	}
 }
 
-// Forget drops what rested on a voter that is now held by another process. The roster stays, as
+// DiscardState drops what rested on a voter that is now held by another process. The roster stays, as
 // what was heard in updates.
-func (m *Machine) Forget(env *statemachine.Env) {
+func (m *Machine) DiscardState(env *statemachine.Env) {
 	m.leases.Forget(env)
 	m.usage.forget()
 }
@@ -91,7 +90,7 @@
 // ForceRecover gives up the other voters and returns the snapshot to be written. An operator does
 // so on the stopped survivor when the disks of two voters are lost.
 func (m *Machine) ForceRecover() []byte {
-	m.quorum.State = quorum.ForceRecover(m.quorum.State)
+	m.quorum.ForceRecover()
 	m.leases.ForceRecover()
 	return m.snapshot()
 }
@@ -104,5 +103,5 @@
 	}
 	m.replication.snapshotDue = false
 	m.replication.nextSnapshotAt = env.Now + m.settings.HolderRest()
-	m.CompactNow(env, func(*statemachine.Env, error) {})
+	m.WriteSnapshot(env, func(*statemachine.Env, error) {})
 }
--- a/internal/registry/proxies.go
+++ b/internal/registry/proxies.go
@@ -20,7 +20,7 @@
 
 // record takes a report, unless it is of an earlier life of the proxy.
 func (p proxyReports) record(batch message.HeartbeatBatch, now time.Duration) bool {
-	if last, known := p[batch.Proxy]; known && batch.Birth < last.batch.Birth {
+	if last, known := p[batch.Proxy]; known && batch.StartTime < last.batch.StartTime {
 		return false
 	}
 	p[batch.Proxy] = proxyReport{batch, now}
@@ -49,7 +49,7 @@
 // inForce is the version of a topic that a proxy has in force; 0 where it told none.
 func (p proxyReports) inForce(proxy, topic string) int64 {
 	version := int64(0)
-	for _, mark := range p[proxy].batch.Marks {
+	for _, mark := range p[proxy].batch.Positions {
 		if mark.Topic == topic {
 			version = mark.Seq
 		}
--- a/internal/registry/questions.go
+++ b/internal/registry/questions.go
@@ -70,8 +70,8 @@
 		env.Reply(requestID, m.samples(env))
 	case UsageDelivered:
 		m.usage.handleDelivered(env, asked.Window)
-	case statemachine.Reseeded:
-		m.membership.Reseed(asked.Seeds)
+	case statemachine.SeedsChanged:
+		m.membership.SetSeeds(asked.Seeds)
 	case statemachine.ConnectionBroke:
 		m.distribution.ConnectionBroke(env, asked.Address)
 	case Stop:
@@ -82,7 +82,7 @@
 // stop hands the leases over; the answer comes when the process may end.
 func (m *Machine) stop(env *statemachine.Env, requestID int64) {
 	m.stopping = true
-	m.leases.Yield(env)
+	m.leases.TransferAll(env)
 	m.Depart(env, requestID, answerCode(errcode.OK, "stopping"))
 }
 
@@ -91,9 +91,9 @@
 	switch {
 	case m.Failure() != nil:
 		return answerCode(errcode.DiskFault, "")
-	case m.quorum.ShutOut || m.membership.Superseded():
+	case m.quorum.Removed || m.membership.Superseded():
 		return answerCode(errcode.VoterShutOut, "")
-	case !m.quorum.Voting() && !m.quorum.Spare(env):
+	case !m.quorum.Voting() && !m.quorum.Standby(env):
 		return answerCode(errcode.VoterRecovering, "")
 	case m.stopping || !m.membership.Joined():
 		return answerCode(errcode.BusyNotReady, "")
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -136,7 +136,7 @@
 		wanted.State = message.StateLeaving
 	case wanted.State == message.StateLeaving:
 		// It drains, probed or not.
-	case heartbeat.Probed != message.ProbeAnswered && (newIncarnation || current.State == message.StateCreated):
+	case heartbeat.ProbeResult != message.ProbeAnswered && (newIncarnation || current.State == message.StateCreated):
 		wanted.State = message.StateCreated
 	}
 	return wanted
--- a/internal/registry/reconcile_test.go
+++ b/internal/registry/reconcile_test.go
@@ -35,7 +35,7 @@
 		if !registered {
 			current = message.Registration{}
 		}
-		wanted := wantedRegistration(message.Heartbeat{Registration: announced, Probed: step.probed}, current, registered)
+		wanted := wantedRegistration(message.Heartbeat{Registration: announced, ProbeResult: step.probed}, current, registered)
 		c.Check(wanted.State, qt.Equals, step.wanted, qt.Commentf("%+v", step))
 		wanted.State = announced.State
 		c.Check(wanted, qt.Equals, announced)
--- a/internal/registry/replication.go
+++ b/internal/registry/replication.go
@@ -55,10 +55,10 @@
 
 func (m *Machine) rosterCheck(zone string) message.RosterCheck {
 	return message.RosterCheck{
-		Tag:   zone,
-		Round: m.replication.round,
-		Voter: m.quorum.Voter,
-		Mark:  m.zones[zone].slice.Mark,
+		Tag:      zone,
+		Round:    m.replication.round,
+		Voter:    m.quorum.Voter,
+		Position: m.zones[zone].slice.Mark,
 	}
 }
 
@@ -70,23 +70,23 @@
 
 // handleRosterChange follows the broadcast of a holder.
 func (m *Machine) handleRosterChange(env *statemachine.Env, change message.RosterChange) {
-	zone, isSlice := zoneOfTopic(change.Mark.Topic)
+	zone, isSlice := zoneOfTopic(change.Position.Topic)
 	replica, known := m.zones[zone]
 	if !isSlice || !known || m.holdsZone(env, zone) {
 		return
 	}
 	current := replica.slice.Mark
-	if change.Mark.Epoch < m.leases.Epoch(zone) || change.Mark.Epoch < current.Epoch {
+	if change.Position.Epoch < m.leases.Epoch(zone) || change.Position.Epoch < current.Epoch {
 		return
 	}
-	if replica.slice.Follow(change) {
+	if replica.slice.Apply(change) {
 		m.Persist(env, change, func(*statemachine.Env, error) {})
-		m.distribution.SliceMoved(env, change.Mark.Topic)
+		m.distribution.SliceChanged(env, change.Position.Topic)
 		return
 	}
 	current = replica.slice.Mark
-	samePosition := current.Epoch == change.Mark.Epoch && current.Seq == change.Mark.Seq
-	if current.Before(change.Mark) || samePosition && !current.Same(change.Mark) {
+	samePosition := current.Epoch == change.Position.Epoch && current.Seq == change.Position.Seq
+	if current.Before(change.Position) || samePosition && !current.Same(change.Position) {
 		m.pullZone(env, zone, "gap in broadcasts")
 	}
 }
@@ -98,10 +98,10 @@
 		return
 	}
 	env.Send(from, message.RosterDigest{
-		Tag:   check.Tag,
-		Round: check.Round,
-		Voter: m.quorum.Voter,
-		Mark:  replica.slice.Mark,
+		Tag:      check.Tag,
+		Round:    check.Round,
+		Voter:    m.quorum.Voter,
+		Position: replica.slice.Mark,
 	})
 }
 
@@ -110,11 +110,11 @@
 func (m *Machine) handleRosterDigest(env *statemachine.Env, digest message.RosterDigest) {
 	replica, known := m.zones[digest.Tag]
 	askedAt, asked := m.replication.askedAt[digest.Round]
-	if !known || !asked || digest.Mark.Epoch < m.leases.Epoch(digest.Tag) || m.holdsZone(env, digest.Tag) {
+	if !known || !asked || digest.Position.Epoch < m.leases.Epoch(digest.Tag) || m.holdsZone(env, digest.Tag) {
 		return
 	}
-	if replica.slice.Mark.Same(digest.Mark) {
-		m.distribution.Fresh(distribution.SliceTopic(digest.Tag), askedAt)
+	if replica.slice.Mark.Same(digest.Position) {
+		m.distribution.SetFreshAt(distribution.SliceTopic(digest.Tag), askedAt)
 		return
 	}
 	if guardsOff.driftDetection {
@@ -148,9 +148,9 @@
 	env.Send(from, message.RosterSnapshot{
 		Tag:           pull.Tag,
 		Voter:         m.quorum.Voter,
-		Whole:         replica.complete,
-		Holder:        m.holdsZone(env, pull.Tag),
-		Mark:          replica.slice.Mark,
+		Complete:      replica.complete,
+		HoldsLease:    m.holdsZone(env, pull.Tag),
+		Position:      replica.slice.Mark,
 		Registrations: replica.slice.List(),
 	})
 }
@@ -162,18 +162,18 @@
 	if !known || m.holdsZone(env, snapshot.Tag) {
 		return
 	}
-	if !snapshot.Whole && !snapshot.Holder {
+	if !snapshot.Complete && !snapshot.HoldsLease {
 		if !replica.complete && snapshot.Voter != "" {
 			replica.incompletePeers[snapshot.Voter] = true
 		}
 		return
 	}
 	current := replica.slice.Mark
-	holderDiffers := snapshot.Holder && snapshot.Mark.Epoch >= m.leases.Epoch(snapshot.Tag) && !current.Same(snapshot.Mark)
-	if current.Before(snapshot.Mark) || holderDiffers {
-		replica.slice.Replace(snapshot.Mark, snapshot.Registrations)
+	holderDiffers := snapshot.HoldsLease && snapshot.Position.Epoch >= m.leases.Epoch(snapshot.Tag) && !current.Same(snapshot.Position)
+	if current.Before(snapshot.Position) || holderDiffers {
+		replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 		m.replication.snapshotDue = true
-		m.distribution.SliceMoved(env, replica.slice.Mark.Topic)
+		m.distribution.SliceChanged(env, replica.slice.Mark.Topic)
 	}
 	replica.complete = true
 }
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -23,7 +23,7 @@
 	settings settings.Settings
 	core     *quorum.Core
 	quorum   *quorum.Quorum
-	leases   *lease.Leases
+	leases   *lease.Manager
 
 	sealed *sealedWindows
 	counts *usageCounts
--- a/internal/registry/usage_clock.go
+++ b/internal/registry/usage_clock.go
@@ -56,9 +56,9 @@
 		return
 	}
 	last, known := c.closed[update.Proxy]
-	newer := update.Birth > last.birth || update.Birth == last.birth && update.Number > last.number
+	newer := update.StartTime > last.birth || update.StartTime == last.birth && update.Number > last.number
 	if !known || newer {
-		c.closed[update.Proxy] = closedReport{update.Birth, update.Number, update.Closed}
+		c.closed[update.Proxy] = closedReport{update.StartTime, update.Number, update.Closed}
 	}
 }
 
--- a/internal/registry/usage_counts.go
+++ b/internal/registry/usage_counts.go
@@ -14,8 +14,8 @@
 // its life, since a life begins to count from zero.
 type usageCounts struct {
 	sealed   *sealedWindows
-	byWindow map[int64]map[string]message.UsageLife // by window and life
-	unsaved  map[int64]map[string]bool              // by window and life: changed since the last write
+	byWindow map[int64]map[string]message.ProxyUsage // by window and life
+	unsaved  map[int64]map[string]bool               // by window and life: changed since the last write
 
 	saving     bool // a write is under way
 	nextSaveAt time.Duration
@@ -24,14 +24,14 @@
 func newUsageCounts(sealed *sealedWindows) *usageCounts {
 	return &usageCounts{
 		sealed:   sealed,
-		byWindow: map[int64]map[string]message.UsageLife{},
+		byWindow: map[int64]map[string]message.ProxyUsage{},
 		unsaved:  map[int64]map[string]bool{},
 	}
 }
 
 // lifeOf names a life of a proxy.
 func lifeOf(update message.UsageUpdate) string {
-	return update.Proxy + "/" + strconv.FormatInt(update.Birth, 36)
+	return update.Proxy + "/" + strconv.FormatInt(update.StartTime, 36)
 }
 
 // add takes the cumulative counts of a proxy; the update with the highest number of a life holds.
@@ -42,12 +42,12 @@
 		if c.sealed.settled(window.Window) || known && update.Number <= held.Number {
 			continue
 		}
-		c.put(message.UsageLife{
-			Window: window.Window,
-			Life:   life,
-			Number: update.Number,
-			Counts: window.Counts,
-			Open:   window.Open,
+		c.put(message.ProxyUsage{
+			Window:   window.Window,
+			ProxyRun: life,
+			Number:   update.Number,
+			Counts:   window.Counts,
+			Open:     window.Open,
 		})
 		if !known || !maps.Equal(held.Counts, window.Counts) || !maps.Equal(held.Open, window.Open) {
 			c.markUnsaved(window.Window, life)
@@ -55,11 +55,11 @@
 	}
 }
 
-func (c *usageCounts) put(counts message.UsageLife) {
+func (c *usageCounts) put(counts message.ProxyUsage) {
 	if c.byWindow[counts.Window] == nil {
-		c.byWindow[counts.Window] = map[string]message.UsageLife{}
+		c.byWindow[counts.Window] = map[string]message.ProxyUsage{}
 	}
-	c.byWindow[counts.Window][counts.Life] = counts
+	c.byWindow[counts.Window][counts.ProxyRun] = counts
 }
 
 func (c *usageCounts) markUnsaved(window int64, life string) {
@@ -70,18 +70,18 @@
 }
 
 // restore takes counts from this disk.
-func (c *usageCounts) restore(saved message.UsageHeld) {
-	for _, counts := range saved.Lives {
-		if counts.Number >= c.byWindow[counts.Window][counts.Life].Number {
+func (c *usageCounts) restore(saved message.UnreportedUsage) {
+	for _, counts := range saved.Proxies {
+		if counts.Number >= c.byWindow[counts.Window][counts.ProxyRun].Number {
 			c.put(counts)
 		}
 	}
 }
 
 // merge takes the counts of another registry, of windows that aren't reported yet.
-func (c *usageCounts) merge(others message.UsageHeld) {
-	for _, counts := range others.Lives {
-		if counts.Window > c.sealed.reported && counts.Number > c.byWindow[counts.Window][counts.Life].Number {
+func (c *usageCounts) merge(others message.UnreportedUsage) {
+	for _, counts := range others.Proxies {
+		if counts.Window > c.sealed.reported && counts.Number > c.byWindow[counts.Window][counts.ProxyRun].Number {
 			c.put(counts)
 		}
 	}
@@ -98,29 +98,29 @@
 }
 
 // unsealed lists the counts of the windows whose value isn't known, by window and life.
-func (c *usageCounts) unsealed() message.UsageHeld {
-	list := message.UsageHeld{Lives: []message.UsageLife{}}
+func (c *usageCounts) unsealed() message.UnreportedUsage {
+	list := message.UnreportedUsage{Proxies: []message.ProxyUsage{}}
 	for window, lives := range c.byWindow {
 		if c.sealed.settled(window) {
 			continue
 		}
 		for _, counts := range lives {
-			list.Lives = append(list.Lives, counts)
+			list.Proxies = append(list.Proxies, counts)
 		}
 	}
-	sort.Slice(list.Lives, func(i, j int) bool {
-		left, right := list.Lives[i], list.Lives[j]
-		return left.Window < right.Window || left.Window == right.Window && left.Life < right.Life
+	sort.Slice(list.Proxies, func(i, j int) bool {
+		left, right := list.Proxies[i], list.Proxies[j]
+		return left.Window < right.Window || left.Window == right.Window && left.ProxyRun < right.ProxyRun
 	})
 	return list
 }
 
 // takeUnsaved lists the counts that changed since the last write, and takes them as written.
-func (c *usageCounts) takeUnsaved() message.UsageHeld {
-	changed := message.UsageHeld{Lives: []message.UsageLife{}}
-	for _, counts := range c.unsealed().Lives {
-		if c.unsaved[counts.Window][counts.Life] {
-			changed.Lives = append(changed.Lives, counts)
+func (c *usageCounts) takeUnsaved() message.UnreportedUsage {
+	changed := message.UnreportedUsage{Proxies: []message.ProxyUsage{}}
+	for _, counts := range c.unsealed().Proxies {
+		if c.unsaved[counts.Window][counts.ProxyRun] {
+			changed.Proxies = append(changed.Proxies, counts)
 		}
 	}
 	c.unsaved = map[int64]map[string]bool{}
@@ -151,7 +151,7 @@
 		return
 	}
 	changed := counts.takeUnsaved()
-	if len(changed.Lives) == 0 {
+	if len(changed.Proxies) == 0 {
 		return
 	}
 	counts.saving = true
--- a/internal/registry/usage_sealing.go
+++ b/internal/registry/usage_sealing.go
@@ -167,7 +167,7 @@
 
 // mayAnswer says that this process votes, and knows the sender as the one that holds a voter.
 func (u *usage) mayAnswer(voter, identity string) bool {
-	return u.quorum.Voting() && u.quorum.Holds(voter, identity)
+	return u.quorum.Voting() && u.quorum.Accepts(voter, identity)
 }
 
 // handleRead answers a holder, as a voter, with the values and counts that are known here.
@@ -176,12 +176,12 @@
 		return
 	}
 	env.Send(from, message.UsageReadResponse{
-		Epoch:    read.Epoch,
-		Voter:    u.quorum.Voter,
-		Identity: u.quorum.Signature(),
-		Sealed:   u.sealed.latest(),
-		Reported: u.sealed.reported,
-		Held:     u.counts.unsealed(),
+		Epoch:      read.Epoch,
+		Voter:      u.quorum.Voter,
+		Identity:   u.quorum.Signature(),
+		Sealed:     u.sealed.latest(),
+		Reported:   u.sealed.reported,
+		Unreported: u.counts.unsealed(),
 	})
 }
 
@@ -193,7 +193,7 @@
 		u.sealed.learn(value)
 	}
 	u.sealed.learnReported(response.Reported)
-	u.counts.merge(response.Held)
+	u.counts.merge(response.Unreported)
 	u.sealer.readAnswers[response.Voter] = response.Identity
 	u.finishRead()
 }
--- a/internal/registry/zone.go
+++ b/internal/registry/zone.go
@@ -9,7 +9,7 @@
 
 // zoneReplica is this registry's copy of one zone's slice of the roster.
 type zoneReplica struct {
-	slice *distribution.Slice
+	slice *distribution.RosterSlice
 
 	// complete says that the copy holds all that a holder before may have committed. Only then
 	// may this registry become the zone's holder.
@@ -27,7 +27,7 @@
 	replicas := make(map[string]*zoneReplica, len(zones))
 	for _, zone := range zones {
 		replicas[zone] = &zoneReplica{
-			slice:           distribution.NewSlice(distribution.SliceTopic(zone)),
+			slice:           distribution.NewRosterSlice(distribution.SliceTopic(zone)),
 			incompletePeers: map[string]bool{},
 		}
 	}
