--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -68,8 +68,11 @@
 		m.leases.BeginVoting(env, fresh)
 	})
 	m.UseVoters(m.quorum)
-	m.leases = lease.New(cfg, m, m.quorum, leaseNames(cfg), restored.Votes,
-		lease.Callbacks{Eligible: m.eligible, OnAcquired: m.onLeaseAcquired, OnLost: m.onLeaseLost})
+	m.leases = lease.New(cfg, m, m.quorum, leaseNames(cfg), restored.Votes, lease.Callbacks{
+		Eligible:   m.eligible,
+		OnAcquired: m.onLeaseAcquired,
+		OnLost:     m.onLeaseLost,
+	})
 	m.usage.quorum, m.usage.leases = m.quorum, m.leases
 	return m, nil
 }
