--- a/internal/routeconfig/parse.go
+++ b/internal/routeconfig/parse.go
@@ -35,15 +35,15 @@
 	}
 	root := gjson.ParseBytes(body)
 	configuration.CallerLimits = parseCallerLimits(root.Get("limits"))
-	configuration.readServices(root.Get("services"))
-	configuration.readTenants(root.Get("tenants"))
-	configuration.readRoutes(root.Get("routes"), limits, known)
+	configuration.parseServices(root.Get("services"))
+	configuration.parseTenants(root.Get("tenants"))
+	configuration.parseRoutes(root.Get("routes"), limits, known)
 	configuration.indexHosts()
 	return configuration
 }
 
-// readServices reads services, which are names, or objects that say more.
-func (c *Configuration) readServices(services gjson.Result) {
+// parseServices reads services, which are names, or objects that say more.
+func (c *Configuration) parseServices(services gjson.Result) {
 	for _, item := range services.Array() {
 		service := Service{Name: item.String()}
 		if item.IsObject() {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (c *Configuration) readTenants(tenants gjson.Result) {
+func (c *Configuration) parseTenants(tenants gjson.Result) {
 	for _, tenant := range tenants.Array() {
 		name := tenant.Get("name").String()
 		if priority := tenant.Get("priority"); priority.Exists() {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (c *Configuration) readRoutes(routes gjson.Result, limits Limits, known map[string]*Route) {
+func (c *Configuration) parseRoutes(routes gjson.Result, limits Limits, known map[string]*Route) {
 	c.Routes = make([]*Route, 0, len(known))
 	c.routesByText = make(map[string]*Route, len(known))
 	fields := routeFields{}
