--- a/internal/registry/changes.go
+++ b/internal/registry/changes.go
@@ -15,7 +15,7 @@
 	causeDrain               = "drain"
 	causeServingProxyChanged = "new serving proxy"
 	causeOtherFields         = "changed"
-	causeSignedOff           = "signed off"
+	causeDeregistered        = "signed off"
 	causeHeartbeatsStopped   = "heartbeats stopped"
 
 	causeMovedTo        = "moved to "         // and the zone
--- a/internal/registry/guards_test.go
+++ b/internal/registry/guards_test.go
@@ -12,14 +12,14 @@
 	"beaconvane/internal/registry"
 )
 
-// mostWalks is how many walks may pass before a fault is found.
-const mostWalks = 600
+// maxWalks bounds how many walks of the exploration may pass before one breaks a rule.
+const maxWalks = 600
 
-var three = explore.Options{Role: message.RoleRegistry, Voters: 3, Rounds: 320, Faults: 8}
+var threeRegistries = explore.Options{Role: message.RoleRegistry, Voters: 3, Rounds: 320, Faults: 8}
 
-// without lists the guards that the walks miss when they are off: the first seed, and the
-// rules of which one must be broken.
-var without = map[string]struct {
+// expectedViolations lists the guards without which the exploration breaks a rule: the first seed
+// of its walks, and the rules of which one must be broken.
+var expectedViolations = map[string]struct {
 	seed  uint64
 	rules string
 }{
@@ -37,10 +37,10 @@
 	if racing {
 		t.Skip("each walk is one thread; run without -race")
 	}
-	for name, missed := range without {
+	for name, missed := range expectedViolations {
 		t.Run(name, func(t *testing.T) {
 			registry.WithoutGuard(name, func() {
-				found, walks, broken := explore.Find(three, missed.seed, mostWalks, runtime.GOMAXPROCS(0))
+				found, walks, broken := explore.Find(threeRegistries, missed.seed, maxWalks, runtime.GOMAXPROCS(0))
 				qt.Assert(t, broken, qt.IsTrue, qt.Commentf("nothing found in %d walks", walks))
 				t.Logf("found after %d walks, %d actions: %s", walks, len(found.Plan.Actions), found.Violation)
 				qt.Assert(t, strings.Fields(missed.rules), qt.Any(qt.Equals), found.Violation.Rule)
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -13,9 +13,9 @@
 	// heartbeatRetention is how long the newest heartbeat of a silent upstream is kept, in
 	// heartbeat bounds.
 	heartbeatRetention = 4
-	// signOffRetention is how long a sign-off is kept, in heartbeat bounds, so that late
-	// heartbeats of the ended incarnation don't register it again.
-	signOffRetention = 10
+	// deregistrationRetention is how long a deregistration is kept, in heartbeat bounds, so that
+	// late heartbeats of the ended incarnation don't register it again.
+	deregistrationRetention = 10
 )
 
 // upstreamHeartbeat is the newest heartbeat of an upstream.
@@ -25,8 +25,8 @@
 	proxy     string        // that passed it on
 }
 
-// signOff says that an upstream has ended an incarnation, and all before it.
-type signOff struct {
+// deregistration is an upstream's word that it has ended an incarnation, and all before it.
+type deregistration struct {
 	incarnation int64
 	at          time.Duration
 }
@@ -34,12 +34,12 @@
 // heartbeatTable holds what upstreams last said, by the keys of their registrations. Every
 // registry keeps one, not only the holder of a zone.
 type heartbeatTable struct {
-	newest   map[string]upstreamHeartbeat
-	signOffs map[string]signOff
+	newest          map[string]upstreamHeartbeat
+	deregistrations map[string]deregistration
 }
 
 func newHeartbeatTable() *heartbeatTable {
-	return &heartbeatTable{newest: map[string]upstreamHeartbeat{}, signOffs: map[string]signOff{}}
+	return &heartbeatTable{newest: map[string]upstreamHeartbeat{}, deregistrations: map[string]deregistration{}}
 }
 
 // record takes a heartbeat, unless a newer one is known. Of one incarnation the later
@@ -60,20 +60,20 @@
 	return true
 }
 
-func (t *heartbeatTable) recordSignOff(key string, incarnation int64, now time.Duration) {
-	if known, signedOff := t.signOffs[key]; !signedOff || known.incarnation < incarnation {
-		t.signOffs[key] = signOff{incarnation, now}
+func (t *heartbeatTable) recordDeregistration(key string, incarnation int64, now time.Duration) {
+	if known, deregistered := t.deregistrations[key]; !deregistered || known.incarnation < incarnation {
+		t.deregistrations[key] = deregistration{incarnation, now}
 	}
 }
 
-// hasSignedOff says that the incarnation of a registration has ended.
-func (t *heartbeatTable) hasSignedOff(registration message.Registration) bool {
-	known, signedOff := t.signOffs[registration.Key()]
-	return signedOff && registration.Incarnation <= known.incarnation
+// isDeregistered says that the incarnation of a registration has ended.
+func (t *heartbeatTable) isDeregistered(registration message.Registration) bool {
+	known, deregistered := t.deregistrations[registration.Key()]
+	return deregistered && registration.Incarnation <= known.incarnation
 }
 
-func (t *heartbeatTable) forgetSignOffs(before time.Duration) {
-	maps.DeleteFunc(t.signOffs, func(_ string, known signOff) bool { return known.at < before })
+func (t *heartbeatTable) forgetDeregistrations(before time.Duration) {
+	maps.DeleteFunc(t.deregistrations, func(_ string, known deregistration) bool { return known.at < before })
 }
 
 // handleHeartbeats takes the heartbeats that a proxy heard from its upstreams.
@@ -87,7 +87,7 @@
 		Newer:    m.distribution.NewerThan(batch.Positions),
 	})
 	for _, end := range batch.Deregistrations {
-		m.heartbeats.recordSignOff(end.Service+"/"+end.Instance, end.Incarnation, env.Now)
+		m.heartbeats.recordDeregistration(end.Service+"/"+end.Instance, end.Incarnation, env.Now)
 	}
 	for _, heartbeat := range batch.Heartbeats {
 		announcedAt := env.Now - time.Duration(heartbeat.Age)
--- a/internal/registry/heartbeats_test.go
+++ b/internal/registry/heartbeats_test.go
@@ -39,19 +39,19 @@
 	}
 }
 
-// A sign-off ends an incarnation and those before it, until it is forgotten.
-func TestSignOffsEndIncarnations(t *testing.T) {
+// A deregistration ends an incarnation and those before it, until it is forgotten.
+func TestDeregistrationsEndIncarnations(t *testing.T) {
 	c := qt.New(t)
 	table := newHeartbeatTable()
-	table.recordSignOff("dispatch/dispatch-1", 2, time.Second)
-	table.recordSignOff("dispatch/dispatch-1", 1, 2*time.Second)
+	table.recordDeregistration("dispatch/dispatch-1", 2, time.Second)
+	table.recordDeregistration("dispatch/dispatch-1", 1, 2*time.Second)
 	for incarnation, ended := range map[int64]bool{1: true, 2: true, 3: false} {
 		registration := heartbeatOf(incarnation, "", 0).heartbeat.Registration
-		c.Check(table.hasSignedOff(registration), qt.Equals, ended)
+		c.Check(table.isDeregistered(registration), qt.Equals, ended)
 	}
 	registration := heartbeatOf(2, "", 0).heartbeat.Registration
-	table.forgetSignOffs(time.Second)
-	c.Check(table.hasSignedOff(registration), qt.IsTrue)
-	table.forgetSignOffs(time.Second + 1)
-	c.Check(table.hasSignedOff(registration), qt.IsFalse)
+	table.forgetDeregistrations(time.Second)
+	c.Check(table.isDeregistered(registration), qt.IsTrue)
+	table.forgetDeregistrations(time.Second + 1)
+	c.Check(table.isDeregistered(registration), qt.IsFalse)
 }
--- a/internal/registry/norace_test.go
+++ b/internal/registry/norace_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// The other half of race_test.go: without the detector every run is played.
+// Without the race detector every walk is played; race_test.go says why not with it.
 package registry_test
 
 const racing = false
--- a/internal/registry/proxies.go
+++ b/internal/registry/proxies.go
@@ -18,7 +18,7 @@
 // proxyReports holds the newest report of each proxy, by the proxy's name.
 type proxyReports map[string]proxyReport
 
-// record takes a report, unless it is of an earlier life of the proxy.
+// record takes a report, unless it is from before the last start of the proxy.
 func (p proxyReports) record(batch message.HeartbeatBatch, now time.Duration) bool {
 	if last, known := p[batch.Proxy]; known && batch.StartTime < last.batch.StartTime {
 		return false
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -11,7 +11,7 @@
 // expires upstreams that were silent for too long.
 func (m *Machine) maintainRoster(env *statemachine.Env) {
 	m.reconcileHeartbeats(env)
-	m.heartbeats.forgetSignOffs(env.Now - m.settings.HeartbeatBound()*signOffRetention)
+	m.heartbeats.forgetDeregistrations(env.Now - m.settings.HeartbeatBound()*deregistrationRetention)
 	m.proxies.forget(env.Now - m.settings.ForgetAfter())
 	for _, zone := range m.settings.Zones {
 		if !m.holdsZone(env, zone) {
@@ -23,11 +23,11 @@
 	}
 }
 
-// checkLiveness removes an upstream that signed off or was silent for the heartbeat bound, and has
+// checkLiveness removes an upstream that deregistered or was silent for the heartbeat bound, and has
 // one probed that is late or was never probed.
 func (m *Machine) checkLiveness(env *statemachine.Env, zone string, registration message.Registration) {
-	if m.heartbeats.hasSignedOff(registration) {
-		m.commitChange(env, zone, removal(registration, causeSignedOff))
+	if m.heartbeats.isDeregistered(registration) {
+		m.commitChange(env, zone, removal(registration, causeDeregistered))
 		return
 	}
 	silentFor := m.silentFor(env, zone, registration)
@@ -68,7 +68,7 @@
 func (m *Machine) reconcileHeartbeat(env *statemachine.Env, key string) {
 	newest := m.heartbeats.newest[key]
 	announced := newest.heartbeat.Registration
-	if m.heartbeats.hasSignedOff(announced) || env.Now-newest.at > m.settings.HeartbeatBound() {
+	if m.heartbeats.isDeregistered(announced) || env.Now-newest.at > m.settings.HeartbeatBound() {
 		return
 	}
 	for _, zone := range m.settings.Zones {
@@ -87,9 +87,9 @@
 
 // removeMoved removes an upstream that announces itself in another zone now.
 func (m *Machine) removeMoved(env *statemachine.Env, zone string, announced message.Registration) {
-	held, registered := m.zones[zone].slice.Registrations[announced.Key()]
-	if registered && announced.Incarnation >= held.Incarnation {
-		m.commitChange(env, zone, removal(held, causeMovedTo+announced.Zone))
+	current, registered := m.zones[zone].slice.Registrations[announced.Key()]
+	if registered && announced.Incarnation >= current.Incarnation {
+		m.commitChange(env, zone, removal(current, causeMovedTo+announced.Zone))
 	}
 }
 
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -64,7 +64,7 @@
 
 func (u *usage) tick(env *statemachine.Env) {
 	u.counts.dropSealed()
-	u.clock.noteEnds(env, u.sealed.reported)
+	u.clock.recordEnds(env, u.sealed.reported)
 	u.saveCounts(env)
 	if !u.leases.Holding(settings.UsageTag, env.Now) {
 		return
@@ -75,7 +75,7 @@
 
 // handleUpdate takes the cumulative counts of a proxy.
 func (u *usage) handleUpdate(env *statemachine.Env, update message.UsageUpdate) {
-	u.clock.noteClosed(update)
+	u.clock.recordClosed(update)
 	u.counts.add(update)
 	u.saveCounts(env)
 }
--- a/internal/registry/usage_clock.go
+++ b/internal/registry/usage_clock.go
@@ -20,7 +20,7 @@
 
 // closedReport is a proxy's newest word on which windows it has closed.
 type closedReport struct {
-	birth       int64
+	startTime   int64
 	number      int64
 	closedBelow int64 // all windows below it are closed
 }
@@ -49,14 +49,14 @@
 	}
 }
 
-// noteClosed takes the newest word of a proxy, whose clock may have been set back since. An update
+// recordClosed takes the newest word of a proxy, whose clock may have been set back since. An update
 // of the running window alone says nothing of those that are over.
-func (c *windowClock) noteClosed(update message.UsageUpdate) {
+func (c *windowClock) recordClosed(update message.UsageUpdate) {
 	if update.Closed == 0 {
 		return
 	}
 	last, known := c.closed[update.Proxy]
-	newer := update.StartTime > last.birth || update.StartTime == last.birth && update.Number > last.number
+	newer := update.StartTime > last.startTime || update.StartTime == last.startTime && update.Number > last.number
 	if !known || newer {
 		c.closed[update.Proxy] = closedReport{update.StartTime, update.Number, update.Closed}
 	}
@@ -72,8 +72,8 @@
 	return told[(len(told)-1)/2]
 }
 
-// noteEnds remembers when the windows that aren't reported yet were first known to be over.
-func (c *windowClock) noteEnds(env *statemachine.Env, reported int64) {
+// recordEnds remembers when the windows that aren't reported yet were first known to be over.
+func (c *windowClock) recordEnds(env *statemachine.Env, reported int64) {
 	current := c.current(env)
 	for window := max(reported+1, current-windowEndRetention); window < current; window++ {
 		if _, known := c.endSeenAt[window]; !known {
--- a/internal/registry/usage_counts.go
+++ b/internal/registry/usage_counts.go
@@ -10,12 +10,12 @@
 	"beaconvane/internal/statemachine"
 )
 
-// usageCounts are the counts of the windows that aren't sealed yet. A proxy's counts are kept by
-// its life, since a life begins to count from zero.
+// usageCounts are the counts of the windows that aren't sealed yet. A proxy's counts are kept by its
+// run: a proxy that was started again begins to count from zero.
 type usageCounts struct {
 	sealed   *sealedWindows
-	byWindow map[int64]map[string]message.ProxyUsage // by window and life
-	unsaved  map[int64]map[string]bool               // by window and life: changed since the last write
+	byWindow map[int64]map[string]message.ProxyUsage // by window and run
+	unsaved  map[int64]map[string]bool               // by window and run: changed since the last write
 
 	saving     bool // a write is under way
 	nextSaveAt time.Duration
@@ -29,28 +29,28 @@
 	}
 }
 
-// lifeOf names a life of a proxy.
-func lifeOf(update message.UsageUpdate) string {
+// proxyRunOf names a run of a proxy: the time from one start to the next.
+func proxyRunOf(update message.UsageUpdate) string {
 	return update.Proxy + "/" + strconv.FormatInt(update.StartTime, 36)
 }
 
-// add takes the cumulative counts of a proxy; the update with the highest number of a life holds.
+// add takes the cumulative counts of a proxy; the update with the highest number of a run holds.
 func (c *usageCounts) add(update message.UsageUpdate) {
-	life := lifeOf(update)
+	run := proxyRunOf(update)
 	for _, window := range update.Counts {
-		held, known := c.byWindow[window.Window][life]
-		if c.sealed.settled(window.Window) || known && update.Number <= held.Number {
+		last, known := c.byWindow[window.Window][run]
+		if c.sealed.hasValue(window.Window) || known && update.Number <= last.Number {
 			continue
 		}
 		c.put(message.ProxyUsage{
 			Window:   window.Window,
-			ProxyRun: life,
+			ProxyRun: run,
 			Number:   update.Number,
 			Counts:   window.Counts,
 			Open:     window.Open,
 		})
-		if !known || !maps.Equal(held.Counts, window.Counts) || !maps.Equal(held.Open, window.Open) {
-			c.markUnsaved(window.Window, life)
+		if !known || !maps.Equal(last.Counts, window.Counts) || !maps.Equal(last.Open, window.Open) {
+			c.markUnsaved(window.Window, run)
 		}
 	}
 }
@@ -62,11 +62,11 @@
 	c.byWindow[counts.Window][counts.ProxyRun] = counts
 }
 
-func (c *usageCounts) markUnsaved(window int64, life string) {
+func (c *usageCounts) markUnsaved(window int64, run string) {
 	if c.unsaved[window] == nil {
 		c.unsaved[window] = map[string]bool{}
 	}
-	c.unsaved[window][life] = true
+	c.unsaved[window][run] = true
 }
 
 // restore takes counts from this disk.
@@ -90,21 +90,21 @@
 // dropSealed forgets the counts of windows whose value is known.
 func (c *usageCounts) dropSealed() {
 	for window := range c.byWindow {
-		if c.sealed.settled(window) {
+		if c.sealed.hasValue(window) {
 			delete(c.byWindow, window)
 			delete(c.unsaved, window)
 		}
 	}
 }
 
-// unsealed lists the counts of the windows whose value isn't known, by window and life.
+// unsealed lists the counts of the windows whose value isn't known, by window and run.
 func (c *usageCounts) unsealed() message.UnreportedUsage {
 	list := message.UnreportedUsage{Proxies: []message.ProxyUsage{}}
-	for window, lives := range c.byWindow {
-		if c.sealed.settled(window) {
+	for window, runs := range c.byWindow {
+		if c.sealed.hasValue(window) {
 			continue
 		}
-		for _, counts := range lives {
+		for _, counts := range runs {
 			list.Proxies = append(list.Proxies, counts)
 		}
 	}
@@ -134,7 +134,7 @@
 		for tenant, count := range counts.Counts {
 			sums[tenant] += count
 		}
-		// Requests that a life had open when it last reported have most likely been answered
+		// Requests that a run had open when it last reported have most likely been answered
 		// before its end: they take as long to run as a report takes to be safe.
 		for tenant, count := range counts.Open {
 			sums[tenant] += count
--- a/internal/registry/usage_values.go
+++ b/internal/registry/usage_values.go
@@ -70,8 +70,8 @@
 	return list[max(0, len(list)-windowsPerRead):]
 }
 
-// settled says that no more counts of a window are needed, since its value is known here.
-func (w *sealedWindows) settled(window int64) bool {
+// hasValue says that no more counts of a window are needed, since its value is known here.
+func (w *sealedWindows) hasValue(window int64) bool {
 	_, sealed := w.values[window]
 	return sealed || window <= w.reported
 }
--- a/internal/registry/usage_values_test.go
+++ b/internal/registry/usage_values_test.go
@@ -46,7 +46,7 @@
 	c.Assert(sealed.lowestOpen(), qt.Equals, int64(5))
 	sealed.final[5] = true
 	c.Assert(sealed.lowestOpen(), qt.Equals, int64(7))
-	c.Assert(sealed.settled(4), qt.IsTrue)
-	c.Assert(sealed.settled(5), qt.IsFalse)
-	c.Assert(sealed.settled(6), qt.IsTrue)
+	c.Assert(sealed.hasValue(4), qt.IsTrue)
+	c.Assert(sealed.hasValue(5), qt.IsFalse)
+	c.Assert(sealed.hasValue(6), qt.IsTrue)
 }
