--- a/internal/distribution/antientropy.go
+++ b/internal/distribution/antientropy.go
@@ -17,38 +17,38 @@
 // configstore, the age of what it says tells of the cut only once the lost lease has run out and the
 // age has passed its limit, which may be later than a configuration has to be in force.
 type missingVersion struct {
-	mark       message.Position
+	position   message.Position
 	reportedBy string        // the member that told last, of those that answer requests
 	since      time.Duration // when the position was first told of
 }
 
-// HandleNewerMarks takes the positions of configurations that a registry has and this node, by its
+// HandleNewerPositions takes the positions of configurations that a registry has and this node, by its
 // heartbeat, has not.
-func (d *Distribution) HandleNewerMarks(env *statemachine.Env, registry string, marks []message.Position) {
-	for _, mark := range marks {
-		state, found := d.topics[mark.Topic]
-		if !found || !d.subscribed[mark.Topic] || !state.position().Before(mark) || d.selection.isSilent(registry) {
+func (d *Distribution) HandleNewerPositions(env *statemachine.Env, registry string, positions []message.Position) {
+	for _, position := range positions {
+		state, found := d.topics[position.Topic]
+		if !found || !d.subscribed[position.Topic] || !state.position().Before(position) || d.selection.isSilent(registry) {
 			continue
 		}
 		d.selection.reinstate(registry)
-		missing, reported := d.missing[mark.Topic]
+		missing, reported := d.missing[position.Topic]
 		if !reported {
-			d.missing[mark.Topic] = missingVersion{mark: mark, reportedBy: registry, since: env.Now}
+			d.missing[position.Topic] = missingVersion{position: position, reportedBy: registry, since: env.Now}
 			continue
 		}
 		// The older position stays: a row of changes must not put the move off.
 		missing.reportedBy = registry
-		d.missing[mark.Topic] = missing
+		d.missing[position.Topic] = missing
 	}
 }
 
 // NewerThan returns the positions of the configurations of which this node has a newer version than
 // another node, given the positions of that one.
-func (d *Distribution) NewerThan(marks []message.Position) []message.Position {
+func (d *Distribution) NewerThan(positions []message.Position) []message.Position {
 	newer := []message.Position{}
-	for _, mark := range marks {
-		state, found := d.topics[mark.Topic]
-		if found && state.known && IsConfiguration(mark.Topic) && mark.Before(state.position()) {
+	for _, position := range positions {
+		state, found := d.topics[position.Topic]
+		if found && state.known && IsConfiguration(position.Topic) && position.Before(state.position()) {
 			newer = append(newer, state.position())
 		}
 	}
@@ -57,9 +57,9 @@
 
 // resolveMissing takes a position that the parent has: it will bring the content, so that the node has
 // no reason to leave it for a registry.
-func (d *Distribution) resolveMissing(mark message.Position) {
-	if missing, reported := d.missing[mark.Topic]; reported && !mark.Before(missing.mark) {
-		delete(d.missing, mark.Topic)
+func (d *Distribution) resolveMissing(position message.Position) {
+	if missing, reported := d.missing[position.Topic]; reported && !position.Before(missing.position) {
+		delete(d.missing, position.Topic)
 	}
 }
 
@@ -76,7 +76,7 @@
 		if !reported {
 			continue
 		}
-		if !d.topics[topic].position().Before(missing.mark) {
+		if !d.topics[topic].position().Before(missing.position) {
 			delete(d.missing, topic)
 			continue
 		}
--- a/internal/distribution/antientropy_test.go
+++ b/internal/distribution/antientropy_test.go
@@ -11,8 +11,8 @@
 
 // reportNewer is a registry's answer to a heartbeat: it has a version of the configuration.
 func (tree *testTree) reportNewer(registry string, version int64) {
-	mark := configurationMark(ConfigurationTopic("main"), version, []byte(testBody))
-	tree.distribution.HandleNewerMarks(tree.env, registry, []message.Position{mark})
+	position := configurationPosition(ConfigurationTopic("main"), version, []byte(testBody))
+	tree.distribution.HandleNewerPositions(tree.env, registry, []message.Position{position})
 }
 
 // The parent passes for current, as one does below a root that is cut off from the store
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -79,10 +79,10 @@
 func (d *Distribution) WriteConfiguration(env *statemachine.Env, configName string, version int64, body []byte) {
 	topic := ConfigurationTopic(configName)
 	state := d.topic(topic)
-	if state.known && state.mark.Seq >= version {
+	if state.known && state.current.Seq >= version {
 		return
 	}
-	state.setConfiguration(configurationMark(topic, version, body), body)
+	state.setConfiguration(configurationPosition(topic, version, body), body)
 	d.onChange(env, topic)
 	d.push(env, topic)
 }
@@ -126,7 +126,7 @@
 	if !found || !state.known {
 		return 0, nil, false
 	}
-	return state.mark.Seq, state.body, true
+	return state.current.Seq, state.body, true
 }
 
 // Registrations returns the registrations of a zone, if its slice is known.
@@ -138,15 +138,15 @@
 	return state.slice.List(), true
 }
 
-// Marks returns the positions of the topics that this node wants for itself.
-func (d *Distribution) Marks() []message.Position {
-	marks := []message.Position{}
+// Positions returns the positions of the topics that this node wants for itself.
+func (d *Distribution) Positions() []message.Position {
+	positions := []message.Position{}
 	for _, topic := range d.topicNames() {
 		if state := d.topics[topic]; state.known && d.subscribed[topic] {
-			marks = append(marks, state.position())
+			positions = append(positions, state.position())
 		}
 	}
-	return marks
+	return positions
 }
 
 // Parent returns the member that sends the updates, the path to it from the root, and how often
--- a/internal/distribution/download.go
+++ b/internal/distribution/download.go
@@ -12,7 +12,7 @@
 
 // download is a snapshot that arrives in parts, each requested when the one before has arrived.
 type download struct {
-	mark       message.Position
+	position   message.Position
 	total      int64 // bytes of the whole snapshot
 	received   []byte
 	progressAt time.Duration
@@ -45,13 +45,13 @@
 func (d *Distribution) downloadFor(item message.UpdateItem) *download {
 	topic := item.Position.Topic
 	current, running := d.downloads[topic]
-	if running && current.mark.Same(item.Position) {
+	if running && current.position.Same(item.Position) {
 		return current
 	}
 	if item.Offset != 0 {
 		return nil
 	}
-	d.downloads[topic] = &download{mark: item.Position, total: item.Total}
+	d.downloads[topic] = &download{position: item.Position, total: item.Total}
 	return d.downloads[topic]
 }
 
@@ -73,7 +73,7 @@
 		Round:     partRound,
 		Child:     self.Name,
 		Role:      self.Role,
-		Positions: []message.Position{current.mark},
+		Positions: []message.Position{current.position},
 		PartOf:    topic,
 		Part:      int64(len(current.received)),
 	})
--- a/internal/distribution/history_test.go
+++ b/internal/distribution/history_test.go
@@ -199,7 +199,7 @@
 	state := &topicState{}
 	for version := int64(1); version < 200; version++ {
 		body := routes(version, 20+int(version)%2*200, 0, int(version))
-		state.setConfiguration(configurationMark("configuration:main", version, body), body)
+		state.setConfiguration(configurationPosition("configuration:main", version, body), body)
 		c.Assert(len(state.history.patches) <= maxPatches, qt.IsTrue)
 		c.Assert(patchBytes(state.history.patches) <= maxPatchBytes, qt.IsTrue)
 	}
--- a/internal/distribution/marks_golden_test.go
+++ b/internal/distribution/marks_golden_test.go
@@ -21,7 +21,7 @@
 	source := distribution.New(cfg, members, func(*statemachine.Env, string) {})
 	source.Subscribe(distribution.ConfigurationTopic("main"))
 	source.WriteConfiguration(statemachine.NewEnv(1), "main", 7, []byte(`{"version":7}`))
-	c.Check(source.Marks(), qt.DeepEquals, []message.Position{
+	c.Check(source.Positions(), qt.DeepEquals, []message.Position{
 		{Topic: "configuration:main", Seq: 7, Count: 1, Hash: 576421357176163376},
 	})
 
--- a/internal/distribution/response.go
+++ b/internal/distribution/response.go
@@ -209,14 +209,14 @@
 
 // needsSnapshot reports whether a snapshot at a position is to be applied. A slice whose content
 // differs at the same position is replaced; a configuration never is.
-func (t *topicState) needsSnapshot(mark message.Position) bool {
-	if !t.known || t.position().Before(mark) {
+func (t *topicState) needsSnapshot(position message.Position) bool {
+	if !t.known || t.position().Before(position) {
 		return true
 	}
-	return t.slice != nil && !mark.Before(t.position()) && !mark.Same(t.position())
+	return t.slice != nil && !position.Before(t.position()) && !position.Same(t.position())
 }
 
 // isInitial reports whether a position is that of a slice without any change.
-func isInitial(mark message.Position) bool {
-	return mark.Seq == 0 && mark.Epoch == 0 && mark.Count == 0
+func isInitial(position message.Position) bool {
+	return position.Seq == 0 && position.Epoch == 0 && position.Count == 0
 }
--- a/internal/distribution/roster_slice.go
+++ b/internal/distribution/roster_slice.go
@@ -55,14 +55,14 @@
 }
 
 // Replace replaces the content by a snapshot's.
-func (s *RosterSlice) Replace(mark message.Position, registrations []message.Registration) {
+func (s *RosterSlice) Replace(position message.Position, registrations []message.Registration) {
 	s.Registrations = map[string]message.Registration{}
 	s.Mark.Count, s.Mark.Hash = 0, 0
 	for _, registration := range registrations {
 		s.set(registration, false)
 	}
-	s.StartEpoch(mark.Epoch)
-	s.Mark.Seq = mark.Seq
+	s.StartEpoch(position.Epoch)
+	s.Mark.Seq = position.Seq
 }
 
 // List returns the registrations in the order of their keys.
@@ -77,15 +77,15 @@
 
 // Since returns the changes after a position, or false where they are not all kept and the
 // snapshot is needed.
-func (s *RosterSlice) Since(mark message.Position) ([]message.RosterChange, bool) {
-	if mark.Epoch != s.Mark.Epoch || mark.Seq > s.Mark.Seq || len(s.changes) == 0 {
+func (s *RosterSlice) Since(position message.Position) ([]message.RosterChange, bool) {
+	if position.Epoch != s.Mark.Epoch || position.Seq > s.Mark.Seq || len(s.changes) == 0 {
 		return nil, false
 	}
 	first := s.changes[0].Position.Seq
-	if first > mark.Seq+1 {
+	if first > position.Seq+1 {
 		return nil, false
 	}
-	return append([]message.RosterChange{}, s.changes[mark.Seq+1-first:]...), true
+	return append([]message.RosterChange{}, s.changes[position.Seq+1-first:]...), true
 }
 
 // set adds, replaces or removes a registration, and updates the count and the digest.
--- a/internal/distribution/subscribers.go
+++ b/internal/distribution/subscribers.go
@@ -31,7 +31,7 @@
 	name       string
 	address    string
 	heardAt    time.Duration
-	marks      map[string]message.Position // what it has, by topic that it wants
+	positions  map[string]message.Position // what it has, by topic that it wants
 	round      int64                       // of its last request; a lower one is from a later life
 	deliveries map[string]delivery         // large updates on their way to it, by topic
 }
@@ -39,8 +39,8 @@
 // delivery is a snapshot, or differences as long, that was sent. A subscriber on a narrow link
 // requests again before it has arrived, and must not be sent it anew each time.
 type delivery struct {
-	mark message.Position
-	at   time.Duration
+	position message.Position
+	at       time.Duration
 }
 
 // beginDelivery notes a large update that is about to be sent, and reports whether it should be: not
@@ -51,7 +51,7 @@
 		return true
 	}
 	last, sent := s.deliveries[item.Position.Topic]
-	if sent && last.mark.Same(item.Position) && now-last.at < resendAfter {
+	if sent && last.position.Same(item.Position) && now-last.at < resendAfter {
 		return false
 	}
 	s.deliveries[item.Position.Topic] = delivery{item.Position, now}
@@ -66,9 +66,9 @@
 	}
 	s.round = request.Round
 	s.address, s.heardAt = from, now
-	s.marks = map[string]message.Position{}
-	for _, mark := range request.Positions {
-		s.marks[mark.Topic] = mark
+	s.positions = map[string]message.Position{}
+	for _, position := range request.Positions {
+		s.positions[position.Topic] = position
 	}
 }
 
@@ -80,7 +80,7 @@
 // want reports whether a subscriber wants a topic.
 func (s subscribers) want(topic string) bool {
 	for _, child := range s {
-		if _, wanted := child.marks[topic]; wanted {
+		if _, wanted := child.positions[topic]; wanted {
 			return true
 		}
 	}
@@ -133,8 +133,8 @@
 	child := d.subscribers.join(request.Child)
 	child.renew(env.Now, from, request)
 	items := []message.UpdateItem{}
-	for _, mark := range request.Positions {
-		items = append(items, d.answerItem(env.Now, child, mark))
+	for _, position := range request.Positions {
+		items = append(items, d.answerItem(env.Now, child, position))
 	}
 	d.send(env, from, request.Round, d.answerPath(), items)
 }
@@ -165,8 +165,8 @@
 
 // answerItem returns what a child's request for a topic is answered with. Where a large update is on
 // its way to the child already, that is only the position and the age.
-func (d *Distribution) answerItem(now time.Duration, child *subscriber, mark message.Position) message.UpdateItem {
-	item := d.updateItem(now, mark)
+func (d *Distribution) answerItem(now time.Duration, child *subscriber, position message.Position) message.UpdateItem {
+	item := d.updateItem(now, position)
 	if !child.beginDelivery(now, item, d.resendAfter()) {
 		item.Snapshot, item.Body, item.Patches = false, []byte{}, []message.ConfigurationPatch{}
 	}
@@ -191,11 +191,11 @@
 func (d *Distribution) push(env *statemachine.Env, topic string) {
 	for _, name := range d.subscribers.names() {
 		child := d.subscribers[name]
-		mark, wanted := child.marks[topic]
+		position, wanted := child.positions[topic]
 		if !wanted || !d.mayServe(env.Now) {
 			continue
 		}
-		item := d.updateItem(env.Now, mark)
+		item := d.updateItem(env.Now, position)
 		item.Age = unknownAge
 		if !child.beginDelivery(env.Now, item, d.resendAfter()) {
 			continue
@@ -203,7 +203,7 @@
 		path := d.parent.pathTo(d.membership.Self().Name)
 		d.send(env, child.address, pushRound, path, []message.UpdateItem{item})
 		if !item.Snapshot || isComplete(item) {
-			child.marks[topic] = item.Position
+			child.positions[topic] = item.Position
 		}
 	}
 }
--- a/internal/distribution/topic.go
+++ b/internal/distribution/topic.go
@@ -28,14 +28,14 @@
 const never = time.Duration(-1 << 62)
 
 // topicState is what a node has of one topic. A slice has its content in slice; a configuration
-// in mark, body and history.
+// in current, body and history.
 type topicState struct {
 	known   bool          // there is content
 	freshAt time.Duration // when the content was last known current at the source, or never
 
 	slice *RosterSlice // nil for a configuration
 
-	mark    message.Position
+	current message.Position
 	body    []byte
 	history versionHistory
 
@@ -45,7 +45,7 @@
 }
 
 func newTopicState(topic string) *topicState {
-	state := &topicState{mark: message.Position{Topic: topic}, freshAt: never}
+	state := &topicState{current: message.Position{Topic: topic}, freshAt: never}
 	if !IsConfiguration(topic) {
 		state.slice = NewRosterSlice(topic)
 	}
@@ -57,14 +57,14 @@
 	if t.slice != nil {
 		return t.slice.Mark
 	}
-	return t.mark
+	return t.current
 }
 
 // requestPosition returns the position to name in a request, so that the answer holds what is
 // missing here.
 func (t *topicState) requestPosition() message.Position {
 	if t.mismatched {
-		return message.Position{Topic: t.mark.Topic}
+		return message.Position{Topic: t.current.Topic}
 	}
 	return t.position()
 }
@@ -73,30 +73,30 @@
 func (t *topicState) fresh() bool { return t.known && t.freshAt != never }
 
 // setConfiguration moves a configuration to a version whose whole body is here.
-func (t *topicState) setConfiguration(mark message.Position, body []byte) {
+func (t *topicState) setConfiguration(position message.Position, body []byte) {
 	if t.known {
-		patch := message.ConfigurationPatch{From: t.mark, To: mark, Difference: delta.Encode(t.body, body)}
+		patch := message.ConfigurationPatch{From: t.current, To: position, Difference: delta.Encode(t.body, body)}
 		t.history.add(patch)
 	}
-	t.mark, t.body, t.known, t.mismatched = mark, body, true, false
+	t.current, t.body, t.known, t.mismatched = position, body, true, false
 }
 
 // applyPatches applies differences to a configuration, from the one that begins at its version on,
 // and reports whether the version moved. At the first difference whose result is not what it names
-// it stops and marks the topic as mismatched.
+// it stops, and sets mismatched.
 func (t *topicState) applyPatches(patches []message.ConfigurationPatch, sizeLimit int64) bool {
 	moved := false
 	for _, patch := range patches {
-		if !patch.From.Same(t.mark) {
+		if !patch.From.Same(t.current) {
 			continue
 		}
 		body, err := delta.Apply(t.body, patch.Difference, sizeLimit)
-		if err != nil || !configurationMark(patch.To.Topic, patch.To.Seq, body).Same(patch.To) {
+		if err != nil || !configurationPosition(patch.To.Topic, patch.To.Seq, body).Same(patch.To) {
 			t.mismatched = true
 			return moved
 		}
 		t.history.add(patch)
-		t.mark, t.body = patch.To, body
+		t.current, t.body = patch.To, body
 		moved = true
 	}
 	return moved
@@ -115,13 +115,13 @@
 
 // applySnapshot replaces the content by a snapshot's and reports whether it could. A configuration
 // that does not have the digest which its position names is not taken.
-func (t *topicState) applySnapshot(mark message.Position, encoded []byte, sizeLimit int64) bool {
+func (t *topicState) applySnapshot(position message.Position, encoded []byte, sizeLimit int64) bool {
 	if t.slice == nil {
 		body, err := delta.Apply(nil, encoded, sizeLimit)
-		if err != nil || !configurationMark(mark.Topic, mark.Seq, body).Same(mark) {
+		if err != nil || !configurationPosition(position.Topic, position.Seq, body).Same(position) {
 			return false
 		}
-		t.setConfiguration(mark, body)
+		t.setConfiguration(position, body)
 		return true
 	}
 	decoded, err := message.Decode(encoded)
@@ -129,7 +129,7 @@
 	if err != nil || !isSlice {
 		return false
 	}
-	t.slice.Replace(mark, snapshot.Registrations)
+	t.slice.Replace(position, snapshot.Registrations)
 	t.known = true
 	return true
 }
@@ -147,8 +147,8 @@
 	return encoded
 }
 
-// configurationMark returns the position of a version of a configuration, with its digest.
-func configurationMark(topic string, version int64, body []byte) message.Position {
+// configurationPosition returns the position of a version of a configuration, with its digest.
+func configurationPosition(topic string, version int64, body []byte) message.Position {
 	hash := fnv.New64a()
 	hash.Write(body)
 	return message.Position{Topic: topic, Seq: version, Count: 1, Hash: int64(hash.Sum64())}
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -119,7 +119,7 @@
 	body := []byte(testBody)
 	packed := delta.Encode(nil, body)
 	return message.UpdateItem{
-		Position: configurationMark(ConfigurationTopic("main"), version, body),
+		Position: configurationPosition(ConfigurationTopic("main"), version, body),
 		Known:    true, Snapshot: true, Body: packed, Total: int64(len(packed)),
 	}
 }
--- a/internal/distribution/update_item.go
+++ b/internal/distribution/update_item.go
@@ -11,10 +11,10 @@
 
 // updateItem returns what a child that is at a position of a topic needs to be where this node is:
 // nothing, the changes since, or the snapshot.
-func (d *Distribution) updateItem(now time.Duration, mark message.Position) message.UpdateItem {
-	state := d.topic(mark.Topic)
+func (d *Distribution) updateItem(now time.Duration, position message.Position) message.UpdateItem {
+	state := d.topic(position.Topic)
 	item := message.UpdateItem{
-		Position: message.Position{Topic: mark.Topic},
+		Position: message.Position{Topic: position.Topic},
 		Age:      unknownAge,
 		Body:     []byte{},
 		Changes:  []message.RosterChange{},
@@ -27,7 +27,7 @@
 	if state.fresh() {
 		item.Age = int64(now - state.freshAt)
 	}
-	if item.Position.Same(mark) || item.Position.Before(mark) || state.addDifference(&item, mark) {
+	if item.Position.Same(position) || item.Position.Before(position) || state.addDifference(&item, position) {
 		return item
 	}
 	snapshot := d.snapshotItem(state, 0)
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -13,7 +13,7 @@
 		Ready:           m.published.Ready(env.Now, m.settings.StaleReady()),
 		Heartbeats:      m.upstreams.heartbeats(env.Now),
 		Deregistrations: m.upstreams.recentDeregistrations(env.Now),
-		Positions:       m.distribution.Marks(),
+		Positions:       m.distribution.Positions(),
 		Path:            []string{},
 		Window:          int64(env.Wall / m.settings.UsageWindow()),
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -74,7 +74,7 @@
 			m.upstreams.probe(env, received)
 		case message.HeartbeatResponse:
 			m.sealed[received.Registry] = received.Sealed
-			m.distribution.HandleNewerMarks(env, received.Registry, received.Newer)
+			m.distribution.HandleNewerPositions(env, received.Registry, received.Newer)
 		}
 	}
 	m.sendDue(env)
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -14,7 +14,7 @@
 
 func (m *Machine) status(now time.Duration) Status {
 	status := Status{AgesMS: map[string]int64{}, Configurations: map[string]int64{}}
-	for _, mark := range m.distribution.Marks() {
+	for _, mark := range m.distribution.Positions() {
 		if age, known := m.distribution.Age(mark.Topic, now); known {
 			status.AgesMS[mark.Topic] = age.Milliseconds()
 		}
