--- a/internal/configstore/answers_golden_test.go
+++ b/internal/configstore/answers_golden_test.go
@@ -48,7 +48,7 @@
 	c.Check(highest.answerTo(c, 5, first), qt.DeepEquals, answered(errcode.OK, "the current version is 5"))
 	c.Check(highest.answerTo(c, 4, second), qt.DeepEquals, answered(errcode.OK, "the current version is 5"))
 
-	rising.m.history.most = 4
+	rising.m.log.history.limit = 4
 	for version := int64(6); version < 20; version++ {
 		c.Assert(rising.answerTo(c, version, first).Code, qt.Equals, errcode.OK)
 	}
--- a/internal/storage/disks_expected_golden_test.go
+++ b/internal/storage/disks_expected_golden_test.go
@@ -86,27 +86,27 @@
 // namedVoter is a voter's state where the settings name the voters.
 func namedVoter(identity string) message.VoterState {
 	return message.VoterState{
-		Identity:   identity,
-		Formed:     true,
-		Voting:     true,
-		Proposal:   map[string]string{"1": namedFirst, "2": namedSecond, "3": namedThird},
-		MemberList: map[string]string{"1": namedReplacement, "2": namedSecond, "3": namedThird},
-		Former:     []string{namedFirst},
+		Identity:           identity,
+		Formed:             true,
+		Voting:             true,
+		Proposal:           map[string]string{"1": namedFirst, "2": namedSecond, "3": namedThird},
+		MemberList:         map[string]string{"1": namedReplacement, "2": namedSecond, "3": namedThird},
+		ReplacedIdentities: []string{namedFirst},
 	}
 }
 
 // discoveredVoter is a voter's state where the settings count the voters.
 func discoveredVoter(voter, identity string) message.VoterState {
 	return message.VoterState{
-		Identity:   identity,
-		Formed:     true,
-		Voting:     true,
-		Proposal:   map[string]string{"1": discoveredFirst, "2": discoveredSecond, "3": discoveredThird},
-		MemberList: map[string]string{"1": discoveredReplacement, "2": discoveredSecond, "3": discoveredThird},
-		Former:     []string{},
-		Voter:      voter,
-		Founder:    true,
-		Round:      1,
+		Identity:           identity,
+		Formed:             true,
+		Voting:             true,
+		Proposal:           map[string]string{"1": discoveredFirst, "2": discoveredSecond, "3": discoveredThird},
+		MemberList:         map[string]string{"1": discoveredReplacement, "2": discoveredSecond, "3": discoveredThird},
+		ReplacedIdentities: []string{},
+		Voter:              voter,
+		Founder:            true,
+		Round:              1,
 	}
 }
 
@@ -122,23 +122,23 @@
 // upstreamOf returns a registration that the proxy of the golden fleet announced.
 func upstreamOf(zone string, number, incarnation, slots int64, state string) message.Registration {
 	return message.Registration{
-		Service:             fmt.Sprintf("service-%d", number),
-		Instance:            fmt.Sprintf("instance-%d", number),
-		Incarnation:         incarnation,
-		Address:             fmt.Sprintf("10.0.1.%d:80", number),
-		Zone:                zone,
-		Slots:               slots,
-		State:               state,
-		ServingProxy:        "proxy/p",
-		ServingProxyAddress: "10.0.0.8:9000",
-		ServingProxyBirth:   1_234_567,
+		Service:               fmt.Sprintf("service-%d", number),
+		Instance:              fmt.Sprintf("instance-%d", number),
+		Incarnation:           incarnation,
+		Address:               fmt.Sprintf("10.0.1.%d:80", number),
+		Zone:                  zone,
+		Slots:                 slots,
+		State:                 state,
+		ServingProxy:          "proxy/p",
+		ServingProxyAddress:   "10.0.0.8:9000",
+		ServingProxyStartTime: 1_234_567,
 	}
 }
 
 func eastSlice(epoch, seq int64) message.RosterSnapshot {
 	return message.RosterSnapshot{
-		Tag:  "east",
-		Mark: message.Mark{Topic: "slice:east", Epoch: epoch, Seq: seq, Count: 2, Hash: eastHash},
+		Tag:      "east",
+		Position: message.Position{Topic: "slice:east", Epoch: epoch, Seq: seq, Count: 2, Hash: eastHash},
 		Registrations: []message.Registration{
 			upstreamOf("east", 1, 102, 9, "ready"),
 			upstreamOf("east", 2, 102, 10, "leaving"),
@@ -149,7 +149,7 @@
 func westSlice(epoch, seq, hash, slots int64) message.RosterSnapshot {
 	return message.RosterSnapshot{
 		Tag:           "west",
-		Mark:          message.Mark{Topic: "slice:west", Epoch: epoch, Seq: seq, Count: 1, Hash: hash},
+		Position:      message.Position{Topic: "slice:west", Epoch: epoch, Seq: seq, Count: 1, Hash: hash},
 		Registrations: []message.Registration{upstreamOf("west", 3, 103, slots, "ready")},
 	}
 }
@@ -161,13 +161,13 @@
 }
 
 // usageHeld is what the proxy counted in a window that is not sealed yet.
-func usageHeld(window, number int64) message.UsageHeld {
-	return message.UsageHeld{Lives: []message.UsageLife{{
-		Window: window,
-		Life:   "proxy/p/qglj",
-		Number: number,
-		Counts: map[string]int64{"tenant-1": window, "tenant-2": number},
-		Open:   map[string]int64{"tenant-1": 2},
+func usageHeld(window, number int64) message.UnreportedUsage {
+	return message.UnreportedUsage{Proxies: []message.ProxyUsage{{
+		Window:   window,
+		ProxyRun: "proxy/p/qglj",
+		Number:   number,
+		Counts:   map[string]int64{"tenant-1": window, "tenant-2": number},
+		Open:     map[string]int64{"tenant-1": 2},
 	}}}
 }
 
@@ -188,7 +188,7 @@
 			Seq:            8,
 			Configurations: entriesAtLoss(),
 			History:        historyAtLoss(),
-			Seen:           seenTwice,
+			KnownAddresses: seenTwice,
 		},
 		"configstore-named": {
 			Voter:          namedVoter(namedSecond),
@@ -197,11 +197,11 @@
 			Seq:            8,
 			Configurations: entriesAtLoss(),
 			History:        historyAtLoss(),
-			Seen:           seenTwice,
+			KnownAddresses: seenTwice,
 		},
 		"configstore-settled": {
 			Voter: namedVoter(namedSecond),
-			Votes: []message.Vote{{Tag: "config-log", Epoch: 5, Holder: "1", Identity: namedReplacement, Former: "2"}},
+			Votes: []message.Vote{{Tag: "config-log", Epoch: 5, Holder: "1", Identity: namedReplacement, PreviousHolder: "2"}},
 			Epoch: 5,
 			Seq:   2,
 			Configurations: append(
@@ -211,8 +211,8 @@
 				entriesOf("other", logPosition{1, 1, 1}, logPosition{3, 1, 3}, logPosition{5, 1, 5}, logPosition{7, 1, 7},
 					logPosition{11, 2, 2}, logPosition{13, 2, 4}, logPosition{15, 2, 6}, logPosition{17, 2, 8},
 					logPosition{19, 2, 10}, logPosition{21, 5, 2})...),
-			History: digestsOf(1, 2, 3, 4, 5, 6, 7, 8, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21),
-			Seen:    []string{"10.0.0.1:7000", "10.0.0.3:7000", "10.0.0.1:7000"},
+			History:        digestsOf(1, 2, 3, 4, 5, 6, 7, 8, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21),
+			KnownAddresses: []string{"10.0.0.1:7000", "10.0.0.3:7000", "10.0.0.1:7000"},
 		},
 	}
 }
@@ -224,42 +224,42 @@
 		"registry-discovered": {
 			Voter: discoveredVoter("3", discoveredThird),
 			Votes: []message.Vote{
-				{Tag: "east", Epoch: 2, Holder: "2", Identity: discoveredSecond, Former: "1"},
+				{Tag: "east", Epoch: 2, Holder: "2", Identity: discoveredSecond, PreviousHolder: "1"},
 				{Tag: "usage", Epoch: 1, Holder: "3", Identity: discoveredThird},
 				{Tag: "west", Epoch: 1, Holder: "2", Identity: discoveredSecond},
 			},
-			Slices:   []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtLoss)},
-			Sealed:   sealedAtLoss(),
-			Reported: 200_001,
-			Seen:     seenTwice,
-			Usage:    usageHeld(200_002, 37),
+			Slices:         []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtLoss)},
+			Sealed:         sealedAtLoss(),
+			Reported:       200_001,
+			KnownAddresses: seenTwice,
+			Usage:          usageHeld(200_002, 37),
 		},
 		"registry-named": {
 			Voter: namedVoter(namedThird),
 			Votes: []message.Vote{
-				{Tag: "east", Epoch: 2, Holder: "2", Identity: namedSecond, Former: "1"},
+				{Tag: "east", Epoch: 2, Holder: "2", Identity: namedSecond, PreviousHolder: "1"},
 				{Tag: "usage", Epoch: 1, Holder: "3", Identity: namedThird},
 				{Tag: "west", Epoch: 1, Holder: "2", Identity: namedSecond},
 			},
-			Slices:   []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtLoss)},
-			Sealed:   sealedAtLoss(),
-			Reported: 200_001,
-			Seen:     seenTwice,
-			Usage:    usageHeld(200_002, 37),
+			Slices:         []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtLoss)},
+			Sealed:         sealedAtLoss(),
+			Reported:       200_001,
+			KnownAddresses: seenTwice,
+			Usage:          usageHeld(200_002, 37),
 		},
 		"registry-settled": {
 			Voter: discoveredVoter("2", discoveredSecond),
 			Votes: []message.Vote{
-				{Tag: "east", Epoch: 5, Holder: "1", Identity: discoveredReplacement, Former: "2"},
-				{Tag: "usage", Epoch: 2, Holder: "2", Identity: discoveredSecond, Former: "3", Resting: "3"},
+				{Tag: "east", Epoch: 5, Holder: "1", Identity: discoveredReplacement, PreviousHolder: "2"},
+				{Tag: "usage", Epoch: 2, Holder: "2", Identity: discoveredSecond, PreviousHolder: "3", RecentHolders: "3"},
 				{Tag: "west", Epoch: 1, Holder: "2", Identity: discoveredSecond},
 			},
 			Slices: []message.RosterSnapshot{eastSlice(5, 0), westSlice(1, 24, westHashWith32Slots, westSlotsWhenSettled)},
 			Sealed: append(sealedAtLoss(),
 				sealedWindow(200_002, 1, 52), sealedWindow(200_003, 2, 69), sealedWindow(200_004, 2, 85)),
-			Reported: 200_004,
-			Seen:     []string{"10.0.0.1:7000"},
-			Usage:    usageHeld(200_005, 86),
+			Reported:       200_004,
+			KnownAddresses: []string{"10.0.0.1:7000"},
+			Usage:          usageHeld(200_005, 86),
 		},
 	}
 }
--- a/internal/storage/disks_generate_golden_test.go
+++ b/internal/storage/disks_generate_golden_test.go
@@ -85,7 +85,7 @@
 // boot starts a life of the process from what its disk holds.
 func (p *process) boot() {
 	c := p.fleet.c
-	folder, err := storage.NewDirFolder(p.folder())
+	folder, err := storage.NewOSDirectory(p.folder())
 	c.Assert(err, qt.IsNil)
 	store, snapshot, records, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
@@ -216,7 +216,7 @@
 	upstreams := []message.Registration{
 		goldenUpstream("east", 1), goldenUpstream("east", 2), goldenUpstream("west", 3), goldenUpstream("west", 4),
 	}
-	ends := []message.SignOff{}
+	ends := []message.Deregistration{}
 	if beat >= replaced {
 		upstreams[0].Incarnation++
 	}
@@ -226,12 +226,12 @@
 	upstreams[2].Slots += beat / slotsChangeEvery
 	if beat >= signedOff {
 		gone := upstreams[3]
-		ends = append(ends, message.SignOff{Service: gone.Service, Instance: gone.Instance, Incarnation: gone.Incarnation})
+		ends = append(ends, message.Deregistration{Service: gone.Service, Instance: gone.Instance, Incarnation: gone.Incarnation})
 		upstreams = upstreams[:3]
 	}
 	heartbeats := []message.Heartbeat{}
 	for _, upstream := range upstreams {
-		heartbeats = append(heartbeats, message.Heartbeat{Registration: upstream, Probed: message.ProbeAnswered})
+		heartbeats = append(heartbeats, message.Heartbeat{Registration: upstream, ProbeResult: message.ProbeAnswered})
 	}
 	counts := []message.UsageCount{}
 	for counted := window - 2; counted <= window; counted++ {
@@ -243,24 +243,24 @@
 		counts = append(counts, message.UsageCount{Window: counted, Counts: answered, Open: open})
 	}
 	return []any{
-		message.HeartbeatBatch{Proxy: "proxy/p", Birth: goldenBirth, Ready: true, Heartbeats: heartbeats, Ends: ends,
-			Marks: []message.Mark{}, Path: []string{}, Window: window},
-		message.UsageUpdate{Proxy: "proxy/p", Birth: goldenBirth, Number: beat, Counts: counts, Closed: window},
+		message.HeartbeatBatch{Proxy: "proxy/p", StartTime: goldenBirth, Ready: true, Heartbeats: heartbeats, Deregistrations: ends,
+			Positions: []message.Position{}, Path: []string{}, Window: window},
+		message.UsageUpdate{Proxy: "proxy/p", StartTime: goldenBirth, Number: beat, Counts: counts, Closed: window},
 	}
 }
 
 func goldenUpstream(zone string, number int64) message.Registration {
 	return message.Registration{
-		Service:             fmt.Sprintf("service-%d", number),
-		Instance:            fmt.Sprintf("instance-%d", number),
-		Incarnation:         100 + number,
-		Address:             fmt.Sprintf("10.0.1.%d:80", number),
-		Zone:                zone,
-		Slots:               8 + number,
-		State:               message.StateReady,
-		ServingProxy:        "proxy/p",
-		ServingProxyAddress: proxyAddress,
-		ServingProxyBirth:   goldenBirth,
+		Service:               fmt.Sprintf("service-%d", number),
+		Instance:              fmt.Sprintf("instance-%d", number),
+		Incarnation:           100 + number,
+		Address:               fmt.Sprintf("10.0.1.%d:80", number),
+		Zone:                  zone,
+		Slots:                 8 + number,
+		State:                 message.StateReady,
+		ServingProxy:          "proxy/p",
+		ServingProxyAddress:   proxyAddress,
+		ServingProxyStartTime: goldenBirth,
 	}
 }
 
@@ -275,7 +275,7 @@
 func recordTypes(c *qt.C, path string) []string {
 	copied := filepath.Join(c.TempDir(), "disk")
 	c.Assert(os.CopyFS(copied, os.DirFS(path)), qt.IsNil)
-	_, _, records, err := storage.Open(storage.DirFolder{Path: copied})
+	_, _, records, err := storage.Open(storage.OSDirectory{Path: copied})
 	c.Assert(err, qt.IsNil)
 	return typesOf(c, records)
 }
--- a/internal/storage/disks_golden_test.go
+++ b/internal/storage/disks_golden_test.go
@@ -70,9 +70,9 @@
 
 // recordTypes returns the types of records that a program of the disk's role writes.
 func (g goldenDisk) recordTypes() []string {
-	records := []any{message.VoterState{}, message.Vote{}, message.SeenState{}}
+	records := []any{message.VoterState{}, message.Vote{}, message.KnownAddresses{}}
 	if g.role == message.RoleRegistry {
-		records = append(records, message.RosterChange{}, message.UsageSealed{}, message.UsageHeld{}, message.UsageReported{})
+		records = append(records, message.RosterChange{}, message.UsageSealed{}, message.UnreportedUsage{}, message.UsageReported{})
 	} else {
 		records = append(records, message.LogRecommit{}, message.LogAppend{})
 	}
@@ -84,10 +84,10 @@
 }
 
 // copyTo copies the disk into a folder of the test, which may be written to.
-func (g goldenDisk) copyTo(c *qt.C) storage.DirFolder {
+func (g goldenDisk) copyTo(c *qt.C) storage.OSDirectory {
 	path := filepath.Join(c.TempDir(), "disk")
 	c.Assert(os.CopyFS(path, os.DirFS(g.path())), qt.IsNil)
-	folder, err := storage.NewDirFolder(path)
+	folder, err := storage.NewOSDirectory(path)
 	c.Assert(err, qt.IsNil)
 	return folder
 }
@@ -135,12 +135,12 @@
 func goldenMember(role string, number int, discovered bool) message.Member {
 	cfg := goldenSettings(number, discovered)
 	return message.Member{
-		Name:    role + "/" + cfg.Node,
-		Role:    role,
-		Voter:   cfg.Voter,
-		Zone:    cfg.Zone,
-		Address: cfg.Address,
-		Birth:   goldenBirth,
+		Name:      role + "/" + cfg.Node,
+		Role:      role,
+		Voter:     cfg.Voter,
+		Zone:      cfg.Zone,
+		Address:   cfg.Address,
+		StartTime: goldenBirth,
 	}
 }
 
@@ -170,7 +170,7 @@
 }
 
 // stateOnDisk opens a folder and returns the whole state of the machine that is built from it.
-func (g goldenDisk) stateOnDisk(c *qt.C, folder storage.Folder) any {
+func (g goldenDisk) stateOnDisk(c *qt.C, folder storage.Directory) any {
 	_, snapshot, records, err := storage.Open(folder)
 	c.Assert(err, qt.IsNil)
 	machine, err := g.build(snapshot, records)
@@ -254,7 +254,7 @@
 	case "configstore-named":
 		state := expectedConfigStores()[golden.name]
 		state.Voter.MemberList["1"] = namedFirst
-		state.Voter.Former = []string{}
+		state.Voter.ReplacedIdentities = []string{}
 		return state
 	case "configstore-settled":
 		state := expectedConfigStores()[golden.name]
@@ -308,7 +308,7 @@
 		before := machine.VoterState()
 		voterBefore, votesBefore := voterAndVotes(c, expectedState(c, golden))
 		c.Check(before, qt.DeepEquals, voterBefore)
-		wantMembers, wantFormer := map[string]string{}, slices.Clone(voterBefore.Former)
+		wantMembers, wantFormer := map[string]string{}, slices.Clone(voterBefore.ReplacedIdentities)
 		for voter, identity := range voterBefore.MemberList {
 			wantMembers[voter] = ""
 			if identity == voterBefore.Identity {
@@ -320,9 +320,9 @@
 		slices.Sort(wantFormer)
 
 		voter, votes := voterAndVotes(c, decode(c, machine.ForceRecover()))
-		slices.Sort(voter.Former)
+		slices.Sort(voter.ReplacedIdentities)
 		c.Check(voter.MemberList, qt.DeepEquals, wantMembers)
-		c.Check(voter.Former, qt.DeepEquals, wantFormer)
+		c.Check(voter.ReplacedIdentities, qt.DeepEquals, wantFormer)
 		for index := range votesBefore {
 			votesBefore[index].Epoch += epochsSkipped
 		}
--- a/internal/storage/files_golden_test.go
+++ b/internal/storage/files_golden_test.go
@@ -34,8 +34,8 @@
 )
 
 // fillFolder writes files from hexadecimal texts into a folder of the test.
-func fillFolder(c *qt.C, files map[string]string) storage.DirFolder {
-	folder, err := storage.NewDirFolder(filepath.Join(c.TempDir(), "disk"))
+func fillFolder(c *qt.C, files map[string]string) storage.OSDirectory {
+	folder, err := storage.NewOSDirectory(filepath.Join(c.TempDir(), "disk"))
 	c.Assert(err, qt.IsNil)
 	for name, text := range files {
 		body, err := hex.DecodeString(text)
@@ -45,7 +45,7 @@
 	return folder
 }
 
-func assertFile(c *qt.C, folder storage.DirFolder, name, text string) {
+func assertFile(c *qt.C, folder storage.OSDirectory, name, text string) {
 	body, err := os.ReadFile(filepath.Join(folder.Path, name))
 	c.Assert(err, qt.IsNil)
 	c.Assert(hex.EncodeToString(body), qt.Equals, text, qt.Commentf("%s", name))
--- a/internal/storage/machines_golden_test.go
+++ b/internal/storage/machines_golden_test.go
@@ -128,7 +128,7 @@
 	machine, env := runningMachine(c, diskNamed(c, "configstore-named")), statemachine.NewEnv(1)
 	entry := entriesOf("main", logPosition{version, 1, 9})[0]
 	digest := sha256.Sum256(entry.Body)
-	machine.Handle(env, askerAddress, message.LogAppendPacked{
+	machine.Handle(env, askerAddress, message.LogAppendDelta{
 		Epoch: 1, Seq: 9, Voter: "1", Identity: namedReplacement,
 		ConfigName: "main", Version: version, Base: base, Difference: fromHex(c, difference), Digest: digest[:],
 	})
@@ -162,12 +162,12 @@
 				Epoch: told.epoch, Voter: told.asker, Identity: signedBy(golden, told.identity),
 			})
 			c.Assert(answer, qt.DeepEquals, any(message.UsageReadResponse{
-				Epoch:    told.epoch,
-				Voter:    told.voter,
-				Identity: signedBy(golden, state.Voter.Identity),
-				Sealed:   state.Sealed,
-				Reported: state.Reported,
-				Held:     state.Usage,
+				Epoch:      told.epoch,
+				Voter:      told.voter,
+				Identity:   signedBy(golden, state.Voter.Identity),
+				Sealed:     state.Sealed,
+				Reported:   state.Reported,
+				Unreported: state.Usage,
 			}))
 		})
 	}
@@ -195,8 +195,8 @@
 	machine, env := runningMachine(c, diskNamed(c, "registry-named")), statemachine.NewEnv(1)
 	held := usageHeld(200_002, 38)
 	machine.Handle(env, proxyAddress, message.UsageUpdate{
-		Proxy: "proxy/p", Birth: goldenBirth, Number: 38,
-		Counts: []message.UsageCount{{Window: 200_002, Counts: held.Lives[0].Counts, Open: held.Lives[0].Open}},
+		Proxy: "proxy/p", StartTime: goldenBirth, Number: 38,
+		Counts: []message.UsageCount{{Window: 200_002, Counts: held.Proxies[0].Counts, Open: held.Proxies[0].Open}},
 	})
 	write, isWrite := onlyEffect(c, env).(statemachine.Write)
 	c.Assert(isWrite, qt.IsTrue)
