--- a/internal/configstore/answers_golden_test.go
+++ b/internal/configstore/answers_golden_test.go
@@ -32,12 +32,12 @@
 func TestAnswersToWritesStayAsTheyAre(t *testing.T) {
 	c := qt.New(t)
 	rising, highest := newConfigLog(c, settings.WritesRising), newConfigLog(c, settings.WritesHighest)
-	first, second := configName(""), configName(`"note":"second",`)
+	first, second := document(""), document(`"note":"second",`)
 	for _, b := range []*configLog{rising, highest} {
 		c.Assert(b.answerTo(c, 5, first), qt.DeepEquals, answered(errcode.OK, ""))
 		c.Check(b.answerTo(c, 5, second), qt.DeepEquals,
 			answered(errcode.ConfigurationConflict, "another content was committed under this number"))
-		c.Check(b.answerTo(c, 6, configName(`"version":7,`)), qt.DeepEquals,
+		c.Check(b.answerTo(c, 6, document(`"version":7,`)), qt.DeepEquals,
 			answered(errcode.ConfigurationBad, "", "version: differs from the number put"))
 		c.Check(b.answerTo(c, 0, first), qt.DeepEquals,
 			answered(errcode.ConfigurationBad, "", "$: want a version above 0 and one of the configurations of the settings"))
@@ -65,7 +65,7 @@
 	b := newConfigLog(c, settings.WritesRising)
 	b.response = nil
 	b.m.Handle(b.env, "10.0.0.9:1", message.WriteRequest{
-		RequestID: 5, ConfigName: "main", Version: 5, Body: []byte(configName("")),
+		RequestID: 5, ConfigName: "main", Version: 5, Body: []byte(document("")),
 	})
 	b.env.Now += b.m.settings.Lease()
 	b.m.Tick(b.env)
--- a/internal/configstore/decision_test.go
+++ b/internal/configstore/decision_test.go
@@ -69,7 +69,7 @@
 	return early, b.response
 }
 
-func configName(head string) string {
+func document(head string) string {
 	return `{` + head + `"services":["x"],"tenants":[],"routes":[]}`
 }
 
@@ -82,14 +82,14 @@
 func TestWritesRising(t *testing.T) {
 	c := qt.New(t)
 	b := newConfigLog(c, settings.WritesRising)
-	c.Assert(b.code(c, 5, configName("")), qt.Equals, errcode.OK)
-	c.Assert(b.code(c, 5, configName("")), qt.Equals, errcode.OK)
-	c.Assert(b.code(c, 5, configName(`"note":"other",`)), qt.Equals, errcode.ConfigurationConflict)
+	c.Assert(b.code(c, 5, document("")), qt.Equals, errcode.OK)
+	c.Assert(b.code(c, 5, document("")), qt.Equals, errcode.OK)
+	c.Assert(b.code(c, 5, document(`"note":"other",`)), qt.Equals, errcode.ConfigurationConflict)
 	c.Assert(b.code(c, 4, `{`), qt.Equals, errcode.ConfigurationConflict)
-	c.Assert(b.code(c, 6, configName(`"version":7,`)), qt.Equals, errcode.ConfigurationBad)
-	c.Assert(b.code(c, 6, configName(`"version":6,`)), qt.Equals, errcode.OK)
-	c.Assert(b.code(c, 0, configName(`"version":8,`)), qt.Equals, errcode.OK)
-	c.Assert(b.code(c, 0, configName("")), qt.Equals, errcode.ConfigurationBad)
+	c.Assert(b.code(c, 6, document(`"version":7,`)), qt.Equals, errcode.ConfigurationBad)
+	c.Assert(b.code(c, 6, document(`"version":6,`)), qt.Equals, errcode.OK)
+	c.Assert(b.code(c, 0, document(`"version":8,`)), qt.Equals, errcode.OK)
+	c.Assert(b.code(c, 0, document("")), qt.Equals, errcode.ConfigurationBad)
 	current, _ := b.m.current("main")
 	c.Assert(current.Version, qt.Equals, int64(8))
 }
@@ -97,23 +97,23 @@
 func TestWritesHighest(t *testing.T) {
 	c := qt.New(t)
 	b := newConfigLog(c, settings.WritesHighest)
-	c.Assert(b.code(c, 5, configName("")), qt.Equals, errcode.OK)
-	_, all := b.write(4, configName(`"note":"older",`))
+	c.Assert(b.code(c, 5, document("")), qt.Equals, errcode.OK)
+	_, all := b.write(4, document(`"note":"older",`))
 	c.Assert(all, qt.HasLen, 1)
 	c.Assert(errcode.Code(all[0].Code), qt.Equals, errcode.OK)
 	c.Assert(all[0].Version, qt.Equals, int64(5))
-	c.Assert(string(all[0].Body), qt.Equals, configName(""))
-	c.Assert(b.code(c, 5, configName(`"note":"other bytes",`)), qt.Equals, errcode.ConfigurationConflict)
-	_, all = b.write(3, configName(`"colour":1,`))
+	c.Assert(string(all[0].Body), qt.Equals, document(""))
+	c.Assert(b.code(c, 5, document(`"note":"other bytes",`)), qt.Equals, errcode.ConfigurationConflict)
+	_, all = b.write(3, document(`"colour":1,`))
 	c.Assert(errcode.Code(all[0].Code), qt.Equals, errcode.ConfigurationBad)
 	c.Assert(all[0].Faults, qt.DeepEquals, []string{"colour: unknown field"})
-	_, all = b.write(3, configName(`"version":2,`))
+	_, all = b.write(3, document(`"version":2,`))
 	c.Assert(all[0].Faults, qt.DeepEquals, []string{"version: differs from the number put"})
-	c.Assert(b.code(c, 3, configName(`"version":0,`)), qt.Equals, errcode.ConfigurationBad)
-	c.Assert(b.code(c, 0, configName(`"version":4,`)), qt.Equals, errcode.OK)
+	c.Assert(b.code(c, 3, document(`"version":0,`)), qt.Equals, errcode.ConfigurationBad)
+	c.Assert(b.code(c, 0, document(`"version":4,`)), qt.Equals, errcode.OK)
 	current, _ := b.m.current("main")
 	c.Assert(current.Version, qt.Equals, int64(5))
-	c.Assert(string(current.Body), qt.Equals, configName(""))
+	c.Assert(string(current.Body), qt.Equals, document(""))
 	c.Assert(b.m.log.versions["main"], qt.HasLen, 1)
 }
 
@@ -121,10 +121,10 @@
 func TestOlderNumberWaitsForTheWriteInFlight(t *testing.T) {
 	c := qt.New(t)
 	b := newConfigLog(c, settings.WritesHighest)
-	c.Assert(b.code(c, 1, configName("")), qt.Equals, errcode.OK)
+	c.Assert(b.code(c, 1, document("")), qt.Equals, errcode.OK)
 	b.response = nil
 	for _, version := range []int64{9, 9, 3} {
-		request := message.WriteRequest{RequestID: version, ConfigName: "main", Version: version, Body: []byte(configName(""))}
+		request := message.WriteRequest{RequestID: version, ConfigName: "main", Version: version, Body: []byte(document(""))}
 		b.m.Handle(b.env, "10.0.0.9:1", request)
 	}
 	b.drain()
@@ -151,10 +151,10 @@
 		c.Assert(b.response, qt.HasLen, 1)
 		return b.response[0]
 	}
-	refused := send(1, configName(""), message.ContentCheck{Done: true, Faults: []string{"found elsewhere"}})
+	refused := send(1, document(""), message.ContentCheck{Done: true, Faults: []string{"found elsewhere"}})
 	c.Assert(errcode.Code(refused.Code), qt.Equals, errcode.ConfigurationBad)
 	c.Assert(refused.Faults, qt.DeepEquals, []string{"found elsewhere"})
-	refused = send(1, configName(""), message.ContentCheck{Done: true, TooLarge: true})
+	refused = send(1, document(""), message.ContentCheck{Done: true, TooLarge: true})
 	c.Assert(errcode.Code(refused.Code), qt.Equals, errcode.ConfigurationTooLarge)
 	c.Assert(errcode.Code(send(1, "no check would let this pass", message.ContentCheck{Done: true}).Code), qt.Equals, errcode.OK)
 	c.Assert(errcode.Code(send(2, "no check would let this pass", message.ContentCheck{}).Code), qt.Equals, errcode.ConfigurationBad)
--- a/internal/configstore/doc.go
+++ b/internal/configstore/doc.go
@@ -15,6 +15,8 @@
 //
 // Version numbers are the operators'. The order of commitment is the log's own: (epoch, sequence).
 //
+// What a voter does for the holder of the lease is in follower.go.
+//
 // The parts of the state are types of their own:
 //
 //   - replicatedLog: the entries, their position, and how far the disk has them (log.go);
--- /dev/null
+++ b/internal/configstore/follower.go
@@ -0,0 +1,119 @@
+package configstore
+
+import (
+	"beaconvane/internal/message"
+	"beaconvane/internal/settings"
+	"beaconvane/internal/statemachine"
+)
+
+// handleHolderRequest takes what only the holder of the lease may ask of a voter.
+func (m *Machine) handleHolderRequest(env *statemachine.Env, from string, msg any) {
+	switch received := msg.(type) {
+	case message.LogPositionRequest:
+		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
+			env.Send(from, m.positionResponse(received.Epoch, m.log.synced))
+		}
+	case message.LogSnapshotRequest:
+		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
+			env.Send(from, m.logSnapshot(received.Epoch))
+		}
+	case message.LogRecommit:
+		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
+			m.handleRecommit(env, from, received)
+		}
+	case message.LogAppend:
+		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
+			m.handleAppend(env, from, received)
+		}
+	case message.LogAppendDelta:
+		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
+			m.handleAppendDelta(env, from, received)
+		}
+	}
+}
+
+// acceptsHolder reports whether a message is from the voter to whom this voter granted the lease: the
+// sender is on the member list, and its epoch is the one that was promised, neither lower nor higher.
+func (m *Machine) acceptsHolder(voter, identity string, epoch int64) bool {
+	inEpoch := epoch == m.leases.Epoch(settings.ConfigLogTag) || guardsOff.promisedEpoch
+	return m.quorum.Voting() && m.quorum.Accepts(voter, identity) && inEpoch && m.Failure() == nil
+}
+
+// handleAppendDelta takes an append as it travels. An entry that is in the log already is confirmed
+// without being rebuilt.
+func (m *Machine) handleAppendDelta(env *statemachine.Env, from string, delta message.LogAppendDelta) {
+	entry := message.LogAppend{Epoch: delta.Epoch, Seq: delta.Seq}
+	isNew := m.log.epoch == delta.Epoch && m.log.seq < delta.Seq
+	if isNew {
+		decoded, fits := m.decodeAppend(delta)
+		if !fits {
+			m.requestSnapshot(env, from)
+			return
+		}
+		entry = decoded
+	}
+	m.handleAppend(env, from, entry)
+}
+
+// handleAppend writes the holder's next entry, and confirms it once it is on disk.
+func (m *Machine) handleAppend(env *statemachine.Env, from string, entry message.LogAppend) {
+	switch {
+	case m.log.epoch == entry.Epoch && m.log.seq >= entry.Seq:
+		m.acknowledge(env, from)
+	case m.log.epoch == entry.Epoch && (m.log.seq == entry.Seq-1 || guardsOff.appendInOrder):
+		m.log.append(entry.Epoch, entry.Seq, entry.Configuration)
+		reached := m.log.position()
+		if guardsOff.syncedAppend {
+			m.log.synced = reached
+			m.acknowledge(env, from)
+		}
+		m.Persist(env, entry, func(env *statemachine.Env, failure error) {
+			if failure == nil {
+				m.log.synced = reached
+				m.acknowledge(env, from)
+			}
+		})
+	default:
+		m.requestSnapshot(env, from)
+	}
+}
+
+// acknowledge tells the holder how far this voter's disk has the log, if that is in the promised epoch.
+func (m *Machine) acknowledge(env *statemachine.Env, holderAddress string) {
+	synced := m.log.synced
+	if synced.epoch == m.leases.Epoch(settings.ConfigLogTag) {
+		env.Send(holderAddress, message.LogAppended{
+			Epoch:    synced.epoch,
+			Seq:      synced.seq,
+			Voter:    m.quorum.Voter,
+			Identity: m.quorum.Signature(),
+		})
+	}
+}
+
+// handleRecommit takes a holder's epoch for this voter's log, if the log is the one that the holder
+// means; otherwise the holder's whole log is requested.
+func (m *Machine) handleRecommit(env *statemachine.Env, from string, recommit message.LogRecommit) {
+	switch {
+	case m.lagsBehind(recommit):
+		m.requestSnapshot(env, from)
+	case m.log.epoch == recommit.Epoch:
+		m.acknowledge(env, from)
+	case m.log.position() == position{recommit.AtEpoch, recommit.AtSeq, recommit.Hash}:
+		m.log.recommit(recommit.Epoch)
+		reached := m.log.position()
+		m.Persist(env, recommit, func(env *statemachine.Env, failure error) {
+			if failure == nil {
+				m.log.synced = reached
+				m.acknowledge(env, from)
+			}
+		})
+	default:
+		m.requestSnapshot(env, from)
+	}
+}
+
+// lagsBehind reports whether the holder's log of this epoch goes on where this voter's ends.
+func (m *Machine) lagsBehind(recommit message.LogRecommit) bool {
+	return recommit.AtEpoch == recommit.Epoch && m.log.epoch == recommit.Epoch && m.log.seq < recommit.AtSeq
+}
--- a/internal/configstore/machine.go
+++ b/internal/configstore/machine.go
@@ -133,39 +133,6 @@
 	}
 }
 
-// handleHolderRequest takes what only the holder of the lease may ask of a voter.
-func (m *Machine) handleHolderRequest(env *statemachine.Env, from string, msg any) {
-	switch received := msg.(type) {
-	case message.LogPositionRequest:
-		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
-			env.Send(from, m.positionResponse(received.Epoch, m.log.synced))
-		}
-	case message.LogSnapshotRequest:
-		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
-			env.Send(from, m.logSnapshot(received.Epoch))
-		}
-	case message.LogRecommit:
-		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
-			m.handleRecommit(env, from, received)
-		}
-	case message.LogAppend:
-		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
-			m.handleAppend(env, from, received)
-		}
-	case message.LogAppendDelta:
-		if m.acceptsHolder(received.Voter, received.Identity, received.Epoch) {
-			m.handleAppendDelta(env, from, received)
-		}
-	}
-}
-
-// acceptsHolder reports whether a message is from the voter to whom this voter granted the lease: the
-// sender is on the member list, and its epoch is the one that was promised, neither lower nor higher.
-func (m *Machine) acceptsHolder(voter, identity string, epoch int64) bool {
-	inEpoch := epoch == m.leases.Epoch(settings.ConfigLogTag) || guardsOff.promisedEpoch
-	return m.quorum.Voting() && m.quorum.Accepts(voter, identity) && inEpoch && m.Failure() == nil
-}
-
 // Stop asks the machine to hand over what it holds and to leave the group; it answers with errcode.OK
 // when the process may end.
 type Stop struct{}
--- a/internal/configstore/proposal.go
+++ b/internal/configstore/proposal.go
@@ -7,7 +7,6 @@
 	"beaconvane/internal/distribution"
 	"beaconvane/internal/errcode"
 	"beaconvane/internal/message"
-	"beaconvane/internal/settings"
 	"beaconvane/internal/statemachine"
 )
 
@@ -144,55 +143,3 @@
 		m.distribution.SetFreshAt(distribution.ConfigurationTopic(configName), env.Now)
 	}
 }
-
-// handleAppendDelta takes an append as it travels. An entry that is in the log already is confirmed
-// without being rebuilt.
-func (m *Machine) handleAppendDelta(env *statemachine.Env, from string, delta message.LogAppendDelta) {
-	entry := message.LogAppend{Epoch: delta.Epoch, Seq: delta.Seq}
-	isNew := m.log.epoch == delta.Epoch && m.log.seq < delta.Seq
-	if isNew {
-		decoded, fits := m.decodeAppend(delta)
-		if !fits {
-			m.requestSnapshot(env, from)
-			return
-		}
-		entry = decoded
-	}
-	m.handleAppend(env, from, entry)
-}
-
-// handleAppend writes the holder's next entry, and confirms it once it is on disk.
-func (m *Machine) handleAppend(env *statemachine.Env, from string, entry message.LogAppend) {
-	switch {
-	case m.log.epoch == entry.Epoch && m.log.seq >= entry.Seq:
-		m.acknowledge(env, from)
-	case m.log.epoch == entry.Epoch && (m.log.seq == entry.Seq-1 || guardsOff.appendInOrder):
-		m.log.append(entry.Epoch, entry.Seq, entry.Configuration)
-		reached := m.log.position()
-		if guardsOff.syncedAppend {
-			m.log.synced = reached
-			m.acknowledge(env, from)
-		}
-		m.Persist(env, entry, func(env *statemachine.Env, failure error) {
-			if failure == nil {
-				m.log.synced = reached
-				m.acknowledge(env, from)
-			}
-		})
-	default:
-		m.requestSnapshot(env, from)
-	}
-}
-
-// acknowledge tells the holder how far this voter's disk has the log, if that is in the promised epoch.
-func (m *Machine) acknowledge(env *statemachine.Env, holderAddress string) {
-	synced := m.log.synced
-	if synced.epoch == m.leases.Epoch(settings.ConfigLogTag) {
-		env.Send(holderAddress, message.LogAppended{
-			Epoch:    synced.epoch,
-			Seq:      synced.seq,
-			Voter:    m.quorum.Voter,
-			Identity: m.quorum.Signature(),
-		})
-	}
-}
--- a/internal/configstore/takeover.go
+++ b/internal/configstore/takeover.go
@@ -132,33 +132,6 @@
 	}
 }
 
-// handleRecommit takes a holder's epoch for this voter's log, if the log is the one that the holder
-// means; otherwise the holder's whole log is requested.
-func (m *Machine) handleRecommit(env *statemachine.Env, from string, recommit message.LogRecommit) {
-	switch {
-	case m.lagsBehind(recommit):
-		m.requestSnapshot(env, from)
-	case m.log.epoch == recommit.Epoch:
-		m.acknowledge(env, from)
-	case m.log.position() == position{recommit.AtEpoch, recommit.AtSeq, recommit.Hash}:
-		m.log.recommit(recommit.Epoch)
-		reached := m.log.position()
-		m.Persist(env, recommit, func(env *statemachine.Env, failure error) {
-			if failure == nil {
-				m.log.synced = reached
-				m.acknowledge(env, from)
-			}
-		})
-	default:
-		m.requestSnapshot(env, from)
-	}
-}
-
-// lagsBehind reports whether the holder's log of this epoch goes on where this voter's ends.
-func (m *Machine) lagsBehind(recommit message.LogRecommit) bool {
-	return recommit.AtEpoch == recommit.Epoch && m.log.epoch == recommit.Epoch && m.log.seq < recommit.AtSeq
-}
-
 // beginServing ends the takeover: a majority has the log in this epoch.
 func (m *Machine) beginServing(env *statemachine.Env) {
 	m.leadership.phase = serving
