--- a/internal/quorum/discovered.go
+++ b/internal/quorum/discovered.go
@@ -8,7 +8,7 @@
 )
 
 // votingFreshIntervals is how many status intervals a voter counts as voting after its last status. It is
-// longer than the interval at which calm voters send theirs.
+// longer than steadyIntervals.
 const votingFreshIntervals = 15
 
 // discoveredVoters is the design in which the settings only count the voters. The processes form the group
@@ -17,11 +17,11 @@
 // docs/control-safety.md proves that any two decisions of the group share a voter that knows the earlier one.
 type discoveredVoters struct {
 	*Replica
-	list      listState
-	bootstrap bootstrapState
-	claim     claimState
-	handover  handoverState
-	discard   bool // the disk holds the state of a voter that was handed over
+	list           listState
+	bootstrap      bootstrapState
+	claim          claimState
+	handover       handoverState
+	discardOnStart bool // the disk holds the state of a voter that was handed over
 }
 
 func newDiscoveredVoters(replica *Replica) *discoveredVoters {
@@ -39,7 +39,7 @@
 	}
 	if d.State.MemberList[d.State.Voter] != d.State.Identity {
 		// It had handed its voter over before it ended, and is a newcomer now.
-		d.discard = true
+		d.discardOnStart = true
 		d.State = message.VoterState{Proposal: map[string]string{}, MemberList: map[string]string{}}
 		d.setMemberList(d.State.MemberList)
 		return d
@@ -69,8 +69,8 @@
 
 func (d *discoveredVoters) tick(env *statemachine.Env) {
 	if d.State.Identity == "" {
-		if d.discard {
-			d.discard = false
+		if d.discardOnStart {
+			d.discardOnStart = false
 			d.transfer.DiscardState(env)
 		}
 		d.startAnew(env, d.settings.Found && !d.settings.NonVoter)
@@ -79,13 +79,13 @@
 	if d.retired() {
 		return
 	}
-	d.hastenAfterMismatch(env)
+	d.expediteStatusAfterMismatch(env)
 	if env.Now < d.nextStatusAt || d.writing {
 		return
 	}
 	d.nextStatusAt = env.Now + d.settings.DigestEvery()
 	if d.Voting() && d.othersVoting(env) {
-		d.nextStatusAt = env.Now + d.settings.DigestEvery()*calmFactor
+		d.nextStatusAt = env.Now + d.settings.DigestEvery()*steadyIntervals
 	}
 	d.advanceBootstrap(env)
 	d.advanceClaim(env)
--- a/internal/quorum/discovered_memberlist.go
+++ b/internal/quorum/discovered_memberlist.go
@@ -7,20 +7,20 @@
 	"beaconvane/internal/statemachine"
 )
 
-// mismatchPause is the part of a status interval in which at most one mismatch hastens the next statuses.
-const mismatchPause = 4
+// mismatchesPerInterval is how many times in a status interval a mismatch may bring the next statuses
+// forward.
+const mismatchesPerInterval = 4
 
 // listState is what this process signs with, and whether it may.
 type listState struct {
 	digest         string        // of the member list
 	pendingWrites  int           // of newer member lists
 	mismatch       bool          // a signature with another digest was received
-	nextMismatchAt time.Duration // before this time a mismatch hastens nothing
+	nextMismatchAt time.Duration // when a mismatch may next bring the statuses forward
 }
 
 // signature is the identity with the digest of the synced member list. Nothing is signed while a newer list is
-// being written: a disk signs with the list that it has synced, and each list only once the one before counts
-// no more.
+// being written: a disk signs only with the list that it has synced.
 func (d *discoveredVoters) signature() string {
 	if !d.State.Formed || d.writing || d.listWritePending() {
 		return ""
@@ -61,14 +61,14 @@
 	d.State.MemberList, d.list.digest = list, list.digest()
 }
 
-// hastenAfterMismatch sends statuses at once after a signature on another member list, so that the lists are
-// joined soon.
-func (d *discoveredVoters) hastenAfterMismatch(env *statemachine.Env) {
+// expediteStatusAfterMismatch sends statuses at once after a signature on another member list, so that the lists
+// are joined soon.
+func (d *discoveredVoters) expediteStatusAfterMismatch(env *statemachine.Env) {
 	if !d.list.mismatch || env.Now < d.list.nextMismatchAt {
 		return
 	}
 	d.list.mismatch = false
-	d.list.nextMismatchAt = env.Now + d.settings.DigestEvery()/mismatchPause
+	d.list.nextMismatchAt = env.Now + d.settings.DigestEvery()/mismatchesPerInterval
 	d.nextStatusAt = env.Now
 }
 
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -25,7 +25,7 @@
 	if !d.Voting() {
 		return false
 	}
-	successors := d.possibleSuccessors(env)
+	successors := d.eligibleSuccessors(env)
 	if len(successors) == 0 {
 		return false
 	}
@@ -47,8 +47,8 @@
 	return d.leaving() && !d.Voting() && d.list.pendingWrites > 0
 }
 
-// possibleSuccessors lists the nodes without a voter that were heard recently, by name.
-func (d *discoveredVoters) possibleSuccessors(env *statemachine.Env) []string {
+// eligibleSuccessors lists the nodes without a voter that were heard recently, by name.
+func (d *discoveredVoters) eligibleSuccessors(env *statemachine.Env) []string {
 	nodes := []string{}
 	for _, nodeName := range slices.Sorted(maps.Keys(d.bootstrap.candidates)) {
 		received := d.bootstrap.candidates[nodeName]
--- a/internal/quorum/replica.go
+++ b/internal/quorum/replica.go
@@ -12,8 +12,8 @@
 const (
 	// freshIntervals is how many status intervals a received status counts as recent.
 	freshIntervals = 5
-	// calmFactor is by how much statuses are rarer while nothing is to be done.
-	calmFactor = 10
+	// steadyIntervals is how many status intervals pass between statuses while all voters vote.
+	steadyIntervals = 10
 )
 
 // receivedStatus is what a process told of itself last.
--- a/internal/quorum/static.go
+++ b/internal/quorum/static.go
@@ -36,7 +36,7 @@
 	}
 	v.nextStatusAt = env.Now + v.settings.DigestEvery()
 	if v.Voting() {
-		v.nextStatusAt = env.Now + v.settings.DigestEvery()*calmFactor
+		v.nextStatusAt = env.Now + v.settings.DigestEvery()*steadyIntervals
 	}
 	for _, peer := range v.directory.Peers() {
 		if peer.Voter == v.Voter {
