--- /dev/null
+++ b/internal/node/counters.go
@@ -0,0 +1,43 @@
+package node
+
+import (
+	"maps"
+	"sync"
+)
+
+// Names of counters, as the metrics page and the counters' answer show them.
+const (
+	counterQueueFull        = "control_queue_full"
+	counterSendsDropped     = "sends_dropped"
+	counterDatagramsDropped = "datagrams_dropped"
+	counterDiskSyncs        = "disk_syncs"
+	counterDiskBytes        = "disk_bytes"
+	counterRecoveriesFailed = "disk_recoveries_failed"
+	counterReportsFailed    = "reports_failed"
+	counterReportsTooLate   = "reports_too_late"
+	counterReportsRefused   = "reports_refused"
+	eventCounterPrefix      = "event_"
+)
+
+// counters are counts by name.
+type counters struct {
+	lock   sync.Mutex
+	counts map[string]int64
+}
+
+func newCounters() *counters { return &counters{counts: map[string]int64{}} }
+
+func (c *counters) increment(name string) { c.add(name, 1) }
+
+func (c *counters) add(name string, amount int) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.counts[name] += int64(amount)
+}
+
+// snapshot returns a copy of all counts.
+func (c *counters) snapshot() map[string]int64 {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return maps.Clone(c.counts)
+}
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -9,37 +9,38 @@
 	"beaconvane/internal/statemachine"
 )
 
-// perform carries an effect out.
+// perform carries out one effect of the machine. It never blocks for long: what waits for the
+// network runs in a goroutine of its own.
 func (n *Node) perform(effect any) {
-	switch done := effect.(type) {
+	switch effect := effect.(type) {
 	case statemachine.Send:
-		if err := n.Transport.Send(done.To, done.Message); err != nil {
-			n.count("sends_dropped")
+		if err := n.Transport.Send(effect.To, effect.Message); err != nil {
+			n.counters.increment(counterSendsDropped)
 		}
 	case statemachine.Datagram:
-		if err := n.Transport.Datagram(done.To, done.Message); err != nil {
-			n.count("datagrams_dropped")
+		if err := n.Transport.Datagram(effect.To, effect.Message); err != nil {
+			n.counters.increment(counterDatagramsDropped)
 		}
 	case statemachine.Write:
-		n.writes <- &done
+		n.writes <- &effect
 	case statemachine.Reply:
-		n.reply(done)
+		n.requests.reply(effect.RequestID, effect.Answer)
 	case statemachine.Publish:
-		if n.published != nil {
-			n.published(done.Snapshot)
+		if n.publish != nil {
+			n.publish(effect.Snapshot)
 		}
 	case statemachine.Event:
-		n.record(done)
+		n.record(effect)
 	case statemachine.Probe:
-		n.Group.Go("node.probe", func(ctx context.Context) { n.probe(ctx, done) })
+		n.Group.Go("node.probe", func(ctx context.Context) { n.probe(ctx, effect) })
 	case statemachine.Report:
-		if report, isReport := done.Body.(registry.UsageReport); isReport {
-			n.Group.Go("node.report", func(ctx context.Context) { n.report(ctx, report) })
+		if report, isUsage := effect.Body.(registry.UsageReport); isUsage {
+			n.Group.Go("node.report", func(ctx context.Context) { n.reportUsage(ctx, report) })
 		}
 	}
 }
 
-// probe tries whether an address takes connections, and tells the machine.
+// probe tries whether an address accepts connections, and tells the machine.
 func (n *Node) probe(ctx context.Context, probe statemachine.Probe) {
 	dialer := net.Dialer{Timeout: n.Settings.ConnectionDial()}
 	conn, err := dialer.DialContext(ctx, "tcp", probe.Address)
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -1,12 +1,20 @@
 package node
 
 import (
+	"slices"
+	"sync"
 	"time"
 
 	"beaconvane/internal/statemachine"
 )
 
-// Entry is one line of the journal: what the machine did and why.
+// A journal that has grown to maxJournalEntries is cut to its newest trimmedJournalEntries.
+const (
+	maxJournalEntries     = 2000
+	trimmedJournalEntries = maxJournalEntries * 3 / 4
+)
+
+// Entry is one line of the journal: an event of the machine with its cause.
 type Entry struct {
 	At        int64  `json:"at_ms"` // process clock
 	Wall      string `json:"wall"`  // time of day
@@ -16,43 +24,33 @@
 	Cause     string `json:"cause"`
 }
 
-// record adds an event to the journal and to the log.
-func (n *Node) record(done statemachine.Event) {
-	n.lock.Lock()
-	n.journal = append(n.journal, Entry{done.At.Milliseconds(), time.Now().UTC().Format(time.RFC3339Nano), done.EventName, done.Code, done.Epoch, done.Cause})
-	if len(n.journal) > journalKept {
-		n.journal = append([]Entry{}, n.journal[len(n.journal)-journalKept*3/4:]...)
-	}
-	n.counts["event_"+done.EventName]++
-	n.lock.Unlock()
-	n.Log.Info(done.EventName, "code", done.Code, "epoch", done.Epoch, "cause", done.Cause)
-}
-
-// Journal returns the newest entries.
-func (n *Node) Journal() []Entry {
-	n.lock.Lock()
-	defer n.lock.Unlock()
-	return append([]Entry{}, n.journal...)
+// journal keeps the newest events of a process in memory.
+type journal struct {
+	lock    sync.Mutex
+	entries []Entry
 }
 
-// count adds one to a counter.
-func (n *Node) count(name string) { n.add(name, 1) }
-
-// add adds to a counter.
-func (n *Node) add(name string, amount int) {
-	n.lock.Lock()
-	defer n.lock.Unlock()
-	n.counts[name] += int64(amount)
+func (j *journal) add(event statemachine.Event, wall time.Time) {
+	entry := Entry{
+		At:        event.At.Milliseconds(),
+		Wall:      wall.UTC().Format(time.RFC3339Nano),
+		EventName: event.EventName,
+		Code:      event.Code,
+		Epoch:     event.Epoch,
+		Cause:     event.Cause,
+	}
+	j.lock.Lock()
+	defer j.lock.Unlock()
+	j.entries = append(j.entries, entry)
+	if len(j.entries) > maxJournalEntries {
+		j.entries = slices.Clone(j.entries[len(j.entries)-trimmedJournalEntries:])
+	}
 }
 
-// Counters returns the process's own counters.
-func (n *Node) Counters() map[string]int64 {
-	n.lock.Lock()
-	defer n.lock.Unlock()
-	counts := map[string]int64{"goroutines": n.Group.Running(), "control_queue": int64(len(n.commands)), "writes_queue": int64(len(n.writes))}
-	n.load.tell(counts)
-	for name, count := range n.counts {
-		counts[name] = count
-	}
-	return counts
+// entriesNow returns a copy of the entries, never nil: the JSON answer has a list even where there
+// are none.
+func (j *journal) entriesNow() []Entry {
+	j.lock.Lock()
+	defer j.lock.Unlock()
+	return append([]Entry{}, j.entries...)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,16 +1,17 @@
-// Package node runs a machine as a process: one control goroutine applies commands, their effects go
-// out through the ports (transport, disk, HTTP), and what the machine did is kept as a journal and
-// logged as JSON lines.
+// Package node runs a state machine as a process. One control goroutine applies commands to the
+// machine and carries out the effects that it returns, through ports: connections to other
+// processes, the disk, and HTTP. The node also keeps what is known of the process itself: a journal
+// of the machine's events, counters, and the log as JSON lines.
+//
+// Who touches what: the machine, and the random source that it draws from, belong to the control
+// goroutine; the files belong to the disk goroutine; all other state is guarded by the lock of its
+// own type.
 package node
 
 import (
-	"context"
-	crand "crypto/rand"
-	"encoding/binary"
 	"fmt"
 	"net/http"
 	"os"
-	"sync"
 	"time"
 
 	"github.com/go-logr/logr"
@@ -25,10 +26,8 @@
 )
 
 const (
-	journalKept       = 2000  // entries
 	maxQueuedCommands = 4096  // for the control goroutine
-	maxQueuedWrites   = 16384 // for the disk
-	maxBatch          = 256   // writes that are synced together
+	maxQueuedWrites   = 16384 // for the disk goroutine
 )
 
 // Node is one process: a machine, its control goroutine, and the ports around it.
@@ -36,71 +35,89 @@
 	Settings  settings.Settings
 	Group     *goroutine.Group
 	Log       logr.Logger
-	Transport *transport.Transport
-	machine   statemachine.Machine
-	store     *storage.Store
-	folder    storage.Directory
-	build     Build // nil: the state is not on disk
+	Transport *transport.Transport // nil before Run
 
-	reporter *reporter
-	load     controlLoad
+	machine   statemachine.Machine
+	commands  chan statemachine.Command
+	publish   func(snapshot any)
+	peerFrame PeerFrameHandler
 
+	writes       chan *statemachine.Write
+	store        *storage.Store
+	directory    storage.Directory
+	build        Build // nil: the state is not on disk
 	replacements chan replacement
 
-	commands  chan statemachine.Command
-	writes    chan *statemachine.Write
-	published func(snapshot any)
-	traffic   func(from string, msg any, back func(msg any) error) bool
-
-	lock          sync.Mutex
-	lastRequestID int64
-	replies       map[int64]chan any
-	journal       []Entry
-	counts        map[string]int64
+	requests *pendingRequests
+	journal  *journal
+	counters *counters
+	load     controlLoad
+	reporter *usageReporter
 }
 
+// PeerFrameHandler takes a message that another process sent on a connection, and returns false for
+// one that is meant for the machine. The handler may reply on the same connection.
+type PeerFrameHandler func(from string, msg any, reply func(msg any) error) bool
+
 // NewLog returns a logger of JSON lines on stderr, with the node's name, role and zone.
 func NewLog(cfg settings.Settings, role string) logr.Logger {
-	logger := funcr.NewJSON(func(line string) { fmt.Fprintln(os.Stderr, line) },
-		funcr.Options{LogTimestamp: true, TimestampFormat: time.RFC3339Nano, Verbosity: int(cfg.LogLevel)})
-	return logger.WithValues("node", cfg.Node, "role", role, "zone", cfg.Zone)
+	writeLine := func(line string) { fmt.Fprintln(os.Stderr, line) }
+	options := funcr.Options{LogTimestamp: true, TimestampFormat: time.RFC3339Nano, Verbosity: int(cfg.LogLevel)}
+	return funcr.NewJSON(writeLine, options).WithValues("node", cfg.Node, "role", role, "zone", cfg.Zone)
 }
 
-// Self returns the member that this process is. Its birth is the current time, so that each call
-// makes another life.
+// Self returns the member that this process is. Its start time is the current time, so that each
+// call returns another incarnation.
 func Self(cfg settings.Settings, role string) message.Member {
 	voter := cfg.Voter
 	if role == message.RoleProxy {
 		voter = ""
 	}
-	return message.Member{Name: role + "/" + cfg.Node, Role: role, Voter: voter, Zone: cfg.Zone,
-		Address: cfg.Address, HTTPAddress: cfg.Outside, StartTime: time.Now().UnixNano()}
+	return message.Member{
+		Name:        role + "/" + cfg.Node,
+		Role:        role,
+		Voter:       voter,
+		Zone:        cfg.Zone,
+		Address:     cfg.Address,
+		HTTPAddress: cfg.Outside,
+		StartTime:   time.Now().UnixNano(),
+	}
 }
 
-// New returns a node; Run gives it its machine.
+// New returns a node without a machine; Run or RunFromDisk gives it one.
 func New(cfg settings.Settings, role string, group *goroutine.Group) *Node {
-	return &Node{Settings: cfg, Group: group, Log: NewLog(cfg, role), reporter: newReporter(cfg.Collector, cfg.Node, cfg.ReportEvery(), nil), commands: make(chan statemachine.Command, maxQueuedCommands), replacements: make(chan replacement),
-		writes: make(chan *statemachine.Write, maxQueuedWrites), replies: map[int64]chan any{}, counts: map[string]int64{}}
+	return &Node{
+		Settings:     cfg,
+		Group:        group,
+		Log:          NewLog(cfg, role),
+		commands:     make(chan statemachine.Command, maxQueuedCommands),
+		writes:       make(chan *statemachine.Write, maxQueuedWrites),
+		replacements: make(chan replacement),
+		requests:     newPendingRequests(),
+		journal:      &journal{},
+		counters:     newCounters(),
+		reporter:     newUsageReporter(cfg.Collector, cfg.Node, cfg.ReportEvery(), nil),
+	}
 }
 
 // OnPublish sets who takes the machine's snapshots. It is called before Run.
-func (n *Node) OnPublish(published func(snapshot any)) { n.published = published }
+func (n *Node) OnPublish(publish func(snapshot any)) { n.publish = publish }
 
-// OnTraffic sets who takes messages of the traffic side; it returns false for others. It is called
-// before Run.
-func (n *Node) OnTraffic(traffic func(from string, msg any, back func(msg any) error) bool) {
-	n.traffic = traffic
-}
+// OnTraffic sets who takes the frames between proxies. It is called before Run.
+func (n *Node) OnTraffic(handler PeerFrameHandler) { n.peerFrame = handler }
 
-// SetReportHeaders sets what else is put into the header of usage reports; nil: nothing.
+// SetReportHeaders sets what else is put into the header of usage reports; nil: nothing. It is
+// called before Run.
 func (n *Node) SetReportHeaders(set func(header http.Header, nodeName string, epoch int64)) {
 	n.reporter.setHeaders = set
 }
 
-// Run binds the address, lets the traffic side begin, and starts the control goroutine.
+// Run binds the address, hands the transport to begin (which may be nil), and starts the
+// goroutines of the machine.
 func (n *Node) Run(machine statemachine.Machine, begin func(network *transport.Transport)) error {
 	n.machine = machine
-	network, err := transport.New(n.Group, n.Settings.Address, n.Settings.Limits.Frame, int(n.Settings.Limits.Queue), n.Settings.ConnectionDial(), n.inbound)
+	network, err := transport.New(n.Group, n.Settings.Address, n.Settings.Limits.Frame, int(n.Settings.Limits.Queue),
+		n.Settings.ConnectionDial(), n.receive)
 	if err != nil {
 		return err
 	}
@@ -116,59 +133,34 @@
 	return nil
 }
 
-// inbound takes a message from another process; it is dropped when the control queue is full.
-func (n *Node) inbound(from string, msg any, back func(msg any) error) {
-	if n.traffic != nil && back != nil && n.traffic(from, msg, back) {
+// receive takes a message from another process; it is dropped when the control queue is full.
+func (n *Node) receive(from string, msg any, reply func(msg any) error) {
+	if n.peerFrame != nil && reply != nil && n.peerFrame(from, msg, reply) {
 		return
 	}
 	select {
 	case n.commands <- statemachine.Arrived{From: from, Message: msg}:
 	default:
-		n.count("control_queue_full")
+		n.counters.increment(counterQueueFull)
 	}
 }
 
-// noteLateness records that the control goroutine was held up for longer than updates may take.
-func (n *Node) noteLateness() {
-	now := n.Group.Now()
-	gap := n.load.ticked(now)
-	if gap <= n.Settings.UpdatesEvery() {
-		return
-	}
-	cause := fmt.Sprintf("%d ms since the last tick, %d commands waiting", gap.Milliseconds(), len(n.commands))
-	n.record(statemachine.Event{At: now, EventName: "control-late", Cause: cause})
+// record puts an event into the journal, the counters and the log.
+func (n *Node) record(event statemachine.Event) {
+	n.journal.add(event, time.Now())
+	n.counters.increment(eventCounterPrefix + event.EventName)
+	n.Log.Info(event.EventName, "code", event.Code, "epoch", event.Epoch, "cause", event.Cause)
 }
 
-// runControl applies commands one after the other, and carries their effects out.
-func (n *Node) runControl(ctx context.Context) {
-	var seed [8]byte
-	crand.Read(seed[:])
-	env := statemachine.NewEnv(binary.BigEndian.Uint64(seed[:]))
-	ticker := time.NewTicker(n.Settings.TickEvery())
-	defer ticker.Stop()
-	apply := func(command statemachine.Command) {
-		env.Now, env.Wall = n.Group.Now(), n.Group.Wall()
-		command.Apply(n.machine, env)
-		for _, effect := range env.Drain() {
-			n.perform(effect)
-		}
-		n.load.add(n.Group.Now() - env.Now)
-	}
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-			// What has come is taken before a tick judges anybody by silence.
-			for range len(n.commands) {
-				apply(<-n.commands)
-			}
-			apply(statemachine.Ticked{})
-			n.noteLateness()
-		case command := <-n.commands:
-			apply(command)
-		case next := <-n.replacements:
-			n.takeReplacement(next)
-		}
-	}
+// Journal returns the newest entries of the journal, the oldest of them first.
+func (n *Node) Journal() []Entry { return n.journal.entriesNow() }
+
+// Counters returns the process's own counters by name.
+func (n *Node) Counters() map[string]int64 {
+	counts := n.counters.snapshot()
+	counts["goroutines"] = n.Group.Running()
+	counts["control_queue"] = int64(len(n.commands))
+	counts["writes_queue"] = int64(len(n.writes))
+	n.load.addTo(counts)
+	return counts
 }
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -10,34 +10,37 @@
 	"beaconvane/internal/storage"
 )
 
+// eventDiskRecovered is the event of a machine that was restored from a disk that takes writes again.
+const eventDiskRecovered = "disk-recovered"
+
 // DiskMachine is a state machine whose state is on disk.
 type DiskMachine interface {
 	statemachine.Machine
 	storage.Restorable
 }
 
-// Build makes a machine of what a disk holds.
+// Build restores a machine from a snapshot and the records behind it.
 type Build func(snapshot []byte, records [][]byte) (DiskMachine, error)
 
-// replacement hands the control goroutine a machine that was built anew from the disk.
-// Once taken is closed the earlier machine is gone, and none of its writes is queued.
+// replacement hands the control goroutine a machine that was restored from the disk. Once taken is
+// closed the earlier machine is gone, and none of its writes is queued.
 type replacement struct {
 	machine DiskMachine
 	taken   chan struct{}
 }
 
-// errReplaced answers requests that the earlier machine had not answered.
-var errReplaced = errcode.Wrap("node.replace", errcode.Internal, errors.New("the machine was built anew from its disk"))
+// errReplaced ends the requests to which the earlier machine had not replied.
+var errReplaced = errcode.Wrap("node.replace", errcode.Internal, errors.New("the machine was restored from its disk"))
 
-// RunFromDisk opens the data folder, builds the machine and runs it. When a write fails
-// the machine stops voting; as soon as the disk takes writes again it is built anew from
-// what the disk holds, as after a restart of the process.
+// RunFromDisk opens the data folder, restores the machine and runs it. When a write fails the
+// machine stops voting; as soon as the disk takes writes again the machine is restored from what the
+// disk holds, as after a restart of the process.
 func (n *Node) RunFromDisk(build Build) error {
-	folder, err := storage.NewOSDirectory(n.Settings.Data)
+	directory, err := storage.NewOSDirectory(n.Settings.Data)
 	if err != nil {
 		return err
 	}
-	store, snapshot, records, err := storage.Open(folder)
+	store, snapshot, records, err := storage.Open(directory)
 	if err != nil {
 		return err
 	}
@@ -45,12 +48,12 @@
 	if err != nil {
 		return err
 	}
-	n.store, n.folder, n.build = store, folder, build
+	n.store, n.directory, n.build = store, directory, build
 	return n.Run(machine, nil)
 }
 
-// recoverDisk tries until the disk works and the machine is replaced; false at the end
-// of the process.
+// recoverDisk tries until the disk works and the machine is replaced. It returns false when the
+// process stops before that.
 func (n *Node) recoverDisk(ctx context.Context) bool {
 	retry := time.NewTicker(n.Settings.DiskRetryEvery())
 	defer retry.Stop()
@@ -60,9 +63,9 @@
 			return false
 		case <-retry.C:
 		}
-		store, machine, err := storage.Recover(n.folder, n.build)
+		store, machine, err := storage.Recover(n.directory, n.build)
 		if err != nil {
-			n.count("disk_recoveries_failed")
+			n.counters.increment(counterRecoveriesFailed)
 			continue
 		}
 		n.store = store
@@ -70,6 +73,7 @@
 	}
 }
 
+// replaceMachine hands a machine to the control goroutine and waits until it has taken over.
 func (n *Node) replaceMachine(ctx context.Context, machine DiskMachine) bool {
 	next := replacement{machine: machine, taken: make(chan struct{})}
 	select {
@@ -85,19 +89,14 @@
 	}
 }
 
-// takeReplacement runs in the control goroutine, the only one that queues writes.
+// takeReplacement puts a restored machine in the place of the present one, and drops what that one
+// had still to write. It runs in the control goroutine, the only one that queues writes.
 func (n *Node) takeReplacement(next replacement) {
 	n.machine = next.machine
 	for len(n.writes) > 0 {
 		<-n.writes
 	}
-	n.lock.Lock()
-	waiting := n.replies
-	n.replies = map[int64]chan any{}
-	n.lock.Unlock()
-	for _, reply := range waiting {
-		reply <- errReplaced
-	}
-	n.record(statemachine.Event{At: n.Group.Now(), EventName: "disk-recovered"})
+	n.requests.failAll(errReplaced)
+	n.record(statemachine.Event{At: n.Group.Now(), EventName: eventDiskRecovered})
 	close(next.taken)
 }
--- /dev/null
+++ b/internal/node/requests.go
@@ -0,0 +1,85 @@
+package node
+
+import (
+	"context"
+	"sync"
+
+	"beaconvane/internal/errcode"
+	"beaconvane/internal/statemachine"
+)
+
+// Tell gives the machine a notice that wants no reply.
+func (n *Node) Tell(notice any) {
+	select {
+	case n.commands <- statemachine.Asked{Question: notice}:
+	case <-n.Group.Context.Done():
+	}
+}
+
+// Request hands a request to the machine and waits for its reply, at most until the context ends.
+func (n *Node) Request(ctx context.Context, request any) (any, error) {
+	requestID, replies := n.requests.open()
+	select {
+	case n.commands <- statemachine.Asked{RequestID: requestID, Question: request}:
+	case <-ctx.Done():
+		return nil, errcode.Wrap("node.ask", errcode.Internal, ctx.Err())
+	}
+	select {
+	case reply := <-replies:
+		if err, failed := reply.(error); failed {
+			return nil, err
+		}
+		return reply, nil
+	case <-ctx.Done():
+		n.requests.cancel(requestID)
+		return nil, errcode.Wrap("node.ask", errcode.Internal, ctx.Err())
+	}
+}
+
+// pendingRequests are the requests to the machine whose callers still wait.
+type pendingRequests struct {
+	lock    sync.Mutex
+	lastID  int64
+	replies map[int64]chan any // by request; each takes one reply without blocking
+}
+
+func newPendingRequests() *pendingRequests { return &pendingRequests{replies: map[int64]chan any{}} }
+
+// open returns the number of a new request, and where its reply will come.
+func (p *pendingRequests) open() (requestID int64, reply <-chan any) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.lastID++
+	waiting := make(chan any, 1)
+	p.replies[p.lastID] = waiting
+	return p.lastID, waiting
+}
+
+// cancel drops a request for which nobody waits any more.
+func (p *pendingRequests) cancel(requestID int64) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	delete(p.replies, requestID)
+}
+
+// reply hands a reply to the caller, if it still waits.
+func (p *pendingRequests) reply(requestID int64, reply any) {
+	p.lock.Lock()
+	waiting := p.replies[requestID]
+	delete(p.replies, requestID)
+	p.lock.Unlock()
+	if waiting != nil {
+		waiting <- reply
+	}
+}
+
+// failAll ends every open request with an error.
+func (p *pendingRequests) failAll(err error) {
+	p.lock.Lock()
+	replies := p.replies
+	p.replies = map[int64]chan any{}
+	p.lock.Unlock()
+	for _, waiting := range replies {
+		waiting <- err
+	}
+}
--- a/internal/node/report_test.go
+++ b/internal/node/usage_report_test.go
@@ -27,9 +27,9 @@
 		out.WriteHeader(status)
 	}))
 	defer collector.Close()
-	r := newReporter(collector.URL, "core-1", time.Minute, func(header http.Header, _ string, _ int64) { header.Set("Fence", "7") })
+	r := newUsageReporter(collector.URL, "core-1", time.Minute, func(header http.Header, _ string, _ int64) { header.Set("Fence", "7") })
 	report := registry.UsageReport{Window: 3, Counts: map[string]int64{"t": 5}, Epoch: 7, Until: time.Hour}
-	c.Assert(r.post(context.Background(), report, 0), qt.Equals, reportTaken)
+	c.Assert(r.post(context.Background(), report, 0), qt.Equals, reportAccepted)
 	c.Assert(<-seen, qt.Equals, `7 {"counts":{"t":5},"epoch":7,"from":"core-1","window":3}`)
 	status = http.StatusConflict
 	c.Assert(r.post(context.Background(), report, 0), qt.Equals, reportRefused)
@@ -41,7 +41,7 @@
 	asked := make(chan struct{}, 1)
 	collector := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked <- struct{}{} }))
 	defer collector.Close()
-	r := newReporter(collector.URL, "core-1", time.Minute, nil)
+	r := newUsageReporter(collector.URL, "core-1", time.Minute, nil)
 	c.Assert(r.post(context.Background(), registry.UsageReport{Until: time.Second}, time.Second), qt.Equals, reportTooLate)
 	c.Assert(asked, qt.HasLen, 0)
 }
@@ -67,7 +67,7 @@
 		ended <- err
 	})
 	const left = 50 * time.Millisecond
-	r := newReporter("http://"+listener.Addr().String(), "core-1", time.Hour, nil)
+	r := newUsageReporter("http://"+listener.Addr().String(), "core-1", time.Hour, nil)
 	began := time.Now()
 	outcome := r.post(context.Background(), registry.UsageReport{Until: time.Second + left}, time.Second)
 	c.Assert(outcome, qt.Equals, reportFailed)
