--- a/internal/cli/proxy.go
+++ b/internal/cli/proxy.go
@@ -53,7 +53,7 @@
 	caller.UseProtocol(protocols.Upstreams)
 	self := node.Self(cfg, message.RoleProxy)
 	p.machine = proxy.New(cfg, self)
-	p.stages = frontend.NewPipeline(cfg, p.frontend, upstreams, caller, group, self, process.Tell)
+	p.stages = frontend.NewPipeline(cfg, p.frontend, upstreams, caller, group, self, process.Notify)
 	process.OnTraffic(p.stages.HandlePeerFrame)
 	process.OnPublish(func(snapshot any) { p.stages.UpdateSnapshot(snapshot.(*proxy.Snapshot)) })
 	p.api = api.NewProxy(cfg, process, group, p.frontend, upstreams, p.stages)
@@ -107,7 +107,7 @@
 // the settings, refuses what has not started by then, and finishes the rest.
 func (p *proxyProgram) stop(ctx context.Context) error {
 	p.api.BeginStop()
-	p.process.Tell(proxy.Stop{})
+	p.process.Notify(proxy.Stop{})
 	limited, cancel := context.WithTimeout(ctx, p.settings.Grace())
 	defer cancel()
 	linger := time.NewTimer(max(p.settings.Linger(), p.settings.UpdatesEvery()))
@@ -161,7 +161,7 @@
 			continue
 		}
 		usage, closed := p.frontend.Usage(p.process.Group.Wall(), sealed)
-		p.process.Tell(proxy.UsageCounted{Usage: usage, Closed: closed})
+		p.process.Notify(proxy.UsageCounted{Usage: usage, Closed: closed})
 	}
 }
 
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -42,7 +42,7 @@
 		}
 		if !slices.Equal(changed.Seeds, cfg.Seeds) {
 			process.Log.Info("seeds changed", "seeds", changed.Seeds)
-			process.Tell(statemachine.SeedsChanged{Seeds: changed.Seeds})
+			process.Notify(statemachine.SeedsChanged{Seeds: changed.Seeds})
 		}
 		cfg.Seeds = changed.Seeds
 		if !reflect.DeepEqual(changed, cfg) {
--- a/internal/golden/proxy_api_test.go
+++ b/internal/golden/proxy_api_test.go
@@ -45,7 +45,7 @@
 	front := frontend.New(cfg, upstreams.LookupDelegation)
 	front.UseRetryMonitor(upstreams)
 	caller := backend.NewUpstreamClient(cfg, upstreams, process.Group)
-	stages := frontend.NewPipeline(cfg, front, upstreams, caller, process.Group, node.Self(cfg, message.RoleProxy), process.Tell)
+	stages := frontend.NewPipeline(cfg, front, upstreams, caller, process.Group, node.Self(cfg, message.RoleProxy), process.Notify)
 	return api.NewProxy(cfg, process, process.Group, front, upstreams, stages), process
 }
 
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -47,5 +47,5 @@
 	if err == nil {
 		conn.Close()
 	}
-	n.Tell(proxy.Probed{Key: probe.Key, Incarnation: probe.Incarnation, Answered: err == nil})
+	n.Notify(proxy.Probed{Key: probe.Key, Incarnation: probe.Incarnation, Answered: err == nil})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -123,7 +123,7 @@
 	}
 	network.LimitRate(n.Settings.LinkShare())
 	n.Transport = network
-	network.OnConnectionLost(func(address string) { n.Tell(statemachine.ConnectionBroke{Address: address}) })
+	network.OnConnectionLost(func(address string) { n.Notify(statemachine.ConnectionBroke{Address: address}) })
 	if begin != nil {
 		begin(network)
 	}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -8,8 +8,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Tell gives the machine a notice that wants no reply.
-func (n *Node) Tell(notice any) {
+// Notify gives the machine a notice that wants no reply.
+func (n *Node) Notify(notice any) {
 	select {
 	case n.commands <- statemachine.Asked{Question: notice}:
 	case <-n.Group.Context.Done():
--- a/internal/node/usage_report.go
+++ b/internal/node/usage_report.go
@@ -119,7 +119,7 @@
 func (n *Node) reportUsage(ctx context.Context, report registry.UsageReport) {
 	switch n.reporter.post(ctx, report, n.Group.Now()) {
 	case reportAccepted:
-		n.Tell(registry.UsageDelivered{Window: report.Window})
+		n.Notify(registry.UsageDelivered{Window: report.Window})
 	case reportFailed:
 		n.counters.increment(counterReportsFailed)
 	case reportTooLate:
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -169,7 +169,7 @@
 	ticker := time.NewTicker(part.Settings.HeartbeatEvery())
 	defer ticker.Stop()
 	for {
-		process.Tell(proxy.Announced{Registration: registration})
+		process.Notify(proxy.Announced{Registration: registration})
 		select {
 		case <-ctx.Done():
 			return
@@ -215,7 +215,7 @@
 				counted.Usage = append(counted.Usage, message.UsageCount{Window: window, Counts: copied, Open: map[string]int64{"tenant-0": 1}})
 			}
 		}
-		process.Tell(counted)
+		process.Notify(counted)
 	}
 }
 
