--- a/internal/cli/proxy.go
+++ b/internal/cli/proxy.go
@@ -178,7 +178,7 @@
 
 // logAnswers logs how requests ended since the last line, where any was refused.
 func (p *proxyProgram) logAnswers(ctx context.Context) {
-	ticker := time.NewTicker(p.settings.LookAgain())
+	ticker := time.NewTicker(p.settings.ReloadEvery())
 	defer ticker.Stop()
 	last := map[string]int64{}
 	for {
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -26,7 +26,7 @@
 // without a signal. New seeds are taken at once; any other change is logged and taken at the next
 // start.
 func reload(ctx context.Context, cfg settings.Settings, process *node.Node, load loader, hangups <-chan os.Signal) {
-	ticker := time.NewTicker(cfg.LookAgain())
+	ticker := time.NewTicker(cfg.ReloadEvery())
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -100,8 +100,8 @@
 // ConnectionIdle is how long a connection to an upstream is kept without a request.
 func (c Settings) ConnectionIdle() time.Duration { return c.HeartbeatBound() * 2 / 3 }
 
-// LookAgain is the interval at which the settings file is read again.
-func (c Settings) LookAgain() time.Duration { return ms(c.Bounds.Restore) / 6 }
+// ReloadEvery is the interval at which the settings file is read again.
+func (c Settings) ReloadEvery() time.Duration { return ms(c.Bounds.Restore) / 6 }
 
 // ProbeEvery is the interval of the membership's probes: a lost voter is found,
 // suspected and replaced within the time that a new core machine has to catch up.
