--- a/internal/lease/handover.go
+++ b/internal/lease/handover.go
@@ -55,7 +55,7 @@
 
 func (t *Manager) handBack(s *statemachine.Env, tag string, state *tagState) {
 	wanted := t.settings.Active[tag]
-	if wanted == "" || wanted == t.quorum.Voter || s.Now-state.heldAt < t.settings.MoveBack() {
+	if wanted == "" || wanted == t.quorum.Voter || s.Now-state.heldAt < t.settings.FailbackAfter() {
 		return
 	}
 	for _, peer := range t.host.Peers() {
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -70,8 +70,8 @@
 // HolderRest is how long a former holder of a tag doesn't get it back.
 func (c Settings) HolderRest() time.Duration { return ms(c.Bounds.HolderRest) }
 
-// MoveBack is how long a holder keeps a tag that the settings want at another voter.
-func (c Settings) MoveBack() time.Duration { return c.HolderRest() * 4 }
+// FailbackAfter is how long a holder keeps a tag that the settings want at another voter.
+func (c Settings) FailbackAfter() time.Duration { return c.HolderRest() * 4 }
 
 // TakeOver is how long a tag is without a holder at most after its holder was lost.
 func (c Settings) TakeOver() time.Duration {
