--- a/internal/distribution/parents.go
+++ b/internal/distribution/parents.go
@@ -18,7 +18,7 @@
 func (c *Distribution) Tick(s *statemachine.Env) {
 	c.forgiveOwnLateness(s.Now)
 	for name, known := range c.children {
-		if s.Now-known.receivedAt > c.settings.ParentLimit()*2 {
+		if s.Now-known.receivedAt > c.settings.ParentTimeout()*2 {
 			delete(c.children, name)
 		}
 	}
@@ -39,7 +39,7 @@
 		return
 	}
 	if c.parent != "" {
-		patience, missed := c.settings.ParentLimit(), 3
+		patience, missed := c.settings.ParentTimeout(), 3
 		if neverAnswered {
 			patience, missed = c.firstPatience(), 1
 		}
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -34,8 +34,8 @@
 // UpdatesEvery is the interval of updates to proxies.
 func (c Settings) UpdatesEvery() time.Duration { return c.Pace() / updatesInPace }
 
-// ParentLimit is the silence after which a relay's parent counts as lost.
-func (c Settings) ParentLimit() time.Duration { return c.Pace() / 4 }
+// ParentTimeout is the silence after which a relay's parent counts as lost.
+func (c Settings) ParentTimeout() time.Duration { return c.Pace() / 4 }
 
 // Reparent is how long a relay tries a parent before it asks for another.
 func (c Settings) Reparent() time.Duration { return c.Pace() * 3 / 4 }
