--- a/internal/backend/outcomes.go
+++ b/internal/backend/outcomes.go
@@ -111,7 +111,7 @@
 	}
 	for len(g.order) > 0 {
 		oldest, known := g.outcomes[g.order[0]]
-		if known && (!oldest.done && !oldest.barred || now-oldest.at < g.settings.OutcomeKept()) {
+		if known && (!oldest.done && !oldest.barred || now-oldest.at < g.settings.OutcomeRetention()) {
 			return
 		}
 		delete(g.outcomes, g.order[0])
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -179,14 +179,14 @@
 // ConnectionDial is how long a connection may take to come up.
 func (c Settings) ConnectionDial() time.Duration { return ms(c.Bounds.Restore) / 60 }
 
-// OutcomeKept is how long a serving proxy keeps the outcome of a request.
-func (c Settings) OutcomeKept() time.Duration {
+// OutcomeRetention is how long a serving proxy keeps the outcome of a request.
+func (c Settings) OutcomeRetention() time.Duration {
 	return min(ms(c.Limits.Request)*2, ms(c.Bounds.Restore)*8)
 }
 
 // AnswerKept is how long a serving proxy keeps whole answers for proxies that lost their
 // connection and ask again.
-func (c Settings) AnswerKept() time.Duration { return min(c.OutcomeKept(), c.UpdatesEvery()*10) }
+func (c Settings) AnswerKept() time.Duration { return min(c.OutcomeRetention(), c.UpdatesEvery()*10) }
 
 // RequestLimit is the longest that a request is held.
 func (c Settings) RequestLimit() time.Duration { return ms(c.Limits.Request) }
