--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -179,7 +179,7 @@
 	c.Assert(orders, qt.HasLen, 1)
 	g.Finish(time.Second, orders[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("answer")})
 	c.Check(string(g.Outcome(time.Second, "q").Body), qt.Equals, "answer")
-	later := time.Second + cfg.AnswerKept() + time.Millisecond
+	later := time.Second + cfg.AnswerRetention() + time.Millisecond
 	g.Announce(later, response)
 	g.Expire(later)
 	late := g.Outcome(later, "q")
--- a/internal/backend/outcomes.go
+++ b/internal/backend/outcomes.go
@@ -100,7 +100,7 @@
 func (g *Backend) forget(now time.Duration) {
 	for len(g.heavy) > 0 {
 		held, known := g.outcomes[g.heavy[0]]
-		if known && now-held.at < g.settings.AnswerKept() {
+		if known && now-held.at < g.settings.AnswerRetention() {
 			break
 		}
 		if known {
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -184,9 +184,9 @@
 	return min(ms(c.Limits.Request)*2, ms(c.Bounds.Restore)*8)
 }
 
-// AnswerKept is how long a serving proxy keeps whole answers for proxies that lost their
+// AnswerRetention is how long a serving proxy keeps whole answers for proxies that lost their
 // connection and ask again.
-func (c Settings) AnswerKept() time.Duration { return min(c.OutcomeRetention(), c.UpdatesEvery()*10) }
+func (c Settings) AnswerRetention() time.Duration { return min(c.OutcomeRetention(), c.UpdatesEvery()*10) }
 
 // RequestLimit is the longest that a request is held.
 func (c Settings) RequestLimit() time.Duration { return ms(c.Limits.Request) }
