--- a/internal/frontend/stages.go
+++ b/internal/frontend/stages.go
@@ -55,7 +55,7 @@
 	t := &Pipeline{settings: cfg, serving: serving, caller: caller, goroutines: members, tell: tell,
 		admit: make(chan *PendingRequest, capacity), choose: make(chan *PendingRequest, capacity), judge: make(chan *AttemptOutcome, capacity*2+16),
 		starts: make(chan *backend.Decision, capacity*4), random: mathrand.New(lockedSource{&sync.Mutex{}, mathrand.NewPCG(mathrand.Uint64(), mathrand.Uint64())})}
-	t.bodies.left = cfg.BodyRoom()
+	t.bodies.left = cfg.BodyMemory()
 	t.Dispatcher = NewDispatcher(cfg, front, serving, t, self)
 	return t
 }
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -215,8 +215,8 @@
 // stands some times over on its way.
 const bodyRoomShare = 8
 
-// BodyRoom is how many bytes callers' bodies may take together; at least the largest one.
-func (c Settings) BodyRoom() int64 {
+// BodyMemory is how many bytes callers' bodies may take together; at least the largest one.
+func (c Settings) BodyMemory() int64 {
 	if c.Limits.Memory == 0 {
 		return c.Limits.Body * bodyRoomShare
 	}
