--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	network.LimitRate(n.Settings.LinkShare())
+	network.LimitRate(n.Settings.TrafficRate())
 	n.Transport = network
 	network.OnConnectionLost(func(address string) { n.Notify(statemachine.ConnectionBroke{Address: address}) })
 	if begin != nil {
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -203,9 +203,9 @@
 // RetryWindow is the span over which further tries are counted.
 func (c Settings) RetryWindow() time.Duration { return ms(c.Bounds.RetryWindow) }
 
-// LinkShare is what traffic may send in a second, so that control messages find room on
+// TrafficRate is what traffic may send in a second, so that control messages find room on
 // the link at any moment; 0: not bounded.
-func (c Settings) LinkShare() int64 { return c.Limits.Link * 17 / 20 }
+func (c Settings) TrafficRate() int64 { return c.Limits.Link * 17 / 20 }
 
 // LinkWait is how long a request may wait for its turn on the link; one that would wait
 // longer is refused at once.
