--- a/internal/frontend/choice.go
+++ b/internal/frontend/choice.go
@@ -92,8 +92,8 @@
 	held := f.peer(peerKey(registration))
 	use := (f.outstanding(now, held) + 1) / float64(max(1, registration.Slots))
 	cost := math.Exp(held.pace) * (1 + fullCost*use*use + max(0, use-1) + min(max(held.load, 0), 1)/4)
-	if since := now - held.readySince; since < f.settings.WarmSpan() {
-		cost *= 2 - float64(since)/float64(f.settings.WarmSpan())
+	if since := now - held.readySince; since < f.settings.WarmUpTime() {
+		cost *= 2 - float64(since)/float64(f.settings.WarmUpTime())
 	}
 	cost += failCost * held.failing
 	cost += lagCost * held.lagAt(now).Seconds()
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -191,8 +191,8 @@
 // RequestLimit is the longest that a request is held.
 func (c Settings) RequestLimit() time.Duration { return ms(c.Limits.Request) }
 
-// WarmSpan is how long an upstream counts as warming.
-func (c Settings) WarmSpan() time.Duration { return ms(c.Bounds.Heartbeat) * 2 / 3 }
+// WarmUpTime is how long an upstream counts as warming.
+func (c Settings) WarmUpTime() time.Duration { return ms(c.Bounds.Heartbeat) * 2 / 3 }
 
 // Linger is how long a process that stops takes requests yet.
 func (c Settings) Linger() time.Duration { return ms(c.Limits.Linger) }
