--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -182,7 +182,7 @@
 // heldUp: this process stood still, so its upstreams may have found another serving proxy
 // meanwhile, and their slots are no longer this one's to give.
 func (g *Backend) heldUp(now time.Duration) bool {
-	return !g.settings.ByTarget() && g.sweptAt > 0 && now-g.sweptAt > g.settings.HeartbeatBound()/6
+	return !g.settings.ByTarget() && g.sweptAt > 0 && now-g.sweptAt > g.settings.HeartbeatTimeout()/6
 }
 
 // Expire refuses what has waited past its time.
@@ -212,7 +212,7 @@
 		}
 		held.queue = rest
 		orders = append(orders, g.fill(now, held)...)
-		if now-held.announcedAt > g.settings.HeartbeatBound()*4 && len(held.running) == 0 {
+		if now-held.announcedAt > g.settings.HeartbeatTimeout()*4 && len(held.running) == 0 {
 			delete(g.upstreams, key)
 		}
 	}
--- a/internal/frontend/question.go
+++ b/internal/frontend/question.go
@@ -90,7 +90,7 @@
 		connection.Close()
 		return
 	}
-	q.tracker.back.After(q.tracker.settings.HeartbeatBound(), q.endUnlessWaiting)
+	q.tracker.back.After(q.tracker.settings.HeartbeatTimeout(), q.endUnlessWaiting)
 }
 
 // broke: what is still open is asked about again, if this connection came about and not
--- a/internal/frontend/tracker.go
+++ b/internal/frontend/tracker.go
@@ -126,7 +126,7 @@
 func (d *Dispatcher) UpdateSnapshot(snapshot *proxy.Snapshot) {
 	d.frontend.UpdateSnapshot(d.back.Now(), snapshot)
 	d.ForwardOut(d.serving.Roster(snapshot.Upstreams))
-	if d.settings.ByTarget() && d.back.Now()-d.born < d.settings.HeartbeatBound() && !d.receivedOf.Load() {
+	if d.settings.ByTarget() && d.back.Now()-d.born < d.settings.HeartbeatTimeout() && !d.receivedOf.Load() {
 		d.adopt(snapshot)
 	}
 }
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -51,7 +51,7 @@
 	for _, key := range slices.Sorted(maps.Keys(m.locals)) {
 		held := m.locals[key]
 		age := env.Now - held.announcedAt
-		if age > m.settings.HeartbeatBound()*keptBounds {
+		if age > m.settings.HeartbeatTimeout()*keptBounds {
 			delete(m.locals, key)
 			continue
 		}
@@ -64,7 +64,7 @@
 func (m *Machine) recentEnds(env *statemachine.Env) []message.Deregistration {
 	ends := []message.Deregistration{}
 	for _, key := range slices.Sorted(maps.Keys(m.ends)) {
-		if env.Now-m.ends[key].at > m.settings.HeartbeatBound()*keptBounds {
+		if env.Now-m.ends[key].at > m.settings.HeartbeatTimeout()*keptBounds {
 			delete(m.ends, key)
 			continue
 		}
@@ -123,7 +123,7 @@
 func (m *Machine) handleProbeRequest(env *statemachine.Env, request message.ProbeRequest) {
 	key := request.Service + "/" + request.Instance
 	held, known := m.locals[key]
-	if known && held.registration.Incarnation == request.Incarnation && env.Now-held.announcedAt < m.settings.HeartbeatBound() {
+	if known && held.registration.Incarnation == request.Incarnation && env.Now-held.announcedAt < m.settings.HeartbeatTimeout() {
 		env.Probe(held.registration.Address, key, request.Incarnation)
 	}
 }
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -33,14 +33,14 @@
 func (m *Machine) sweep(s *statemachine.Env) {
 	for _, key := range slices.Sorted(maps.Keys(m.seen)) {
 		seen := m.seen[key]
-		if s.Now-seen.at > m.settings.HeartbeatBound()*4 {
+		if s.Now-seen.at > m.settings.HeartbeatTimeout()*4 {
 			delete(m.seen, key)
 			continue
 		}
 		m.consider(s, key)
 	}
 	for _, key := range slices.Sorted(maps.Keys(m.ended)) {
-		if s.Now-m.ended[key].at > m.settings.HeartbeatBound()*10 {
+		if s.Now-m.ended[key].at > m.settings.HeartbeatTimeout()*10 {
 			delete(m.ended, key)
 		}
 	}
@@ -65,9 +65,9 @@
 				silent = min(silent, s.Now-seen.at)
 			}
 			switch {
-			case silent > m.settings.HeartbeatBound():
+			case silent > m.settings.HeartbeatTimeout():
 				m.change(s, tag, registration, true, "heartbeats stopped")
-			case silent > m.settings.HeartbeatBound()/2 || registration.State == message.StateCreated:
+			case silent > m.settings.HeartbeatTimeout()/2 || registration.State == message.StateCreated:
 				m.requestProbe(s, tag, registration)
 			}
 		}
@@ -90,7 +90,7 @@
 	if gone, signed := m.ended[key]; signed && response.Incarnation <= gone.incarnation {
 		return
 	}
-	if s.Now-seen.at > m.settings.HeartbeatBound() {
+	if s.Now-seen.at > m.settings.HeartbeatTimeout() {
 		return
 	}
 	for _, tag := range m.settings.Zones {
--- a/internal/registry/windows.go
+++ b/internal/registry/windows.go
@@ -47,7 +47,7 @@
 func (u *usage) current(s *statemachine.Env) int64 {
 	told := []int64{}
 	for _, name := range slices.Sorted(maps.Keys(u.m.proxies)) {
-		if seen := u.m.proxies[name]; s.Now-seen.at <= u.m.settings.HeartbeatBound() {
+		if seen := u.m.proxies[name]; s.Now-seen.at <= u.m.settings.HeartbeatTimeout() {
 			told = append(told, seen.batch.Window)
 		}
 	}
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -78,27 +78,27 @@
 	return c.Lease()*2 + ms(c.Bounds.Sync)*syncsInLease
 }
 
-// HeartbeatBound is how long an upstream counts as there after a heartbeat.
-func (c Settings) HeartbeatBound() time.Duration { return ms(c.Bounds.Heartbeat) }
+// HeartbeatTimeout is how long an upstream counts as there after a heartbeat.
+func (c Settings) HeartbeatTimeout() time.Duration { return ms(c.Bounds.Heartbeat) }
 
 // HeartbeatEvery is the interval at which what was heard of upstreams goes on.
-func (c Settings) HeartbeatEvery() time.Duration { return c.HeartbeatBound() / heartbeatsInBound }
+func (c Settings) HeartbeatEvery() time.Duration { return c.HeartbeatTimeout() / heartbeatsInBound }
 
 // ServingProxyBound is how long a serving proxy gives an upstream work without hearing
 // from it: it may have said elsewhere that it leaves.
 func (c Settings) ServingProxyBound() time.Duration {
 	if c.ByTarget() {
 		// Heartbeats come to the serving proxy alone, and a target proves itself.
-		return c.HeartbeatBound()
+		return c.HeartbeatTimeout()
 	}
-	return min(c.HeartbeatBound(), ms(c.Bounds.Drain)*4/5)
+	return min(c.HeartbeatTimeout(), ms(c.Bounds.Drain)*4/5)
 }
 
 // DialFresh is how long a sign of life proves who is at an address.
-func (c Settings) DialFresh() time.Duration { return c.HeartbeatBound() / 30 }
+func (c Settings) DialFresh() time.Duration { return c.HeartbeatTimeout() / 30 }
 
 // ConnectionIdle is how long a connection to an upstream is kept without a request.
-func (c Settings) ConnectionIdle() time.Duration { return c.HeartbeatBound() * 2 / 3 }
+func (c Settings) ConnectionIdle() time.Duration { return c.HeartbeatTimeout() * 2 / 3 }
 
 // ReloadEvery is the interval at which the settings file is read again.
 func (c Settings) ReloadEvery() time.Duration { return ms(c.Bounds.Restore) / 6 }
