--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -163,7 +163,7 @@
 		return errcode.BusyUpstreamGone
 	case !known || held.announcement.Incarnation != forward.Incarnation:
 		return errcode.BusyUpstreamGone
-	case now-held.announcedAt > g.settings.ServingProxyBound():
+	case now-held.announcedAt > g.settings.ServingProxyTimeout():
 		return errcode.BusyUpstreamGone
 	case held.broken && !(g.settings.ByTarget() && now-held.brokenAt > g.settings.DialFresh()):
 		return errcode.BusyUpstreamGone
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -160,8 +160,8 @@
 	cfg := settings.Default()
 	serving := servingProxy(c)
 	left := message.Registration{Service: "pay", Instance: "one", Incarnation: 5, State: message.StateLeaving}
-	c.Assert(codes(serving.Forwarded(cfg.ServingProxyBound(), forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
-	c.Assert(codes(serving.Forwarded(cfg.ServingProxyBound()+1, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(codes(serving.Forwarded(cfg.ServingProxyTimeout(), forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
+	c.Assert(codes(serving.Forwarded(cfg.ServingProxyTimeout()+1, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	serving.Announce(3*time.Second, response("one", "a:1", 5))
 	serving.Roster(map[string][]message.Registration{"pay": {left}})
 	c.Assert(codes(serving.Forwarded(3*time.Second, forwardOf("c", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
--- a/internal/backend/proof.go
+++ b/internal/backend/proof.go
@@ -19,7 +19,7 @@
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	held, same := g.bound(target)
-	return same && !held.broken && now-held.announcedAt <= g.settings.ServingProxyBound()
+	return same && !held.broken && now-held.announcedAt <= g.settings.ServingProxyTimeout()
 }
 
 // Dialable says, before and after a dial, whether a new connection would be proven: the
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -84,9 +84,9 @@
 // HeartbeatEvery is the interval at which what was heard of upstreams goes on.
 func (c Settings) HeartbeatEvery() time.Duration { return c.HeartbeatTimeout() / heartbeatsInBound }
 
-// ServingProxyBound is how long a serving proxy gives an upstream work without hearing
+// ServingProxyTimeout is how long a serving proxy gives an upstream work without hearing
 // from it: it may have said elsewhere that it leaves.
-func (c Settings) ServingProxyBound() time.Duration {
+func (c Settings) ServingProxyTimeout() time.Duration {
 	if c.ByTarget() {
 		// Heartbeats come to the serving proxy alone, and a target proves itself.
 		return c.HeartbeatTimeout()
