--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -121,7 +121,7 @@
 func (f *Frontend) Ready(now time.Duration) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.snapshot.Ready(now, f.settings.StaleReady())
+	return f.snapshot.Ready(now, f.settings.MaxAgeReady())
 }
 
 // Here says that configurations and roster have been heard in this life.
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -30,7 +30,7 @@
 	batch := message.HeartbeatBatch{
 		Proxy:           m.membership.Self().Name,
 		StartTime:       m.birth,
-		Ready:           m.published.Ready(env.Now, m.settings.StaleReady()),
+		Ready:           m.published.Ready(env.Now, m.settings.MaxAgeReady()),
 		Heartbeats:      m.heartbeats(env),
 		Deregistrations: m.recentEnds(env),
 		Positions:       m.distribution.Marks(),
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -280,7 +280,7 @@
 // from the topic's source within the time after which it is not ready either. A registry
 // that lost contact goes on to say what it knows, and how old that is, as a 503.
 func (m *Machine) vouches(s *statemachine.Env, topic string) errcode.Code {
-	if age, known := m.distribution.Age(topic, s.Now); !known || age > m.settings.StaleReady() {
+	if age, known := m.distribution.Age(topic, s.Now); !known || age > m.settings.MaxAgeReady() {
 		return errcode.BusyStale
 	}
 	return errcode.OK
@@ -298,7 +298,7 @@
 		return answerCode(errcode.BusyNotReady, "")
 	}
 	for _, tag := range m.settings.Zones {
-		if age, known := m.distribution.Age(distribution.SliceTopic(tag), s.Now); !known || age > m.settings.StaleReady() {
+		if age, known := m.distribution.Age(distribution.SliceTopic(tag), s.Now); !known || age > m.settings.MaxAgeReady() {
 			return answerCode(errcode.BusyNotReady, "slice "+tag)
 		}
 	}
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -372,7 +372,7 @@
 				upstreams += len(list)
 			}
 			known = snapshot.ProxyCount
-			if snapshot.Ready(held.goroutines.Now(), held.part.Settings.StaleReady()) {
+			if snapshot.Ready(held.goroutines.Now(), held.part.Settings.MaxAgeReady()) {
 				state.Ready++
 			}
 		}
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -40,8 +40,8 @@
 // Reparent is how long a relay tries a parent before it asks for another.
 func (c Settings) Reparent() time.Duration { return c.Pace() * 3 / 4 }
 
-// StaleReady is the age of configuration or roster past which a proxy is unready.
-func (c Settings) StaleReady() time.Duration {
+// MaxAgeReady is the age of configuration or roster past which a proxy is unready.
+func (c Settings) MaxAgeReady() time.Duration {
 	if c.Bounds.KeyWithdrawal > 0 {
 		return ms(c.Bounds.KeyWithdrawal) * 8 / 10
 	}
--- a/internal/simulation/cutoff.go
+++ b/internal/simulation/cutoff.go
@@ -166,7 +166,7 @@
 // out as current.
 func (w *World) readViews(board *Node) {
 	since, severed := w.severed[board.machine]
-	if !severed || w.now-since < board.settings.StaleReady()+settleTime {
+	if !severed || w.now-since < board.settings.MaxAgeReady()+settleTime {
 		return
 	}
 	for _, question := range []any{registry.ReadRoster{}, registry.ReadConfigurationStatus{ConfigName: "main"}} {
