--- a/internal/frontend/admit.go
+++ b/internal/frontend/admit.go
@@ -35,7 +35,7 @@
 	if snapshot == nil || !snapshot.ConfigurationsKnown {
 		return NewRefusal(errcode.BusyNotReady)
 	}
-	if limit := f.settings.StaleAdmit(); limit > 0 && now-snapshot.ConfigurationsFreshAt > limit {
+	if limit := f.settings.MaxAgeAdmit(); limit > 0 && now-snapshot.ConfigurationsFreshAt > limit {
 		return NewRefusal(errcode.BusyStale)
 	}
 	path, code := f.protocol.RoutingPath(request)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -239,7 +239,7 @@
 func (c Settings) checkTakeOver(faults *Faults) {
 	b := c.Bounds
 	faults.clash(c.TakeOver() >= ms(b.UsageLate)-c.SealAfter(), "bounds.usage_late_ms", "a takeover after the seal does not fit in it")
-	faults.clash(b.KeyWithdrawal > 0 && c.TakeOver() >= c.StaleAdmit(), "bounds.key_withdrawal_ms", "a takeover would outlast it: lower holder_rest_ms or raise it")
+	faults.clash(b.KeyWithdrawal > 0 && c.TakeOver() >= c.MaxAgeAdmit(), "bounds.key_withdrawal_ms", "a takeover would outlast it: lower holder_rest_ms or raise it")
 	faults.clash(c.TakeOver()*2 > ms(b.Restore), "bounds.restore_ms", "two takeovers must fit in it")
 	faults.clash(ms(b.Sync)*syncsInLease > c.Lease(), "bounds.sync_ms", "a lease must hold four syncs")
 	faults.clash(ms(b.Sync)*syncsInForce > ms(b.ConfigurationInForce), "bounds.sync_ms", "configuration_in_force_ms must hold eight syncs")
--- a/internal/settings/fit.go
+++ b/internal/settings/fit.go
@@ -135,7 +135,7 @@
 		{"bounds.restore_ms", ms(b.Restore) / 2, "service may come back late after the loss of all machines"},
 	}
 	if b.KeyWithdrawal > 0 {
-		limits = append(limits, limitOfTakeOver{"bounds.key_withdrawal_ms", c.StaleAdmit(), "requests are refused meanwhile, as keys may have been withdrawn"})
+		limits = append(limits, limitOfTakeOver{"bounds.key_withdrawal_ms", c.MaxAgeAdmit(), "requests are refused meanwhile, as keys may have been withdrawn"})
 	}
 	if calm := expected.Contact + expected.WriteAcks; expected.WriteAcks > 0 {
 		limits = append(limits, limitOfTakeOver{"acknowledgement of writes", calm * 6 / 10, "orders may be acknowledged late after one"})
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -48,8 +48,8 @@
 	return ms(c.Bounds.Restore) * 4 / 10
 }
 
-// StaleAdmit is the age of configuration past which a proxy refuses; 0 is never.
-func (c Settings) StaleAdmit() time.Duration {
+// MaxAgeAdmit is the age of configuration past which a proxy refuses; 0 is never.
+func (c Settings) MaxAgeAdmit() time.Duration {
 	return ms(c.Bounds.KeyWithdrawal) * 9 / 10
 }
 
