--- a/internal/cli/core.go
+++ b/internal/cli/core_programs.go
@@ -21,9 +21,9 @@
 // ConfigStoreModule builds the configuration store.
 var ConfigStoreModule = fx.Module("configstore", fx.Invoke(startConfigStore))
 
-func startRegistry(life fx.Lifecycle, cfg settings.Settings, group *goroutine.Group, process *node.Node) {
+func startRegistry(lifecycle fx.Lifecycle, cfg settings.Settings, group *goroutine.Group, process *node.Node) {
 	server := api.NewServer(api.NewRegistryHandler(cfg, process))
-	life.Append(fx.Hook{
+	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			build := func(snapshot []byte, records [][]byte) (node.DiskMachine, error) {
 				return registry.New(cfg, node.Self(cfg, message.RoleRegistry), snapshot, records)
@@ -40,8 +40,8 @@
 	})
 }
 
-func startConfigStore(life fx.Lifecycle, cfg settings.Settings, group *goroutine.Group, process *node.Node) {
-	life.Append(fx.Hook{
+func startConfigStore(lifecycle fx.Lifecycle, cfg settings.Settings, group *goroutine.Group, process *node.Node) {
+	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			build := func(snapshot []byte, records [][]byte) (node.DiskMachine, error) {
 				return configstore.New(cfg, node.Self(cfg, message.RoleConfigStore), snapshot, records)
@@ -58,8 +58,8 @@
 	})
 }
 
-// stopCore lets the machine hand its leases over, waits until its messages have left, and ends. The
-// server may be nil.
+// stopCore lets the machine hand over its leases, waits until its messages have left, and stops the
+// process. The server may be nil.
 func stopCore(ctx context.Context, cfg settings.Settings, group *goroutine.Group, process *node.Node, stop any, server *api.Server) error {
 	limited, cancel := context.WithTimeout(ctx, cfg.Grace()/2)
 	defer cancel()
--- a/internal/cli/recover.go
+++ b/internal/cli/force_recover.go
@@ -29,7 +29,7 @@
 			RunE:  func(*cobra.Command, []string) error { return runForceRecover(role, configPath) },
 		}
 		forceRecover.Flags().StringVar(&configPath, "config", "", "settings file of the stopped program")
-		forceRecover.MarkFlagRequired("config")
+		_ = forceRecover.MarkFlagRequired("config") // fails for an unknown flag only
 		voter.AddCommand(forceRecover)
 		root.AddCommand(voter)
 	}
@@ -47,11 +47,11 @@
 		return errcode.Wrap("operator.force-recover", errcode.Internal, fmt.Errorf("stop the program first: %w", err))
 	}
 	defer listener.Close()
-	folder, err := storage.NewOSDirectory(cfg.Data)
+	directory, err := storage.NewOSDirectory(cfg.Data)
 	if err != nil {
 		return err
 	}
-	store, snapshot, records, err := storage.Open(folder)
+	store, snapshot, records, err := storage.Open(directory)
 	if err != nil {
 		return err
 	}
@@ -69,10 +69,11 @@
 	return nil
 }
 
-// recoverable is a core machine whose other voters can be given up; it returns its new snapshot.
+// recoverable is a core machine whose other voters can be given up. ForceRecover does so and returns
+// the machine's new snapshot.
 type recoverable interface{ ForceRecover() []byte }
 
-// readMachine makes the machine of a role from its disk.
+// readMachine restores the machine of a role from its disk.
 func readMachine(role string, cfg settings.Settings, snapshot []byte, records [][]byte) (recoverable, error) {
 	self := node.Self(cfg, role)
 	if role == message.RoleRegistry {
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -21,7 +21,7 @@
 // the answer printed and an exit code that a script can use.
 type operatorCommands struct {
 	address   string        // of a registry, "ip:port"
-	writeWait time.Duration // how long a write is tried again while no group takes it
+	writeWait time.Duration // how long a write is retried while the voters have no group
 }
 
 // AddOperatorCommands adds the operators' commands to the registry.
@@ -73,13 +73,8 @@
 	o.add(configuration, "status CONFIGURATION", "which nodes have it in force", 1, func(args []string) error {
 		return o.get(configurationsPath + args[0] + "/status")
 	})
-	o.add(configuration, "wait CONFIGURATION VERSION [MILLISECONDS]", "until it is in force on every proxy; names those that lack it", 2, func(args []string) error {
-		path := configurationsPath + args[0] + "/" + args[1] + "/in-force"
-		if len(args) == 3 {
-			path += "?wait_ms=" + args[2]
-		}
-		return o.get(path)
-	})
+	o.add(configuration, "wait CONFIGURATION VERSION [MILLISECONDS]",
+		"until it is in force on every proxy; names those that lack it", 2, o.wait)
 	o.add(configuration, "check FILE", "check a configuration, put nothing", 1, o.check)
 	root.AddCommand(configuration)
 }
@@ -94,8 +89,16 @@
 		return err
 	}
 	path := configurationsPath + args[0] + "/" + args[1]
-	try := func() outcome { return call(o.address, http.MethodPut, path, body) }
-	return retryWhileTooEarly(try, o.writeWait, writePause, os.Stderr).print(os.Stdout)
+	attempt := func() callResult { return call(o.address, http.MethodPut, path, body) }
+	return retryUntilGroupForms(attempt, o.writeWait, writePause, os.Stderr).print(os.Stdout)
+}
+
+func (o *operatorCommands) wait(args []string) error {
+	path := configurationsPath + args[0] + "/" + args[1] + "/in-force"
+	if len(args) == 3 {
+		path += "?wait_ms=" + args[2]
+	}
+	return o.get(path)
 }
 
 func (o *operatorCommands) check(args []string) error {
--- a/internal/cli/call.go
+++ b/internal/cli/operator_call.go
@@ -18,8 +18,8 @@
 // callTimeout bounds one call of an operator's command.
 const callTimeout = time.Minute
 
-// outcome is the answer to an operator's call, or the error that came instead.
-type outcome struct {
+// callResult is the answer to an operator's call, or the error that came instead.
+type callResult struct {
 	status int
 	code   string // result code as the header has it; empty for OK
 	body   []byte
@@ -27,66 +27,67 @@
 }
 
 // call makes one HTTP call to a registry.
-func call(address, method, path string, body []byte) outcome {
+func call(address, method, path string, body []byte) callResult {
 	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return outcome{err: errcode.Wrap("operator.call", errcode.Internal, err)}
+		return callResult{err: errcode.Wrap("operator.call", errcode.Internal, err)}
 	}
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{Proxy: nil, DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
-		return outcome{err: errcode.Wrap("operator.call", errcode.ConnectionLost, err)}
+		return callResult{err: errcode.Wrap("operator.call", errcode.ConnectionLost, err)}
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
 	if err != nil {
-		return outcome{err: errcode.Wrap("operator.call", errcode.ConnectionLost, err)}
+		return callResult{err: errcode.Wrap("operator.call", errcode.ConnectionLost, err)}
 	}
-	return outcome{status: response.StatusCode, code: response.Header.Get(frontend.CodeHeader), body: answer}
+	return callResult{status: response.StatusCode, code: response.Header.Get(frontend.CodeHeader), body: answer}
 }
 
 // print writes the answer; it returns an error unless the status is 200.
-func (o outcome) print(out io.Writer) error {
-	if o.err != nil {
-		return o.err
+func (r callResult) print(out io.Writer) error {
+	if r.err != nil {
+		return r.err
 	}
-	out.Write(o.body)
-	if !bytes.HasSuffix(o.body, []byte("\n")) {
+	_, _ = out.Write(r.body) // whoever closed the output does not read an error either
+	if !bytes.HasSuffix(r.body, []byte("\n")) {
 		fmt.Fprintln(out)
 	}
-	if o.status != http.StatusOK {
-		return fmt.Errorf("status %d, code %s", o.status, o.code)
+	if r.status != http.StatusOK {
+		return fmt.Errorf("status %d, code %s", r.status, r.code)
 	}
 	return nil
 }
 
-// tooEarly says whether nothing was changed for a cause that ends once the voters have formed
-// their group: nobody listens yet, no configstore holds the lease, or the holder is still reading.
-func (o outcome) tooEarly() (cause string, early bool) {
-	if o.err != nil {
-		return "nobody listens yet", errors.Is(o.err, syscall.ECONNREFUSED)
+// tooEarly reports whether nothing was changed for a cause that ends once the voters have formed
+// their group: nobody listens yet, no configuration store holds the lease, or the holder is still
+// reading the log.
+func (r callResult) tooEarly() (cause string, early bool) {
+	if r.err != nil {
+		return "nobody listens yet", errors.Is(r.err, syscall.ECONNREFUSED)
 	}
 	for _, code := range []errcode.Code{errcode.ConfigurationNoHolder, errcode.ConfigurationBehind} {
-		if o.code == strconv.Itoa(int(code)) {
+		if r.code == strconv.Itoa(int(code)) {
 			return fmt.Sprintf("%s (%d)", code, int(code)), true
 		}
 	}
 	return "", false
 }
 
-// writePause is the time between two attempts of the same write.
+// writePause is the time between two attempts at the same write.
 const writePause = 250 * time.Millisecond
 
-// retryWhileTooEarly makes a call again for as long as it is too early, at most for the given time,
-// and writes each new cause to log. It returns the last outcome.
-func retryWhileTooEarly(try func() outcome, limit, pause time.Duration, log io.Writer) outcome {
+// retryUntilGroupForms makes a call again for as long as it is too early, at most for the given time,
+// and writes each new cause to log. It returns the last result.
+func retryUntilGroupForms(attempt func() callResult, limit, pause time.Duration, log io.Writer) callResult {
 	limited, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	ticker := time.NewTicker(pause)
 	defer ticker.Stop()
 	lastCause := ""
 	for {
-		last := try()
+		last := attempt()
 		cause, early := last.tooEarly()
 		if !early || limited.Err() != nil {
 			return last
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -1,4 +1,4 @@
-// The operators' put, while the voters are still finding their group.
+// The operators' write, while the voters have not formed their group yet.
 package cli
 
 import (
@@ -16,8 +16,8 @@
 	"beaconvane/internal/errcode"
 )
 
-// board answers the n-th put with the n-th code, the last one for ever.
-func board(c *qt.C, codes ...errcode.Code) (at string, writes *[]string) {
+// fakeRegistry answers the n-th write with the n-th code, the last one for ever.
+func fakeRegistry(c *qt.C, codes ...errcode.Code) (at string, writes *[]string) {
 	writes = &[]string{}
 	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
 		body := bytes.Buffer{}
@@ -31,25 +31,29 @@
 
 func TestWriteWaitsForTheGroup(t *testing.T) {
 	for name, tried := range map[string]struct {
-		codes    []errcode.Code
-		patience time.Duration
-		writes   int
-		last     errcode.Code
-		says     int
+		codes  []errcode.Code
+		limit  time.Duration
+		writes int
+		last   errcode.Code
+		says   int
 	}{
-		"taken at once":       {[]errcode.Code{errcode.OK}, time.Minute, 1, errcode.OK, 0},
-		"no group, then one":  {[]errcode.Code{errcode.ConfigurationNoHolder, errcode.ConfigurationNoHolder, errcode.ConfigurationBehind, errcode.OK}, time.Minute, 4, errcode.OK, 2},
-		"no patience":         {[]errcode.Code{errcode.ConfigurationNoHolder, errcode.OK}, 0, 1, errcode.ConfigurationNoHolder, 0},
-		"faults are no wait":  {[]errcode.Code{errcode.ConfigurationBad, errcode.OK}, time.Minute, 1, errcode.ConfigurationBad, 0},
-		"nor a taken number":  {[]errcode.Code{errcode.ConfigurationConflict, errcode.OK}, time.Minute, 1, errcode.ConfigurationConflict, 0},
-		"nor what may be in":  {[]errcode.Code{errcode.ConfigurationUnsure, errcode.OK}, time.Minute, 1, errcode.ConfigurationUnsure, 0},
-		"a fault after a try": {[]errcode.Code{errcode.ConfigurationBehind, errcode.ConfigurationBad, errcode.OK}, time.Minute, 2, errcode.ConfigurationBad, 1},
+		"taken at once": {[]errcode.Code{errcode.OK}, time.Minute, 1, errcode.OK, 0},
+		"no group, then one": {[]errcode.Code{errcode.ConfigurationNoHolder, errcode.ConfigurationNoHolder,
+			errcode.ConfigurationBehind, errcode.OK}, time.Minute, 4, errcode.OK, 2},
+		"no wait":            {[]errcode.Code{errcode.ConfigurationNoHolder, errcode.OK}, 0, 1, errcode.ConfigurationNoHolder, 0},
+		"faults are no wait": {[]errcode.Code{errcode.ConfigurationBad, errcode.OK}, time.Minute, 1, errcode.ConfigurationBad, 0},
+		"nor a taken number": {[]errcode.Code{errcode.ConfigurationConflict, errcode.OK}, time.Minute, 1, errcode.ConfigurationConflict, 0},
+		"nor what may be in": {[]errcode.Code{errcode.ConfigurationUnsure, errcode.OK}, time.Minute, 1, errcode.ConfigurationUnsure, 0},
+		"a fault after a try": {[]errcode.Code{errcode.ConfigurationBehind, errcode.ConfigurationBad, errcode.OK},
+			time.Minute, 2, errcode.ConfigurationBad, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			at, writes := board(c, tried.codes...)
+			at, writes := fakeRegistry(c, tried.codes...)
 			says, out := bytes.Buffer{}, bytes.Buffer{}
-			response := retryWhileTooEarly(func() outcome { return call(at, http.MethodPut, "/v1/configurations/main/1", []byte("configuration")) }, tried.patience, time.Millisecond, &says)
+			response := retryUntilGroupForms(func() callResult {
+				return call(at, http.MethodPut, "/v1/configurations/main/1", []byte("configuration"))
+			}, tried.limit, time.Millisecond, &says)
 			c.Assert(*writes, qt.HasLen, tried.writes)
 			for _, write := range *writes {
 				c.Assert(write, qt.Equals, "PUT /v1/configurations/main/1 configuration")
@@ -65,9 +69,12 @@
 // The wait has an end, also where nobody listens, and the last answer is what is told.
 func TestWriteWaitsNoLongerThanItSays(t *testing.T) {
 	c := qt.New(t)
-	at, writes := board(c, errcode.ConfigurationNoHolder)
+	at, writes := fakeRegistry(c, errcode.ConfigurationNoHolder)
 	says := bytes.Buffer{}
-	response := retryWhileTooEarly(func() outcome { return call(at, http.MethodPut, "/", nil) }, 30*time.Millisecond, time.Millisecond, &says)
+	write := func(address string) func() callResult {
+		return func() callResult { return call(address, http.MethodPut, "/", nil) }
+	}
+	response := retryUntilGroupForms(write(at), 30*time.Millisecond, time.Millisecond, &says)
 	c.Assert(response.code, qt.Equals, "4005")
 	c.Assert(len(*writes) > 1, qt.IsTrue)
 	c.Assert(says.String(), qt.Equals, "waiting up to 30ms for the group of voters: ConfigurationNoHolder (4005)\n")
@@ -77,7 +84,7 @@
 	nobody := listener.Addr().String()
 	listener.Close()
 	says.Reset()
-	response = retryWhileTooEarly(func() outcome { return call(nobody, http.MethodPut, "/", nil) }, 30*time.Millisecond, time.Millisecond, &says)
+	response = retryUntilGroupForms(write(nobody), 30*time.Millisecond, time.Millisecond, &says)
 	c.Assert(errcode.CodeOf(response.err), qt.Equals, errcode.ConnectionLost)
 	c.Assert(says.String(), qt.Equals, "waiting up to 30ms for the group of voters: nobody listens yet\n")
 }
--- /dev/null
+++ b/internal/cli/proxy_program.go
@@ -0,0 +1,164 @@
+package cli
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"go.uber.org/fx"
+
+	"beaconvane/internal/api"
+	"beaconvane/internal/backend"
+	"beaconvane/internal/errcode"
+	"beaconvane/internal/frontend"
+	"beaconvane/internal/goroutine"
+	"beaconvane/internal/message"
+	"beaconvane/internal/node"
+	"beaconvane/internal/proxy"
+	"beaconvane/internal/settings"
+	"beaconvane/internal/transport"
+)
+
+// ProxyModule builds the proxy.
+var ProxyModule = fx.Module("proxy", fx.Invoke(startProxy))
+
+// proxyProgram is a running proxy: its control machine, its traffic side and its HTTP servers.
+type proxyProgram struct {
+	settings      settings.Settings
+	process       *node.Node
+	machine       *proxy.Machine
+	goroutines    *goroutine.Group
+	frontend      *frontend.Frontend
+	pipeline      *frontend.Pipeline
+	api           *api.Proxy
+	server        *api.Server
+	callersServer *api.Server // of the callers' own address; nil where they share the proxy's
+}
+
+func startProxy(lifecycle fx.Lifecycle, cfg settings.Settings, group *goroutine.Group, process *node.Node, protocols Protocols) {
+	program := newProxyProgram(cfg, group, process, protocols)
+	lifecycle.Append(fx.Hook{
+		OnStart: func(context.Context) error { return program.start() },
+		OnStop:  program.stop,
+	})
+}
+
+// newProxyProgram joins the control machine to the traffic side: the machine publishes snapshots to
+// the pipeline, and the pipeline notifies the machine.
+func newProxyProgram(cfg settings.Settings, group *goroutine.Group, process *node.Node, protocols Protocols) *proxyProgram {
+	p := &proxyProgram{settings: cfg, process: process, goroutines: group}
+	upstreams := backend.New(cfg, func(forward message.Forward) errcode.Code { return p.frontend.AuthorizeForward(forward) })
+	p.frontend = frontend.New(cfg, upstreams.LookupDelegation)
+	p.frontend.UseProtocol(protocols.Callers)
+	p.frontend.UseRetryMonitor(upstreams)
+	client := backend.NewUpstreamClient(cfg, upstreams, group)
+	client.UseProtocol(protocols.Upstreams)
+	self := node.Self(cfg, message.RoleProxy)
+	p.machine = proxy.New(cfg, self)
+	p.pipeline = frontend.NewPipeline(cfg, p.frontend, upstreams, client, group, self, process.Notify)
+	process.OnTraffic(p.pipeline.HandlePeerFrame)
+	process.OnPublish(p.updateSnapshot)
+	p.api = api.NewProxy(cfg, process, group, p.frontend, upstreams, p.pipeline)
+	p.newServers()
+	return p
+}
+
+// updateSnapshot hands the machine's view of the mesh to the traffic side. It panics for a value of
+// another type, which only a programming error in the machine can publish.
+func (p *proxyProgram) updateSnapshot(published any) {
+	snapshot, isSnapshot := published.(*proxy.Snapshot)
+	if !isSnapshot {
+		panic(fmt.Sprintf("cli: the proxy's machine published a %T", published))
+	}
+	p.pipeline.UpdateSnapshot(snapshot)
+}
+
+func (p *proxyProgram) newServers() {
+	limits := limitsInForce{p.frontend, p.goroutines}
+	if !p.hasCallersAddress() {
+		p.server = api.NewServer(p.api.HandlerWithCallers(p.pipeline))
+		p.server.ServeCallersBy(limits)
+		return
+	}
+	p.server = api.NewServer(p.api.Handler())
+	p.callersServer = api.NewServer(p.pipeline)
+	p.callersServer.ServeCallersBy(limits)
+	if most := p.settings.CallerConnections(); most > 0 {
+		p.callersServer.Bound(most)
+	}
+}
+
+// limitsInForce are the limits for callers' connections that the present configuration sets.
+type limitsInForce struct {
+	frontend   *frontend.Frontend
+	goroutines *goroutine.Group
+}
+
+// IdleTime returns how long a caller's connection may be idle now.
+func (l limitsInForce) IdleTime() time.Duration { return l.frontend.IdleTime(l.goroutines.Now()) }
+
+// HeadTime returns how long a request's header may take now.
+func (l limitsInForce) HeadTime() time.Duration { return l.frontend.HeadTime() }
+
+// hasCallersAddress reports whether callers have an address of their own, where every path is theirs.
+func (p *proxyProgram) hasCallersAddress() bool { return len(p.settings.Beacon) > 0 }
+
+func (p *proxyProgram) start() error {
+	if err := p.process.Run(p.machine, func(network *transport.Transport) { p.pipeline.Start(network) }); err != nil {
+		return err
+	}
+	p.goroutines.Go("proxy.count-usage", p.countUsage)
+	p.goroutines.Go("proxy.log-answers", p.logAnswers)
+	serveMetrics(p.settings, p.goroutines, p.process, p.api.Metrics)
+	if !p.hasCallersAddress() {
+		return p.server.Serve(p.goroutines, p.settings.Outside)
+	}
+	if err := p.callersServer.Serve(p.goroutines, p.settings.Outside); err != nil {
+		return err
+	}
+	return p.server.Serve(p.goroutines, p.settings.Beacon...)
+}
+
+// stop reports that the proxy is not ready, tells its peers, accepts requests for the linger time of
+// the settings, refuses what has not started by then, and finishes the rest.
+func (p *proxyProgram) stop(ctx context.Context) error {
+	p.api.BeginStop()
+	p.process.Notify(proxy.Stop{})
+	limited, cancel := context.WithTimeout(ctx, p.settings.Grace())
+	defer cancel()
+	linger := time.NewTimer(max(p.settings.Linger(), p.settings.UpdatesEvery()))
+	defer linger.Stop()
+	if p.settings.Linger() == 0 {
+		p.pipeline.Drain()
+	}
+	<-linger.C
+	p.api.Close()
+	p.pipeline.Drain()
+	err := p.shutdownServers(limited)
+	p.awaitRequests(limited)
+	p.process.Transport.Close()
+	p.goroutines.Stop(p.settings.UpdatesEvery())
+	return err
+}
+
+func (p *proxyProgram) shutdownServers(ctx context.Context) error {
+	if p.callersServer == nil {
+		return p.server.Shutdown(ctx)
+	}
+	return errors.Join(p.callersServer.Shutdown(ctx), p.server.Shutdown(ctx))
+}
+
+// awaitRequests waits until no request is in flight, and one tick more: the last outcomes are in the
+// send queues of their connections, and have to leave before those close.
+func (p *proxyProgram) awaitRequests(ctx context.Context) {
+	ticker := time.NewTicker(p.settings.TickEvery())
+	defer ticker.Stop()
+	for p.pipeline.InFlight() > 0 && ctx.Err() == nil {
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+		}
+	}
+	<-ticker.C
+}
--- a/internal/cli/reload_test.go
+++ b/internal/cli/reload_test.go
@@ -18,23 +18,23 @@
 	"beaconvane/internal/statemachine"
 )
 
-// listener is a machine that passes on what seeds it is told.
-type listener struct{ received chan []string }
+// seedRecorder is a machine that passes on the seeds that it is told.
+type seedRecorder struct{ received chan []string }
 
-func (l *listener) Handle(*statemachine.Env, string, any)  {}
-func (l *listener) Tick(*statemachine.Env)                 {}
-func (l *listener) Synced(*statemachine.Env, int64, error) {}
-func (l *listener) Asked(_ *statemachine.Env, _ int64, it any) {
+func (l *seedRecorder) Handle(*statemachine.Env, string, any)  {}
+func (l *seedRecorder) Tick(*statemachine.Env)                 {}
+func (l *seedRecorder) Synced(*statemachine.Env, int64, error) {}
+func (l *seedRecorder) Asked(_ *statemachine.Env, _ int64, it any) {
 	l.received <- it.(statemachine.SeedsChanged).Seeds
 }
 
-func towerOf(c *qt.C, restore int64) (settings.Settings, *node.Node, *listener) {
+func runProcess(c *qt.C, restore int64) (settings.Settings, *node.Node, *seedRecorder) {
 	cfg := settings.Default()
 	cfg.Node, cfg.Address, cfg.Bounds.Restore = "one", "127.0.0.1:0", restore
 	cfg.Seeds = []string{"10.0.0.1:1"}
 	members := goroutine.New()
 	process := node.New(cfg, message.RoleProxy, members)
-	received := &listener{received: make(chan []string, 16)}
+	received := &seedRecorder{received: make(chan []string, 16)}
 	c.Assert(process.Run(received, nil), qt.IsNil)
 	c.Cleanup(func() {
 		process.Transport.Close()
@@ -47,7 +47,7 @@
 // the process lives, and takes the seeds that the file names.
 func TestHangupIsNoticedAndEndsNothing(t *testing.T) {
 	c := qt.New(t)
-	cfg, process, received := towerOf(c, 3_600_000)
+	cfg, process, received := runProcess(c, 3_600_000)
 	response := make(chan any)
 	load := func() (settings.Settings, error) {
 		switch next := (<-response).(type) {
@@ -78,7 +78,7 @@
 // The file may change without a signal.
 func TestSettingsAreLookedAtAgain(t *testing.T) {
 	c := qt.New(t)
-	cfg, process, received := towerOf(c, 60)
+	cfg, process, received := runProcess(c, 60)
 	load := func() (settings.Settings, error) {
 		changed := cfg
 		changed.Seeds = []string{"10.0.0.9:1"}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"sync"
 
 	"beaconvane/internal/errcode"
@@ -36,6 +37,21 @@
 	}
 }
 
+// RequestAs is Request for a caller that knows the type of the reply. A reply of another type is an
+// error with the code Internal.
+func RequestAs[Reply any](ctx context.Context, n *Node, request any) (Reply, error) {
+	answer, err := n.Request(ctx, request)
+	if err != nil {
+		var none Reply
+		return none, err
+	}
+	reply, known := answer.(Reply)
+	if !known {
+		return reply, errcode.Wrap("node.ask", errcode.Internal, fmt.Errorf("%T is answered with %T", request, answer))
+	}
+	return reply, nil
+}
+
 // pendingRequests are the requests to the machine whose callers still wait.
 type pendingRequests struct {
 	lock    sync.Mutex
