--- a/internal/api/announcements.go
+++ b/internal/api/announcements.go
@@ -25,7 +25,18 @@
 	maxSlots             = 1 << 20
 )
 
-// announce takes an announcement whose body names the instance and its incarnation.
+// What is wrong with an announcement, as the upstream is told.
+var (
+	errAnnouncedName        = fmt.Errorf("service and instance want a name without slash or white space, at most %d bytes", maxNameBytes)
+	errAnnouncedIncarnation = errors.New("incarnation wants a number above 0")
+	errAnnouncedAddress     = errors.New("address wants an IP number and a port")
+	errAnnouncedZone        = errors.New("unknown zone")
+	errAnnouncedSlots       = errors.New("slots want 1 or more")
+	errAnnouncedLoad        = errors.New("load wants 0 or more")
+	errAnnouncedState       = errors.New("state wants ready, warming or leaving")
+)
+
+// announce accepts an announcement whose body names the instance and its incarnation.
 func (p *Proxy) announce(out http.ResponseWriter, in *http.Request) {
 	announcement := backend.Announcement{}
 	decoder := json.NewDecoder(http.MaxBytesReader(out, in.Body, maxAnnouncementBytes))
@@ -38,24 +49,26 @@
 		WriteCode(out, errcode.AnnounceBad, err.Error())
 		return
 	}
-	if p.leaving() {
+	if p.refusesAnnouncements() {
 		WriteCode(out, errcode.BusyLeaving, "announce to another proxy")
 		return
 	}
-	if !p.stages.Announce(announcement) {
+	if !p.pipeline.Announce(announcement) {
 		WriteCode(out, errcode.AnnounceBad, "an incarnation higher than this one has announced")
 		return
 	}
 	WriteCode(out, errcode.OK, "")
 }
 
-// leaving says that announcements are for another proxy; one that lingers still takes them.
-func (p *Proxy) leaving() bool {
+// refusesAnnouncements reports whether upstreams have to announce to another proxy. A proxy that
+// stops still accepts announcements for its linger time.
+func (p *Proxy) refusesAnnouncements() bool {
 	return p.closed.Load() || p.stopping.Load() && p.settings.Linger() == 0
 }
 
-// announceNamed takes an announcement whose instance is named by the path and whose state by a
-// word. Unknown fields are ignored. An instance's name is of one life, so there is no incarnation.
+// announceNamed accepts an announcement whose instance is named by the path, and whose state by a
+// word. Unknown fields are ignored. Such an instance never comes back under the same name, so there
+// is no incarnation.
 func (p *Proxy) announceNamed(out http.ResponseWriter, in *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(out, in.Body, maxAnnouncementBytes))
 	if err != nil {
@@ -70,19 +83,23 @@
 		WriteCode(out, errcode.AnnounceBad, err.Error())
 		return
 	}
-	if p.leaving() {
+	if p.refusesAnnouncements() {
 		WriteCode(out, errcode.BusyLeaving, "")
 		return
 	}
-	p.stages.Announce(announcement)
+	p.pipeline.Announce(announcement)
 	WriteCode(out, errcode.OK, "")
 }
 
+// announcedState is the state of a named instance, which stands beside the fields of
+// backend.Announcement.
+type announcedState struct {
+	State string `json:"state"`
+}
+
+// parseNamedAnnouncement reads the body of an announcement of a named instance.
 func parseNamedAnnouncement(instance string, body []byte) (backend.Announcement, error) {
-	state := struct {
-		State string `json:"state"`
-	}{}
-	announcement := backend.Announcement{}
+	announcement, state := backend.Announcement{}, announcedState{}
 	if err := errors.Join(json.Unmarshal(body, &announcement), json.Unmarshal(body, &state)); err != nil {
 		return announcement, err
 	}
@@ -95,7 +112,7 @@
 	case message.StateLeaving:
 		announcement.Leaving = true
 	default:
-		return announcement, errors.New("state wants ready, warming or leaving")
+		return announcement, errAnnouncedState
 	}
 	return announcement, nil
 }
@@ -105,17 +122,17 @@
 	host, port, err := net.SplitHostPort(announcement.Address)
 	switch {
 	case !validName(announcement.Service) || !validName(announcement.Instance):
-		return fmt.Errorf("service and instance want a name without slash or white space, at most %d bytes", maxNameBytes)
+		return errAnnouncedName
 	case announcement.Incarnation <= 0:
-		return errors.New("incarnation wants a number above 0")
+		return errAnnouncedIncarnation
 	case err != nil || net.ParseIP(host) == nil || port == "" || port == "0":
-		return errors.New("address wants an IP number and a port")
+		return errAnnouncedAddress
 	case !slices.Contains(cfg.Zones, announcement.Zone):
-		return errors.New("unknown zone")
+		return errAnnouncedZone
 	case announcement.Slots < 1 || announcement.Slots > maxSlots:
-		return errors.New("slots want 1 or more")
+		return errAnnouncedSlots
 	case announcement.Load < 0:
-		return errors.New("load wants 0 or more")
+		return errAnnouncedLoad
 	}
 	return nil
 }
@@ -126,22 +143,25 @@
 
 // signOffNamed ends the instance that the path names.
 func (p *Proxy) signOffNamed(out http.ResponseWriter, in *http.Request) {
-	p.stages.RetireInstance(mux.Vars(in)["instance"])
+	p.pipeline.RetireInstance(mux.Vars(in)["instance"])
 	WriteCode(out, errcode.OK, "")
 }
 
+// signOffRequest is the body by which an upstream ends its incarnation.
+type signOffRequest struct {
+	Service     string `json:"service"`
+	Instance    string `json:"instance"`
+	Incarnation int64  `json:"incarnation"`
+}
+
 // signOff ends one incarnation of an instance.
 func (p *Proxy) signOff(out http.ResponseWriter, in *http.Request) {
-	end := struct {
-		Service     string `json:"service"`
-		Instance    string `json:"instance"`
-		Incarnation int64  `json:"incarnation"`
-	}{}
+	end := signOffRequest{}
 	if err := json.NewDecoder(http.MaxBytesReader(out, in.Body, maxAnnouncementBytes)).Decode(&end); err != nil {
 		WriteCode(out, errcode.AnnounceBad, err.Error())
 		return
 	}
-	if !p.stages.Deregister(end.Service, end.Instance, end.Incarnation) {
+	if !p.pipeline.Deregister(end.Service, end.Instance, end.Incarnation) {
 		WriteCode(out, errcode.AnnounceUnknown, "")
 		return
 	}
--- a/internal/api/callers_test.go
+++ b/internal/api/caller_timeouts_test.go
@@ -1,5 +1,5 @@
 // Callers' connections on real sockets: how long they may rest, how slow a head may be, and
-// that a long request is not cut.
+// that the body of a long request is not cut off.
 package api
 
 import (
@@ -24,7 +24,7 @@
 func (l changing) IdleTime() time.Duration { return l.idle.Load() }
 func (l changing) HeadTime() time.Duration { return l.head.Load() }
 
-func callersServer(c *qt.C, limits CallerTimes, handler http.HandlerFunc) string {
+func callersServer(c *qt.C, limits CallerTimeouts, handler http.HandlerFunc) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	address := listener.Addr().String()
@@ -32,7 +32,7 @@
 	server := NewServer(handler)
 	server.server.ReadTimeout = 100 * time.Millisecond // what callers' requests must not be cut by
 	if limits != nil {
-		server.ServeCallersBy(limits)
+		server.UseCallerTimeouts(limits)
 	}
 	c.Assert(server.Serve(goroutine.New(), address), qt.IsNil)
 	c.Cleanup(func() { server.server.Close() })
@@ -57,7 +57,7 @@
 }
 
 // A body takes its time, which the request's own deadline bounds: the server's read time
-// cut every body after 30 s, with 400. Red where ServeCallersBy is left out.
+// cut every body after 30 s, with 400. Red where UseCallerTimeouts is left out.
 func TestALongBodyIsNotCut(t *testing.T) {
 	c := qt.New(t)
 	limits := changing{atomic.NewDuration(time.Second), atomic.NewDuration(time.Second)}
--- a/internal/api/common.go
+++ b/internal/api/common_routes.go
@@ -14,8 +14,8 @@
 	Process map[string]int64 `json:"process"`
 }
 
-// journalAnswer is the body of the journal.
-type journalAnswer struct {
+// journalResponse is the body of the journal.
+type journalResponse struct {
 	Entries []node.Entry `json:"entries"`
 }
 
@@ -28,6 +28,6 @@
 		writeJSON(out, http.StatusOK, counters())
 	}).Methods(http.MethodGet)
 	router.HandleFunc(prefix+"/journal", func(out http.ResponseWriter, _ *http.Request) {
-		writeJSON(out, http.StatusOK, journalAnswer{Entries: process.Journal()})
+		writeJSON(out, http.StatusOK, journalResponse{Entries: process.Journal()})
 	}).Methods(http.MethodGet)
 }
--- a/internal/api/connections_test.go
+++ b/internal/api/connection_limit_test.go
@@ -42,7 +42,7 @@
 	listener.Close()
 	server := NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) { out.WriteHeader(http.StatusOK) }))
 	const most, callers = 8, 40
-	server.Bound(most)
+	server.LimitConnections(most)
 	c.Assert(server.Serve(group, address), qt.IsNil)
 	defer server.server.Close()
 	conns := []net.Conn{}
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -27,12 +27,12 @@
 			samples = append(samples, more()...)
 		}
 		out.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		figures.Write(out, samples)
+		_ = figures.Write(out, samples) // a reader that has gone needs no answer
 	})
 	return router
 }
 
-// processSamples are the counters of the process and the memory that it uses.
+// processSamples returns the counters of the process and the memory that it uses.
 func processSamples(process *node.Node) []figures.Sample {
 	heap := []metrics.Sample{{Name: heapMetric}}
 	metrics.Read(heap)
@@ -47,20 +47,22 @@
 	return samples
 }
 
-// controlSamples asks the control machine.
+// controlSamples returns the figures of the control machine, and whether it replied in time.
 func controlSamples(process *node.Node, group *goroutine.Group) []figures.Sample {
 	limited, cancel := context.WithTimeout(group.Context, statusTimeout)
 	defer cancel()
-	answer, err := process.Request(limited, figures.Read{})
-	samples, isSamples := answer.([]figures.Sample)
-	return append(samples, figures.Flag("control_answers", err == nil && isSamples))
+	samples, err := node.RequestAs[[]figures.Sample](limited, process, figures.Read{})
+	return append(samples, figures.Flag("control_answers", err == nil))
 }
 
-// Metrics gives the samples of the proxy's traffic side.
+// Metrics returns the figures of the proxy's traffic side.
 func (p *Proxy) Metrics() []figures.Sample {
-	answers, retries := p.frontend.ResultCounts()
+	results, retries := p.frontend.ResultCounts()
 	running, pending := p.backend.Running()
-	return append(figures.Counts("answers_total", "code", answers), figures.Of("retries_total", float64(retries)),
-		figures.Of("upstreams_running", float64(running)), figures.Of("upstreams_pending", float64(pending)),
-		figures.Of("requests_inside", float64(p.stages.InFlight())), figures.Flag("ready", !p.stopping.Load() && p.frontend.Ready(p.goroutines.Now())))
+	return append(figures.Counts("answers_total", "code", results),
+		figures.Of("retries_total", float64(retries)),
+		figures.Of("upstreams_running", float64(running)),
+		figures.Of("upstreams_pending", float64(pending)),
+		figures.Of("requests_inside", float64(p.pipeline.InFlight())),
+		figures.Flag("ready", p.isReady()))
 }
--- a/internal/api/metrics_test.go
+++ b/internal/api/metrics_test.go
@@ -21,11 +21,13 @@
 	process := node.New(settings.Default(), message.RoleRegistry, group)
 	group.Stop(0)
 	page := httptest.NewRecorder()
-	handler := NewMetricsHandler(process, group, func() []metrics.Sample { return []metrics.Sample{metrics.Flag("ready", true)} })
+	more := func() []metrics.Sample { return []metrics.Sample{metrics.Flag("ready", true)} }
+	handler := NewMetricsHandler(process, group, more)
 	handler.ServeHTTP(page, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	c.Assert(page.Code, qt.Equals, http.StatusOK)
 	c.Assert(page.Header().Get("Content-Type"), qt.Contains, "text/plain")
-	for _, line := range []string{"beaconvane_control_answers 0\n", "beaconvane_ready 1\n", "beaconvane_control_queue ", "beaconvane_heap_bytes "} {
+	wanted := []string{"beaconvane_control_answers 0\n", "beaconvane_ready 1\n", "beaconvane_control_queue ", "beaconvane_heap_bytes "}
+	for _, line := range wanted {
 		c.Check(page.Body.String(), qt.Contains, line)
 	}
 }
--- a/internal/api/proxy.go
+++ b/internal/api/proxy_handler.go
@@ -30,17 +30,19 @@
 	goroutines *goroutine.Group
 	frontend   *frontend.Frontend
 	backend    *backend.Backend
-	stages     *frontend.Pipeline
+	pipeline   *frontend.Pipeline
 	stopping   atomic.Bool
 	closed     atomic.Bool
 }
 
 // NewProxy returns the HTTP interface of a proxy.
-func NewProxy(cfg settings.Settings, process *node.Node, goroutines *goroutine.Group, front *frontend.Frontend, back *backend.Backend, stages *frontend.Pipeline) *Proxy {
-	return &Proxy{settings: cfg, process: process, goroutines: goroutines, frontend: front, backend: back, stages: stages}
+func NewProxy(cfg settings.Settings, process *node.Node, goroutines *goroutine.Group, front *frontend.Frontend,
+	back *backend.Backend, pipeline *frontend.Pipeline) *Proxy {
+	return &Proxy{settings: cfg, process: process, goroutines: goroutines, frontend: front, backend: back, pipeline: pipeline}
 }
 
-// BeginStop makes the proxy answer that it isn't ready.
+// BeginStop makes the proxy answer that it isn't ready. Announcements are still accepted for the
+// linger time of the settings.
 func (p *Proxy) BeginStop() { p.stopping.Store(true) }
 
 // Close refuses announcements from now on.
@@ -72,8 +74,10 @@
 
 func noRoute(out http.ResponseWriter, _ *http.Request) { WriteCode(out, errcode.RequestNoRoute, "") }
 
+func (p *Proxy) isReady() bool { return !p.stopping.Load() && p.frontend.Ready(p.goroutines.Now()) }
+
 func (p *Proxy) ready(out http.ResponseWriter, _ *http.Request) {
-	if p.stopping.Load() || !p.frontend.Ready(p.goroutines.Now()) {
+	if !p.isReady() {
 		WriteCode(out, errcode.BusyNotReady, "")
 		return
 	}
@@ -91,12 +95,13 @@
 	ServingProxyRunning int              `json:"serving_proxy_running"` // running on the upstreams beside this proxy
 }
 
+// counters returns the counters; those of the control machine are left out while it does not reply.
 func (p *Proxy) counters() proxyCounters {
-	answers, retries := p.frontend.ResultCounts()
+	results, retries := p.frontend.ResultCounts()
 	running, pending := p.backend.Running()
 	counters := proxyCounters{
-		Answers:             answers,
-		Inside:              p.stages.InFlight(),
+		Answers:             results,
+		Inside:              p.pipeline.InFlight(),
 		Process:             p.process.Counters(),
 		Retries:             retries,
 		ServingProxyPending: pending,
@@ -104,8 +109,7 @@
 	}
 	limited, cancel := context.WithTimeout(p.goroutines.Context, statusTimeout)
 	defer cancel()
-	if answer, err := p.process.Request(limited, proxy.ReadStatus{}); err == nil {
-		status := answer.(proxy.Status)
+	if status, err := node.RequestAs[proxy.Status](limited, p.process, proxy.ReadStatus{}); err == nil {
 		counters.Control = &status
 	}
 	return counters
--- a/internal/api/answers.go
+++ b/internal/api/response.go
@@ -9,11 +9,11 @@
 	"beaconvane/internal/frontend"
 )
 
-// retryAfterSeconds is what answers say with which nothing was done yet.
+// retryAfterSeconds is what a 503 answer, with which nothing was done yet, tells the caller.
 const retryAfterSeconds = "1"
 
-// codeAnswer is the body of an answer that is only a result code.
-type codeAnswer struct {
+// codeResponse is the body of an answer that is only a result code.
+type codeResponse struct {
 	Code   errcode.Code `json:"code"`
 	Detail string       `json:"detail"`
 	Result string       `json:"result"`
@@ -22,10 +22,10 @@
 // WriteCode answers with a result code: its HTTP status, its header and a JSON body.
 func WriteCode(out http.ResponseWriter, code errcode.Code, detail string) {
 	setCodeHeaders(out, code)
-	writeJSON(out, code.Status(), codeAnswer{Code: code, Detail: detail, Result: code.String()})
+	writeJSON(out, code.Status(), codeResponse{Code: code, Detail: detail, Result: code.String()})
 }
 
-// setCodeHeaders sets the header fields of a refusal.
+// setCodeHeaders sets the header fields of a refusal; an answer with the code OK has none.
 func setCodeHeaders(out http.ResponseWriter, code errcode.Code) {
 	if code == errcode.OK {
 		return
@@ -36,8 +36,9 @@
 	}
 }
 
+// writeJSON answers with a body as JSON. A failure is not reported: the caller has gone.
 func writeJSON(out http.ResponseWriter, status int, body any) {
 	out.Header().Set("Content-Type", "application/json")
 	out.WriteHeader(status)
-	json.NewEncoder(out).Encode(body)
+	_ = json.NewEncoder(out).Encode(body)
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,6 +1,6 @@
 // Package api is the HTTP interface of the programs: the registry's towards operators and
-// platforms, and the proxy's towards upstreams and whoever watches it. Handlers read the request,
-// put a question to the control machine through package node, and write its answer; they decide
+// platforms, and the proxy's towards upstreams and whoever watches it. Handlers read the HTTP request,
+// hand a request to the control machine through package node, and write its reply; they decide
 // nothing themselves. Callers' requests are served by package frontend.
 package api
 
@@ -26,8 +26,8 @@
 
 // Server is one HTTP server of a process.
 type Server struct {
-	server *http.Server
-	wrap   func(listener net.Listener) net.Listener // nil: as it is
+	server       *http.Server
+	wrapListener func(listener net.Listener) net.Listener // nil: as it is
 }
 
 // NewServer returns a server that serves one handler for every path.
@@ -41,9 +41,12 @@
 	}}
 }
 
-// Bound lets at most so many connections be open at once, so that callers that come back
-// on new ones leave descriptors for the connections between processes; before Serve.
-func (s *Server) Bound(most int) { s.server.ConnState = newConnectionBound(most).changed }
+// LimitConnections lets at most so many connections be open at once, so that callers that open one
+// after the other leave file descriptors for the connections between processes. It is called before
+// Serve.
+func (s *Server) LimitConnections(most int) {
+	s.server.ConnState = newConnectionLimit(most).stateChanged
+}
 
 // newRouter returns a router that takes paths as they come, without cleaning or decoding.
 func newRouter() *mux.Router {
@@ -58,10 +61,12 @@
 		if err != nil {
 			return errcode.Wrap("api.listen", errcode.ConnectionLost, err)
 		}
-		if s.wrap != nil {
-			listener = s.wrap(listener)
+		if s.wrapListener != nil {
+			listener = s.wrapListener(listener)
 		}
-		group.Go("api.serve", func(context.Context) { s.server.Serve(listener) })
+		group.Go("api.serve", func(context.Context) {
+			_ = s.server.Serve(listener) // returns when Shutdown is called, with http.ErrServerClosed
+		})
 	}
 	return nil
 }
--- a/internal/cli/proxy_program.go
+++ b/internal/cli/proxy_program.go
@@ -78,14 +78,14 @@
 	limits := limitsInForce{p.frontend, p.goroutines}
 	if !p.hasCallersAddress() {
 		p.server = api.NewServer(p.api.HandlerWithCallers(p.pipeline))
-		p.server.ServeCallersBy(limits)
+		p.server.UseCallerTimeouts(limits)
 		return
 	}
 	p.server = api.NewServer(p.api.Handler())
 	p.callersServer = api.NewServer(p.pipeline)
-	p.callersServer.ServeCallersBy(limits)
+	p.callersServer.UseCallerTimeouts(limits)
 	if most := p.settings.CallerConnections(); most > 0 {
-		p.callersServer.Bound(most)
+		p.callersServer.LimitConnections(most)
 	}
 }
 
