--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -125,7 +125,7 @@
 // Check lists all that is wrong with the settings of a role, bounds that can't be kept
 // together among it.
 func (c Settings) Check(role string) Faults {
-	faults := c.CheckFitted(role)
+	faults := c.CheckAdjusted(role)
 	if len(faults) == 0 {
 		// Ratios of broken bounds would only confuse.
 		c.checkTakeOver(&faults)
@@ -133,9 +133,9 @@
 	return faults
 }
 
-// CheckFitted is Check for settings that Fit has made: what their bounds leave no room
+// CheckAdjusted is Check for settings that AdjustBounds has made: what their bounds leave no room
 // for stands in the warnings and is no fault.
-func (c Settings) CheckFitted(role string) Faults {
+func (c Settings) CheckAdjusted(role string) Faults {
 	faults := Faults{}
 	c.checkPlace(role, &faults)
 	c.checkSeeds(&faults)
--- a/internal/settings/fit.go
+++ b/internal/settings/fit.go
@@ -47,9 +47,9 @@
 	WriteAcks time.Duration // by when a write is acknowledged in calm times
 }
 
-// Fit gives settings whose bounds pass the check, whatever figures they came with, and
+// AdjustBounds returns settings whose bounds pass the check, whatever figures they came with, and
 // lists in Warnings what can't be kept.
-func (c Settings) Fit(expected Expected) Settings {
+func (c Settings) AdjustBounds(expected Expected) Settings {
 	c.Warnings = nil
 	c.raiseFloors()
 	c.Bounds.Sync = min(c.Bounds.Sync, c.Bounds.ConfigurationInForce/syncsInForce)
--- a/internal/settings/fit_test.go
+++ b/internal/settings/fit_test.go
@@ -19,7 +19,7 @@
 
 func TestBoundsWithRoomStayAsTheyAre(t *testing.T) {
 	c := qt.New(t)
-	fitted := Default().Fit(Expected{Contact: 3 * time.Second, WriteAcks: 4 * time.Second})
+	fitted := Default().AdjustBounds(Expected{Contact: 3 * time.Second, WriteAcks: 4 * time.Second})
 	c.Assert(fitted.Bounds, qt.DeepEquals, Default().Bounds)
 	c.Assert(fitted.Warnings, qt.HasLen, 0)
 }
@@ -45,7 +45,7 @@
 		cfg, expected := Default(), Expected{}
 		tried.alter(&cfg.Bounds, &expected)
 		rest := cfg.Bounds.HolderRest
-		fitted := cfg.Fit(expected)
+		fitted := cfg.AdjustBounds(expected)
 		comment := qt.Commentf("%s: lease %v, takeover %v, %s", tried.name, fitted.Lease(), fitted.TakeOver(), warningsOf(fitted))
 		c.Check(fitted.Bounds.HolderRest, qt.Equals, rest, comment)
 		c.Check(fitted.Lease() >= ms(shortestLease), qt.IsTrue, comment)
@@ -64,7 +64,7 @@
 	c := qt.New(t)
 	cfg := Default()
 	cfg.Bounds.ConfigurationInForce, cfg.Bounds.AnswerHold, cfg.Bounds.HolderRest, cfg.Bounds.RetryShare = 10, 0, 0, 3
-	fitted := cfg.Fit(Expected{})
+	fitted := cfg.AdjustBounds(Expected{})
 	c.Assert(fitted.Bounds.ConfigurationInForce, qt.Equals, int64(shortestInForce))
 	c.Assert(fitted.Bounds.AnswerHold, qt.Equals, int64(shortestOther))
 	c.Assert(fitted.Bounds.HolderRest, qt.Equals, int64(shortestLease*2))
@@ -93,7 +93,7 @@
 // The pace is the default's own bound, and shorter where any other bound asks for it.
 func TestPaceFollowsTheTightestBound(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(Default().Pace(), qt.Equals, 2*time.Second)
+	c.Assert(Default().BaseInterval(), qt.Equals, 2*time.Second)
 	for name, tried := range map[string]struct {
 		alter  func(bounds *Bounds)
 		wanted time.Duration
@@ -105,10 +105,10 @@
 		"restore":        {func(b *Bounds) { b.Restore = 7500 }, time.Second},
 		"keys":           {func(b *Bounds) { b.KeyWithdrawal = 2000 }, 800 * time.Millisecond},
 		"keys, 5 s":      {func(b *Bounds) { b.KeyWithdrawal = 5000 }, 2 * time.Second},
-		"floor":          {func(b *Bounds) { b.CatchUp = 200 }, shortestPace},
+		"floor":          {func(b *Bounds) { b.CatchUp = 200 }, shortestBaseInterval},
 	} {
 		cfg := Default()
 		tried.alter(&cfg.Bounds)
-		c.Check(cfg.Pace(), qt.Equals, tried.wanted, qt.Commentf(name))
+		c.Check(cfg.BaseInterval(), qt.Equals, tried.wanted, qt.Commentf(name))
 	}
 }
--- a/internal/settings/ratios.go
+++ b/internal/settings/ratios.go
@@ -5,40 +5,40 @@
 // This file holds the ratios: every timer of the system is a part of a bound.
 
 const (
-	// shortestPace keeps the ticks, which cost processor time, from coming too often.
-	shortestPace = 400 * time.Millisecond
-	// ticksInPace and updatesInPace are how many ticks, and updates, a pace holds.
-	ticksInPace   = 80
-	updatesInPace = 10
+	// shortestBaseInterval keeps the ticks, which cost processor time, from coming too often.
+	shortestBaseInterval = 400 * time.Millisecond
+	// ticksInBaseInterval and updatesInPace are how many ticks, and updates, a pace holds.
+	ticksInBaseInterval   = 80
+	updatesInBaseInterval = 10
 	// renewalsInLease is how often a lease is renewed within its length.
 	renewalsInLease = 5
 	// heartbeatsInBound is how often heartbeats go on within the time that one holds.
 	heartbeatsInBound = 10
 )
 
-// Pace is the time that the steady timers are parts of. It is the time for a configuration
+// BaseInterval is the time that the steady timers are parts of. It is the time for a configuration
 // to be in force, or less where something else has to be over sooner that takes several
 // rounds of them: a lease, a newcomer's catching up, the return after a loss, the
 // withdrawal of a key.
-func (c Settings) Pace() time.Duration {
+func (c Settings) BaseInterval() time.Duration {
 	pace := min(ms(c.Bounds.ConfigurationInForce), c.Lease()*4/3, ms(c.Bounds.CatchUp)/2, ms(c.Bounds.Restore)*2/15)
 	if c.Bounds.KeyWithdrawal > 0 {
 		pace = min(pace, ms(c.Bounds.KeyWithdrawal)*4/10)
 	}
-	return max(pace, shortestPace)
+	return max(pace, shortestBaseInterval)
 }
 
 // TickEvery is the interval of a machine's clock.
-func (c Settings) TickEvery() time.Duration { return c.Pace() / ticksInPace }
+func (c Settings) TickEvery() time.Duration { return c.BaseInterval() / ticksInBaseInterval }
 
 // UpdatesEvery is the interval of updates to proxies.
-func (c Settings) UpdatesEvery() time.Duration { return c.Pace() / updatesInPace }
+func (c Settings) UpdatesEvery() time.Duration { return c.BaseInterval() / updatesInBaseInterval }
 
 // ParentTimeout is the silence after which a relay's parent counts as lost.
-func (c Settings) ParentTimeout() time.Duration { return c.Pace() / 4 }
+func (c Settings) ParentTimeout() time.Duration { return c.BaseInterval() / 4 }
 
 // Reparent is how long a relay tries a parent before it asks for another.
-func (c Settings) Reparent() time.Duration { return c.Pace() * 3 / 4 }
+func (c Settings) Reparent() time.Duration { return c.BaseInterval() * 3 / 4 }
 
 // MaxAgeReady is the age of configuration or roster past which a proxy is unready.
 func (c Settings) MaxAgeReady() time.Duration {
