--- a/internal/settings/fit.go
+++ b/internal/settings/adjust.go
@@ -1,15 +1,11 @@
 package settings
 
-// This file fits timers to bounds that leave little room. A rule is kept in any case:
-// where two bounds can't both be kept, what is given up is a price, and a warning says
-// which. Nothing here refuses.
-
 import (
 	"fmt"
 	"time"
 )
 
-// What the programs need, whatever the bounds say.
+// Minimums that the programs need, whatever the bounds say.
 const (
 	// syncsInLease is how many syncs of a disk a lease has to hold.
 	syncsInLease = 4
@@ -20,8 +16,8 @@
 	shortestLease = 400
 	// shortestInForce keeps the tick, an eightieth of it, at 5 ms or more, in milliseconds.
 	shortestInForce = 400
-	// The floors of other bounds, in milliseconds: below them a timer that is a part of the
-	// bound would be 0.
+	// The minimums of other bounds, in milliseconds: below them a timer that is a ratio to the bound
+	// would be 0.
 	shortestWindow    = 400
 	shortestRestore   = 1500
 	shortestHeartbeat = 300
@@ -37,29 +33,30 @@
 	Text string
 }
 
-// String gives the line of the log.
+// String returns the line of the log.
 func (w Warning) String() string { return w.Path + ": " + w.Text }
 
-// Expected are bounds of the surroundings that no timer keeps, but that say by when a
-// takeover has to be over; 0: not told.
+// Expected are bounds of the deployment that no timer keeps, but by which a takeover has to be over; 0:
+// not given.
 type Expected struct {
-	Contact   time.Duration // from the end of a trouble until calm is taken for granted
-	WriteAcks time.Duration // by when a write is acknowledged in calm times
+	Contact   time.Duration // from the end of a fault until normal service is expected
+	WriteAcks time.Duration // within which a write is acknowledged in normal service
 }
 
-// AdjustBounds returns settings whose bounds pass the check, whatever figures they came with, and
-// lists in Warnings what can't be kept.
+// AdjustBounds returns settings whose bounds pass CheckAdjusted, whatever figures they came with.
+// Safety rules are kept in any case: where two bounds cannot both be kept, availability or lateness is
+// what is given up, and Warnings lists each case.
 func (c Settings) AdjustBounds(expected Expected) Settings {
 	c.Warnings = nil
 	c.raiseFloors()
 	c.Bounds.Sync = min(c.Bounds.Sync, c.Bounds.ConfigurationInForce/syncsInForce)
-	// A longer rest between holders keeps a shorter bound too.
+	// A longer rest between two holders keeps the shorter bound as well.
 	c.Bounds.HolderRest = max(c.Bounds.HolderRest, shortestLease*2)
-	c.fitLease(expected)
+	c.adjustLease(expected)
 	return c
 }
 
-// raiseFloors lifts bounds to what the programs can do at all.
+// raiseFloors raises bounds to the least that the programs can keep at all.
 func (c *Settings) raiseFloors() {
 	b := &c.Bounds
 	for _, floor := range []struct {
@@ -92,22 +89,21 @@
 	}
 }
 
+// warn adds a warning.
 func (c *Settings) warn(path, text string) {
 	c.Warnings = append(c.Warnings, Warning{path, text})
 }
 
-// limitOfTakeOver is a bound by which a takeover has to be over, and what it costs
-// where it isn't.
-type limitOfTakeOver struct {
+// takeOverLimit is a bound by which a takeover has to be over.
+type takeOverLimit struct {
 	path string
-	room time.Duration
-	cost string
+	room time.Duration // for the takeover
+	cost string        // of a takeover that takes longer
 }
 
-// fitLease takes the longest lease, up to half of the rest between holders, with which a
-// takeover is over in time for every bound. The shortest lease stands where that leaves
-// too little.
-func (c *Settings) fitLease(expected Expected) {
+// adjustLease sets the longest lease, up to half of the rest between holders, with which a takeover is
+// over in time for every bound. Where that is too short it sets the shortest lease, and warns.
+func (c *Settings) adjustLease(expected Expected) {
 	b := &c.Bounds
 	limits := c.takeOverLimits(expected)
 	b.Lease = 0
@@ -128,24 +124,26 @@
 	}
 }
 
-func (c *Settings) takeOverLimits(expected Expected) []limitOfTakeOver {
+// takeOverLimits returns the bounds by which a takeover has to be over.
+func (c *Settings) takeOverLimits(expected Expected) []takeOverLimit {
 	b := c.Bounds
-	limits := []limitOfTakeOver{
+	limits := []takeOverLimit{
 		{"bounds.usage_late_ms", ms(b.UsageLate) - c.SealAfter(), "usage reports may be late after one"},
 		{"bounds.restore_ms", ms(b.Restore) / 2, "service may come back late after the loss of all machines"},
 	}
 	if b.KeyWithdrawal > 0 {
-		limits = append(limits, limitOfTakeOver{"bounds.key_withdrawal_ms", c.MaxAgeAdmit(), "requests are refused meanwhile, as keys may have been withdrawn"})
+		limits = append(limits, takeOverLimit{"bounds.key_withdrawal_ms", c.MaxAgeAdmit(),
+			"requests are refused meanwhile, as keys may have been withdrawn"})
 	}
 	if calm := expected.Contact + expected.WriteAcks; expected.WriteAcks > 0 {
-		limits = append(limits, limitOfTakeOver{"acknowledgement of writes", calm * 6 / 10, "orders may be acknowledged late after one"})
+		limits = append(limits, takeOverLimit{"acknowledgement of writes", calm * 6 / 10, "orders may be acknowledged late after one"})
 	}
 	return limits
 }
 
-// VotersFor is how many voters a core group seeks: two for each machine, zone or region
-// that may go at once and one more, and at least three, so that one machine's stop is no
-// pause. A core with fewer than three machines, which its seeds show, has one.
+// VotersFor returns how many voters a core group has: two for each machine, zone or region that may be
+// lost at once and one more, and at least three, so that the stop of one machine interrupts nothing. A
+// core with fewer than three machines, as its seeds show, has one voter.
 func VotersFor(tolerated Tolerated, seeds int) int64 {
 	if seeds < namedVoters {
 		return 1
--- a/internal/settings/fit_test.go
+++ b/internal/settings/adjust_test.go
@@ -26,7 +26,7 @@
 
 // A lease is shortened until a takeover fits in the tightest bound; past the shortest
 // lease the rule's own bound is kept, and a warning names the price.
-func TestLeaseIsFittedToTheTightestBound(t *testing.T) {
+func TestLeaseFollowsTheTightestBound(t *testing.T) {
 	c := qt.New(t)
 	for _, tried := range []struct {
 		name    string
@@ -90,8 +90,8 @@
 	}
 }
 
-// The pace is the default's own bound, and shorter where any other bound asks for it.
-func TestPaceFollowsTheTightestBound(t *testing.T) {
+// The base interval is the default's own bound, and shorter where any other bound asks for it.
+func TestBaseIntervalFollowsTheTightestBound(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(Default().BaseInterval(), qt.Equals, 2*time.Second)
 	for name, tried := range map[string]struct {
--- /dev/null
+++ b/internal/settings/faults.go
@@ -0,0 +1,74 @@
+package settings
+
+import (
+	"fmt"
+	"net"
+	"sort"
+
+	"beaconvane/internal/errcode"
+)
+
+// Fault is one thing that is wrong with some settings.
+type Fault struct {
+	Code errcode.Code
+	Path string
+	Text string
+}
+
+// String returns the line that an operator reads.
+func (f Fault) String() string { return fmt.Sprintf("%s: %s (%d)", f.Path, f.Text, int(f.Code)) }
+
+// Faults are all that is wrong with some settings.
+type Faults []Fault
+
+// Lines returns the faults as sorted text.
+func (f Faults) Lines() []string {
+	lines := []string{}
+	for _, fault := range f {
+		lines = append(lines, fault.String())
+	}
+	sort.Strings(lines)
+	return lines
+}
+
+func (f *Faults) add(code errcode.Code, path, text string) {
+	*f = append(*f, Fault{code, path, text})
+}
+
+// bad adds a fault for a value that is of the wrong kind or out of range.
+func (f *Faults) bad(wrong bool, path, text string) {
+	if wrong {
+		f.add(errcode.ConfigBadValue, path, text)
+	}
+}
+
+// missing adds a fault for a value that has no default.
+func (f *Faults) missing(absent bool, path, text string) {
+	if absent {
+		f.add(errcode.ConfigMissing, path, text)
+	}
+}
+
+// clash adds a fault for bounds that cannot be kept together.
+func (f *Faults) clash(wrong bool, path, text string) {
+	if wrong {
+		f.add(errcode.ConfigBoundsClash, path, text)
+	}
+}
+
+// address adds a fault unless the value is an IP number and a port.
+func (f *Faults) address(path, value string) {
+	if value == "" {
+		f.add(errcode.ConfigMissing, path, "missing")
+		return
+	}
+	host, port, err := net.SplitHostPort(value)
+	f.bad(err != nil || net.ParseIP(host) == nil || port == "", path, "want an IP number and a port, have "+value)
+}
+
+// positive adds a fault for each figure that is not above 0.
+func (f *Faults) positive(prefix string, figures map[string]int64) {
+	for name, value := range figures {
+		f.bad(value <= 0, prefix+name, "want more than 0")
+	}
+}
--- /dev/null
+++ b/internal/settings/keys.go
@@ -0,0 +1,45 @@
+package settings
+
+import (
+	"encoding/json"
+
+	"github.com/tidwall/gjson"
+
+	"beaconvane/internal/errcode"
+)
+
+// unknownKeys lists keys that no setting has, and keys that stand twice.
+func unknownKeys(body []byte) Faults {
+	root, faults := gjson.ParseBytes(body), Faults{}
+	faults.checkKeys("", root, keysOf(Default()))
+	faults.checkKeys("bounds.", root.Get("bounds"), keysOf(Bounds{}))
+	faults.checkKeys("limits.", root.Get("limits"), keysOf(Limits{}))
+	faults.checkKeys("tolerated.", root.Get("tolerated"), keysOf(Tolerated{}))
+	return faults
+}
+
+// keysOf returns the JSON keys of a struct.
+func keysOf(sample any) map[string]bool {
+	keys := map[string]bool{}
+	text, _ := json.Marshal(sample) // plain structs are always marshalled
+	gjson.ParseBytes(text).ForEach(func(key, _ gjson.Result) bool {
+		keys[key.String()] = true
+		return true
+	})
+	return keys
+}
+
+func (f *Faults) checkKeys(path string, object gjson.Result, known map[string]bool) {
+	seen := map[string]bool{}
+	object.ForEach(func(key, _ gjson.Result) bool {
+		name := key.String()
+		if !known[name] {
+			f.add(errcode.ConfigUnknownKey, path+name, "unknown key")
+		}
+		if seen[name] {
+			f.add(errcode.ConfigBadValue, path+name, "key stands twice")
+		}
+		seen[name] = true
+		return true
+	})
+}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,25 +1,18 @@
-// Package settings reads and checks the settings. A file is JSON; flags go over it.
-// Everything is checked whole at start and every fault is listed with its path, so
-// that an operator mends a file once and not fault by fault. The bounds section
-// states what must hold; every timer in the programs is a ratio to one of them, and
-// those ratios stand here, in one place.
+// Package settings reads and checks the settings of a process: a JSON file, and flags that override
+// it. Everything is checked at start and every fault is listed with its path, so that an operator
+// mends a file once and not fault by fault. The section bounds states what the deployment must keep;
+// every timer of the programs is a ratio to one of these bounds, and the ratios are in timers.go.
+// AdjustBounds fits bounds that leave each other too little room.
 package settings
 
 import (
-	"encoding/json"
-	"fmt"
-	"os"
 	"strconv"
-	"strings"
 	"time"
 
-	"github.com/tidwall/gjson"
-
-	"beaconvane/internal/errcode"
 	"beaconvane/internal/routeconfig"
 )
 
-// Bounds are the promises, in milliseconds unless named otherwise.
+// Bounds are what the deployment must keep, in milliseconds unless the name says otherwise.
 type Bounds struct {
 	ConfigurationInForce int64   `json:"configuration_in_force_ms"`
 	KeyWithdrawal        int64   `json:"key_withdrawal_ms"`
@@ -39,15 +32,15 @@
 	RetryAllowance       int64   `json:"retry_allowance"`
 }
 
-// Tolerated is what may be lost at once, with a majority of the voters left: so many
-// machines, or zones, or regions.
+// Tolerated is the loss that leaves a majority of the voters: so many machines, or zones, or regions
+// at once.
 type Tolerated struct {
 	Machines int64 `json:"machines"`
 	Zones    int64 `json:"zones"`
 	Regions  int64 `json:"regions"`
 }
 
-// Limits are sizes and counts.
+// Limits are the sizes and counts that a process keeps to.
 type Limits struct {
 	Queue              int64   `json:"queue"`
 	Body               int64   `json:"body_bytes"`
@@ -66,26 +59,35 @@
 	Descriptors        int64   `json:"descriptors"` // that the process may hold open; 0: not told
 }
 
-// Proofs of whom a request reaches, and what becomes of unknown fields in configurations.
+// How a proxy knows that a request reaches the upstream that it is meant for.
 const (
+	// ProofConnection: by a connection to the upstream that has been open since its announcement.
 	ProofConnection = "connection"
-	ProofTarget     = "target"
-	FieldsRefuse    = "refuse"
-	FieldsKeep      = "keep"
+	// ProofTarget: the upstream refuses a request that names another target.
+	ProofTarget = "target"
+)
+
+// What becomes of unknown fields in configurations.
+const (
+	FieldsRefuse = "refuse"
+	FieldsKeep   = "keep"
+)
 
+// Which requests usage counts.
+const (
 	CountAnswered = "answered"
 	CountBegun    = "begun"
 )
 
-// Settings is the settings of one process.
+// Settings are the settings of one process. The JSON keys are the names in the file.
 type Settings struct {
 	Node        string            `json:"node"`
 	Voter       string            `json:"voter"`
 	Voters      []string          `json:"voters"`
-	VoterCount  int64             `json:"voter_count"` // instead of voter and voters: how many, found by the processes themselves
+	VoterCount  int64             `json:"voter_count"` // instead of voter and voters: how many; the processes agree on who they are
 	Found       bool              `json:"found"`       // this start, with an empty disk, may found the group
 	NonVoter    bool              `json:"non_voter"`   // this process never holds a voter
-	Anchors     []string          `json:"anchors"`     // core addresses of which the first that may vote is among the founders; alike on all at the first start
+	Anchors     []string          `json:"anchors"`     // core addresses, alike on all; the first that may vote is among the founders
 	Regions     map[string]string `json:"regions"`     // the region of each zone; default: one for all
 	Tolerated   Tolerated         `json:"tolerated"`   // what voters are placed to outlive
 	Zone        string            `json:"zone"`
@@ -114,7 +116,7 @@
 	Warnings []Warning `json:"-"`
 }
 
-// Default gives the values that stand when the file is silent.
+// Default returns the values of settings that the file does not give.
 func Default() Settings {
 	return Settings{
 		ConfigNames: []string{"main"},
@@ -136,19 +138,19 @@
 	}
 }
 
-// UsageTag is the tag of the usage reports; ConfigLogTag that of the configstores.
+// Leases are named by tags: one for each zone, and these two.
 const (
-	UsageTag     = "usage"
-	ConfigLogTag = "config-log"
+	UsageTag     = "usage"      // of the registry that reports usage
+	ConfigLogTag = "config-log" // of the configuration store that commits configurations
 )
 
-// How puts are taken.
+// What a configuration store answers to a write whose version is not above the current one.
 const (
-	WritesRising  = "rising"
-	WritesHighest = "highest"
+	WritesRising  = "rising"  // a conflict
+	WritesHighest = "highest" // an acknowledgement that changes nothing
 )
 
-// VoterNames gives the names of voters that the settings only count.
+// VoterNames returns the names of voters where the settings give only their count.
 func VoterNames(count int64) []string {
 	names := []string{}
 	for number := range count {
@@ -157,63 +159,7 @@
 	return names
 }
 
-// Read takes a file's bytes over the defaults and lists every fault. Pairs of a
-// flag's name and value go over the file before the check.
-func Read(role string, body []byte, flags map[string]string) (Settings, []string) {
-	cfg := Default()
-	unknown := Faults{}
-	if len(body) > 0 {
-		if !gjson.ValidBytes(body) {
-			return cfg, Faults{{errcode.ConfigUnreadable, "$", "not JSON"}}.Lines()
-		}
-		unknown = unknownKeys(body)
-		if err := json.Unmarshal(body, &cfg); err != nil {
-			return cfg, append(unknown, Fault{errcode.ConfigBadValue, "$", err.Error()}).Lines()
-		}
-	}
-	cfg.takeFlags(flags)
-	faults := append(unknown, cfg.Check(role)...)
-	if cfg.VoterCount > 0 {
-		cfg.Voters = VoterNames(cfg.VoterCount)
-	}
-	return cfg, faults.Lines()
-}
-
-// takeFlags lays the command line's values over the file's.
-func (c *Settings) takeFlags(flags map[string]string) {
-	texts := map[string]*string{"node": &c.Node, "voter": &c.Voter, "zone": &c.Zone, "address": &c.Address,
-		"outside": &c.Outside, "data": &c.Data, "collector": &c.Collector, "metrics": &c.Metrics}
-	for name, value := range flags {
-		if text, known := texts[name]; known {
-			*text = value
-		}
-	}
-	if value, given := flags["found"]; given {
-		c.Found = value == "true"
-	}
-	if value, given := flags["seeds"]; given {
-		c.Seeds = strings.Split(value, ",")
-	}
-}
-
-// Load is Read from a path.
-func Load(role, path string, flags map[string]string) (Settings, error) {
-	body := []byte{}
-	if path != "" {
-		read, err := os.ReadFile(path)
-		if err != nil {
-			return Settings{}, errcode.Wrap("settings.load", errcode.ConfigUnreadable, err)
-		}
-		body = read
-	}
-	cfg, faults := Read(role, body, flags)
-	if len(faults) > 0 {
-		return cfg, errcode.Wrap("settings.load", errcode.ConfigBadValue, fmt.Errorf("%d faults:\n  %s", len(faults), strings.Join(faults, "\n  ")))
-	}
-	return cfg, nil
-}
-
-// Subscribed lists the zones whose slices a proxy follows.
+// Subscribed returns the zones whose slices of the roster a proxy follows.
 func (c Settings) Subscribed() []string {
 	if len(c.Slices) == 0 {
 		return c.Zones
@@ -221,13 +167,13 @@
 	return c.Slices
 }
 
-// ByTarget says that upstreams themselves refuse a request that names another.
+// ByTarget reports whether upstreams themselves refuse a request that names another target.
 func (c Settings) ByTarget() bool { return c.Proof == ProofTarget }
 
-// CountsBegun says that usage is of requests that upstreams began.
+// CountsBegun reports whether usage counts requests that upstreams began, instead of answered ones.
 func (c Settings) CountsBegun() bool { return c.Counted == CountBegun }
 
-// ConfigurationLimits are what every reader of configurations goes by.
+// ConfigurationLimits returns the limits that every reader of configurations applies.
 func (c Settings) ConfigurationLimits() routeconfig.Limits {
 	return routeconfig.Limits{MaxBytes: c.Limits.Configuration, MaxEntries: c.Limits.Entries, MaxTimeout: c.RequestLimit(), Lenient: c.Fields == FieldsKeep}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,10 +25,11 @@
 
 func TestFaultsComeAllAtOnce(t *testing.T) {
 	c := qt.New(t)
-	_, faults := Read("proxy", []byte(`{"node":"a","node":"b","colour":1,"bounds":{"heartbeat":3},"address":"host:1","seeds":["1.1.1.1:1"],"zones":["x"],"zone":"y"}`), nil)
+	const file = `{"node":"a","node":"b","colour":1,"bounds":{"heartbeat":3},"address":"host:1","seeds":["1.1.1.1:1"],"zones":["x"],"zone":"y"}`
+	_, faults := Read("proxy", []byte(file), nil)
 	text := strings.Join(faults, "\n")
-	for _, wanted := range []string{"node: key stands twice (1002)", "colour: unknown key (1001)", "bounds.heartbeat: unknown key (1001)", "address: want an IP number and a port, have host:1 (1002)",
-		"outside: missing (1003)", "seeds: want three addresses (1002)", "zone: not among zones (1002)"} {
+	for _, wanted := range []string{"node: key stands twice (1002)", "colour: unknown key (1001)",
+		"bounds.heartbeat: unknown key (1001)", "address: want an IP number and a port, have host:1 (1002)", "outside: missing (1003)", "seeds: want three addresses (1002)", "zone: not among zones (1002)"} {
 		c.Check(text, qt.Contains, wanted)
 	}
 	_, faults = Read("proxy", []byte(`{`), nil)
@@ -71,7 +72,8 @@
 		_, faults := Read("registry", []byte(strings.Replace(changed, "{", "{"+head, 1)), nil)
 		c.Check(strings.Join(faults, "\n"), qt.Contains, wanted, qt.Commentf(head))
 	}
-	cfg, faults := Read("registry", []byte(strings.Replace(changed, "{", `{"voter_count":5,"active":{"usage":"5"},"puts":"highest",`, 1)), map[string]string{"found": "true"})
+	counted := strings.Replace(changed, "{", `{"voter_count":5,"active":{"usage":"5"},"puts":"highest",`, 1)
+	cfg, faults := Read("registry", []byte(counted), map[string]string{"found": "true"})
 	c.Assert(faults, qt.HasLen, 0)
 	c.Assert(cfg.Voters, qt.DeepEquals, []string{"1", "2", "3", "4", "5"})
 	c.Assert(cfg.Found, qt.IsTrue)
--- a/internal/settings/ratios.go
+++ b/internal/settings/timers.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// This file holds the ratios: every timer of the system is a part of a bound.
-
+// Every timer of the system is a ratio to one of the bounds. These are the ratios that more than
+// one timer goes by.
 const (
 	// shortestBaseInterval keeps the ticks, which cost processor time, from coming too often.
 	shortestBaseInterval = 400 * time.Millisecond
-	// ticksInBaseInterval and updatesInPace are how many ticks, and updates, a pace holds.
+	// ticksInBaseInterval and updatesInBaseInterval are how many ticks, and updates, a base interval
+	// holds.
 	ticksInBaseInterval   = 80
 	updatesInBaseInterval = 10
 	// renewalsInLease is how often a lease is renewed within its length.
@@ -16,16 +17,16 @@
 	heartbeatsInBound = 10
 )
 
-// BaseInterval is the time that the steady timers are parts of. It is the time for a configuration
-// to be in force, or less where something else has to be over sooner that takes several
-// rounds of them: a lease, a newcomer's catching up, the return after a loss, the
-// withdrawal of a key.
+// BaseInterval is the time that the periodic timers are parts of. It is the bound for a configuration
+// to be in force, or less where something that takes several rounds of these timers has to be over
+// sooner: a lease, the catching up of a new machine, the restoration after a loss, the withdrawal of
+// a key.
 func (c Settings) BaseInterval() time.Duration {
-	pace := min(ms(c.Bounds.ConfigurationInForce), c.Lease()*4/3, ms(c.Bounds.CatchUp)/2, ms(c.Bounds.Restore)*2/15)
+	interval := min(ms(c.Bounds.ConfigurationInForce), c.Lease()*4/3, ms(c.Bounds.CatchUp)/2, ms(c.Bounds.Restore)*2/15)
 	if c.Bounds.KeyWithdrawal > 0 {
-		pace = min(pace, ms(c.Bounds.KeyWithdrawal)*4/10)
+		interval = min(interval, ms(c.Bounds.KeyWithdrawal)*4/10)
 	}
-	return max(pace, shortestBaseInterval)
+	return max(interval, shortestBaseInterval)
 }
 
 // TickEvery is the interval of a machine's clock.
@@ -53,7 +54,7 @@
 	return ms(c.Bounds.KeyWithdrawal) * 9 / 10
 }
 
-// Lease is how long a voter promises a tag to its holder.
+// Lease is how long a voter grants a lease to its holder.
 func (c Settings) Lease() time.Duration {
 	if c.Bounds.Lease > 0 {
 		return ms(c.Bounds.Lease)
@@ -61,31 +62,32 @@
 	return ms(c.Bounds.HolderRest) / 2
 }
 
-// LeaseHeld is how long the holder acts on a lease: it stops before the promises end.
+// LeaseHeld is how long the holder acts on a lease. It stops before the lease that the voters granted
+// ends, so that two holders never overlap.
 func (c Settings) LeaseHeld() time.Duration { return c.Lease() * 9 / 10 }
 
 // RenewEvery is the interval of renewals.
 func (c Settings) RenewEvery() time.Duration { return c.Lease() / renewalsInLease }
 
-// HolderRest is how long a former holder of a tag doesn't get it back.
+// HolderRest is how long a former holder of a lease isn't granted it again.
 func (c Settings) HolderRest() time.Duration { return ms(c.Bounds.HolderRest) }
 
-// FailbackAfter is how long a holder keeps a tag that the settings want at another voter.
+// FailbackAfter is how long a holder keeps a lease for which the settings prefer another voter.
 func (c Settings) FailbackAfter() time.Duration { return c.HolderRest() * 4 }
 
-// TakeOver is how long a tag is without a holder at most after its holder was lost.
+// TakeOver is how long a lease is without a holder at most after its holder was lost.
 func (c Settings) TakeOver() time.Duration {
 	return c.Lease()*2 + ms(c.Bounds.Sync)*syncsInLease
 }
 
-// HeartbeatTimeout is how long an upstream counts as there after a heartbeat.
+// HeartbeatTimeout is how long an upstream counts as alive after a heartbeat.
 func (c Settings) HeartbeatTimeout() time.Duration { return ms(c.Bounds.Heartbeat) }
 
-// HeartbeatEvery is the interval at which what was heard of upstreams goes on.
+// HeartbeatEvery is the interval at which a proxy passes on what it heard of upstreams.
 func (c Settings) HeartbeatEvery() time.Duration { return c.HeartbeatTimeout() / heartbeatsInBound }
 
-// ServingProxyTimeout is how long a serving proxy gives an upstream work without hearing
-// from it: it may have said elsewhere that it leaves.
+// ServingProxyTimeout is how long a serving proxy gives an upstream work without hearing from it: the
+// upstream may have told another proxy that it leaves.
 func (c Settings) ServingProxyTimeout() time.Duration {
 	if c.ByTarget() {
 		// Heartbeats come to the serving proxy alone, and a target proves itself.
@@ -94,17 +96,17 @@
 	return min(c.HeartbeatTimeout(), ms(c.Bounds.Drain)*4/5)
 }
 
-// DialFresh is how long a sign of life proves who is at an address.
+// DialFresh is how long an announcement or an answer proves which upstream is at an address.
 func (c Settings) DialFresh() time.Duration { return c.HeartbeatTimeout() / 30 }
 
-// ConnectionIdle is how long a connection to an upstream is kept without a request.
+// ConnectionIdle is how long a connection to an upstream stays open without a request.
 func (c Settings) ConnectionIdle() time.Duration { return c.HeartbeatTimeout() * 2 / 3 }
 
 // ReloadEvery is the interval at which the settings file is read again.
 func (c Settings) ReloadEvery() time.Duration { return ms(c.Bounds.Restore) / 6 }
 
-// ProbeEvery is the interval of the membership's probes: a lost voter is found,
-// suspected and replaced within the time that a new core machine has to catch up.
+// ProbeEvery is the interval of the membership's probes. It is short enough for a lost voter to be
+// noticed, suspected and replaced within the time that a new core machine has to catch up.
 func (c Settings) ProbeEvery() time.Duration {
 	return min(ms(c.Bounds.Restore)/60, ms(c.Bounds.CatchUp)/16)
 }
@@ -118,7 +120,7 @@
 // DiskRetryEvery is the interval at which a disk that refused a write is tried again.
 func (c Settings) DiskRetryEvery() time.Duration { return ms(c.Bounds.CatchUp) / 16 }
 
-// ClaimAfter is how long a voter has to be free before a newcomer claims it.
+// ClaimAfter is how long a voter has to be without a machine before a new machine claims it.
 func (c Settings) ClaimAfter() time.Duration { return ms(c.Bounds.CatchUp) / 10 }
 
 // HandOverLimit is how long a leaving voter waits for its successor.
@@ -145,8 +147,9 @@
 // SlowSync is the time past which a sync counts as slow.
 func (c Settings) SlowSync() time.Duration { return ms(c.Bounds.Sync) }
 
-// CountEvery is the interval of counts to the registries. Those begun at serving proxies
-// go once a fortieth of their window: a serving proxy's death loses no more.
+// CountEvery is the interval at which usage counts go to the registries. Where serving proxies count
+// begun requests it is a fortieth of the window, since the crash of a serving proxy loses the counts
+// of one interval.
 func (c Settings) CountEvery() time.Duration {
 	if c.CountsBegun() {
 		return c.UsageWindow() / 40
@@ -157,73 +160,74 @@
 // ReportEvery is the interval at which a usage report is tried again.
 func (c Settings) ReportEvery() time.Duration { return ms(c.Bounds.UsageLate) / 20 }
 
-// DigestEvery is the interval of the voters' statuses.
+// DigestEvery is the interval at which voters send their status to each other.
 func (c Settings) DigestEvery() time.Duration { return c.UpdatesEvery() }
 
 // InForceWait is how long a call waits for a version to be in force everywhere, if it does
 // not say itself.
 func (c Settings) InForceWait() time.Duration { return ms(c.Bounds.ConfigurationInForce) * 2 }
 
-// Operators give a node up after a second of silence, later for large bodies.
+// Operators try another node after a second without an answer, later for large bodies.
 const (
 	answerLimit       = 800 * time.Millisecond
 	answerBytesPerSec = 8 << 20
 )
 
-// AnswerLimit is how long an operator's call may take before it is told that nobody can
-// answer it here now.
+// AnswerLimit is how long an operator's call may wait for a reply before it is told that none is to
+// be had here now.
 func (c Settings) AnswerLimit(bodyBytes int) time.Duration {
 	return answerLimit + time.Duration(bodyBytes)*time.Second/answerBytesPerSec
 }
 
-// ConnectionDial is how long a connection may take to come up.
+// ConnectionDial is the timeout for opening a connection.
 func (c Settings) ConnectionDial() time.Duration { return ms(c.Bounds.Restore) / 60 }
 
-// OutcomeRetention is how long a serving proxy keeps the outcome of a request.
+// OutcomeRetention is how long a serving proxy remembers the outcome of a request.
 func (c Settings) OutcomeRetention() time.Duration {
 	return min(ms(c.Limits.Request)*2, ms(c.Bounds.Restore)*8)
 }
 
-// AnswerRetention is how long a serving proxy keeps whole answers for proxies that lost their
+// AnswerRetention is how long a serving proxy keeps complete answers for proxies that lost their
 // connection and ask again.
-func (c Settings) AnswerRetention() time.Duration { return min(c.OutcomeRetention(), c.UpdatesEvery()*10) }
+func (c Settings) AnswerRetention() time.Duration {
+	return min(c.OutcomeRetention(), c.UpdatesEvery()*10)
+}
 
-// RequestLimit is the longest that a request is held.
+// RequestLimit is the longest time that a request may take.
 func (c Settings) RequestLimit() time.Duration { return ms(c.Limits.Request) }
 
-// WarmUpTime is how long an upstream counts as warming.
+// WarmUpTime is how long a new upstream counts as warming up.
 func (c Settings) WarmUpTime() time.Duration { return ms(c.Bounds.Heartbeat) * 2 / 3 }
 
-// Linger is how long a process that stops takes requests yet.
+// Linger is how long a process that stops still accepts requests.
 func (c Settings) Linger() time.Duration { return ms(c.Limits.Linger) }
 
 // Grace is how long a process that stops may take.
 func (c Settings) Grace() time.Duration { return ms(c.Limits.Grace) }
 
-// RetryWindow is the span over which further tries are counted.
+// RetryWindow is the span over which retries are counted against the budget.
 func (c Settings) RetryWindow() time.Duration { return ms(c.Bounds.RetryWindow) }
 
-// TrafficRate is what traffic may send in a second, so that control messages find room on
-// the link at any moment; 0: not bounded.
+// TrafficRate is how many bytes a second the traffic side may send, so that the link has capacity for
+// control messages at any moment; 0: no limit.
 func (c Settings) TrafficRate() int64 { return c.Limits.Link * 17 / 20 }
 
-// LinkWait is how long a request may wait for its turn on the link; one that would wait
-// longer is refused at once.
+// LinkWait is how long a request may wait in the queue of the link; one that would wait longer is
+// refused at once.
 func (c Settings) LinkWait() time.Duration { return c.UpdatesEvery() }
 
-// bodyRoomShare is the part of the memory that callers' bodies may take together: each
-// stands some times over on its way.
-const bodyRoomShare = 8
+// bodyMemoryDivisor gives the part of the memory that callers' bodies may take together: each body is
+// in memory several times on its way.
+const bodyMemoryDivisor = 8
 
 // BodyMemory is how many bytes callers' bodies may take together; at least the largest one.
 func (c Settings) BodyMemory() int64 {
 	if c.Limits.Memory == 0 {
-		return c.Limits.Body * bodyRoomShare
+		return c.Limits.Body * bodyMemoryDivisor
 	}
-	return max(c.Limits.Memory<<20/bodyRoomShare, c.Limits.Body)
+	return max(c.Limits.Memory<<20/bodyMemoryDivisor, c.Limits.Body)
 }
 
-// CallerConnections is how many connections callers may hold open at a proxy, so that
-// descriptors are left for the connections to upstreams and between processes; 0: not
-// bounded.
+// CallerConnections is how many connections callers may keep open at a proxy, so that file descriptors
+// are left for the connections to upstreams and between processes; 0: no limit.
 func (c Settings) CallerConnections() int { return int(c.Limits.Descriptors / 2) }
