--- a/internal/backend/outcomes.go
+++ b/internal/backend/outcomes.go
@@ -100,7 +100,7 @@
 func (g *Backend) forget(now time.Duration) {
 	for len(g.heavy) > 0 {
 		held, known := g.outcomes[g.heavy[0]]
-		if known && now-held.at < g.settings.AnswerKept() {
+		if known && now-held.at < g.settings.AnswerRetention() {
 			break
 		}
 		if known {
@@ -111,7 +111,7 @@
 	}
 	for len(g.order) > 0 {
 		oldest, known := g.outcomes[g.order[0]]
-		if known && (!oldest.done && !oldest.barred || now-oldest.at < g.settings.OutcomeKept()) {
+		if known && (!oldest.done && !oldest.barred || now-oldest.at < g.settings.OutcomeRetention()) {
 			return
 		}
 		delete(g.outcomes, g.order[0])
--- a/internal/distribution/parent.go
+++ b/internal/distribution/parent.go
@@ -77,7 +77,7 @@
 // stale.
 func (d *Distribution) Tick(env *statemachine.Env) {
 	d.excuseOwnDelay(env.Now)
-	d.subscribers.expire(env.Now, d.settings.ParentLimit()*missedParentLimits)
+	d.subscribers.expire(env.Now, d.settings.ParentTimeout()*missedParentLimits)
 	if d.membership.Self().Role == message.RoleConfigStore {
 		return
 	}
@@ -144,7 +144,7 @@
 
 // parentHealth judges the parent. It changes nothing.
 func (d *Distribution) parentHealth(now time.Duration, unresponsive bool) parentHealth {
-	limit, requests := d.settings.ParentLimit(), silentRequests
+	limit, requests := d.settings.ParentTimeout(), silentRequests
 	if unresponsive {
 		limit, requests = d.selection.firstAnswerLimit(), 1
 	}
--- a/internal/lease/transfer.go
+++ b/internal/lease/transfer.go
@@ -74,7 +74,7 @@
 // for a while and the preferred one votes again.
 func (m *Manager) returnToPreferred(env *statemachine.Env, tag *tagState) {
 	preferred := m.settings.Active[tag.name]
-	if preferred == "" || preferred == m.quorum.Voter || env.Now-tag.holder.acquiredAt < m.settings.MoveBack() {
+	if preferred == "" || preferred == m.quorum.Voter || env.Now-tag.holder.acquiredAt < m.settings.FailbackAfter() {
 		return
 	}
 	status, receivedAt, known := m.quorum.LastStatus(preferred)
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -10,7 +10,7 @@
 	batch := message.HeartbeatBatch{
 		Proxy:           m.membership.Self().Name,
 		StartTime:       m.startTime,
-		Ready:           m.published.Ready(env.Now, m.settings.StaleReady()),
+		Ready:           m.published.Ready(env.Now, m.settings.MaxAgeReady()),
 		Heartbeats:      m.upstreams.heartbeats(env.Now),
 		Deregistrations: m.upstreams.recentDeregistrations(env.Now),
 		Positions:       m.distribution.Positions(),
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -86,7 +86,7 @@
 	if !known || upstream.registration.Incarnation != request.Incarnation {
 		return
 	}
-	if env.Now-upstream.announcedAt < u.settings.HeartbeatBound() {
+	if env.Now-upstream.announcedAt < u.settings.HeartbeatTimeout() {
 		env.Probe(upstream.registration.Address, key, request.Incarnation)
 	}
 }
@@ -121,7 +121,7 @@
 }
 
 func (u *localUpstreams) retention() time.Duration {
-	return u.settings.HeartbeatBound() * retainedBounds
+	return u.settings.HeartbeatTimeout() * retainedBounds
 }
 
 // upstreamKey returns the key of the registrations of an instance.
--- a/internal/registry/configuration.go
+++ b/internal/registry/configuration.go
@@ -60,7 +60,7 @@
 // goes on to say what it knows, and how old that is, under the code BusyStale.
 func (m *Machine) freshness(env *statemachine.Env, topic string) errcode.Code {
 	age, known := m.distribution.Age(topic, env.Now)
-	if !known || age > m.settings.StaleReady() {
+	if !known || age > m.settings.MaxAgeReady() {
 		return errcode.BusyStale
 	}
 	return errcode.OK
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -113,7 +113,7 @@
 
 // reconcileHeartbeats holds all recent heartbeats against the roster, and drops old ones.
 func (m *Machine) reconcileHeartbeats(env *statemachine.Env) {
-	oldest := env.Now - m.settings.HeartbeatBound()*heartbeatRetention
+	oldest := env.Now - m.settings.HeartbeatTimeout()*heartbeatRetention
 	for _, key := range slices.Sorted(maps.Keys(m.heartbeats.newest)) {
 		if m.heartbeats.newest[key].at < oldest {
 			delete(m.heartbeats.newest, key)
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -11,7 +11,7 @@
 // expires upstreams that were silent for too long.
 func (m *Machine) maintainRoster(env *statemachine.Env) {
 	m.reconcileHeartbeats(env)
-	m.heartbeats.forgetDeregistrations(env.Now - m.settings.HeartbeatBound()*deregistrationRetention)
+	m.heartbeats.forgetDeregistrations(env.Now - m.settings.HeartbeatTimeout()*deregistrationRetention)
 	m.proxies.forget(env.Now - m.settings.ForgetAfter())
 	for _, zone := range m.settings.Zones {
 		if !m.holdsZone(env, zone) {
@@ -32,9 +32,9 @@
 	}
 	silentFor := m.silentFor(env, zone, registration)
 	switch {
-	case silentFor > m.settings.HeartbeatBound():
+	case silentFor > m.settings.HeartbeatTimeout():
 		m.commitChange(env, zone, removal(registration, causeHeartbeatsStopped))
-	case silentFor > m.settings.HeartbeatBound()/2 || registration.State == message.StateCreated:
+	case silentFor > m.settings.HeartbeatTimeout()/2 || registration.State == message.StateCreated:
 		m.requestProbe(env, zone, registration)
 	}
 }
@@ -68,7 +68,7 @@
 func (m *Machine) reconcileHeartbeat(env *statemachine.Env, key string) {
 	newest := m.heartbeats.newest[key]
 	announced := newest.heartbeat.Registration
-	if m.heartbeats.isDeregistered(announced) || env.Now-newest.at > m.settings.HeartbeatBound() {
+	if m.heartbeats.isDeregistered(announced) || env.Now-newest.at > m.settings.HeartbeatTimeout() {
 		return
 	}
 	for _, zone := range m.settings.Zones {
--- a/internal/registry/usage_clock.go
+++ b/internal/registry/usage_clock.go
@@ -64,7 +64,7 @@
 
 // current is the window that is under way, as more than half of the proxies say.
 func (c *windowClock) current(env *statemachine.Env) int64 {
-	told := c.proxies.usageWindows(env.Now - c.settings.HeartbeatBound())
+	told := c.proxies.usageWindows(env.Now - c.settings.HeartbeatTimeout())
 	if len(told) == 0 || guardsOff.closedWindow {
 		return int64(env.Wall / c.settings.UsageWindow())
 	}
