--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -26,7 +26,7 @@
 // without a signal. New seeds are taken at once; any other change is logged and taken at the next
 // start.
 func reload(ctx context.Context, cfg settings.Settings, process *node.Node, load loader, hangups <-chan os.Signal) {
-	ticker := time.NewTicker(cfg.LookAgain())
+	ticker := time.NewTicker(cfg.ReloadEvery())
 	defer ticker.Stop()
 	for {
 		select {
@@ -42,7 +42,7 @@
 		}
 		if !slices.Equal(changed.Seeds, cfg.Seeds) {
 			process.Log.Info("seeds changed", "seeds", changed.Seeds)
-			process.Tell(statemachine.SeedsChanged{Seeds: changed.Seeds})
+			process.Notify(statemachine.SeedsChanged{Seeds: changed.Seeds})
 		}
 		cfg.Seeds = changed.Seeds
 		if !reflect.DeepEqual(changed, cfg) {
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -169,7 +169,7 @@
 	ticker := time.NewTicker(part.Settings.HeartbeatEvery())
 	defer ticker.Stop()
 	for {
-		process.Tell(proxy.Announced{Registration: registration})
+		process.Notify(proxy.Announced{Registration: registration})
 		select {
 		case <-ctx.Done():
 			return
@@ -215,7 +215,7 @@
 				counted.Usage = append(counted.Usage, message.UsageCount{Window: window, Counts: copied, Open: map[string]int64{"tenant-0": 1}})
 			}
 		}
-		process.Tell(counted)
+		process.Notify(counted)
 	}
 }
 
@@ -372,7 +372,7 @@
 				upstreams += len(list)
 			}
 			known = snapshot.ProxyCount
-			if snapshot.Ready(held.goroutines.Now(), held.part.Settings.StaleReady()) {
+			if snapshot.Ready(held.goroutines.Now(), held.part.Settings.MaxAgeReady()) {
 				state.Ready++
 			}
 		}
