--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -124,7 +124,11 @@
 	serving.Complete(time.Second, decisions[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("x")})
 	c.Assert(string(serving.Outcome(2*time.Second, "a").Body), qt.Equals, "x")
 	c.Assert(serving.Outcome(2*time.Second, "b").Kind, qt.Equals, message.NotStarted)
-	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyServingProxyLost})
+	c.Assert(
+		codes(serving.HandleForward(2*time.Second, forwardOf("b", "one", 5))),
+		qt.DeepEquals,
+		[]errcode.Code{errcode.BusyServingProxyLost},
+	)
 }
 
 // A process that vanished without closing its connections, and another one at its address:
@@ -161,7 +165,11 @@
 	serving := newServingProxy(c)
 	left := message.Registration{Service: "pay", Instance: "one", Incarnation: 5, State: message.StateLeaving}
 	c.Assert(codes(serving.HandleForward(cfg.ServingProxyTimeout(), forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
-	c.Assert(codes(serving.HandleForward(cfg.ServingProxyTimeout()+1, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(
+		codes(serving.HandleForward(cfg.ServingProxyTimeout()+1, forwardOf("b", "one", 5))),
+		qt.DeepEquals,
+		[]errcode.Code{errcode.BusyUpstreamGone},
+	)
 	serving.Announce(3*time.Second, response("one", "a:1", 5))
 	serving.UpdateRoster(map[string][]message.Registration{"pay": {left}})
 	c.Assert(codes(serving.HandleForward(3*time.Second, forwardOf("c", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
@@ -175,7 +183,13 @@
 	g := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	announcement := Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "a:1", Slots: 2}
 	g.Announce(time.Second, announcement)
-	decisions := g.HandleForward(time.Second, message.Forward{ID: "q", Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second)})
+	decisions := g.HandleForward(time.Second, message.Forward{
+		ID:          "q",
+		Service:     "pay",
+		Instance:    "one",
+		Incarnation: 1,
+		Remaining:   int64(time.Second),
+	})
 	c.Assert(decisions, qt.HasLen, 1)
 	g.Complete(time.Second, decisions[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("answer")})
 	c.Check(string(g.Outcome(time.Second, "q").Body), qt.Equals, "answer")
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -113,8 +113,20 @@
 
 // ask carries one request and gives its outcome, with the backend told of the end.
 func (b *bench) request(c *qt.C, id, method string, headers ...message.HeaderLine) message.Outcome {
-	forward := message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Method: method, Path: "/pay", Headers: headers, Body: []byte{},
-		Remaining: int64(2 * time.Second), MaxResponseBytes: 1000, Tenant: "t", Caller: "shop"}
+	forward := message.Forward{
+		ID:               id,
+		Service:          "pay",
+		Instance:         "one",
+		Incarnation:      1,
+		Method:           method,
+		Path:             "/pay",
+		Headers:          headers,
+		Body:             []byte{},
+		Remaining:        int64(2 * time.Second),
+		MaxResponseBytes: 1000,
+		Tenant:           "t",
+		Caller:           "shop",
+	}
 	if method == http.MethodPost {
 		forward.Body = []byte("body")
 	}
@@ -194,12 +206,28 @@
 		method, answer, body string
 		status               int64
 	}{
-		"head":              {http.MethodHead, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n", "", 200},
-		"no content":        {http.MethodPost, "HTTP/1.1 204 No Content\r\n\r\n", "", 204},
-		"not modified":      {http.MethodGet, "HTTP/1.1 304 Not Modified\r\nETag: x\r\nContent-Length: 500\r\n\r\n", "", 304},
-		"interim":           {http.MethodPost, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok", "ok", 201},
-		"chunk extensions":  {http.MethodGet, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;name=value\r\nok\r\n0\r\n\r\n", "ok", 200},
-		"trailers":          {http.MethodGet, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\n\r\n2\r\nok\r\n0\r\nSum: 1\r\n\r\n", "ok", 200},
+		"head":         {http.MethodHead, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n", "", 200},
+		"no content":   {http.MethodPost, "HTTP/1.1 204 No Content\r\n\r\n", "", 204},
+		"not modified": {http.MethodGet, "HTTP/1.1 304 Not Modified\r\nETag: x\r\nContent-Length: 500\r\n\r\n", "", 304},
+		"interim": {
+			http.MethodPost,
+			"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" +
+				"HTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok",
+			"ok",
+			201,
+		},
+		"chunk extensions": {
+			http.MethodGet,
+			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;name=value\r\nok\r\n0\r\n\r\n",
+			"ok",
+			200,
+		},
+		"trailers": {
+			http.MethodGet,
+			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\n\r\n2\r\nok\r\n0\r\nSum: 1\r\n\r\n",
+			"ok",
+			200,
+		},
 		"empty":             {http.MethodGet, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "", 200},
 		"its own 503":       {http.MethodPost, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nfull", "full", 503},
 		"closes afterwards": {http.MethodGet, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", "ok", 200},
--- a/internal/backend/heartbeats_test.go
+++ b/internal/backend/heartbeats_test.go
@@ -88,7 +88,10 @@
 	c.Assert(ending.Service, qt.Equals, "pay")
 	c.Assert(codes(decisions), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
 	for number := int64(6); number < 10; number++ {
-		accepted, _, _ := serving.Announce(2*time.Second, numbered(number, func(announcement *Announcement) { announcement.Incarnation = number }))
+		accepted, _, _ := serving.Announce(
+			2*time.Second,
+			numbered(number, func(announcement *Announcement) { announcement.Incarnation = number }),
+		)
 		c.Assert(accepted, qt.IsTrue)
 		c.Assert(serving.HasInstance("one"), qt.IsFalse)
 	}
--- a/internal/backend/target_test.go
+++ b/internal/backend/target_test.go
@@ -100,15 +100,34 @@
 	serving := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	b := &bench{serving: serving, caller: NewUpstreamClient(cfg, serving, members), members: members, address: address}
 	b.caller.UseProtocol(named{})
-	accepted, _, _ := serving.Announce(members.Now(), Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: address, Zone: "d", Slots: 4})
+	accepted, _, _ := serving.Announce(members.Now(), Announcement{
+		Service:     "pay",
+		Instance:    "one",
+		Incarnation: 1,
+		Address:     address,
+		Zone:        "d",
+		Slots:       4,
+	})
 	c.Assert(accepted, qt.IsTrue)
 	return b
 }
 
 func (b *bench) requestNamed(c *qt.C, name, path string) message.Outcome {
 	b.forwarded++
-	forward := message.Forward{ID: fmt.Sprint(name, b.forwarded), Name: name, Service: "pay", Instance: "one", Incarnation: 1, Method: http.MethodPost, Path: path, Headers: []message.HeaderLine{},
-		Body: []byte("body"), Remaining: int64(2 * time.Second), MaxResponseBytes: 1000, Host: "shop.example"}
+	forward := message.Forward{
+		ID:               fmt.Sprint(name, b.forwarded),
+		Name:             name,
+		Service:          "pay",
+		Instance:         "one",
+		Incarnation:      1,
+		Method:           http.MethodPost,
+		Path:             path,
+		Headers:          []message.HeaderLine{},
+		Body:             []byte("body"),
+		Remaining:        int64(2 * time.Second),
+		MaxResponseBytes: 1000,
+		Host:             "shop.example",
+	}
 	decisions := b.serving.HandleForward(b.members.Now(), forward)
 	c.Assert(decisions, qt.HasLen, 1)
 	c.Assert(decisions[0].Start, qt.IsTrue, qt.Commentf("%v", decisions[0].Code))
@@ -153,7 +172,11 @@
 
 // Bytes behind a whole answer belong to no request: the answer stands, the connection does not.
 func TestBytesBehindAnAnswer(t *testing.T) {
-	for name, behind := range map[string]string{"garbage": "\x00\x01 nothing", "another's answer": answerOf("old", "not yours"), "its own, twice": answerOf("a", "other")} {
+	for name, behind := range map[string]string{
+		"garbage":          "\x00\x01 nothing",
+		"another's answer": answerOf("old", "not yours"),
+		"its own, twice":   answerOf("a", "other"),
+	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			members := goroutine.New()
@@ -181,14 +204,62 @@
 		sent        bool
 		connections int64 // after one more request
 	}{
-		"full and says so":            {"HTTP/1.1 503 Full\r\nUnrun: full\r\nContent-Length: 4\r\n\r\nfull", message.NotStarted, errcode.BusySlotsFull, true, 1},
-		"says so, and closes":         {"HTTP/1.1 503 Full\r\nUnrun: full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", message.NotStarted, errcode.BusySlotsFull, true, 2},
-		"says so of another":          {"HTTP/1.1 503 Full\r\nName: z\r\nUnrun: full\r\nContent-Length: 0\r\n\r\n" + answerOf("q", "ran"), message.Completed, errcode.OK, false, 1},
-		"another is at its place":     {"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n", message.NotStarted, errcode.BusyUpstreamGone, true, 1},
-		"promises in silence":         {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", message.OutcomeUnknown, errcode.AnswerMalformed, false, 2},
-		"a success without seal":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", message.OutcomeUnknown, errcode.AnswerMalformed, false, 2},
-		"its own failure":             {"HTTP/1.1 500 Oh\r\nSeal: x\r\nContent-Length: 2\r\n\r\nno", message.Completed, errcode.OK, false, 1},
-		"says so, broken off":         {breaksOff + "HTTP/1.1 503 Full\r\nUnrun: full\r\nContent-Length: 9\r\n\r\nfull", message.OutcomeUnknown, errcode.AnswerMalformed, false, 2},
+		"full and says so": {
+			"HTTP/1.1 503 Full\r\nUnrun: full\r\nContent-Length: 4\r\n\r\nfull",
+			message.NotStarted,
+			errcode.BusySlotsFull,
+			true,
+			1,
+		},
+		"says so, and closes": {
+			"HTTP/1.1 503 Full\r\nUnrun: full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+			message.NotStarted,
+			errcode.BusySlotsFull,
+			true,
+			2,
+		},
+		"says so of another": {
+			"HTTP/1.1 503 Full\r\nName: z\r\nUnrun: full\r\nContent-Length: 0\r\n\r\n" + answerOf("q", "ran"),
+			message.Completed,
+			errcode.OK,
+			false,
+			1,
+		},
+		"another is at its place": {
+			"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n",
+			message.NotStarted,
+			errcode.BusyUpstreamGone,
+			true,
+			1,
+		},
+		"promises in silence": {
+			"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+			message.OutcomeUnknown,
+			errcode.AnswerMalformed,
+			false,
+			2,
+		},
+		"a success without seal": {
+			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+			message.OutcomeUnknown,
+			errcode.AnswerMalformed,
+			false,
+			2,
+		},
+		"its own failure": {
+			"HTTP/1.1 500 Oh\r\nSeal: x\r\nContent-Length: 2\r\n\r\nno",
+			message.Completed,
+			errcode.OK,
+			false,
+			1,
+		},
+		"says so, broken off": {
+			breaksOff + "HTTP/1.1 503 Full\r\nUnrun: full\r\nContent-Length: 9\r\n\r\nfull",
+			message.OutcomeUnknown,
+			errcode.AnswerMalformed,
+			false,
+			2,
+		},
 		"a connection not to be kept": {answerOf("q", "ok", "Idle: none"), message.Completed, errcode.OK, false, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/frontend/callerlimits_test.go
+++ b/internal/frontend/callerlimits_test.go
@@ -25,7 +25,12 @@
 )
 
 func limited(limits string) *routeconfig.Configuration {
-	return routeconfig.Parse("main", 1, fmt.Appendf(nil, `{"services":["pay"],"limits":%s}`, limits), settings.Default().ConfigurationLimits())
+	return routeconfig.Parse(
+		"main",
+		1,
+		fmt.Appendf(nil, `{"services":["pay"],"limits":%s}`, limits),
+		settings.Default().ConfigurationLimits(),
+	)
 }
 
 // newLimitedPipeline has the read stage only: what passes it waits for ever.
--- a/internal/frontend/dispatcher_test.go
+++ b/internal/frontend/dispatcher_test.go
@@ -72,8 +72,13 @@
 	cfg := settings.Default()
 	cfg.Zone = "here"
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, ProxyCount: 2,
-		Upstreams: map[string][]message.Registration{"pay": {upstream("one", "here")}}})
+	f.UpdateSnapshot(0, &proxy.Snapshot{
+		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())},
+		ConfigurationsKnown: true,
+		RosterKnown:         true,
+		ProxyCount:          2,
+		Upstreams:           map[string][]message.Registration{"pay": {upstream("one", "here")}},
+	})
 	back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
 	back.dispatcher = NewDispatcher(cfg, f, backend.New(cfg, nil), back, message.Member{Name: "me", Address: "here:1"})
 	request := func(id string) {
@@ -112,9 +117,23 @@
 	back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
 	serving := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	back.dispatcher = NewDispatcher(cfg, f, serving, back, message.Member{Name: "me", Address: "here:1"})
-	_, _, _ = serving.Announce(time.Second, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "up:1", Zone: "here", Slots: 4})
+	_, _, _ = serving.Announce(time.Second, backend.Announcement{
+		Service:     "pay",
+		Instance:    "one",
+		Incarnation: 1,
+		Address:     "up:1",
+		Zone:        "here",
+		Slots:       4,
+	})
 	for _, id := range []string{"once", "repeatable"} {
-		back.dispatcher.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), AtMostOnce: id == "once"}, func(any) error { return nil })
+		back.dispatcher.HandleFrame(message.Forward{
+			ID:          id,
+			Service:     "pay",
+			Instance:    "one",
+			Incarnation: 1,
+			Remaining:   int64(time.Second),
+			AtMostOnce:  id == "once",
+		}, func(any) error { return nil })
 		back.dispatcher.HandleFrame(message.Cancel{ID: id}, func(any) error { return nil })
 	}
 	c.Assert(back.cancelled, qt.DeepEquals, []string{"repeatable"})
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -31,8 +31,14 @@
 	f := New(cfg, func(pass string) (backend.Delegation, bool) {
 		return backend.Delegation{Tenant: "t", Service: "pay"}, pass == "good"
 	})
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
-		ProxyCount: 10, Upstreams: map[string][]message.Registration{"pay": upstreams}})
+	f.UpdateSnapshot(0, &proxy.Snapshot{
+		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())},
+		ConfigurationsKnown: true,
+		RosterKnown:         true,
+		Joined:              true,
+		ProxyCount:          10,
+		Upstreams:           map[string][]message.Registration{"pay": upstreams},
+	})
 	return f
 }
 
@@ -94,19 +100,63 @@
 func TestKeyAndOwnHeadersAreDropped(t *testing.T) {
 	c := qt.New(t)
 	f := ready(c, 0)
-	asked := request("POST", "/pay?a=1&api_key=secret&b=secret&c=%73ecret&e=%2573ecret&d=2&api_key=extra", APIKeyHeader, "secret", "Authorization", "bearer other", "Cookie", "x=secret",
-		"Cookie", "y=SECRET", "Referer", "/x?k=%53ecret", "X-Note", "an other one", "X-More", "extra", "X-Second", "a=second",
-		"X-Tenant", "other", "X_tenant", "other", backend.CallerHeader, "shop", "X-Request-Id", "mine", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "yes")
+	asked := request(
+		"POST",
+		"/pay?a=1&api_key=secret&b=secret&c=%73ecret&e=%2573ecret&d=2&api_key=extra",
+		APIKeyHeader,
+		"secret",
+		"Authorization",
+		"bearer other",
+		"Cookie",
+		"x=secret",
+		"Cookie",
+		"y=SECRET",
+		"Referer",
+		"/x?k=%53ecret",
+		"X-Note",
+		"an other one",
+		"X-More",
+		"extra",
+		"X-Second",
+		"a=second",
+		"X-Tenant",
+		"other",
+		"X_tenant",
+		"other",
+		backend.CallerHeader,
+		"shop",
+		"X-Request-Id",
+		"mine",
+		"Connection",
+		"X-Hop",
+		"X-Hop",
+		"1",
+		"X-Kept",
+		"yes",
+	)
 	c.Assert(f.admit(time.Second, time.Now(), asked), qt.IsNil)
 	c.Assert(asked.Header, qt.DeepEquals, http.Header{"X-Kept": {"yes"}})
 	c.Assert(asked.RawQuery, qt.Equals, "a=1&d=2")
 	for _, path := range []string{"/pay/secret", "/pay/%73ecret", "/pay/SECRET/x", "/pay/second"} {
-		c.Assert(code(f.admit(time.Second, time.Now(), request("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop"))), qt.Equals, errcode.RequestBadPath)
+		c.Assert(
+			code(f.admit(time.Second, time.Now(), request("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop"))),
+			qt.Equals,
+			errcode.RequestBadPath,
+		)
 	}
 }
 
 func upstream(name, zone string) message.Registration {
-	return message.Registration{Service: "pay", Instance: name, Incarnation: 1, Address: name, Zone: zone, Slots: 4, State: message.StateReady, ServingProxyAddress: "serving-" + name}
+	return message.Registration{
+		Service:             "pay",
+		Instance:            name,
+		Incarnation:         1,
+		Address:             name,
+		Zone:                zone,
+		Slots:               4,
+		State:               message.StateReady,
+		ServingProxyAddress: "serving-" + name,
+	}
 }
 
 // Own zone first; the other only when that one is full or clearly worse.
@@ -159,7 +209,10 @@
 		// Once something may have run, no later refusal says that nothing did.
 		if response == nil && tried.outcome.Kind == message.OutcomeUnknown {
 			c.Assert(f.selectUpstream(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
-			last := f.evaluateOutcome(begin+6*time.Second, asked, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)})
+			last := f.evaluateOutcome(begin+6*time.Second, asked, message.Outcome{
+				Kind: message.NotStarted,
+				Code: int64(errcode.BusySlotsFull),
+			})
 			c.Check(code(last), qt.Equals, errcode.UnknownOutcome)
 		}
 	}
--- a/internal/frontend/hosted_test.go
+++ b/internal/frontend/hosted_test.go
@@ -19,7 +19,8 @@
 )
 
 const hosted = `{"services":["pay"],"tenants":[{"name":"t","keys":["secret"],"priority":1},{"name":"plain","keys":["other"]}],"routes":[
-{"name":"pay","host":"shop.example","prefix":"/pay/","service":"pay","kind":"once","timeout_ms":3000,"attempts":2,"aim_ms":500,"priority":4},
+{"name":"pay","host":"shop.example","prefix":"/pay/","service":"pay","kind":"once","timeout_ms":3000,
+"attempts":2,"aim_ms":500,"priority":4},
 {"name":"free","host":"shop.example","prefix":"/free/","service":"pay","kind":"repeatable","timeout_ms":3000,"open":true}]}`
 
 func hostedFrontend(c *qt.C, upstreams ...message.Registration) *Frontend {
@@ -28,8 +29,14 @@
 	faults, _ := routeconfig.Check([]byte(hosted), cfg.ConfigurationLimits())
 	c.Assert(faults, qt.HasLen, 0)
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
-		ProxyCount: 1, Upstreams: map[string][]message.Registration{"pay": upstreams}})
+	f.UpdateSnapshot(0, &proxy.Snapshot{
+		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())},
+		ConfigurationsKnown: true,
+		RosterKnown:         true,
+		Joined:              true,
+		ProxyCount:          1,
+		Upstreams:           map[string][]message.Registration{"pay": upstreams},
+	})
 	return f
 }
 
@@ -86,7 +93,11 @@
 		for {
 			c.Assert(f.selectUpstream(now, going, random), qt.IsNil)
 			tries++
-			if response := f.evaluateOutcome(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: sent}); response != nil {
+			if response := f.evaluateOutcome(now, going, message.Outcome{
+				Kind:            message.NotStarted,
+				Code:            int64(errcode.BusySlotsFull),
+				ReachedUpstream: sent,
+			}); response != nil {
 				c.Assert(response.Code, qt.Equals, errcode.BusyBudget)
 				break
 			}
--- a/internal/frontend/linkbacklog_test.go
+++ b/internal/frontend/linkbacklog_test.go
@@ -40,7 +40,8 @@
 			address = "serving-a"
 			f.snapshot.Upstreams["pay"] = f.snapshot.Upstreams["pay"][:1]
 		}
-		back.dispatcher = NewDispatcher(f.settings, f, backend.New(f.settings, f.AuthorizeForward), back, message.Member{Name: "me", Address: address})
+		serving := backend.New(f.settings, f.AuthorizeForward)
+		back.dispatcher = NewDispatcher(f.settings, f, serving, back, message.Member{Name: "me", Address: address})
 		var response *Response
 		back.dispatcher.Submit(asked(tried.path, tried.key), func(time.Duration) {}, func(answer *Response) { response = answer })
 		if !tried.refused {
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -223,8 +223,16 @@
 }
 
 func newModel(chooser *modelChooser, named bool) *model {
-	w := &model{chooser: chooser, now: modelBegin, named: named, proxies: map[string]*modelProxy{}, runs: map[string][]modelRun{}, offers: map[string]map[string]bool{},
-		group: goroutine.New(), faults: map[string]int{}}
+	w := &model{
+		chooser: chooser,
+		now:     modelBegin,
+		named:   named,
+		proxies: map[string]*modelProxy{},
+		runs:    map[string][]modelRun{},
+		offers:  map[string]map[string]bool{},
+		group:   goroutine.New(),
+		faults:  map[string]int{},
+	}
 	for _, address := range []string{"a:1", "b:1", "c:1", "d:1"} {
 		p := &modelProxy{world: w, address: address}
 		w.proxies[address] = p
@@ -250,7 +258,11 @@
 	p.caller.UseDialer(func(address string, _ time.Time) (net.Conn, error) {
 		return &modelUpstreamConn{world: w, upstream: address}, nil
 	})
-	p.dispatcher = NewDispatcher(cfg, p.front, p.serving, &modelEnvironment{p, life, rand.New(rand.NewPCG(1, 2))}, message.Member{Name: p.address, Address: p.address, StartTime: life})
+	p.dispatcher = NewDispatcher(cfg, p.front, p.serving, &modelEnvironment{p, life, rand.New(rand.NewPCG(1, 2))}, message.Member{
+		Name:      p.address,
+		Address:   p.address,
+		StartTime: life,
+	})
 	list := []message.Registration{}
 	for _, name := range []string{"one", "two", "three"} {
 		if modelHomes[name] == p.address {
@@ -260,11 +272,27 @@
 				p.caller.Guard(announcement)
 			}
 		}
-		list = append(list, message.Registration{Service: "pay", Instance: name, Incarnation: 1, Address: name, Zone: "here", Slots: 4, State: message.StateReady,
-			ServingProxy: modelHomes[name], ServingProxyAddress: modelHomes[name], ServingProxyStartTime: w.proxies[modelHomes[name]].lifeOr(life)})
+		list = append(list, message.Registration{
+			Service:               "pay",
+			Instance:              name,
+			Incarnation:           1,
+			Address:               name,
+			Zone:                  "here",
+			Slots:                 4,
+			State:                 message.StateReady,
+			ServingProxy:          modelHomes[name],
+			ServingProxyAddress:   modelHomes[name],
+			ServingProxyStartTime: w.proxies[modelHomes[name]].lifeOr(life),
+		})
 	}
-	p.front.UpdateSnapshot(w.now, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(modelRoutes), cfg.ConfigurationLimits())},
-		ConfigurationsKnown: true, RosterKnown: true, Joined: true, ProxyCount: 1, Upstreams: map[string][]message.Registration{"pay": list}})
+	p.front.UpdateSnapshot(w.now, &proxy.Snapshot{
+		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(modelRoutes), cfg.ConfigurationLimits())},
+		ConfigurationsKnown: true,
+		RosterKnown:         true,
+		Joined:              true,
+		ProxyCount:          1,
+		Upstreams:           map[string][]message.Registration{"pay": list},
+	})
 }
 
 func (p *modelProxy) lifeOr(other int64) int64 {
@@ -549,7 +577,10 @@
 		u.pieces, u.failure = append(u.pieces, own[:len(own)-3]), io.EOF
 	case atUpstreamNoLength:
 		run(200, "")
-		u.pieces, u.failure = append(u.pieces, bytes.Replace(own[:len(own)-3], fmt.Appendf(nil, "Content-Length: %d\r\n", len(body)), nil, 1)), io.EOF
+		u.pieces, u.failure = append(
+			u.pieces,
+			bytes.Replace(own[:len(own)-3], fmt.Appendf(nil, "Content-Length: %d\r\n", len(body)), nil, 1),
+		), io.EOF
 	case atUpstreamGarbage:
 		run(200, "")
 		u.pieces = append(u.pieces, []byte("\x00\x01 nothing of the kind\r\n\r\n"))
@@ -601,8 +632,16 @@
 	life := p.life
 	asked := &modelAsked{name: path, once: once}
 	w.asked = append(w.asked, asked)
-	request := &Request{ID: "id" + path, Method: http.MethodPost, RawPath: path, Header: http.Header{"Try": {"try" + path}}, Host: "shop.example",
-		Body: []byte("body"), ArrivedAt: w.now, Deadline: w.now + modelDeadline}
+	request := &Request{
+		ID:        "id" + path,
+		Method:    http.MethodPost,
+		RawPath:   path,
+		Header:    http.Header{"Try": {"try" + path}},
+		Host:      "shop.example",
+		Body:      []byte("body"),
+		ArrivedAt: w.now,
+		Deadline:  w.now + modelDeadline,
+	}
 	asked.pending = p.dispatcher.Submit(request, func(time.Duration) {}, func(response *Response) {
 		asked.finals = append(asked.finals, response)
 		if len(asked.finals) == 1 {
--- a/internal/frontend/registration_test.go
+++ b/internal/frontend/registration_test.go
@@ -65,7 +65,11 @@
 	cfg.Zone, cfg.Proof, cfg.Counted = "here", proof, settings.CountBegun
 	serving := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	p := &recordingEnvironment{}
-	p.dispatcher = NewDispatcher(cfg, New(cfg, serving.LookupDelegation), serving, p, message.Member{Name: "proxy/me", Address: "here:1", StartTime: 7})
+	p.dispatcher = NewDispatcher(cfg, New(cfg, serving.LookupDelegation), serving, p, message.Member{
+		Name:      "proxy/me",
+		Address:   "here:1",
+		StartTime: 7,
+	})
 	return p, serving, cfg
 }
 
@@ -75,11 +79,24 @@
 }
 
 func rosterOf(registrations ...message.Registration) *proxy.Snapshot {
-	return &proxy.Snapshot{ConfigurationsKnown: true, RosterKnown: true, ProxyCount: 1, Upstreams: map[string][]message.Registration{"pay": registrations}}
+	return &proxy.Snapshot{
+		ConfigurationsKnown: true,
+		RosterKnown:         true,
+		ProxyCount:          1,
+		Upstreams:           map[string][]message.Registration{"pay": registrations},
+	}
 }
 
 func announced(instance, address string, number int64) backend.Announcement {
-	return backend.Announcement{Service: "pay", Instance: instance, Incarnation: 1, Address: address, Zone: "here", Slots: 2, Sequence: number}
+	return backend.Announcement{
+		Service:     "pay",
+		Instance:    instance,
+		Incarnation: 1,
+		Address:     address,
+		Zone:        "here",
+		Slots:       2,
+		Sequence:    number,
+	}
 }
 
 // After a power cut the upstream has another name at the old address. The roster still
@@ -114,11 +131,16 @@
 		response message.Registration
 		wanted   []string
 	}{
-		"an earlier life's":   {settings.ProofTarget, 0, beside("old", "up:1", message.StateReady, 6), []string{"old ready"}},
-		"one that leaves":     {settings.ProofTarget, 0, beside("old", "up:1", message.StateLeaving, 6), []string{"old leaving"}},
-		"this life's":         {settings.ProofTarget, 0, beside("old", "up:1", message.StateReady, 7), []string{}},
-		"another home's":      {settings.ProofTarget, 0, other, []string{}},
-		"late":                {settings.ProofTarget, settings.Default().HeartbeatTimeout(), beside("old", "up:1", message.StateReady, 6), []string{}},
+		"an earlier life's": {settings.ProofTarget, 0, beside("old", "up:1", message.StateReady, 6), []string{"old ready"}},
+		"one that leaves":   {settings.ProofTarget, 0, beside("old", "up:1", message.StateLeaving, 6), []string{"old leaving"}},
+		"this life's":       {settings.ProofTarget, 0, beside("old", "up:1", message.StateReady, 7), []string{}},
+		"another home's":    {settings.ProofTarget, 0, other, []string{}},
+		"late": {
+			settings.ProofTarget,
+			settings.Default().HeartbeatTimeout(),
+			beside("old", "up:1", message.StateReady, 6),
+			[]string{},
+		},
 		"proof by connection": {settings.ProofConnection, 0, beside("old", "up:1", message.StateReady, 6), []string{}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -165,7 +187,14 @@
 	p.dispatcher.Announce(announced("one", "up:1", 1))
 	outcomes := []message.Outcome{}
 	forward := func(id, tenant string) {
-		p.dispatcher.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Tenant: tenant, Remaining: int64(time.Second)},
+		p.dispatcher.HandleFrame(message.Forward{
+			ID:          id,
+			Service:     "pay",
+			Instance:    "one",
+			Incarnation: 1,
+			Tenant:      tenant,
+			Remaining:   int64(time.Second),
+		},
 			func(msg any) error { outcomes = append(outcomes, msg.(message.Outcome)); return nil })
 	}
 	counts := func(window int64) map[string]int64 {
--- a/internal/frontend/retryshare_test.go
+++ b/internal/frontend/retryshare_test.go
@@ -65,7 +65,11 @@
 	c.Assert(f.admit(old, time.Now(), going), qt.IsNil)
 	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
 	c.Assert(f.forwardFrame(old, going, "me", "1").Retried, qt.IsFalse)
-	c.Assert(f.evaluateOutcome(old, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: true}), qt.IsNil)
+	c.Assert(f.evaluateOutcome(old, going, message.Outcome{
+		Kind:            message.NotStarted,
+		Code:            int64(errcode.BusySlotsFull),
+		ReachedUpstream: true,
+	}), qt.IsNil)
 	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
 	repeat := f.forwardFrame(old, going, "me", "2")
 	c.Assert(repeat.Retried, qt.IsTrue)
@@ -103,7 +107,14 @@
 	serving.Announce(old, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "one", Zone: "here", Slots: 4})
 	serving.PauseRetries(old + time.Second)
 	start := func(id string, now time.Duration, repeat bool) backend.Decision {
-		decisions := serving.HandleForward(now, message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), Retried: repeat})
+		decisions := serving.HandleForward(now, message.Forward{
+			ID:          id,
+			Service:     "pay",
+			Instance:    "one",
+			Incarnation: 1,
+			Remaining:   int64(time.Second),
+			Retried:     repeat,
+		})
 		c.Assert(decisions, qt.HasLen, 1)
 		return decisions[0]
 	}
--- a/internal/frontend/saturation_test.go
+++ b/internal/frontend/saturation_test.go
@@ -18,7 +18,8 @@
 )
 
 const nestedRoutes = `{"services":["pay"],"tenants":[{"name":"t","keys":["secret"],"priority":1}],"routes":[
-{"name":"pay","host":"shop.example","prefix":"/pay/","service":"pay","kind":"repeatable","timeout_ms":3000,"attempts":2,"aim_ms":500,"priority":4},
+{"name":"pay","host":"shop.example","prefix":"/pay/","service":"pay","kind":"repeatable","timeout_ms":3000,
+"attempts":2,"aim_ms":500,"priority":4},
 {"name":"check","host":"shop.example","prefix":"/check/","service":"pay","kind":"repeatable","timeout_ms":3000,"aim_ms":250,"open":true}]}`
 
 // crowded is a frontend among so many proxies, with eight upstreams.
@@ -30,8 +31,14 @@
 		list = append(list, upstream(name, "here"))
 	}
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(nestedRoutes), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
-		ProxyCount: proxies, Upstreams: map[string][]message.Registration{"pay": list}})
+	f.UpdateSnapshot(0, &proxy.Snapshot{
+		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(nestedRoutes), cfg.ConfigurationLimits())},
+		ConfigurationsKnown: true,
+		RosterKnown:         true,
+		Joined:              true,
+		ProxyCount:          proxies,
+		Upstreams:           map[string][]message.Registration{"pay": list},
+	})
 	return f
 }
 
@@ -46,7 +53,10 @@
 			c.Assert(response.Code, qt.Equals, errcode.BusySlotsFull)
 			return sent
 		}
-		if response := f.evaluateOutcome(now, request, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}); response != nil {
+		if response := f.evaluateOutcome(now, request, message.Outcome{
+			Kind: message.NotStarted,
+			Code: int64(errcode.BusySlotsFull),
+		}); response != nil {
 			return sent + 1
 		}
 	}
