--- a/internal/configstore/committed_versions_test.go
+++ b/internal/configstore/committed_versions_test.go
@@ -11,7 +11,9 @@
 	"beaconvane/internal/settings"
 )
 
-func numberedDocument(version int64) string { return document(fmt.Sprintf(`"note":"content %d",`, version)) }
+func numberedDocument(version int64) string {
+	return document(fmt.Sprintf(`"note":"content %d",`, version))
+}
 
 // A committed write that is older than every kept body is acknowledged again, and another content under
 // its number is not confirmed, in both modes of writing.
