--- a/internal/lease/refusals_golden_test.go
+++ b/internal/lease/refusals_golden_test.go
@@ -32,15 +32,15 @@
 // requestOf is a request of one of the voters.
 func requestOf(asking *voter, leaseTag string, epoch int64) message.LeaseRequest {
 	return message.LeaseRequest{
-		Group: "config-log", Tag: leaseTag, Epoch: epoch, Voter: asking.voter, Identity: asking.quorum.Signature(),
+		Group: "config-log", Tag: leaseTag, Epoch: epoch, Voter: asking.name, Identity: asking.quorum.Signature(),
 	}
 }
 
 // others returns the voters that don't hold the lease, by name.
-func (e *electorate) others() []*voter {
+func (g *group) others() []*voter {
 	others := []*voter{}
-	for _, v := range e.voters {
-		if v.voter != e.holder() {
+	for _, v := range g.voters {
+		if v.name != g.holder() {
 			others = append(others, v)
 		}
 	}
@@ -51,67 +51,67 @@
 // lease that is still promised, and raises its epoch for any other.
 func TestRefusalsStayAsTheyAre(t *testing.T) {
 	const epoch = 100
-	trial := func(request message.LeaseRequest) message.LeaseRequest {
-		request.Trial = true
+	preVote := func(request message.LeaseRequest) message.LeaseRequest {
+		request.PreVote = true
 		return request
 	}
 	for _, refused := range []struct {
 		reason string
 		tag    string
-		ask    func(c *qt.C, e *electorate) string
+		ask    func(c *qt.C, g *group) string
 	}{
-		{"not on the member list", tag, func(c *qt.C, e *electorate) string {
-			request := requestOf(e.others()[1], tag, epoch)
+		{"not on the member list", configTag, func(c *qt.C, g *group) string {
+			request := requestOf(g.others()[1], configTag, epoch)
 			request.Identity = "a stranger"
-			return refusalOf(c, e.others()[0], request)
+			return refusalOf(c, g.others()[0], request)
 		}},
-		{"lower epoch", tag, func(c *qt.C, e *electorate) string {
-			return refusalOf(c, e.others()[0], requestOf(e.others()[1], tag, 0))
+		{"lower epoch", configTag, func(c *qt.C, g *group) string {
+			return refusalOf(c, g.others()[0], requestOf(g.others()[1], configTag, 0))
 		}},
-		{"epoch given to another", tag, func(c *qt.C, e *electorate) string {
-			asked := e.others()[0]
-			return refusalOf(c, asked, requestOf(e.others()[1], tag, asked.leases.Epoch(tag)))
+		{"epoch given to another", configTag, func(c *qt.C, g *group) string {
+			asked := g.others()[0]
+			return refusalOf(c, asked, requestOf(g.others()[1], configTag, asked.leases.Epoch(configTag)))
 		}},
-		{"epoch in use", tag, func(c *qt.C, e *electorate) string {
-			asked := e.others()[0]
-			return refusalOf(c, asked, trial(requestOf(e.at("a"+e.holder()), tag, asked.leases.Epoch(tag))))
+		{"epoch in use", configTag, func(c *qt.C, g *group) string {
+			asked := g.others()[0]
+			return refusalOf(c, asked, preVote(requestOf(g.at("a"+g.holder()), configTag, asked.leases.Epoch(configTag))))
 		}},
-		{"another holds it", tag, func(c *qt.C, e *electorate) string {
-			return refusalOf(c, e.others()[0], requestOf(e.others()[1], tag, epoch))
+		{"another holds it", configTag, func(c *qt.C, g *group) string {
+			return refusalOf(c, g.others()[0], requestOf(g.others()[1], configTag, epoch))
 		}},
-		{"handed over to another", tag, func(c *qt.C, e *electorate) string {
-			asked, holder := e.others()[0], e.at("a"+e.holder())
+		{"handed over to another", configTag, func(c *qt.C, g *group) string {
+			asked, holder := g.others()[0], g.at("a"+g.holder())
 			asked.leases.Handle(asked.env, holder.address, message.LeaseYield{
-				Group: "config-log", Tag: tag, Epoch: asked.leases.Epoch(tag),
-				Voter: holder.voter, Identity: holder.quorum.Signature(), To: asked.voter,
+				Group: "config-log", Tag: configTag, Epoch: asked.leases.Epoch(configTag),
+				Voter: holder.name, Identity: holder.quorum.Signature(), To: asked.name,
 			})
-			return refusalOf(c, asked, requestOf(e.others()[1], tag, epoch))
+			return refusalOf(c, asked, requestOf(g.others()[1], configTag, epoch))
 		}},
-		{"holder rest", settings.UsageTag, func(c *qt.C, e *electorate) string {
-			first := e.at("a" + e.holder())
-			e.run(time.Second, false)
-			first.leases.Yield(first.env)
-			e.run(10*time.Second, true)
-			second := e.at("a" + e.holder())
+		{"holder rest", settings.UsageTag, func(c *qt.C, g *group) string {
+			first := g.at("a" + g.holder())
+			g.run(time.Second, false)
+			first.leases.TransferAll(first.env)
+			g.run(10*time.Second, true)
+			second := g.at("a" + g.holder())
 			c.Assert(second, qt.Not(qt.Equals), first)
-			e.run(100*time.Millisecond, false)
-			asked := e.others()[0]
+			g.run(100*time.Millisecond, false)
+			asked := g.others()[0]
 			if asked == first {
-				asked = e.others()[1]
+				asked = g.others()[1]
 			}
 			asked.leases.Handle(asked.env, second.address, message.LeaseYield{
 				Group: "config-log", Tag: settings.UsageTag, Epoch: asked.leases.Epoch(settings.UsageTag),
-				Voter: second.voter, Identity: second.quorum.Signature(),
+				Voter: second.name, Identity: second.quorum.Signature(),
 			})
 			return refusalOf(c, asked, requestOf(first, settings.UsageTag, epoch))
 		}},
-		{"goes first here", tag, func(c *qt.C, e *electorate) string {
-			holder := e.at("a" + e.holder())
-			asked, asking := e.others()[0], e.others()[1]
+		{"goes first here", configTag, func(c *qt.C, g *group) string {
+			holder := g.at("a" + g.holder())
+			asked, asking := g.others()[0], g.others()[1]
 			holder.up, asking.up = false, false
 			for range 1000 {
-				e.run(5*time.Millisecond, false)
-				reason := refusalOf(c, asked, trial(requestOf(asking, tag, epoch)))
+				g.run(5*time.Millisecond, false)
+				reason := refusalOf(c, asked, preVote(requestOf(asking, configTag, epoch)))
 				if reason != "another holds it" && reason != "" {
 					return reason
 				}
@@ -121,11 +121,11 @@
 	} {
 		t.Run(refused.reason, func(t *testing.T) {
 			c := qt.New(t)
-			e := newElectorateFor(refused.tag, false)
-			e.run(10*time.Second, true)
-			c.Assert(e.holder(), qt.Not(qt.Equals), "")
-			e.run(time.Second, false)
-			c.Assert(refused.ask(c, e), qt.Equals, refused.reason)
+			g := newGroupFor(refused.tag, false)
+			g.run(10*time.Second, true)
+			c.Assert(g.holder(), qt.Not(qt.Equals), "")
+			g.run(time.Second, false)
+			c.Assert(refused.ask(c, g), qt.Equals, refused.reason)
 		})
 	}
 }
@@ -136,47 +136,47 @@
 	for reason, raises := range map[string]bool{"another holds it": false, "epoch given to another": true} {
 		t.Run(reason, func(t *testing.T) {
 			c := qt.New(t)
-			e := newElectorate(false)
-			e.run(10*time.Second, true)
-			e.run(time.Second, false)
-			holder, other := e.at("a"+e.holder()), e.others()[0]
-			epoch := holder.leases.Epoch(tag)
+			g := newGroup(false)
+			g.run(10*time.Second, true)
+			g.run(time.Second, false)
+			holder, other := g.at("a"+g.holder()), g.others()[0]
+			epoch := holder.leases.Epoch(configTag)
 			holder.leases.Handle(holder.env, other.address, message.LeaseVote{
-				Group: "config-log", Tag: tag, Epoch: epoch, Voter: other.voter, Identity: other.quorum.Signature(),
-				Seen: epoch, Reason: reason,
+				Group: "config-log", Tag: configTag, Epoch: epoch, Voter: other.name, Identity: other.quorum.Signature(),
+				HighestEpoch: epoch, Reason: reason,
 			})
-			c.Assert(holder.leases.Holding(tag, holder.env.Now), qt.Equals, !raises)
+			c.Assert(holder.leases.Holding(configTag, holder.env.Now), qt.Equals, !raises)
 		})
 	}
 }
 
-// A vote for the usage lease names the voters that rest, in order and with a comma between; those
+// A vote for the usage lease names the voters that cool down, in order and with a comma between; those
 // that a vote on disk names are refused.
 func TestRestingVotersStayAsTheyAre(t *testing.T) {
 	c := qt.New(t)
-	e := newElectorateFor(settings.UsageTag, false)
+	g := newGroupFor(settings.UsageTag, false)
 	renewed := settings.Default().RenewEvery() + 100*time.Millisecond
 	for range 2 {
-		e.run(10*time.Second, true)
-		e.run(renewed, false)
-		holder := e.at("a" + e.holder())
-		holder.leases.Yield(holder.env)
+		g.run(10*time.Second, true)
+		g.run(renewed, false)
+		holder := g.at("a" + g.holder())
+		holder.leases.TransferAll(holder.env)
 	}
-	e.run(10*time.Second, true)
-	e.run(renewed, false)
-	resting := map[string]string{"1": "2,3", "2": "1,3", "3": "1,2"}
-	for _, v := range e.voters {
-		c.Check(v.votes[0].Resting, qt.Equals, resting[e.holder()])
+	g.run(10*time.Second, true)
+	g.run(renewed, false)
+	coolingDown := map[string]string{"1": "2,3", "2": "1,3", "3": "1,2"}
+	for _, v := range g.voters {
+		c.Check(v.votes[0].RecentHolders, qt.Equals, coolingDown[g.holder()])
 	}
 
-	asked := e.at("a3")
+	asked := g.at("a3")
 	asked.votes = []message.Vote{{
-		Tag: settings.UsageTag, Epoch: 50, Holder: "3", Identity: asked.state.Identity, Former: "2", Resting: "1,2",
+		Tag: settings.UsageTag, Epoch: 50, Holder: "3", Identity: asked.state.Identity, PreviousHolder: "2", RecentHolders: "1,2",
 	}}
 	asked.boot()
-	e.at("a1").up, e.at("a2").up = false, false
-	e.run(asked.settings.Lease()+100*time.Millisecond, false)
+	g.at("a1").up, g.at("a2").up = false, false
+	g.run(asked.settings.Lease()+100*time.Millisecond, false)
 	for _, address := range []string{"a1", "a2"} {
-		c.Check(refusalOf(c, asked, requestOf(e.at(address), settings.UsageTag, 100)), qt.Equals, "holder rest")
+		c.Check(refusalOf(c, asked, requestOf(g.at(address), settings.UsageTag, 100)), qt.Equals, "holder rest")
 	}
 }
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -1,5 +1,6 @@
 // Where voters are placed: one group whoever is heard at the start, voters spread over
 // zones and regions, and processes that never vote.
+
 package quorum
 
 import (
@@ -16,11 +17,11 @@
 )
 
 // formedGroups counts the distinct groups that voters stand in.
-func (t *fleet) formedGroups() int {
+func (f *fleet) formedGroups() int {
 	groups := map[string]bool{}
-	for _, address := range t.order {
-		if p := t.players[address]; p.up && p.quorum.Voting() {
-			groups[digestOf(p.quorum.State.MemberList)] = true
+	for _, address := range f.order {
+		if p := f.processes[address]; p.up && p.quorum.Voting() {
+			groups[memberList(p.quorum.State.MemberList).digest()] = true
 		}
 	}
 	return len(groups)
@@ -34,32 +35,38 @@
 		machines int
 		voters   int64
 		anchors  []string
-	}{{2, 1, []string{"a1", "a2"}}, {3, 1, []string{"a1", "a2", "a3"}}, {7, 3, []string{"a1", "a2", "a3"}}, {9, 3, []string{"a5", "a6", "a7"}}} {
-		hollow := newFleet(c, made.voters)
-		hollow.parts = map[string]int{}
+	}{
+		{2, 1, []string{"a1", "a2"}},
+		{3, 1, []string{"a1", "a2", "a3"}},
+		{7, 3, []string{"a1", "a2", "a3"}},
+		{9, 3, []string{"a5", "a6", "a7"}},
+	} {
+		group := newFleet(c, made.voters)
+		group.partition = map[string]int{}
 		for number := range made.machines {
 			address := fmt.Sprintf("a%d", number+1)
-			hollow.parts[address] = number * 2 / made.machines
-			hollow.joinConfigured(fmt.Sprintf("n%d", number+1), address, true, func(cfg *settings.Settings) { cfg.Anchors = made.anchors })
+			group.partition[address] = number * 2 / made.machines
+			group.joinConfigured(fmt.Sprintf("n%d", number+1), address, true, func(cfg *settings.Settings) { cfg.Anchors = made.anchors })
 		}
-		hollow.run(4 * time.Second)
-		c.Check(hollow.formedGroups() <= 1, qt.IsTrue, qt.Commentf("%d machines, %d voters: %v", made.machines, made.voters, hollow.notes))
-		clear(hollow.parts)
-		hollow.run(4 * time.Second)
-		c.Check(hollow.formedGroups(), qt.Equals, 1, qt.Commentf("%d machines, %d voters: %v", made.machines, made.voters, hollow.notes))
-		c.Check(hollow.voters(), qt.HasLen, int(made.voters))
+		group.run(4 * time.Second)
+		c.Check(group.formedGroups() <= 1, qt.IsTrue, qt.Commentf("%d machines, %d voters: %v", made.machines, made.voters, group.events))
+		clear(group.partition)
+		group.run(4 * time.Second)
+		c.Check(group.formedGroups(), qt.Equals, 1, qt.Commentf("%d machines, %d voters: %v", made.machines, made.voters, group.events))
+		c.Check(group.voters(), qt.HasLen, int(made.voters))
 	}
 }
 
 // zoned makes a fleet whose machine number k stands in zones[k].
-func zoned(c *qt.C, voters int64, zones []string, tolerated settings.Tolerated, regions map[string]string) (*fleet, []*player) {
-	hollow := newFleet(c, voters)
-	players := []*player{}
+func zoned(c *qt.C, voters int64, zones []string, tolerated settings.Tolerated, regions map[string]string) (*fleet, []*process) {
+	group := newFleet(c, voters)
+	processes := []*process{}
 	for number, zone := range zones {
-		players = append(players, hollow.joinConfigured(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true, inZone(zone, tolerated, regions)))
+		nodeName, address := fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1)
+		processes = append(processes, group.joinConfigured(nodeName, address, true, inZone(zone, tolerated, regions)))
 	}
-	hollow.run(6 * time.Second)
-	return hollow, players
+	group.run(6 * time.Second)
+	return group, processes
 }
 
 func inZone(zone string, tolerated settings.Tolerated, regions map[string]string) func(cfg *settings.Settings) {
@@ -70,10 +77,10 @@
 }
 
 // perZone counts the voters that stand in each zone.
-func (t *fleet) perZone() map[string]int {
+func (f *fleet) perZone() map[string]int {
 	counts := map[string]int{}
-	for _, address := range t.order {
-		if p := t.players[address]; p.up && p.quorum.Voting() {
+	for _, address := range f.order {
+		if p := f.processes[address]; p.up && p.quorum.Voting() {
 			counts[p.quorum.settings.Zone]++
 		}
 	}
@@ -90,15 +97,45 @@
 		tolerated settings.Tolerated
 		wanted    map[string]int
 	}{
-		{"two machines a zone", 3, []string{"x", "x", "y", "y", "z", "z"}, settings.Tolerated{Zones: 1}, map[string]int{"x": 1, "y": 1, "z": 1}},
-		{"first names in one zone", 5, []string{"x", "x", "x", "y", "y", "z", "z"}, settings.Tolerated{Machines: 2, Zones: 1}, map[string]int{"x": 2, "y": 2, "z": 1}},
-		{"four zones", 3, []string{"x", "x", "y", "z", "w"}, settings.Tolerated{Zones: 1}, map[string]int{"x": 1, "y": 1, "z": 1}},
-		{"a region", 3, []string{"x", "y", "z", "w"}, settings.Tolerated{Regions: 1}, map[string]int{"x": 1, "z": 1, "w": 1}},
-		{"machines only", 3, []string{"x", "x", "y", "z"}, settings.Tolerated{Machines: 1}, map[string]int{"x": 1, "y": 1, "z": 1}},
-		{"a zone of all machines", 3, []string{"x", "x", "x"}, settings.Tolerated{Zones: 1}, map[string]int{"x": 3}},
+		{
+			name: "two machines a zone", voters: 3,
+			zones:     []string{"x", "x", "y", "y", "z", "z"},
+			tolerated: settings.Tolerated{Zones: 1},
+			wanted:    map[string]int{"x": 1, "y": 1, "z": 1},
+		},
+		{
+			name: "first names in one zone", voters: 5,
+			zones:     []string{"x", "x", "x", "y", "y", "z", "z"},
+			tolerated: settings.Tolerated{Machines: 2, Zones: 1},
+			wanted:    map[string]int{"x": 2, "y": 2, "z": 1},
+		},
+		{
+			name: "four zones", voters: 3,
+			zones:     []string{"x", "x", "y", "z", "w"},
+			tolerated: settings.Tolerated{Zones: 1},
+			wanted:    map[string]int{"x": 1, "y": 1, "z": 1},
+		},
+		{
+			name: "a region", voters: 3,
+			zones:     []string{"x", "y", "z", "w"},
+			tolerated: settings.Tolerated{Regions: 1},
+			wanted:    map[string]int{"x": 1, "z": 1, "w": 1},
+		},
+		{
+			name: "machines only", voters: 3,
+			zones:     []string{"x", "x", "y", "z"},
+			tolerated: settings.Tolerated{Machines: 1},
+			wanted:    map[string]int{"x": 1, "y": 1, "z": 1},
+		},
+		{
+			name: "a zone of all machines", voters: 3,
+			zones:     []string{"x", "x", "x"},
+			tolerated: settings.Tolerated{Zones: 1},
+			wanted:    map[string]int{"x": 3},
+		},
 	} {
-		hollow, _ := zoned(c, made.voters, made.zones, made.tolerated, regions)
-		c.Check(hollow.perZone(), qt.DeepEquals, made.wanted, qt.Commentf(made.name))
+		group, _ := zoned(c, made.voters, made.zones, made.tolerated, regions)
+		c.Check(group.perZone(), qt.DeepEquals, made.wanted, qt.Commentf(made.name))
 	}
 }
 
@@ -110,16 +147,16 @@
 		tolerated settings.Tolerated
 		voters    int
 	}{{settings.Tolerated{Zones: 1}, 2}, {settings.Tolerated{Machines: 1}, 3}} {
-		hollow, players := zoned(c, 3, []string{"x", "y", "z"}, tried.tolerated, nil)
-		hollow.joinConfigured("fresh-y", "b1", false, inZone("y", tried.tolerated, nil))
-		hollow.kill(players[0], false)
-		hollow.state["n1"] = message.Dead
-		hollow.run(8 * time.Second)
-		c.Assert(hollow.voters(), qt.HasLen, tried.voters, qt.Commentf("%v", hollow.notes))
+		group, processes := zoned(c, 3, []string{"x", "y", "z"}, tried.tolerated, nil)
+		group.joinConfigured("fresh-y", "b1", false, inZone("y", tried.tolerated, nil))
+		group.kill(processes[0], false)
+		group.memberState["n1"] = message.Dead
+		group.run(8 * time.Second)
+		c.Assert(group.voters(), qt.HasLen, tried.voters, qt.Commentf("%v", group.events))
 		if tried.voters == 2 {
-			hollow.joinConfigured("fresh-x", "b2", false, inZone("x", tried.tolerated, nil))
-			hollow.run(8 * time.Second)
-			c.Assert(hollow.voters()["1"], qt.Equals, "fresh-x")
+			group.joinConfigured("fresh-x", "b2", false, inZone("x", tried.tolerated, nil))
+			group.run(8 * time.Second)
+			c.Assert(group.voters()["1"], qt.Equals, "fresh-x")
 		}
 	}
 }
@@ -128,20 +165,21 @@
 // is the first anchor.
 func TestNonVoterNeverHoldsAVoter(t *testing.T) {
 	c := qt.New(t)
-	hollow := newFleet(c, 3)
-	players := []*player{}
+	group := newFleet(c, 3)
+	processes := []*process{}
 	for number := range 4 {
-		players = append(players, hollow.joinConfigured(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), number > 0, func(cfg *settings.Settings) {
+		nodeName, address := fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1)
+		processes = append(processes, group.joinConfigured(nodeName, address, number > 0, func(cfg *settings.Settings) {
 			cfg.Anchors, cfg.NonVoter = []string{"a1", "a2", "a3"}, number == 0
 		}))
 	}
-	hollow.run(3 * time.Second)
-	c.Assert(hollow.voters(), qt.DeepEquals, map[string]string{"1": "n2", "2": "n3", "3": "n4"})
-	hollow.kill(players[3], true)
-	hollow.state["n4"] = message.Dead
-	hollow.run(8 * time.Second)
-	c.Assert(players[0].quorum.Voting(), qt.IsFalse)
-	c.Assert(players[0].quorum.Standby(players[0].env), qt.IsTrue)
+	group.run(3 * time.Second)
+	c.Assert(group.voters(), qt.DeepEquals, map[string]string{"1": "n2", "2": "n3", "3": "n4"})
+	group.kill(processes[3], true)
+	group.memberState["n4"] = message.Dead
+	group.run(8 * time.Second)
+	c.Assert(processes[0].quorum.Voting(), qt.IsFalse)
+	c.Assert(processes[0].quorum.Standby(processes[0].machineEnv), qt.IsTrue)
 }
 
 // How many voters there are is the group's own knowledge once it is founded: a newcomer
@@ -149,14 +187,14 @@
 func TestCountOfVotersComesFromTheGroup(t *testing.T) {
 	c := qt.New(t)
 	for _, counted := range []int64{1, 5} {
-		hollow, players := founded(c, 3, 3)
-		hollow.kill(players[2], true)
-		hollow.state["n3"] = message.Dead
-		newcomer := hollow.joinConfigured("fresh", "b1", false, func(cfg *settings.Settings) {
+		group, processes := founded(c, 3, 3)
+		group.kill(processes[2], true)
+		group.memberState["n3"] = message.Dead
+		newcomer := group.joinConfigured("fresh", "b1", false, func(cfg *settings.Settings) {
 			cfg.VoterCount, cfg.Voters = counted, settings.VoterNames(counted)
 		})
-		hollow.run(6 * time.Second)
-		c.Assert(hollow.voters(), qt.HasLen, 3, qt.Commentf("settings count %d: %v", counted, hollow.notes))
+		group.run(6 * time.Second)
+		c.Assert(group.voters(), qt.HasLen, 3, qt.Commentf("settings count %d: %v", counted, group.events))
 		c.Assert(newcomer.quorum.Majority(map[string]string{newcomer.quorum.Voter: newcomer.quorum.Signature()}), qt.IsFalse)
 	}
 }
@@ -169,17 +207,15 @@
 	regions := map[string]string{"x": "east", "y": "east", "z": "west", "w": "south"}
 	for range 400 {
 		tolerated := []settings.Tolerated{{Zones: 1}, {Zones: 2}, {Regions: 1}}[random.IntN(3)]
-		cfg := settings.Default()
-		cfg.Tolerated, cfg.Regions = tolerated, regions
-		g := New("config-log", cfg, &player{}, message.VoterState{}, nil)
+		places := placement{tolerated: tolerated, regions: regions}
 		identities := []string{}
 		for number := range 3 + random.IntN(7) {
 			zone := []string{"x", "y", "z", "w"}[random.IntN(4)]
-			identities = append(identities, NewIdentity(0, uint64(number), 1, fmt.Sprintf("n%d", number))+zoneMark+zone)
+			identities = append(identities, NewIdentity(0, uint64(number), 1, fmt.Sprintf("n%d", number))+zoneStart+zone)
 		}
 		count := 1 + 2*random.IntN((len(identities)+1)/2)
 		anchor := identities[random.IntN(len(identities))]
-		chosen := g.chooseFounders(identities, anchor, count)
+		chosen := places.choose(identities, anchor, count)
 		c.Assert(chosen, qt.HasLen, count)
 		c.Assert(chosen, qt.Contains, anchor)
 		best := count
@@ -191,9 +227,9 @@
 				}
 			}
 			if len(other) == count && slices.Contains(other, anchor) {
-				best = min(best, g.worstLoss(other))
+				best = min(best, places.worstLoss(other))
 			}
 		}
-		c.Assert(g.worstLoss(chosen), qt.Equals, best, qt.Commentf("%+v of %q: %q", tolerated, identities, chosen))
+		c.Assert(places.worstLoss(chosen), qt.Equals, best, qt.Commentf("%+v of %q: %q", tolerated, identities, chosen))
 	}
 }
--- a/internal/storage/powerloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -1,4 +1,3 @@
-// What a loss of power may leave of the writes that were not synced yet.
 package storage
 
 import (
@@ -126,7 +125,9 @@
 		return list
 	}
 	for kept := 1; kept < len(c.body); kept++ {
-		list = append(list, outcome{fmt.Sprintf("first %d bytes", kept), kept, false}, outcome{fmt.Sprintf("first %d bytes, then zeros", kept), kept, true})
+		list = append(list,
+			outcome{fmt.Sprintf("first %d bytes", kept), kept, false},
+			outcome{fmt.Sprintf("first %d bytes, then zeros", kept), kept, true})
 	}
 	return list
 }
@@ -162,7 +163,8 @@
 						left[other] = append([]change{}, kept...)
 					}
 					left[name] = append(left[name], next.after(done)...)
-					grown = append(grown, lost{left, fmt.Sprintf("%s %s@%d cut=%t: %s;", state.how, name, next.offset, next.cut, done.name)})
+					how := fmt.Sprintf("%s %s@%d cut=%t: %s;", state.how, name, next.offset, next.cut, done.name)
+					grown = append(grown, lost{left, how})
 				}
 			}
 			states = grown
@@ -227,7 +229,8 @@
 // before, or the snapshot alone, and never the snapshot with the old records behind it.
 func TestPowerLossWhileTheLogIsReplaced(t *testing.T) {
 	c := qt.New(t)
-	lossDuring(c, filled(c), storedState([]byte("one"), [][]byte{[]byte("first"), []byte("second"), []byte("third")}), storedState([]byte("two"), nil),
+	records := [][]byte{[]byte("first"), []byte("second"), []byte("third")}
+	lossDuring(c, filled(c), storedState([]byte("one"), records), storedState([]byte("two"), nil),
 		func(store *Store) error { return store.Compact([]byte("two")) })
 }
 
@@ -245,10 +248,10 @@
 	c := qt.New(t)
 	disk := filled(c)
 	older := frameFormat{number: oldestLogFormat, generation: 1}
-	head := logHeadOf(1)
+	head := encodeLogHeader(1)
 	binary.BigEndian.PutUint32(head[4:], oldestLogFormat)
-	binary.BigEndian.PutUint32(head[logSumAt:], crc32.Checksum(head[:logSumAt], sumTable))
-	disk.durable[logName] = append(head, older.frameOf([][]byte{[]byte("first")})...)
+	binary.BigEndian.PutUint32(head[logChecksumAt:], crc32.Checksum(head[:logChecksumAt], checksumTable))
+	disk.durable[logName] = append(head, older.encodeFrame([][]byte{[]byte("first")})...)
 	store, snapshot, records, err := Open(disk)
 	c.Assert(err, qt.IsNil)
 	c.Assert(storedState(snapshot, records), qt.Equals, storedState([]byte("one"), [][]byte{[]byte("first")}))
@@ -262,7 +265,7 @@
 	c.Assert(storedState(snapshot, records), qt.Equals, storedState([]byte("two"), nil))
 
 	// The cut of the length is lost.
-	disk.durable[logName] = append(logHeadOf(2), older.frameOf([][]byte{[]byte("first")})...)
+	disk.durable[logName] = append(encodeLogHeader(2), older.encodeFrame([][]byte{[]byte("first")})...)
 	_, snapshot, records, err = Open(disk)
 	c.Assert(err, qt.IsNil)
 	c.Assert(storedState(snapshot, records), qt.Equals, storedState([]byte("two"), nil))
--- a/internal/transport/framing_golden_test.go
+++ b/internal/transport/framing_golden_test.go
@@ -46,7 +46,8 @@
 	group := goroutine.New()
 	arrivals := make(chan goldenArrival, goldenQueue)
 	inbound := func(from string, msg any, back func(msg any) error) { arrivals <- goldenArrival{from, msg, back} }
-	network, err := New(group, "127.0.0.1:0", goldenFrameLimit, goldenQueue, goldenDial, inbound)
+	config := Config{Address: "127.0.0.1:0", FrameLimit: goldenFrameLimit, QueueLength: goldenQueue, DialTimeout: goldenDial}
+	network, err := New(group, config, inbound)
 	c.Assert(err, qt.IsNil)
 	network.Start()
 	c.Cleanup(func() {
@@ -142,7 +143,7 @@
 
 	c.Assert(network.Datagram(socket.LocalAddr().String(), goldenOutcomeRequest), qt.IsNil)
 	c.Assert(socket.SetReadDeadline(time.Now().Add(goldenWait)), qt.IsNil)
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	size, _, err := socket.ReadFrom(buffer)
 	c.Assert(err, qt.IsNil)
 	c.Assert(hex.EncodeToString(buffer[:size]), qt.Equals, goldenOutcomeRequestFrame)
