--- a/internal/frontend/adopt_test.go
+++ b/internal/frontend/adopt_test.go
@@ -98,8 +98,8 @@
 		p.now += 100 * time.Millisecond
 		p.tracker.UpdateSnapshot(snapshot)
 		c.Assert(p.words(), qt.HasLen, 0)
-		c.Assert(serving.Holds("old"), qt.IsFalse)
-		c.Assert(serving.Holds("new"), qt.IsTrue)
+		c.Assert(serving.HasInstance("old"), qt.IsFalse)
+		c.Assert(serving.HasInstance("new"), qt.IsTrue)
 	}
 }
 
@@ -118,7 +118,7 @@
 		"one that leaves":     {settings.ProofTarget, 0, beside("old", "up:1", message.StateLeaving, 6), []string{"old leaving"}},
 		"this life's":         {settings.ProofTarget, 0, beside("old", "up:1", message.StateReady, 7), []string{}},
 		"another home's":      {settings.ProofTarget, 0, other, []string{}},
-		"late":                {settings.ProofTarget, settings.Default().HeartbeatTimeout(), beside("old", "up:1", message.StateReady, 6), []string{}},
+		"late":                {settings.ProofTarget, settings.Default().HeartbeatBound(), beside("old", "up:1", message.StateReady, 6), []string{}},
 		"proof by connection": {settings.ProofConnection, 0, beside("old", "up:1", message.StateReady, 6), []string{}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -152,7 +152,7 @@
 	p.tracker.Announce(announced("one", "up:1", 8))
 	p.tracker.UpdateSnapshot(rosterOf(beside("one", "up:1", message.StateReady, 6)))
 	c.Assert(p.words(), qt.HasLen, 0)
-	c.Assert(serving.Holds("one"), qt.IsFalse)
+	c.Assert(serving.HasInstance("one"), qt.IsFalse)
 }
 
 // Usage of what upstreams began: counted as a request begins, in the window in which it
