--- a/internal/backend/admission.go
+++ b/internal/backend/admission.go
@@ -67,7 +67,7 @@
 		return errcode.BusyUpstreamGone
 	case !known || held.announcement.Incarnation != forward.Incarnation:
 		return errcode.BusyUpstreamGone
-	case now-held.announcedAt > b.settings.ServingProxyBound():
+	case now-held.announcedAt > b.settings.ServingProxyTimeout():
 		return errcode.BusyUpstreamGone
 	case held.broken && !b.mayRedial(now, held):
 		return errcode.BusyUpstreamGone
@@ -92,7 +92,7 @@
 // stalled reports whether this process stood still for so long that its upstreams may have found
 // another serving proxy meanwhile. Their slots are then no longer this one's to give.
 func (b *Backend) stalled(now time.Duration) bool {
-	return !b.settings.ByTarget() && b.lastExpireAt > 0 && now-b.lastExpireAt > b.settings.HeartbeatBound()/stallDivisor
+	return !b.settings.ByTarget() && b.lastExpireAt > 0 && now-b.lastExpireAt > b.settings.HeartbeatTimeout()/stallDivisor
 }
 
 // Expire refuses requests that have waited past their deadlines, starts those that now can, and
@@ -111,7 +111,7 @@
 		}
 		decisions = append(decisions, held.refuseOverdue(now)...)
 		decisions = append(decisions, b.startQueued(now, held)...)
-		if now-held.announcedAt > b.settings.HeartbeatBound()*forgetFactor && len(held.running) == 0 {
+		if now-held.announcedAt > b.settings.HeartbeatTimeout()*forgetFactor && len(held.running) == 0 {
 			delete(b.upstreams, key)
 		}
 	}
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -160,8 +160,8 @@
 	cfg := settings.Default()
 	serving := servingProxy(c)
 	left := message.Registration{Service: "pay", Instance: "one", Incarnation: 5, State: message.StateLeaving}
-	c.Assert(codes(serving.HandleForward(cfg.ServingProxyBound(), forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
-	c.Assert(codes(serving.HandleForward(cfg.ServingProxyBound()+1, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(codes(serving.HandleForward(cfg.ServingProxyTimeout(), forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
+	c.Assert(codes(serving.HandleForward(cfg.ServingProxyTimeout()+1, forwardOf("b", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	serving.Announce(3*time.Second, response("one", "a:1", 5))
 	serving.UpdateRoster(map[string][]message.Registration{"pay": {left}})
 	c.Assert(codes(serving.HandleForward(3*time.Second, forwardOf("c", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
@@ -179,7 +179,7 @@
 	c.Assert(orders, qt.HasLen, 1)
 	g.Complete(time.Second, orders[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("answer")})
 	c.Check(string(g.Outcome(time.Second, "q").Body), qt.Equals, "answer")
-	later := time.Second + cfg.AnswerKept() + time.Millisecond
+	later := time.Second + cfg.AnswerRetention() + time.Millisecond
 	g.Announce(later, response)
 	g.Expire(later)
 	late := g.Outcome(later, "q")
--- a/internal/backend/liveness.go
+++ b/internal/backend/liveness.go
@@ -31,7 +31,7 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	held, same := b.lookupTarget(target)
-	return same && !held.broken && now-held.announcedAt <= b.settings.ServingProxyBound()
+	return same && !held.broken && now-held.announcedAt <= b.settings.ServingProxyTimeout()
 }
 
 // Dialable reports, before and after a dial, whether a new connection is proven to reach the
--- a/internal/backend/records.go
+++ b/internal/backend/records.go
@@ -135,7 +135,7 @@
 	b.expireBodies(now)
 	for len(b.recordOrder) > 0 {
 		oldest, known := b.records[b.recordOrder[0]]
-		if known && (!oldest.done && !oldest.barred || now-oldest.updatedAt < b.settings.OutcomeKept()) {
+		if known && (!oldest.done && !oldest.barred || now-oldest.updatedAt < b.settings.OutcomeRetention()) {
 			return
 		}
 		delete(b.records, b.recordOrder[0])
@@ -147,7 +147,7 @@
 func (b *Backend) expireBodies(now time.Duration) {
 	for len(b.recordsWithBody) > 0 {
 		record, known := b.records[b.recordsWithBody[0]]
-		if known && now-record.updatedAt < b.settings.AnswerKept() {
+		if known && now-record.updatedAt < b.settings.AnswerRetention() {
 			return
 		}
 		if known {
--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -58,7 +58,7 @@
 	if a.snapshot == nil || !a.snapshot.ConfigurationsKnown {
 		return refuseWith(errcode.BusyNotReady)
 	}
-	if limit := a.frontend.settings.StaleAdmit(); limit > 0 && a.now-a.snapshot.ConfigurationsFreshAt > limit {
+	if limit := a.frontend.settings.MaxAgeAdmit(); limit > 0 && a.now-a.snapshot.ConfigurationsFreshAt > limit {
 		return refuseWith(errcode.BusyStale)
 	}
 	return nil
--- a/internal/frontend/adopt_test.go
+++ b/internal/frontend/adopt_test.go
@@ -118,7 +118,7 @@
 		"one that leaves":     {settings.ProofTarget, 0, beside("old", "up:1", message.StateLeaving, 6), []string{"old leaving"}},
 		"this life's":         {settings.ProofTarget, 0, beside("old", "up:1", message.StateReady, 7), []string{}},
 		"another home's":      {settings.ProofTarget, 0, other, []string{}},
-		"late":                {settings.ProofTarget, settings.Default().HeartbeatBound(), beside("old", "up:1", message.StateReady, 6), []string{}},
+		"late":                {settings.ProofTarget, settings.Default().HeartbeatTimeout(), beside("old", "up:1", message.StateReady, 6), []string{}},
 		"proof by connection": {settings.ProofConnection, 0, beside("old", "up:1", message.StateReady, 6), []string{}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/frontend/callerlimits_test.go
+++ b/internal/frontend/callerlimits_test.go
@@ -99,7 +99,7 @@
 func TestBodiesTogether(t *testing.T) {
 	c := qt.New(t)
 	stages := limitedStages(`{}`, func(cfg *settings.Settings) { cfg.Limits.Memory, cfg.Limits.Body = 64, 4<<20 })
-	c.Assert(stages.settings.BodyRoom(), qt.Equals, int64(8<<20))
+	c.Assert(stages.settings.BodyMemory(), qt.Equals, int64(8<<20))
 	post := func(size int) *http.Request {
 		return httptest.NewRequest(http.MethodPost, "/x", bytes.NewReader(make([]byte, size)))
 	}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -84,7 +84,7 @@
 func (f *Frontend) Ready(now time.Duration) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.snapshot.Ready(now, f.settings.StaleReady())
+	return f.snapshot.Ready(now, f.settings.MaxAgeReady())
 }
 
 // synced reports whether configurations and roster have come since this proxy started.
--- a/internal/frontend/outcomequery.go
+++ b/internal/frontend/outcomequery.go
@@ -104,7 +104,7 @@
 		connection.Close()
 		return
 	}
-	q.dispatcher.environment.After(q.dispatcher.settings.HeartbeatBound(), q.closeWhenSettled)
+	q.dispatcher.environment.After(q.dispatcher.settings.HeartbeatTimeout(), q.closeWhenSettled)
 }
 
 // connectionLost asks again about what is still open, if this connection came about and not too
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -71,7 +71,7 @@
 		startQueue:   make(chan *backend.Decision, capacity*startQueueFactor),
 		random:       mathrand.New(newLockedSource()),
 	}
-	p.bodies.available = cfg.BodyRoom()
+	p.bodies.available = cfg.BodyMemory()
 	p.Dispatcher = NewDispatcher(cfg, front, serving, p, self)
 	return p
 }
--- a/internal/frontend/registration.go
+++ b/internal/frontend/registration.go
@@ -34,7 +34,7 @@
 // not announced themselves to it yet.
 func (d *Dispatcher) mayAdoptUpstreams() bool {
 	return d.settings.ByTarget() &&
-		d.environment.Now()-d.startedAt < d.settings.HeartbeatBound() &&
+		d.environment.Now()-d.startedAt < d.settings.HeartbeatTimeout() &&
 		!d.heardAnnouncement.Load()
 }
 
--- a/internal/frontend/selection.go
+++ b/internal/frontend/selection.go
@@ -103,8 +103,8 @@
 	stats := f.statsOf(upstreamKey(registration))
 	use := (f.outstanding(now, stats) + 1) / float64(max(1, registration.Slots))
 	cost := math.Exp(stats.relativeLatency) * (1 + utilizationCost*use*use + max(0, use-1) + min(max(stats.load, 0), 1)/4)
-	if since := now - stats.readySince; since < f.settings.WarmSpan() {
-		cost *= 2 - float64(since)/float64(f.settings.WarmSpan())
+	if since := now - stats.readySince; since < f.settings.WarmUpTime() {
+		cost *= 2 - float64(since)/float64(f.settings.WarmUpTime())
 	}
 	cost += failureCost * stats.failureRate
 	cost += transitDelayCost * stats.transitDelayNow(now).Seconds()
