--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -1,4 +1,4 @@
-// Decisions of the serving proxy: slots, drains, ends, outcomes kept and barred.
+// Decisions of the serving proxy: slots, draining, replaced registrations, recorded and barred attempts.
 package backend
 
 import (
@@ -180,10 +180,10 @@
 func TestAnswersAreNotKeptForLong(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
-	g := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
+	serving := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	announcement := Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "a:1", Slots: 2}
-	g.Announce(time.Second, announcement)
-	decisions := g.HandleForward(time.Second, message.Forward{
+	serving.Announce(time.Second, announcement)
+	decisions := serving.HandleForward(time.Second, message.Forward{
 		ID:          "q",
 		Service:     "pay",
 		Instance:    "one",
@@ -191,12 +191,12 @@
 		Remaining:   int64(time.Second),
 	})
 	c.Assert(decisions, qt.HasLen, 1)
-	g.Complete(time.Second, decisions[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("answer")})
-	c.Check(string(g.Outcome(time.Second, "q").Body), qt.Equals, "answer")
+	serving.Complete(time.Second, decisions[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("answer")})
+	c.Check(string(serving.Outcome(time.Second, "q").Body), qt.Equals, "answer")
 	later := time.Second + cfg.AnswerRetention() + time.Millisecond
-	g.Announce(later, announcement)
-	g.Expire(later)
-	late := g.Outcome(later, "q")
+	serving.Announce(later, announcement)
+	serving.Expire(later)
+	late := serving.Outcome(later, "q")
 	c.Check(late.Body, qt.HasLen, 0)
 	c.Check(late.Kind, qt.Equals, message.OutcomeUnknown)
 }
--- a/internal/backend/guard.go
+++ b/internal/backend/guard.go
@@ -23,44 +23,44 @@
 }
 
 // replace sets the guard of a target and closes the one before.
-func (g *guardConnections) replace(target Target, guard *upstreamConnection) {
-	g.lock.Lock()
-	former := g.guards[target]
-	g.guards[target] = guard
-	g.lock.Unlock()
+func (serving *guardConnections) replace(target Target, guard *upstreamConnection) {
+	serving.lock.Lock()
+	former := serving.guards[target]
+	serving.guards[target] = guard
+	serving.lock.Unlock()
 	if former != nil {
 		former.close()
 	}
 }
 
 // stands reports whether the guard of a target stands.
-func (g *guardConnections) stands(target Target) bool {
-	g.lock.Lock()
-	defer g.lock.Unlock()
+func (serving *guardConnections) stands(target Target) bool {
+	serving.lock.Lock()
+	defer serving.lock.Unlock()
 	key := poolKey(target)
-	guard, known := g.guards[key]
+	guard, known := serving.guards[key]
 	if !known || guard.isQuiet() {
 		return known
 	}
 	guard.close()
-	delete(g.guards, key)
-	g.serving.MarkBroken(g.goroutines.Now(), target)
+	delete(serving.guards, key)
+	serving.serving.MarkBroken(serving.goroutines.Now(), target)
 	return false
 }
 
 // sweep looks at every guard, and closes those that broke or whose target has ended.
-func (g *guardConnections) sweep(now time.Duration) {
-	g.lock.Lock()
-	defer g.lock.Unlock()
-	for target, guard := range g.guards {
+func (serving *guardConnections) sweep(now time.Duration) {
+	serving.lock.Lock()
+	defer serving.lock.Unlock()
+	for target, guard := range serving.guards {
 		quiet := guard.isQuiet()
-		if quiet && g.serving.IsRegistered(target) {
+		if quiet && serving.serving.IsRegistered(target) {
 			continue
 		}
 		guard.close()
-		delete(g.guards, target)
+		delete(serving.guards, target)
 		if !quiet {
-			g.serving.MarkBroken(now, target)
+			serving.serving.MarkBroken(now, target)
 		}
 	}
 }
--- a/internal/backend/target_test.go
+++ b/internal/backend/target_test.go
@@ -1,5 +1,5 @@
 // Calls where each request names its upstream (proof "target"), to a stand-in on loopback
-// and in a manner of the test's own.
+// and with a protocol of the test's own.
 package backend
 
 import (
--- a/internal/frontend/dispatcher_test.go
+++ b/internal/frontend/dispatcher_test.go
@@ -1,4 +1,4 @@
-// The order in which broken connections are told of must not matter.
+// Connections that break, in whatever order the breaks are noticed, and requests that are withdrawn.
 package frontend
 
 import (
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -1,4 +1,4 @@
-// The gate, the scrubbing of keys, the budget, and what outcomes mean.
+// Admission, the removal of keys, the retry budget, and what outcomes mean.
 package frontend
 
 import (
@@ -195,7 +195,7 @@
 		f := ready(c, 0, upstream("one", "here"), upstream("two", "here"))
 		method := map[string]string{"/pay": "POST", "/look": "GET"}[tried.path]
 		asked := request(method, tried.path, APIKeyHeader, "secret", backend.CallerHeader, "shop")
-		begin := 10 * time.Second // a life as old as the retry window has its allowance
+		begin := 10 * time.Second // a process as old as the retry window has its allowance
 		asked.Deadline += begin
 		c.Assert(f.admit(begin, time.Now(), asked), qt.IsNil)
 		c.Assert(f.selectUpstream(begin, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
--- a/internal/frontend/hosted_test.go
+++ b/internal/frontend/hosted_test.go
@@ -1,4 +1,4 @@
-// What a serving proxy's word means where a request names its upstream.
+// What the refusals of a serving proxy mean where a request names its upstream.
 package frontend
 
 import (
@@ -49,7 +49,7 @@
 	return made
 }
 
-const old = 20 * time.Second // a life as old as the retry window has its allowance
+const old = 20 * time.Second // a process as old as the retry window has its allowance
 
 func TestMisdirectedGoesToAnotherUpstream(t *testing.T) {
 	c := qt.New(t)
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -1,6 +1,6 @@
 // The two hops of a request as one explored state space, over the real frontend, dispatcher,
-// backend, upstream client and response matcher. Only what lies between processes is a stand-in: connections
-// between proxies, connections to upstreams, and the clock. At each place where something
+// backend, upstream client and response matcher. Only what lies between processes is a stand-in:
+// connections between proxies, connections to upstreams, and the clock. At each place where something
 // can break, be silent, speak twice or late, the run makes a numbered choice; the explorer
 // plays every way of making at most a few choices other than "all is well". A run is fully
 // given by its choices, so a failing one is printed and can be played again.
@@ -79,7 +79,7 @@
 )
 
 const (
-	modelBegin    = 20 * time.Second // an age at which a life has its retry allowance
+	modelBegin    = 20 * time.Second // an age at which a process has its retry allowance
 	modelDeadline = 3 * time.Second
 	modelMoment   = time.Millisecond
 	modelWork     = 700 * time.Millisecond // longer than a question waits for an answer
@@ -122,7 +122,7 @@
 	once    bool
 	finals  []*Response
 	pending *PendingRequest
-	lost    bool // with a life of its proxy: its caller's connection is closed, which says nothing
+	lost    bool // with the process of its proxy: its caller's connection is closed, which says nothing
 	left    bool // its caller hung up
 }
 
@@ -241,7 +241,7 @@
 	return w
 }
 
-// begin starts a life of the proxy; of an earlier one nothing is known.
+// begin starts the process of the proxy anew; of an earlier one nothing is known.
 func (p *modelProxy) begin() {
 	w := p.world
 	cfg := modelSettings(w.named)
@@ -302,7 +302,7 @@
 	return p.life
 }
 
-// modelEnvironment is the surroundings of one life of a proxy.
+// modelEnvironment is the Environment of one process of a proxy.
 type modelEnvironment struct {
 	proxy  *modelProxy
 	life   int64
@@ -314,7 +314,7 @@
 func (b *modelEnvironment) Random() *rand.Rand { return b.random }
 func (b *modelEnvironment) Notify(any)         {}
 
-// alive does something in the process, as long as this life lasts.
+// alive does something in the process, as long as it lasts.
 func (b *modelEnvironment) alive(do func()) func() {
 	return func() {
 		if b.proxy.life == b.life {
@@ -408,7 +408,7 @@
 	w := l.from.proxy.world
 	choices := onWayChoices
 	if !l.fresh {
-		choices = onWayNeverAttached // a made connection can't fail to be made, nor is a life's end told on it twice
+		choices = onWayNeverAttached // a made connection can't fail to be made, nor is the end of its process told on it twice
 	}
 	place := fmt.Sprintf("%s>%s %T", l.from.proxy.address, l.to.address, msg)
 	switch l.fresh = false; w.fault(place, choices) {
--- a/internal/frontend/registration_test.go
+++ b/internal/frontend/registration_test.go
@@ -45,8 +45,8 @@
 	return &fakeConnection{}
 }
 
-// words gives, in short, what the control machine was told since it was last asked.
-func (p *recordingEnvironment) words() []string {
+// notices gives, in short, what the control machine was told since it was last asked.
+func (p *recordingEnvironment) notices() []string {
 	words := []string{}
 	for _, notice := range p.response {
 		switch response := notice.(type) {
@@ -106,21 +106,21 @@
 	p, serving, _ := newServingDispatcher(settings.ProofTarget)
 	snapshot := rosterOf(beside("old", "up:1", message.StateReady, 6))
 	p.dispatcher.UpdateSnapshot(snapshot)
-	c.Assert(p.words(), qt.DeepEquals, []string{"old ready"})
+	c.Assert(p.notices(), qt.DeepEquals, []string{"old ready"})
 	p.dispatcher.UpdateSnapshot(snapshot)
-	c.Assert(p.words(), qt.HasLen, 0)
+	c.Assert(p.notices(), qt.HasLen, 0)
 	c.Assert(p.dispatcher.Announce(announced("new", "up:1", 1)), qt.IsTrue)
-	c.Assert(p.words(), qt.DeepEquals, []string{"old off", "new ready"})
+	c.Assert(p.notices(), qt.DeepEquals, []string{"old off", "new ready"})
 	for range 3 {
 		p.now += 100 * time.Millisecond
 		p.dispatcher.UpdateSnapshot(snapshot)
-		c.Assert(p.words(), qt.HasLen, 0)
+		c.Assert(p.notices(), qt.HasLen, 0)
 		c.Assert(serving.HasInstance("old"), qt.IsFalse)
 		c.Assert(serving.HasInstance("new"), qt.IsTrue)
 	}
 }
 
-// Nobody is adopted of this life, of another serving proxy, late in a life, or where connections are
+// Nobody is adopted of this process, of another serving proxy, late after the start, or where connections are
 // the proof; one that was leaving is taken as such.
 func TestWhoIsAdopted(t *testing.T) {
 	other := beside("other", "up:1", message.StateReady, 6)
@@ -148,7 +148,7 @@
 			p, _, _ := newServingDispatcher(tried.proof)
 			p.now = tried.now
 			p.dispatcher.UpdateSnapshot(rosterOf(tried.response))
-			c.Assert(p.words(), qt.DeepEquals, tried.wanted)
+			c.Assert(p.notices(), qt.DeepEquals, tried.wanted)
 		})
 	}
 }
@@ -159,21 +159,21 @@
 	c := qt.New(t)
 	p, serving, _ := newServingDispatcher(settings.ProofTarget)
 	p.dispatcher.Announce(announced("one", "up:1", 4))
-	c.Assert(p.words(), qt.DeepEquals, []string{"one ready"})
+	c.Assert(p.notices(), qt.DeepEquals, []string{"one ready"})
 	leaving := announced("one", "up:1", 6)
 	leaving.Leaving = true
 	p.dispatcher.Announce(leaving)
-	c.Assert(p.words(), qt.DeepEquals, []string{"one leaving"})
+	c.Assert(p.notices(), qt.DeepEquals, []string{"one leaving"})
 	p.dispatcher.Announce(announced("one", "up:1", 5))
 	p.dispatcher.Announce(announced("one", "up:1", 7))
-	for _, word := range p.words() {
+	for _, word := range p.notices() {
 		c.Assert(word, qt.Equals, "one leaving")
 	}
 	p.dispatcher.RetireInstance("one")
-	c.Assert(p.words(), qt.DeepEquals, []string{"one off"})
+	c.Assert(p.notices(), qt.DeepEquals, []string{"one off"})
 	p.dispatcher.Announce(announced("one", "up:1", 8))
 	p.dispatcher.UpdateSnapshot(rosterOf(beside("one", "up:1", message.StateReady, 6)))
-	c.Assert(p.words(), qt.HasLen, 0)
+	c.Assert(p.notices(), qt.HasLen, 0)
 	c.Assert(serving.HasInstance("one"), qt.IsFalse)
 }
 
--- a/internal/frontend/retryshare_test.go
+++ b/internal/frontend/retryshare_test.go
@@ -1,4 +1,4 @@
-// Calls that running repeats make draw on the retry budget of the service called.
+// Calls that running retries make draw on the retry budget of the service called.
 package frontend
 
 import (
@@ -50,7 +50,7 @@
 	c := qt.New(t)
 	c.Assert(callsLet(c, 0, ""), qt.Equals, 200)
 	c.Assert(callsLet(c, 1, "secret"), qt.Equals, 200) // a client's own request
-	c.Assert(callsLet(c, 1, ""), qt.Equals, 0)         // a young life has no allowance, and no first tries
+	c.Assert(callsLet(c, 1, ""), qt.Equals, 0)         // a young process has no allowance, and no first tries
 	// Half are repeats, of which the budget lets a fifth of the others by.
 	let := callsLet(c, 0.5, "")
 	c.Assert(let > 90 && let < 140, qt.IsTrue, qt.Commentf("%d", let))
