--- a/internal/quorum/fleet_test.go
+++ b/internal/quorum/fleet_test.go
@@ -99,11 +99,10 @@
 func (p *process) WriteSnapshot(env *statemachine.Env, then storage.SyncCallback) {
 	p.Persist(env, nil, then)
 }
-func (p *process) Failure() error              { return nil }
-func (p *process) WriteLatency() time.Duration { return 0 }
-func (p *process) StateForGrant() []byte       { return []byte(p.replicatedState) }
-func (p *process) AnnounceVoter(voter string)  { p.announced = voter }
-func (p *process) Superseded() bool            { return p.superseded }
+func (p *process) Failure() error             { return nil }
+func (p *process) StateForGrant() []byte      { return []byte(p.replicatedState) }
+func (p *process) AnnounceVoter(voter string) { p.announced = voter }
+func (p *process) Superseded() bool           { return p.superseded }
 
 func (p *process) DiscardState(*statemachine.Env) {
 	p.discarded++
--- a/internal/quorum/host.go
+++ b/internal/quorum/host.go
@@ -1,8 +1,6 @@
 package quorum
 
 import (
-	"time"
-
 	"beaconvane/internal/message"
 	"beaconvane/internal/statemachine"
 	"beaconvane/internal/storage"
@@ -40,11 +38,9 @@
 	DiscardState(env *statemachine.Env)
 }
 
-// Host is the machine around the quorum and the leases.
+// Host is the machine around the quorum.
 type Host interface {
 	Storage
 	Directory
 	StateTransfer
-	// WriteLatency is about how long a write takes.
-	WriteLatency() time.Duration
 }
