--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -1,11 +1,18 @@
-// Command configstore is the configuration store on each core voter.
+// Command configstore is the configuration store, which runs on each core machine.
 package main
 
 import (
 	"beaconvane/internal/cli"
+	"beaconvane/internal/message"
 	"beaconvane/platform"
 )
 
 func main() {
-	cli.Main(cli.Program{Role: "configstore", Short: "the configuration store on each core voter", Module: cli.ConfigStoreModule, AddCommands: cli.AddVoterCommands("configstore"), Platform: platform.Adapter{}})
+	cli.Main(cli.Program{
+		Role:        message.RoleConfigStore,
+		Short:       "the configuration store on each core voter",
+		Module:      cli.ConfigStoreModule,
+		AddCommands: cli.AddVoterCommands(message.RoleConfigStore),
+		Platform:    platform.Adapter{},
+	})
 }
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,11 +1,17 @@
-// Command proxy is the proxy on each edge machine.
+// Command proxy is the proxy, which runs on each edge machine.
 package main
 
 import (
 	"beaconvane/internal/cli"
+	"beaconvane/internal/message"
 	"beaconvane/platform"
 )
 
 func main() {
-	cli.Main(cli.Program{Role: "proxy", Short: "the proxy on each edge machine", Module: cli.ProxyModule, Platform: platform.Adapter{}})
+	cli.Main(cli.Program{
+		Role:     message.RoleProxy,
+		Short:    "the proxy on each edge machine",
+		Module:   cli.ProxyModule,
+		Platform: platform.Adapter{},
+	})
 }
--- a/internal/goroutine/wall_clock.go
+++ b/internal/goroutine/wall_clock.go
@@ -6,48 +6,49 @@
 )
 
 const (
-	// smallestStep is the least difference at once that counts as a step of the time of day.
+	// smallestStep is the smallest change at once that counts as a step.
 	smallestStep = 128 * time.Millisecond
-	// stepOut is how long a step has to last before it is taken over. A process that starts
+	// stepOut is how long a step has to last before it is followed. A process that starts
 	// while its machine's time is wrong is wrong itself for so long after the time was set right.
 	stepOut = 20 * time.Second
 )
 
-// wallClock tells the time of day, and follows a step of it only once the step has lasted. It
-// adds an offset to the steady clock: slow corrections change the offset at once, a step does
-// so after stepOut. A machine whose time is set wrong for a while keeps counting right.
+// wallClock returns the time of day, and follows a step of the machine's clock only once the step has
+// lasted. It adds an offset to the monotonic clock: slow corrections change the offset at once, a step
+// does so after stepOut. Usage is counted right on a machine whose time is set wrong for a while.
 type wallClock struct {
 	lock    sync.Mutex
 	started bool
-	offset  time.Duration // time of day less steady time, as followed
+	offset  time.Duration // time of day less monotonic time, as followed
 	step    time.Duration // another offset that is seen now
-	since   time.Duration // steady time at which that one was seen first; 0 when there is none
+	since   time.Duration // monotonic time at which that one was seen first; 0 when there is none
 }
 
 // at takes a reading of both clocks and returns the time of day since 1970 to go by.
-func (c *wallClock) at(steady, timeOfDay time.Duration) time.Duration {
+func (c *wallClock) at(monotonic, timeOfDay time.Duration) time.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	seen := timeOfDay - steady
+	seen := timeOfDay - monotonic
 	switch {
 	case !c.started:
 		c.started, c.offset = true, seen
 	case near(seen, c.offset):
 		c.offset, c.since = seen, 0
 	case c.since == 0 || !near(seen, c.step):
-		c.step, c.since = seen, steady
-	case steady-c.since >= stepOut:
+		c.step, c.since = seen, monotonic
+	case monotonic-c.since >= stepOut:
 		c.offset, c.since = seen, 0
 	}
-	return steady + c.offset
+	return monotonic + c.offset
 }
 
+// near reports whether two offsets differ by less than a step.
 func near(left, right time.Duration) bool {
 	return (left - right).Abs() < smallestStep
 }
 
-// Wall returns the time of day since 1970, in which short steps of the machine's clock are left
-// out. It is for what is counted by the time of day, never for what has to be safe.
+// Wall returns the time of day since 1970, without short steps of the machine's clock. It is for what
+// is counted by the time of day; safety never depends on it.
 func (g *Group) Wall() time.Duration {
 	now := time.Now()
 	return g.wall.at(now.Sub(g.startedAt), time.Duration(now.UnixNano()))
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics is the page of a process's own figures: lines of text with a name, at most
-// one label, and a number, in the exposition format that monitoring systems read. A control
-// machine gives its samples as the answer to Read; the process adds its own.
+// Package metrics writes the figures of a process as lines of text with a name, at most one label and
+// a number, in the exposition format that monitoring systems read. A control machine returns its
+// samples as the reply to Read; the process adds its own.
 package metrics
 
 import (
@@ -16,10 +16,10 @@
 // prefix begins the name of every sample.
 const prefix = "beaconvane_"
 
-// Read asks a control machine for its samples; the answer is a []Sample.
+// Read asks a control machine for its samples; the reply is a []Sample.
 type Read struct{}
 
-// Sample is one figure.
+// Sample is one figure at one moment.
 type Sample struct {
 	Name  string // letters, digits and underscores; its unit stands at the end
 	Label string // name of the label; "" for none
@@ -35,7 +35,7 @@
 	return Sample{Name: name, Label: label, About: about, Value: value}
 }
 
-// Flag returns a sample that is 1 where something holds, and 0 where it doesn't.
+// Flag returns a sample that is 1 for true and 0 for false.
 func Flag(name string, holds bool) Sample {
 	if holds {
 		return Of(name, 1)
@@ -43,10 +43,10 @@
 	return Of(name, 0)
 }
 
-// Seconds turns a duration into a sample's value.
+// Seconds returns a duration as the value of a sample.
 func Seconds(length time.Duration) float64 { return length.Seconds() }
 
-// Counts returns a sample for each of some counters, labelled by its key.
+// Counts returns a sample for each counter, labelled by its key.
 func Counts(name, label string, counts map[string]int64) []Sample {
 	samples := make([]Sample, 0, len(counts))
 	for about, count := range counts {
@@ -66,13 +66,16 @@
 	})
 	buffered := bufio.NewWriter(out)
 	for _, sample := range ordered {
-		buffered.WriteString(prefix + sample.Name)
-		if sample.Label != "" {
-			fmt.Fprintf(buffered, "{%s=%s}", sample.Label, strconv.Quote(sample.About))
-		}
-		buffered.WriteByte(' ')
-		buffered.WriteString(strconv.FormatFloat(sample.Value, 'g', -1, 64))
-		buffered.WriteByte('\n')
+		fmt.Fprintln(buffered, sample.line()) // Flush returns the first error
 	}
 	return buffered.Flush()
 }
+
+// line returns the sample in the exposition format.
+func (s Sample) line() string {
+	name := prefix + s.Name
+	if s.Label != "" {
+		name += fmt.Sprintf("{%s=%s}", s.Label, strconv.Quote(s.About))
+	}
+	return name + " " + strconv.FormatFloat(s.Value, 'g', -1, 64)
+}
--- a/internal/safeguard/rules.go
+++ b/internal/safeguard/rules.go
@@ -1,17 +1,15 @@
 package safeguard
 
-// This file is for the rules of the control machines, which are fields of an unexported
-// struct in each package; only the test files of that package reach them.
-
 import (
 	"fmt"
 	"reflect"
 	"unsafe"
 )
 
-// WithoutField runs something while one bool field of a struct of rules is set, which
-// switches that rule off. Only for test files, and never beside tests that run at the same
-// time.
+// WithoutField calls do while one bool field of a struct of rules is set, which switches that rule of a
+// control machine off. The rules are an unexported struct in each package, which only the test files
+// of that package reach. It is for test files only, and not for tests that run in parallel. It panics
+// for a name that the struct does not have.
 func WithoutField(rules any, name string, do func()) {
 	field := reflect.ValueOf(rules).Elem().FieldByName(name)
 	if !field.IsValid() {
--- a/internal/safeguard/safeguard.go
+++ b/internal/safeguard/safeguard.go
@@ -1,7 +1,6 @@
-// Package safeguard names the checks on which the promises to callers rest, one name for
-// each (docs/request-safety.md lists them with their reasons). All are in force in every
-// program. A test may take one out, to show that its model or its simulated run turns red
-// without it; a test of this package holds that nothing but test files does so.
+// Package safeguard names the checks that keep requests safe (docs/request-safety.md lists each with
+// its reason). All are in force in every program. A test may switch one off, to show that its model or
+// its simulated run fails without it; a test of this package verifies that only test files do so.
 package safeguard
 
 import "sync/atomic"
@@ -11,36 +10,36 @@
 
 // The checks, in the order of docs/request-safety.md.
 const (
-	// AnswerOfAnother passes over an answer that bears another request's name.
+	// AnswerOfAnother skips an answer that names another request.
 	AnswerOfAnother Guard = iota
-	// AnswerWithoutName takes no answer that names no request, where the request has a name.
+	// AnswerWithoutName accepts no answer without a name where the request has one.
 	AnswerWithoutName
-	// QuietConnection uses a kept connection only while nothing has come on it.
+	// QuietConnection reuses an idle connection only while nothing has arrived on it.
 	QuietConnection
-	// BytesBehind keeps no connection on which more came than the answer.
+	// BytesBehind reuses no connection on which more arrived than the answer.
 	BytesBehind
-	// WholeAnswer takes an answer only when its end can be told and has come.
+	// WholeAnswer accepts an answer only when its end can be recognised and has arrived.
 	WholeAnswer
-	// HiddenPromise takes no status that promises "not run" from an upstream that does not say so.
+	// HiddenPromise accepts no status that means "not run" from an upstream that does not say so.
 	HiddenPromise
-	// OnceOnly sends no request again that may have run, where its route does not allow it.
+	// OnceOnly retries no request that may have run, where its route does not allow it.
 	OnceOnly
-	// NoPromiseAfterRun promises "not run" only while no attempt may have run.
+	// NoPromiseAfterRun answers "not run" only while no attempt may have run.
 	NoPromiseAfterRun
-	// MostUpstreams offers a request to no more upstreams than its route allows.
+	// MostUpstreams sends a request to no more upstreams than its route allows.
 	MostUpstreams
-	// BarredQuestion lets no request start that was asked about before it came.
+	// BarredQuestion starts no request whose outcome was asked for before it arrived.
 	BarredQuestion
-	// NeverAttached says "not started" of a lost connection only if it never came about.
+	// NeverAttached reports "not started" for a lost connection only if it was never established.
 	NeverAttached
-	// OtherLife lets no later life of a serving proxy speak for an earlier one.
+	// OtherLife lets no later incarnation of a serving proxy answer for an earlier one.
 	OtherLife
 	guards
 )
 
 var off [guards]atomic.Bool
 
-// On says that the check is in force.
+// On reports whether the check is in force.
 func (g Guard) On() bool { return !off[g].Load() }
 
 // Test is the part of a running test that Without needs.
@@ -49,15 +48,15 @@
 	Helper()
 }
 
-// Without takes one check out until the test ends. Only for test files, and never beside
-// tests that run at the same time.
+// Without switches one check off until the test ends. It is for test files only, and not for tests that
+// run in parallel.
 func Without(test Test, g Guard) {
 	test.Helper()
 	off[g].Store(true)
 	test.Cleanup(func() { off[g].Store(false) })
 }
 
-// All lists every check.
+// All returns every check.
 func All() []Guard {
 	list := make([]Guard, guards)
 	for number := range list {
@@ -66,8 +65,9 @@
 	return list
 }
 
+// names are the guards' names, as docs/request-safety.md writes them.
 var names = [guards]string{"AnswerOfAnother", "AnswerWithoutName", "QuietConnection", "BytesBehind", "WholeAnswer", "HiddenPromise",
 	"OnceOnly", "NoPromiseAfterRun", "MostUpstreams", "BarredQuestion", "NeverAttached", "OtherLife"}
 
-// String is the name as docs/request-safety.md writes it.
+// String returns the name as docs/request-safety.md writes it.
 func (g Guard) String() string { return names[g] }
