--- a/internal/api/caller_timeouts_test.go
+++ b/internal/api/caller_timeouts_test.go
@@ -1,4 +1,4 @@
-// Callers' connections on real sockets: how long they may rest, how slow a head may be, and
+// Callers' connections on real sockets: how long they may be idle, how slow a header may be, and
 // that the body of a long request is not cut off.
 package api
 
@@ -56,7 +56,7 @@
 	return string(body)
 }
 
-// A body takes its time, which the request's own deadline bounds: the server's read time
+// A body is bounded by the request's own deadline only: the server's read timeout
 // cut every body after 30 s, with 400. Red where UseCallerTimeouts is left out.
 func TestALongBodyIsNotCut(t *testing.T) {
 	c := qt.New(t)
@@ -72,14 +72,14 @@
 	c.Assert(answered(c, reader), qt.Equals, "whole<nil>")
 }
 
-// A connection rests as long as the figure says, no less where the figure grows meanwhile,
-// and not for ever.
+// A connection stays idle for as long as the limit allows, for longer where the limit is raised
+// meanwhile, and not for ever.
 func TestIdleConnections(t *testing.T) {
 	c := qt.New(t)
 	limits := changing{atomic.NewDuration(400 * time.Millisecond), atomic.NewDuration(time.Second)}
 	address := callersServer(c, limits, func(out http.ResponseWriter, _ *http.Request) { fmt.Fprint(out, "ok") })
 	conn, reader := dialCaller(c, address)
-	time.Sleep(200 * time.Millisecond) // a new one rests, too
+	time.Sleep(200 * time.Millisecond) // a new one may be idle, too
 	for range 2 {
 		fmt.Fprint(conn, plainRequest)
 		c.Assert(answered(c, reader), qt.Equals, "ok")
--- a/internal/api/connection_limit_test.go
+++ b/internal/api/connection_limit_test.go
@@ -30,8 +30,8 @@
 	return err
 }
 
-// Callers that come back on new connections, and let the old ones rest, don't use up the
-// descriptors of the process: the connection that rested longest goes for the newest.
+// Callers that open new connections, and leave the old ones idle, don't use up the file descriptors of
+// the process: the connection that has been idle longest is closed for the newest.
 func TestRestingConnectionsMakeRoom(t *testing.T) {
 	c := qt.New(t)
 	group := goroutine.New()
@@ -52,7 +52,7 @@
 		defer conn.Close()
 		c.Assert(ask(conn), qt.IsNil)
 		conns = append(conns, conn)
-		time.Sleep(5 * time.Millisecond) // the server notes that it rests
+		time.Sleep(5 * time.Millisecond) // the server notices that it is idle
 	}
 	served := 0
 	for _, conn := range conns {
--- a/internal/api/metrics_test.go
+++ b/internal/api/metrics_test.go
@@ -14,7 +14,7 @@
 	"beaconvane/internal/settings"
 )
 
-// A process whose control machine doesn't answer still tells its own figures, and says so.
+// A process whose control machine doesn't reply still shows its own figures, and that it doesn't.
 func TestMetricsPageOfAStandingControlThread(t *testing.T) {
 	c := qt.New(t)
 	group := goroutine.New()
--- a/internal/api/response_test.go
+++ b/internal/api/response_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// An upstream takes an acknowledgement of at most 4 KiB for one, head and all.
+// Upstreams accept acknowledgements of at most 4 KiB, header included.
 func TestAcknowledgementsAreSmall(t *testing.T) {
 	c := qt.New(t)
 	const mostAcknowledgement = 4 << 10
--- a/internal/cli/operator_call.go
+++ b/internal/cli/operator_call.go
@@ -50,7 +50,7 @@
 	if r.err != nil {
 		return r.err
 	}
-	_, _ = out.Write(r.body) // whoever closed the output does not read an error either
+	_, _ = out.Write(r.body) // a closed output takes no error message either
 	if !bytes.HasSuffix(r.body, []byte("\n")) {
 		fmt.Fprintln(out)
 	}
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// The wait has an end, also where nobody listens, and the last answer is what is told.
+// The wait has an end, also while no registry listens, and the last answer is returned.
 func TestWriteWaitsNoLongerThanItSays(t *testing.T) {
 	c := qt.New(t)
 	at, writes := fakeRegistry(c, errcode.ConfigurationNoHolder)
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -14,7 +14,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// notifyHangups takes SIGHUP from the first moment on: by default it ends a process, also one that
+// notifyHangups handles SIGHUP from the start: by default it ends a process, also one that
 // is still reading its disk.
 func notifyHangups() chan os.Signal {
 	hangups := make(chan os.Signal, 1)
--- a/internal/cli/reload_test.go
+++ b/internal/cli/reload_test.go
@@ -1,4 +1,4 @@
-// Settings that change under a running process, told by a signal or by nobody.
+// Settings that change while the process runs, with a signal or without one.
 package cli
 
 import (
@@ -18,7 +18,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// seedRecorder is a machine that passes on the seeds that it is told.
+// seedRecorder is a machine that passes on the seeds that it is notified of.
 type seedRecorder struct{ received chan []string }
 
 func (l *seedRecorder) Handle(*statemachine.Env, string, any)  {}
--- a/internal/goroutine/wall_clock_test.go
+++ b/internal/goroutine/wall_clock_test.go
@@ -10,13 +10,13 @@
 const epoch = 1_000_000 * time.Hour
 
 // readings plays a clock second by second from one steady second to another, stepped by the
-// given duration, and returns the largest error of what the clock told.
+// given duration, and returns the largest error of its readings.
 func readings(clock *wallClock, from, to int, step time.Duration) time.Duration {
 	worst := time.Duration(0)
 	for second := from; second < to; second++ {
 		steady := time.Duration(second) * time.Second
-		told := clock.at(steady, epoch+steady+step)
-		worst = max(worst, (told - epoch - steady).Abs())
+		reading := clock.at(steady, epoch+steady+step)
+		worst = max(worst, (reading - epoch - steady).Abs())
 	}
 	return worst
 }
@@ -46,8 +46,8 @@
 	clock := &wallClock{}
 	readings(clock, 1, 10, 0)
 	readings(clock, 10, 31, -3*time.Second)
-	told := clock.at(31*time.Second, epoch+28*time.Second)
-	c.Check(told, qt.Equals, epoch+28*time.Second)
+	reading := clock.at(31*time.Second, epoch+28*time.Second)
+	c.Check(reading, qt.Equals, epoch+28*time.Second)
 }
 
 func TestSmallCorrectionsAreFollowedAtOnce(t *testing.T) {
--- a/internal/safeguard/safeguard_test.go
+++ b/internal/safeguard/safeguard_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// No program takes a check out: the call stands in test files only.
+// No program switches a check off: only test files call it.
 func TestOnlyTestFilesTakeChecksOut(t *testing.T) {
 	c := qt.New(t)
 	calls := []string{"safeguard." + "Without(", "safeguard." + "WithoutField("}
--- a/internal/settings/adjust_test.go
+++ b/internal/settings/adjust_test.go
@@ -1,4 +1,4 @@
-// Bounds that leave little room: what is derived, what is given up, and what is said.
+// Bounds that leave each other little room: what is derived, what is given up, and the warnings.
 package settings
 
 import (
@@ -25,7 +25,7 @@
 }
 
 // A lease is shortened until a takeover fits in the tightest bound; past the shortest
-// lease the rule's own bound is kept, and a warning names the price.
+// lease the rule's own bound is kept, and a warning names what is given up.
 func TestLeaseFollowsTheTightestBound(t *testing.T) {
 	c := qt.New(t)
 	for _, tried := range []struct {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,10 +53,10 @@
 	Request            int64   `json:"request_ms"`
 	Grace              int64   `json:"grace_ms"`
 	SpillMargin        float64 `json:"spill_margin"`
-	Linger             int64   `json:"linger_ms"`   // a polite stop takes requests for so long yet
-	Memory             int64   `json:"memory_mb"`   // of the process; 0: not told
-	Link               int64   `json:"link_bytes"`  // that the machine's link carries each way in a second; 0: not told
-	Descriptors        int64   `json:"descriptors"` // that the process may hold open; 0: not told
+	Linger             int64   `json:"linger_ms"`   // how long a process that stops still accepts requests
+	Memory             int64   `json:"memory_mb"`   // of the process; 0: not given
+	Link               int64   `json:"link_bytes"`  // capacity of the machine's link each way in a second; 0: not given
+	Descriptors        int64   `json:"descriptors"` // that the process may have open; 0: not given
 }
 
 // How a proxy knows that a request reaches the upstream that it is meant for.
@@ -99,7 +99,7 @@
 	Data        string            `json:"data"`
 	ConfigNames []string          `json:"configurations"`
 	Writes      string            `json:"puts"`   // rising: a lower number is a conflict; highest: it is acknowledged and alters nothing
-	Slices      []string          `json:"slices"` // a proxy's: zones it takes upstreams from; default all
+	Slices      []string          `json:"slices"` // a proxy's: zones whose upstreams it uses; default all
 	Collector   string            `json:"collector"`
 	Active      map[string]string `json:"active"`
 	LogLevel    int64             `json:"log_level"`
