--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -175,7 +175,12 @@
 
 // ConfigurationLimits returns the limits that every reader of configurations applies.
 func (c Settings) ConfigurationLimits() routeconfig.Limits {
-	return routeconfig.Limits{MaxBytes: c.Limits.Configuration, MaxEntries: c.Limits.Entries, MaxTimeout: c.RequestLimit(), Lenient: c.Fields == FieldsKeep}
+	return routeconfig.Limits{
+		MaxBytes:   c.Limits.Configuration,
+		MaxEntries: c.Limits.Entries,
+		MaxTimeout: c.RequestLimit(),
+		Lenient:    c.Fields == FieldsKeep,
+	}
 }
 
 func ms(value int64) time.Duration { return time.Duration(value) * time.Millisecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,11 +25,13 @@
 
 func TestFaultsComeAllAtOnce(t *testing.T) {
 	c := qt.New(t)
-	const file = `{"node":"a","node":"b","colour":1,"bounds":{"heartbeat":3},"address":"host:1","seeds":["1.1.1.1:1"],"zones":["x"],"zone":"y"}`
+	const file = `{"node":"a","node":"b","colour":1,"bounds":{"heartbeat":3},"address":"host:1",
+		"seeds":["1.1.1.1:1"],"zones":["x"],"zone":"y"}`
 	_, faults := Read("proxy", []byte(file), nil)
 	text := strings.Join(faults, "\n")
 	for _, wanted := range []string{"node: key stands twice (1002)", "colour: unknown key (1001)",
-		"bounds.heartbeat: unknown key (1001)", "address: want an IP number and a port, have host:1 (1002)", "outside: missing (1003)", "seeds: want three addresses (1002)", "zone: not among zones (1002)"} {
+		"bounds.heartbeat: unknown key (1001)", "address: want an IP number and a port, have host:1 (1002)", "outside: missing (1003)",
+		"seeds: want three addresses (1002)", "zone: not among zones (1002)"} {
 		c.Check(text, qt.Contains, wanted)
 	}
 	_, faults = Read("proxy", []byte(`{`), nil)
