--- a/cmd/simulate/explore.go
+++ b/cmd/simulate/explore.go
@@ -34,7 +34,8 @@
 	command := &cobra.Command{Use: "explore", Short: "search the states of the control machines for broken promises", SilenceUsage: true,
 		RunE: func(*cobra.Command, []string) error { return flags.run() }}
 	set := command.Flags()
-	set.StringVar(&flags.options.Role, "role", message.RoleConfigStore, "which machines are explored: "+message.RoleConfigStore+" or "+message.RoleRegistry)
+	set.StringVar(&flags.options.Role, "role", message.RoleConfigStore,
+		"which machines are explored: "+message.RoleConfigStore+" or "+message.RoleRegistry)
 	set.IntVar(&flags.options.Voters, "voters", flags.options.Voters, "how many voters the group has")
 	set.BoolVar(&flags.options.Named, "named", false, "the settings name the voters")
 	set.BoolVar(&flags.options.Highest, "highest", false, "writes of an older version are acknowledged and alter nothing")
@@ -69,7 +70,8 @@
 	summary := explore.Sweep(f.options, f.seed, f.walks, f.workers, f.limit, func(s explore.Summary) {
 		fmt.Fprintf(os.Stderr, "%s: %d walks, %d steps, %v\n", s.Took.Round(time.Second), s.Walks, s.Steps, s.Broken)
 	})
-	fmt.Printf("%d walks of %d rounds, %d voters: %d steps, %d epochs held, %d answers in %s; actions %v\n", summary.Walks, f.options.Rounds,
+	fmt.Printf("%d walks of %d rounds, %d voters: %d steps, %d epochs held, %d answers in %s; actions %v\n",
+		summary.Walks, f.options.Rounds,
 		f.options.Voters, summary.Steps, summary.Epochs, summary.Answers, summary.Took.Round(time.Millisecond), summary.Counts)
 	return report(summary)
 }
@@ -79,8 +81,10 @@
 	searched := explore.Search(f.options, f.bounds, f.seed, f.workers, func(s explore.Searched) {
 		fmt.Fprintf(os.Stderr, "%s: %d runs, %d states, %d cut, %v\n", s.Took.Round(time.Second), s.Walks, s.States, s.Cut, s.Broken)
 	})
-	fmt.Printf("search: %d voters, up to %d faults in rounds %d to %d of %d: %d runs, %d states, %d branches cut, whole %t, %d steps, %d answers in %s\n",
-		f.options.Voters, f.bounds.Faults, f.bounds.From, f.bounds.To-1, f.options.Rounds, searched.Walks, searched.States, searched.Cut, searched.Whole,
+	fmt.Printf("search: %d voters, up to %d faults in rounds %d to %d of %d: ",
+		f.options.Voters, f.bounds.Faults, f.bounds.From, f.bounds.To-1, f.options.Rounds)
+	fmt.Printf("%d runs, %d states, %d branches cut, whole %t, %d steps, %d answers in %s\n",
+		searched.Walks, searched.States, searched.Cut, searched.Whole,
 		searched.Steps, searched.Answers, searched.Took.Round(time.Millisecond))
 	return report(searched.Summary)
 }
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -46,7 +46,8 @@
 			return nil
 		}}
 	flags := root.Flags()
-	flags.StringVar(&name, "deployment", name, "small, umuyoboro, jendela, umuyoboro-platform, jendela-platform, jendela-narrow, voters-3, voters-5, voters-3-4 or voters-zones")
+	flags.StringVar(&name, "deployment", name,
+		"small, umuyoboro, jendela, umuyoboro-platform, jendela-platform, jendela-narrow, voters-3, voters-5, voters-3-4 or voters-zones")
 	flags.StringVar(&scenarios, "scenario", scenarios, "all, or some of: "+strings.Join(simulation.Names(), ", "))
 	flags.Uint64Var(&first, "seed", first, "first seed")
 	flags.IntVar(&count, "count", count, "how many seeds")
@@ -60,7 +61,25 @@
 	}
 }
 
+// sweep plays the seeds, prints a summary and the first seed that failed, and returns how many failed.
 func sweep(d workload.Deployment, scenario string, first uint64, count, workers int, rate float64, log, shrink bool) int {
+	results := play(d, scenario, first, count, workers, rate, log)
+	total := summarize(results)
+	line, _ := json.Marshal(map[string]any{"worst": total.worst, "seen": total.seen, "rules": total.rules})
+	fmt.Printf("%s %s: %d of %d seeds broke a promise; answered %.4f in the mean, %.4f at the least; %s\n",
+		d.Name, scenario, total.broken, count, total.good/float64(count), total.lowest, line)
+	if total.failed != nil {
+		failed := *total.failed
+		if shrink {
+			failed = simulation.Shrink(d, failed, rate)
+		}
+		printFailed(d, scenario, rate, failed)
+	}
+	return total.broken
+}
+
+// play runs the seeds from first on with some workers, and returns the results in the order of the seeds.
+func play(d workload.Deployment, scenario string, first uint64, count, workers int, rate float64, log bool) []simulation.Result {
 	results := make([]simulation.Result, count)
 	members := goroutine.New()
 	seeds := make(chan int, count)
@@ -83,52 +102,66 @@
 		})
 	}
 	waiting.Wait()
-	worst, seen, rules := map[string]float64{}, map[string]int{}, map[string]int{}
-	broken, good, lowest := 0, 0.0, 1.0
-	var failed *simulation.Result
+	return results
+}
+
+// totals joins the results of many seeds.
+type totals struct {
+	worst        map[string]float64
+	seen, rules  map[string]int
+	broken       int
+	good, lowest float64            // share of requests answered: the sum over the seeds, and the least
+	failed       *simulation.Result // of the first seed that broke a promise
+}
+
+// summarize joins the results and prints one line for each seed that broke a promise.
+func summarize(results []simulation.Result) totals {
+	total := totals{worst: map[string]float64{}, seen: map[string]int{}, rules: map[string]int{}, lowest: 1}
 	for index, result := range results {
 		for name, value := range result.Review.Worst {
-			worst[name] = max(worst[name], value)
+			total.worst[name] = max(total.worst[name], value)
 		}
 		for name, value := range result.Review.Seen {
-			seen[name] += value
+			total.seen[name] += value
 		}
-		good += result.Good
-		lowest = min(lowest, result.Good)
-		if len(result.Review.Violations) > 0 {
-			broken++
-			if failed == nil {
-				failed = &results[index]
-			}
-			fmt.Printf("  seed %d: %s: %s\n", result.Seed, result.Review.Violations[0].Rule, result.Review.Violations[0].Detail)
-			met := map[string]bool{}
-			for _, violation := range result.Review.Violations {
-				if !met[violation.Rule] {
-					rules[violation.Rule]++
-				}
-				met[violation.Rule] = true
-			}
+		total.good += result.Good
+		total.lowest = min(total.lowest, result.Good)
+		violations := result.Review.Violations
+		if len(violations) == 0 {
+			continue
 		}
-	}
-	line, _ := json.Marshal(map[string]any{"worst": worst, "seen": seen, "rules": rules})
-	fmt.Printf("%s %s: %d of %d seeds broke a promise; answered %.4f in the mean, %.4f at the least; %s\n", d.Name, scenario, broken, count, good/float64(count), lowest, line)
-	if failed != nil {
-		if shrink {
-			smaller := simulation.Shrink(d, *failed, rate)
-			failed = &smaller
+		total.broken++
+		if total.failed == nil {
+			total.failed = &results[index]
 		}
-		fmt.Printf("  seed %d (replay: simulate --deployment %s --scenario %s --rate %g --count 1 --seed %d --log)\n", failed.Seed, d.Name, scenario, rate, failed.Seed)
-		sort.SliceStable(failed.Plan, func(i, j int) bool { return failed.Plan[i].At < failed.Plan[j].At })
-		for _, step := range failed.Plan {
-			fmt.Println("   ", step)
-		}
-		for index, violation := range failed.Review.Violations {
-			if index == 6 {
-				fmt.Printf("    and %d more\n", len(failed.Review.Violations)-index)
-				break
+		fmt.Printf("  seed %d: %s: %s\n", result.Seed, violations[0].Rule, violations[0].Detail)
+		counted := map[string]bool{}
+		for _, violation := range violations {
+			if !counted[violation.Rule] {
+				total.rules[violation.Rule]++
 			}
-			fmt.Printf("    %s: %s\n", violation.Rule, violation.Detail)
+			counted[violation.Rule] = true
+		}
+	}
+	return total
+}
+
+// violationsShown bounds how many violations of a failed seed are printed.
+const violationsShown = 6
+
+// printFailed prints how to replay a failed seed, its plan and its first violations.
+func printFailed(d workload.Deployment, scenario string, rate float64, failed simulation.Result) {
+	fmt.Printf("  seed %d (replay: simulate --deployment %s --scenario %s --rate %g --count 1 --seed %d --log)\n",
+		failed.Seed, d.Name, scenario, rate, failed.Seed)
+	sort.SliceStable(failed.Plan, func(i, j int) bool { return failed.Plan[i].At < failed.Plan[j].At })
+	for _, step := range failed.Plan {
+		fmt.Println("   ", step)
+	}
+	for index, violation := range failed.Review.Violations {
+		if index == violationsShown {
+			fmt.Printf("    and %d more\n", len(failed.Review.Violations)-index)
+			break
 		}
+		fmt.Printf("    %s: %s\n", violation.Rule, violation.Detail)
 	}
-	return broken
 }
--- a/internal/explore/checks.go
+++ b/internal/explore/checks.go
@@ -41,7 +41,8 @@
 	state := p.machine.VoterState()
 	for _, earlier := range w.lists {
 		if !ordered(earlier.list, state.MemberList) && !ordered(state.MemberList, earlier.list) {
-			w.violate("one-line", "%s decided under %s, and %s under %s", earlier.by, listText(earlier.list), p.name(), listText(state.MemberList))
+			w.violate("one-line", "%s decided under %s, and %s under %s", earlier.by, listText(earlier.list), p.name(),
+				listText(state.MemberList))
 			return
 		}
 	}
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -28,12 +28,14 @@
 	for name, walks := range walksOf {
 		t.Run(name, func(t *testing.T) {
 			summary := Sweep(walks.options, 1, walks.count, runtime.GOMAXPROCS(0), 0, nil)
-			t.Logf("%d walks, %d steps, %d epochs held, %d answers in %s", summary.Walks, summary.Steps, summary.Epochs, summary.Answers, summary.Took)
+			t.Logf("%d walks, %d steps, %d epochs held, %d answers in %s", summary.Walks, summary.Steps, summary.Epochs,
+				summary.Answers, summary.Took)
 			for rule, found := range summary.Found {
 				shrunk := Shrink(found)
 				t.Errorf("%s is broken by %d walks: %s\n%s", rule, summary.Broken[rule], shrunk.Violation, shrunk.Plan)
 			}
-			qt.Assert(t, summary.Epochs > summary.Walks, qt.IsTrue, qt.Commentf("%d epochs in %d walks: the lease hardly moved", summary.Epochs, summary.Walks))
+			qt.Assert(t, summary.Epochs > summary.Walks, qt.IsTrue,
+				qt.Commentf("%d epochs in %d walks: the lease hardly moved", summary.Epochs, summary.Walks))
 			qt.Assert(t, summary.Answers > summary.Walks*5, qt.IsTrue)
 			for _, kind := range allFaults {
 				if walks.options.Named && (kind == Replace || kind == Join || kind == Leave) {
@@ -64,7 +66,8 @@
 				shrunk := Shrink(found)
 				t.Errorf("%s is broken by %d walks: %s\n%s", rule, summary.Broken[rule], shrunk.Violation, shrunk.Plan)
 			}
-			qt.Assert(t, summary.Epochs > summary.Walks*2, qt.IsTrue, qt.Commentf("%d epochs in %d walks: the leases hardly moved", summary.Epochs, summary.Walks))
+			qt.Assert(t, summary.Epochs > summary.Walks*2, qt.IsTrue,
+				qt.Commentf("%d epochs in %d walks: the leases hardly moved", summary.Epochs, summary.Walks))
 			for _, kind := range []Kind{Crash, CrashDisk, DiskLost, Replace, Cut, Isolate, Freeze, Deaf, UpstreamStep} {
 				qt.Assert(t, summary.Counts[kind] > 0, qt.IsTrue, qt.Commentf("no %s in %d walks", kind, summary.Walks))
 			}
@@ -102,8 +105,10 @@
 	if racing {
 		t.Skip("each run is one thread; run without -race")
 	}
-	searched := Search(Options{Voters: 3, Rounds: 70}, Bounds{From: 10, To: 14, Faults: 1, Length: []int{4, 40}}, 1, runtime.GOMAXPROCS(0), nil)
-	t.Logf("%d runs, %d states, %d branches cut, %d steps in %s", searched.Walks, searched.States, searched.Cut, searched.Steps, searched.Took)
+	searched := Search(Options{Voters: 3, Rounds: 70},
+		Bounds{From: 10, To: 14, Faults: 1, Length: []int{4, 40}}, 1, runtime.GOMAXPROCS(0), nil)
+	t.Logf("%d runs, %d states, %d branches cut, %d steps in %s", searched.Walks, searched.States, searched.Cut, searched.Steps,
+		searched.Took)
 	qt.Assert(t, searched.Whole, qt.IsTrue)
 	qt.Assert(t, searched.Deepest, qt.Equals, 1)
 	qt.Assert(t, searched.Walks > 300, qt.IsTrue)
--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -40,7 +40,7 @@
 	w.note("%s", action)
 	switch action.Kind {
 	case Crash:
-		p.stop(w, action.Dice)
+		p.stop(action.Dice)
 		w.after(action.Rounds, func() { p.boot(w) })
 	case CrashDisk:
 		p.disk.StopAfter(max(action.DiskSteps, 1))
@@ -56,21 +56,9 @@
 	case Cut, CutOneWay, Isolate:
 		return w.doCut(p, action)
 	case Deaf:
-		if w.fleet == nil {
-			return false
-		}
-		w.fleet.deafTo[[2]int{p.index, action.Peer % fleetProxies}] = w.round + action.Rounds
+		return w.doDeaf(p, action)
 	case Freeze:
-		if p.frozen {
-			return false
-		}
-		p.frozen = true
-		life := p.life
-		w.after(action.Rounds, func() {
-			if p.life == life {
-				p.frozen, p.thawedAt = false, w.round
-			}
-		})
+		return w.doFreeze(p, action)
 	case ClockStep:
 		p.wall += time.Duration(action.Rounds) * roundTime
 	case WriteOrder:
@@ -85,6 +73,29 @@
 	return true
 }
 
+// doDeaf has a proxy of the fleet miss all that the process sends it for some rounds.
+func (w *World) doDeaf(p *process, action Action) bool {
+	if w.fleet == nil {
+		return false
+	}
+	w.fleet.deafTo[[2]int{p.index, action.Peer % fleetProxies}] = w.round + action.Rounds
+	return true
+}
+
+// doFreeze stops the process from running for some rounds, unless it restarts before.
+func (w *World) doFreeze(p *process, action Action) bool {
+	if p.frozen {
+		return false
+	}
+	p.frozen = true
+	life := p.life
+	w.after(action.Rounds, func() {
+		if p.life == life {
+			p.frozen, p.thawedAt = false, w.round
+		}
+	})
+	return true
+}
 func (w *World) doMessage(action Action) bool {
 	if len(w.queue) == 0 || w.inRound == 0 || w.queue[0].datagram || w.queue[0].write != nil || w.queue[0].from == operatorAddress {
 		return false
@@ -136,7 +147,7 @@
 	if !w.spared(p) {
 		return false
 	}
-	p.stop(w, action.Dice)
+	p.stop(action.Dice)
 	p.disk, p.seated = simulation.NewDisk(), false
 	w.after(action.Rounds, func() { p.boot(w) })
 	return true
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -81,11 +81,24 @@
 func newFleet() *fleet {
 	f := &fleet{windows: map[int64]report{}, lives: map[int64]string{}, deafTo: map[[2]int]int{}, changes: map[message.Position]string{}}
 	for number := range fleetProxies {
-		proxy := &fleetProxy{name: fmt.Sprintf("proxy/p%d", number), address: fmt.Sprintf("10.9.1.%d:1", number+1), counts: map[int64]int64{}}
+		proxy := &fleetProxy{
+			name:    fmt.Sprintf("proxy/p%d", number),
+			address: fmt.Sprintf("10.9.1.%d:1", number+1),
+			counts:  map[int64]int64{},
+		}
 		for index := range upstreamsPerProxy {
 			proxy.upstreams = append(proxy.upstreams, &fleetUpstream{there: true, registration: message.Registration{
-				Service: "service", Instance: fmt.Sprintf("i%d-%d", number, index), Incarnation: 1, Address: fmt.Sprintf("10.8.%d.%d:1", number, index),
-				Zone: fleetZone, Slots: 4, State: message.StateReady, ServingProxy: proxy.name, ServingProxyAddress: proxy.address, ServingProxyStartTime: 1}})
+				Service:               "service",
+				Instance:              fmt.Sprintf("i%d-%d", number, index),
+				Incarnation:           1,
+				Address:               fmt.Sprintf("10.8.%d.%d:1", number, index),
+				Zone:                  fleetZone,
+				Slots:                 4,
+				State:                 message.StateReady,
+				ServingProxy:          proxy.name,
+				ServingProxyAddress:   proxy.address,
+				ServingProxyStartTime: 1,
+			}})
 		}
 		f.proxies = append(f.proxies, proxy)
 	}
@@ -139,10 +152,22 @@
 }
 
 func (x *fleetProxy) heartbeat(window int64) message.HeartbeatBatch {
-	batch := message.HeartbeatBatch{Proxy: x.name, StartTime: 1, Ready: true, Window: window, Heartbeats: []message.Heartbeat{}, Deregistrations: []message.Deregistration{}, Positions: []message.Position{}, Path: []string{}}
+	batch := message.HeartbeatBatch{
+		Proxy:           x.name,
+		StartTime:       1,
+		Ready:           true,
+		Window:          window,
+		Heartbeats:      []message.Heartbeat{},
+		Deregistrations: []message.Deregistration{},
+		Positions:       []message.Position{},
+		Path:            []string{},
+	}
 	for _, upstream := range x.upstreams {
 		if upstream.there {
-			batch.Heartbeats = append(batch.Heartbeats, message.Heartbeat{Registration: upstream.registration, ProbeResult: upstream.probed})
+			batch.Heartbeats = append(batch.Heartbeats, message.Heartbeat{
+				Registration: upstream.registration,
+				ProbeResult:  upstream.probed,
+			})
 		}
 	}
 	return batch
@@ -159,7 +184,11 @@
 		if window < x.sealed || update.Closed == 0 && window < current {
 			continue
 		}
-		update.Counts = append(update.Counts, message.UsageCount{Window: window, Counts: map[string]int64{fleetTenant: x.counts[window]}, Open: map[string]int64{}})
+		update.Counts = append(update.Counts, message.UsageCount{
+			Window: window,
+			Counts: map[string]int64{fleetTenant: x.counts[window]},
+			Open:   map[string]int64{},
+		})
 	}
 	return update
 }
@@ -265,7 +294,8 @@
 func (w *World) checkReport(p *process, sent registry.UsageReport) {
 	f := w.fleet
 	if earlier, known := f.windows[sent.Window]; known && !maps.Equal(earlier.counts, sent.Counts) {
-		w.violate("one-value", "%s reports window %d as %v, and %s has as %v", p.name(), sent.Window, sent.Counts, earlier.by, earlier.counts)
+		w.violate("one-value", "%s reports window %d as %v, and %s has as %v", p.name(), sent.Window, sent.Counts, earlier.by,
+			earlier.counts)
 	}
 	if sent.Epoch < f.fence {
 		w.violate("fence", "%s reports under %d, and %d was seen", p.name(), sent.Epoch, f.fence)
@@ -338,7 +368,8 @@
 			truth += proxy.counts[window]
 		}
 		if window >= first && taken.counts[fleetTenant] != truth {
-			w.violate("counts", "window %d was reported as %d by %s, and %d were counted", window, taken.counts[fleetTenant], taken.by, truth)
+			w.violate("counts", "window %d was reported as %d by %s, and %d were counted", window, taken.counts[fleetTenant], taken.by,
+				truth)
 		}
 	}
 }
--- a/internal/explore/history.go
+++ b/internal/explore/history.go
@@ -6,6 +6,7 @@
 import (
 	"fmt"
 	"math"
+	"strconv"
 	"strings"
 	"time"
 
@@ -120,33 +121,67 @@
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{""} },
 		Step: func(state, input, output any) []any {
-			return h.next(state.(string), input.(*operation), output.(outcome))
+			return h.step(state, input, output)
 		},
 		Equal: func(one, other any) bool { return one == other },
 	}
 	return model.ToModel()
 }
 
+// step gives porcupine's untyped values their types; any other type is a programming error.
+func (h *history) step(state, input, output any) []any {
+	committed, isState := state.(string)
+	asked, isOperation := input.(*operation)
+	answer, isOutcome := output.(outcome)
+	if !isState || !isOperation || !isOutcome {
+		panic(fmt.Sprintf("explore: the model got a %T, a %T and a %T", state, input, output))
+	}
+	return h.next(committed, asked, answer)
+}
+
 const entryMark = "\n"
 
-func (h *history) next(state string, asked *operation, answer outcome) []any {
-	current, currentBody := int64(0), ""
-	if entries := strings.Split(strings.TrimSuffix(state, entryMark), entryMark); state != "" {
-		fmt.Sscanf(entries[len(entries)-1], "%d", &current)
-		_, currentBody, _ = strings.Cut(entries[len(entries)-1], " ")
+// newestEntry returns version and body of the last entry in the model's state; zero values when the
+// state holds none. An entry that does not begin with a number is a programming error of the model.
+func newestEntry(state string) (version int64, body string) {
+	if state == "" {
+		return 0, ""
 	}
+	entries := strings.Split(strings.TrimSuffix(state, entryMark), entryMark)
+	number, body, _ := strings.Cut(entries[len(entries)-1], " ")
+	version, err := strconv.ParseInt(number, 10, 64)
+	if err != nil {
+		panic(fmt.Sprintf("explore: model entry %q has no version: %v", entries[len(entries)-1], err))
+	}
+	return version, body
+}
+
+// next returns the states that may follow state when the operation was answered so.
+func (h *history) next(state string, asked *operation, answer outcome) []any {
+	current, currentBody := newestEntry(state)
 	same := answer.version == current && answer.body == currentBody
 	if asked.kind == readKind {
-		found := answer.code == errcode.OK && same
-		empty := answer.code == errcode.ConfigurationNotFound && state == ""
-		if !answer.known || found || empty {
-			return []any{state}
-		}
-		return nil
+		return nextRead(state, answer, same)
+	}
+	return h.nextWrite(state, asked, answer, asked.version > current, same)
+}
+
+// nextRead leaves the state as it is; no state follows an answer that does not fit it.
+func nextRead(state string, answer outcome, same bool) []any {
+	found := answer.code == errcode.OK && same
+	empty := answer.code == errcode.ConfigurationNotFound && state == ""
+	if !answer.known || found || empty {
+		return []any{state}
 	}
+	return nil
+}
+
+// nextWrite adds the entry where the answer says so, and both does and does not where the answer
+// is unknown. newer says that the write's version is above the state's, same that the answer names
+// the state's newest entry.
+func (h *history) nextWrite(state string, asked *operation, answer outcome, newer, same bool) []any {
 	entry := orderKey(asked.version, asked.body) + entryMark
 	held := strings.Contains(entryMark+state, entryMark+entry)
-	newer := asked.version > current
 	switch {
 	case !answer.known && newer:
 		return []any{state, state + entry}
--- a/internal/explore/process.go
+++ b/internal/explore/process.go
@@ -73,7 +73,7 @@
 }
 
 // stop ends the process at once; the disk keeps what the dice say of unsynced writes.
-func (p *process) stop(w *World, dice uint64) {
+func (p *process) stop(dice uint64) {
 	if !p.up {
 		return
 	}
@@ -102,7 +102,7 @@
 		failure = p.store.Append([][]byte{write.Record})
 	}
 	if p.disk.Stopped() {
-		p.stop(w, w.crashDice[p.index])
+		p.stop(w.crashDice[p.index])
 		w.after(w.crashRounds[p.index], func() { p.boot(w) })
 		return
 	}
--- a/internal/explore/run.go
+++ b/internal/explore/run.go
@@ -81,7 +81,8 @@
 		shrunk := false
 		for from := 0; from < len(best.Plan.Actions); {
 			plan := best.Plan
-			plan.Actions = append(append([]Action{}, best.Plan.Actions[:from]...), best.Plan.Actions[min(from+size, len(best.Plan.Actions)):]...)
+			plan.Actions = append(append([]Action{}, best.Plan.Actions[:from]...),
+				best.Plan.Actions[min(from+size, len(best.Plan.Actions)):]...)
 			if result, broken := breaks(plan); broken {
 				best, shrunk = result, true
 				continue
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -76,8 +76,15 @@
 
 // Search runs through all plans within the bounds, in an order drawn from the seed.
 func Search(options Options, bounds Bounds, seed uint64, workers int, progress func(Searched)) Searched {
-	s := &search{options: options, bounds: bounds, seed: seed, orders: operatorsOrders(options, bounds), met: map[uint64]int{}, began: time.Now(),
-		random: rand.New(rand.NewPCG(seed, 0xdf5))}
+	s := &search{
+		options: options,
+		bounds:  bounds,
+		seed:    seed,
+		orders:  operatorsOrders(options, bounds),
+		met:     map[uint64]int{},
+		began:   time.Now(),
+		random:  rand.New(rand.NewPCG(seed, 0xdf5)),
+	}
 	s.ready = sync.NewCond(&s.lock)
 	s.searched.Summary = Summary{Counts: map[Kind]int64{}, Found: map[string]Result{}, Broken: map[string]int64{}}
 	s.open = []branch{{}}
@@ -137,7 +144,14 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.busy--
-	s.searched.add(Result{Plan: plan, Violation: w.violation, Steps: w.step, Counts: w.counts, Epochs: len(w.holders), Answers: w.history.answers()})
+	s.searched.add(Result{
+		Plan:      plan,
+		Violation: w.violation,
+		Steps:     w.step,
+		Counts:    w.counts,
+		Epochs:    len(w.holders),
+		Answers:   w.history.answers(),
+	})
 	s.searched.Deepest = max(s.searched.Deepest, len(next.actions))
 	s.open = append(s.open, scout.found...)
 	s.ready.Broadcast()
@@ -194,7 +208,13 @@
 	if next.write != nil {
 		for steps := 1; steps <= 6; steps++ {
 			for dice := range uint64(2) {
-				faults = append(faults, Action{Kind: CrashDisk, Node: next.to.index, DiskSteps: steps, Dice: dice, Rounds: s.bounds.Length[0]})
+				faults = append(faults, Action{
+					Kind:      CrashDisk,
+					Node:      next.to.index,
+					DiskSteps: steps,
+					Dice:      dice,
+					Rounds:    s.bounds.Length[0],
+				})
 			}
 		}
 		faults = append(faults, Action{Kind: DiskSlow, Node: next.to.index, Rounds: s.bounds.Length[0]})
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -96,8 +96,8 @@
 		return true
 	}
 	switch next.message.(type) {
-	case message.LogAppend, message.LogAppendDelta, message.LogAppended, message.LogRecommit, message.LogPositionResponse, message.LogSnapshot,
-		message.WriteRequest, message.ReadRequest, message.VoterClaim, message.VoterGrant,
+	case message.LogAppend, message.LogAppendDelta, message.LogAppended, message.LogRecommit, message.LogPositionResponse,
+		message.LogSnapshot, message.WriteRequest, message.ReadRequest, message.VoterClaim, message.VoterGrant,
 		message.UsageSeal, message.UsageSealResponse, message.UsageReadResponse, message.RosterChange, message.RosterSnapshot:
 		return true
 	}
@@ -138,7 +138,12 @@
 }
 
 func (k *walker) fault(w *World, next *item) []Action {
-	action := Action{Kind: k.kinds[k.random.IntN(len(k.kinds))], Rounds: k.rounds(), Dice: k.random.Uint64(), DiskSteps: 1 + k.random.IntN(7)}
+	action := Action{
+		Kind:      k.kinds[k.random.IntN(len(k.kinds))],
+		Rounds:    k.rounds(),
+		Dice:      k.random.Uint64(),
+		DiskSteps: 1 + k.random.IntN(7),
+	}
 	action.Node = k.target(w, next)
 	action.Peer = k.random.IntN(len(w.processes))
 	if action.Kind == ClockStep {
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -85,8 +85,19 @@
 func (v Violation) String() string { return fmt.Sprintf("round %d: %s: %s", v.Round, v.Rule, v.Detail) }
 
 func newWorld(plan Plan, chooser chooser, log func(line string)) *World {
-	w := &World{plan: plan, chooser: chooser, log: log, byAddress: map[string]*process{}, later: map[int][]item{}, timers: map[int][]func(){},
-		cutTo: map[[2]int]int{}, holders: map[string]string{}, counts: map[Kind]int{}, crashDice: map[int]uint64{}, crashRounds: map[int]int{}}
+	w := &World{
+		plan:        plan,
+		chooser:     chooser,
+		log:         log,
+		byAddress:   map[string]*process{},
+		later:       map[int][]item{},
+		timers:      map[int][]func(){},
+		cutTo:       map[[2]int]int{},
+		holders:     map[string]string{},
+		counts:      map[Kind]int{},
+		crashDice:   map[int]uint64{},
+		crashRounds: map[int]int{},
+	}
 	w.history = newHistory(plan.Highest)
 	if plan.Role == message.RoleRegistry {
 		w.fleet = newFleet()
@@ -131,13 +142,18 @@
 
 func addressOf(index int) string { return fmt.Sprintf("10.0.0.%d:1", index+1) }
 
-func (w *World) addProcess(found bool) *process {
+func (w *World) addProcess(found bool) {
 	index := len(w.processes)
-	p := &process{index: index, settings: w.settingsOf(index, found), role: w.plan.Role, address: addressOf(index), disk: simulation.NewDisk()}
+	p := &process{
+		index:    index,
+		settings: w.settingsOf(index, found),
+		role:     w.plan.Role,
+		address:  addressOf(index),
+		disk:     simulation.NewDisk(),
+	}
 	w.processes = append(w.processes, p)
 	w.byAddress[p.address] = p
 	p.boot(w)
-	return p
 }
 
 func (w *World) note(format string, values ...any) {
@@ -293,7 +309,15 @@
 		}
 	case statemachine.Datagram:
 		if to := w.byAddress[done.To]; to != nil {
-			w.queue = append(w.queue, item{step: w.step, from: p.address, voter: p.seated, to: to, life: to.life, message: done.Message, datagram: true})
+			w.queue = append(w.queue, item{
+				step:     w.step,
+				from:     p.address,
+				voter:    p.seated,
+				to:       to,
+				life:     to.life,
+				message:  done.Message,
+				datagram: true,
+			})
 		}
 	case statemachine.Write:
 		write := done
@@ -301,7 +325,11 @@
 	case statemachine.Event:
 		w.event(p, done)
 	case statemachine.Report:
-		w.reports(p, done.Body.(registry.UsageReport))
+		sent, isUsage := done.Body.(registry.UsageReport)
+		if !isUsage {
+			panic(fmt.Sprintf("explore: %s reports a %T, want a usage report", p.name(), done.Body))
+		}
+		w.reports(p, sent)
 	case statemachine.Reply:
 		if p.leaving {
 			w.after(1, func() { w.retire(p) })
@@ -310,7 +338,7 @@
 }
 
 func (w *World) retire(p *process) {
-	p.stop(w, 0)
+	p.stop(0)
 	p.gone, p.seated = true, false
 }
 
--- a/internal/simulation/actors.go
+++ b/internal/simulation/actors.go
@@ -50,10 +50,17 @@
 func (w *World) addUpstream(service workload.Service, index, number int) *Upstream {
 	proxies := w.of(message.RoleProxy)
 	key := fmt.Sprintf("%s/%s-%d", service.Name, service.Name, index+1)
-	u := &Upstream{world: w, key: key, work: service.Work, slots: int(service.Slots), firstProxy: number % len(proxies), serviceSpec: service,
-		vanished: map[int]bool{},
+	u := &Upstream{
+		world:       w,
+		key:         key,
+		work:        service.Work,
+		slots:       int(service.Slots),
+		firstProxy:  number % len(proxies),
+		serviceSpec: service,
+		vanished:    map[int]bool{},
 		response: backend.Announcement{Service: service.Name, Instance: fmt.Sprintf("%s-%d", service.Name, index+1),
-			Address: fmt.Sprintf("10.3.0.%d:9000", number+1), Slots: service.Slots}}
+			Address: fmt.Sprintf("10.3.0.%d:9000", number+1), Slots: service.Slots},
+	}
 	for offset := range 3 {
 		u.servingProxies = append(u.servingProxies, proxies[(number+offset*3)%len(proxies)])
 	}
@@ -206,7 +213,12 @@
 // leave says that it leaves.
 func (u *Upstream) leave() {
 	u.response.Leaving = true
-	u.world.record.Leaving = append(u.world.record.Leaving, checker.Leaving{Service: u.response.Service, Instance: u.response.Instance, Life: u.response.Incarnation, At: u.world.now})
+	u.world.record.Leaving = append(u.world.record.Leaving, checker.Leaving{
+		Service:  u.response.Service,
+		Instance: u.response.Instance,
+		Life:     u.response.Incarnation,
+		At:       u.world.now,
+	})
 	u.announce()
 }
 
@@ -324,23 +336,14 @@
 }
 
 // run is the work at the upstream.
-func (u *Upstream) run(servingProxy *Node, order backend.Decision, stream *upstreamStream, end func(outcome message.Outcome, broke bool), lost func()) {
+func (u *Upstream) run(servingProxy *Node, order backend.Decision, stream *upstreamStream,
+	end func(outcome message.Outcome, broke bool), lost func()) {
 	w := u.world
 	u.running++
 	u.most = max(u.most, u.running)
-	id := ""
-	keySeen := false
-	for _, line := range order.Forward.Headers {
-		if line.Name == stubserver.IDHeader {
-			id = line.Value
-		}
-		for _, tenant := range w.options.Deployment.Tenants() {
-			keySeen = keySeen || strings.Contains(strings.ToLower(line.Value), tenant.Key)
-		}
-	}
+	id, keySeen := u.readHeaders(order)
 	index := len(u.runs)
-	u.runs = append(u.runs, checker.Ran{ID: id, Service: u.response.Service, Instance: u.response.Instance, Address: u.response.Address, Path: order.Forward.Path,
-		Tenant: order.Forward.Tenant, Caller: order.Forward.Caller, KeySeen: keySeen, At: w.now, Life: u.response.Incarnation, ServingProxy: servingProxy.machine})
+	u.recordRun(servingProxy, order, id, keySeen)
 	w.mark("%s runs %s", u.key, id)
 	answer := fmt.Sprintf("%s by %s run %d", id, u.response.Instance, index)
 	work := u.work + time.Duration(w.random.Int64N(int64(u.work)))
@@ -369,18 +372,7 @@
 				end(message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.AnswerMalformed)}, false)
 			})
 		default:
-			// Its own refusals and failures are its own whole answers too, and what it
-			// says in the mesh's name is nobody's word.
-			status := stubserver.Status(w.random.Float64, stubserver.UsualOtherShare)
-			headers := []message.HeaderLine{{Name: stubserver.MarkHeader, Value: answer}}
-			if w.random.IntN(10) == 0 {
-				headers = append(headers, message.HeaderLine{Name: frontend.CodeHeader, Value: "3101"})
-				w.dangers["answers that claim a code of the mesh's"]++
-			}
-			read, whole := stream.say(w, w.now < w.strayUntil, order, message.Outcome{Status: int64(status), Headers: headers, Body: []byte(answer)})
-			if whole {
-				u.runs[index].Whole, u.runs[index].Answer, u.runs[index].Status, u.runs[index].Mark = w.now, answer, status, answer
-			}
+			read := u.answerRequest(order, stream, index, answer)
 			w.after(w.transit()/2, func() { end(read, false) })
 		}
 	}
@@ -391,7 +383,8 @@
 	} else {
 		w.after(work/2, func() {
 			if !over && u.up && u.life == life {
-				w.callOn(servingProxy, order, u.response.Service, called, fmt.Sprintf("%s~%s~%d", id, u.response.Instance, index), func() { w.after(work/2, finish) })
+				w.callOn(servingProxy, order, u.response.Service, called, fmt.Sprintf("%s~%s~%d", id, u.response.Instance, index),
+					func() { w.after(work/2, finish) })
 			}
 		})
 	}
@@ -400,6 +393,56 @@
 	}
 }
 
+// readHeaders returns the request's ID and whether any header shows a tenant's key.
+func (u *Upstream) readHeaders(order backend.Decision) (id string, keySeen bool) {
+	for _, line := range order.Forward.Headers {
+		if line.Name == stubserver.IDHeader {
+			id = line.Value
+		}
+		for _, tenant := range u.world.options.Deployment.Tenants() {
+			keySeen = keySeen || strings.Contains(strings.ToLower(line.Value), tenant.Key)
+		}
+	}
+	return id, keySeen
+}
+
+// recordRun notes for the checker that the upstream began to run a request.
+func (u *Upstream) recordRun(servingProxy *Node, order backend.Decision, id string, keySeen bool) {
+	u.runs = append(u.runs, checker.Ran{
+		ID:           id,
+		Service:      u.response.Service,
+		Instance:     u.response.Instance,
+		Address:      u.response.Address,
+		Path:         order.Forward.Path,
+		Tenant:       order.Forward.Tenant,
+		Caller:       order.Forward.Caller,
+		KeySeen:      keySeen,
+		At:           u.world.now,
+		Life:         u.response.Incarnation,
+		ServingProxy: servingProxy.machine,
+	})
+}
+
+// answerRequest writes the upstream's own whole answer to the stream and returns what the proxy
+// reads of it. Refusals and failures of the upstream are whole answers too, and a code of the mesh
+// that an upstream sets in its headers must be ignored.
+func (u *Upstream) answerRequest(order backend.Decision, stream *upstreamStream, index int, answer string) message.Outcome {
+	w := u.world
+	status := stubserver.Status(w.random.Float64, stubserver.UsualOtherShare)
+	headers := []message.HeaderLine{{Name: stubserver.MarkHeader, Value: answer}}
+	if w.random.IntN(10) == 0 {
+		headers = append(headers, message.HeaderLine{Name: frontend.CodeHeader, Value: "3101"})
+		w.dangers["answers that claim a code of the mesh's"]++
+	}
+	read, whole := stream.say(w, w.now < w.strayUntil, order,
+		message.Outcome{Status: int64(status), Headers: headers, Body: []byte(answer)})
+	if whole {
+		run := &u.runs[index]
+		run.Whole, run.Answer, run.Status, run.Mark = w.now, answer, status, answer
+	}
+	return read
+}
+
 // requestSoon is the callers' open loop.
 func (w *World) requestSoon(number int, begin time.Duration) {
 	when := begin + time.Duration(float64(number)/w.options.Rate*float64(time.Second))
@@ -441,7 +484,8 @@
 		header.Set("Cookie", "session="+strings.ToUpper(tenant.Key)+"; other="+w.options.Deployment.Tenants()[0].Key)
 		w.dangers["requests with forged names and keys in cookies"]++
 	}
-	w.sendRequest(proxies[w.random.IntN(len(proxies))], header, kind, checker.Asked{ID: id, Tenant: tenant.Name, Key: tenant.Key, Caller: kind.Caller}, func() {})
+	w.sendRequest(proxies[w.random.IntN(len(proxies))], header, kind,
+		checker.Asked{ID: id, Tenant: tenant.Name, Key: tenant.Key, Caller: kind.Caller}, func() {})
 }
 
 // callOn is an upstream's further call, with the pass of the request that it runs.
@@ -470,7 +514,10 @@
 
 func (w *World) sendRequest(chosenProxy *Node, header http.Header, kind loadgen.Kind, response checker.Asked, then func()) {
 	asked := &response
-	asked.Proxy, asked.Route, asked.Service, asked.Once, asked.Intended, asked.Sent, asked.Connection = chosenProxy.machine, kind.Route, kind.Service, kind.Once, w.now, w.now, true
+	asked.Proxy = chosenProxy.machine
+	asked.Route, asked.Service, asked.Once = kind.Route, kind.Service, kind.Once
+	asked.Intended, asked.Sent = w.now, w.now
+	asked.Connection = true
 	w.asked = append(w.asked, asked)
 	if !chosenProxy.up || chosenProxy.deaf {
 		asked.Done = w.now
@@ -480,8 +527,14 @@
 	life := chosenProxy.life
 	chosenProxy.run(life, func() {
 		header.Set(stubserver.IDHeader, asked.ID)
-		request := &frontend.Request{ID: asked.ID + "@" + chosenProxy.machine, Method: kind.Method, RawPath: kind.Path, Header: header, Body: []byte{},
-			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestLimit()}
+		request := &frontend.Request{
+			ID:       asked.ID + "@" + chosenProxy.machine,
+			Method:   kind.Method,
+			RawPath:  kind.Path,
+			Header:   header,
+			Body:     []byte{},
+			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestLimit(),
+		}
 		sentLife := life
 		chosenProxy.inside++
 		going := chosenProxy.tracker.Submit(request, func(time.Duration) {}, func(final *frontend.Response) {
@@ -525,13 +578,21 @@
 	chosenBoard := boards[w.random.IntN(len(boards))]
 	w.mark("put %d at %s", version, chosenBoard.name)
 	digest := checker.Digest(body)
-	operation := &configLogOperation{request: configLogRequest{write: true, version: version, entry: fmt.Sprintf("%d:%s", version, digest)}, from: w.now}
+	operation := &configLogOperation{
+		request: configLogRequest{write: true, version: version, entry: fmt.Sprintf("%d:%s", version, digest)},
+		from:    w.now,
+	}
 	if tenants != nil {
 		w.operations = append(w.operations, operation)
 		w.contents[digest] = version
 	}
-	chosenBoard.request(registry.WriteConfiguration{ConfigName: "main", Version: version, Body: body, Check: registry.CheckConfiguration(chosenBoard.settings, body)}, func(answer any) {
-		given := answer.(registry.Answer)
+	chosenBoard.request(registry.WriteConfiguration{
+		ConfigName: "main",
+		Version:    version,
+		Body:       body,
+		Check:      registry.CheckConfiguration(chosenBoard.settings, body),
+	}, func(answer any) {
+		given := mustBe[registry.Answer](answer)
 		code := given.Code
 		operation.answer, operation.to, operation.answered = configLogAnswer{code: code}, w.now, true
 		w.mark("put %d answered %s", version, code)
@@ -570,8 +631,13 @@
 	}
 	length := from.settings.UsageWindow()
 	w.mark("report %d from %s %v", report.Window, from.machine, len(report.Counts))
-	w.record.Reported = append(w.record.Reported, checker.Reported{Window: report.Window, From: from.machine, Counts: report.Counts, At: w.now,
-		End: time.Duration(report.Window+1)*length - epoch})
+	w.record.Reported = append(w.record.Reported, checker.Reported{
+		Window: report.Window,
+		From:   from.machine,
+		Counts: report.Counts,
+		At:     w.now,
+		End:    time.Duration(report.Window+1)*length - epoch,
+	})
 	wait := w.transit()
 	if w.now < w.collectorOdd {
 		w.dangers["reports taken and not answered rightly"]++
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -46,19 +46,32 @@
 
 func init() {
 	Scenarios["wrong-answer"] = func(d workload.Deployment, random *rand.Rand) []Step {
-		plan := []Step{{At: span(random, 9, 10), Do: "answers-stray", For: span(random, 6, 9)}, {At: span(random, 18, 19), Do: "answers-stray", For: span(random, 2, 4)}}
+		plan := []Step{
+			{At: span(random, 9, 10), Do: "answers-stray", For: span(random, 6, 9)},
+			{At: span(random, 18, 19), Do: "answers-stray", For: span(random, 2, 4)},
+		}
 		for range 2 {
 			plan = append(plan, Step{At: span(random, 10, 17), Do: "freeze", Target: edge(d, random), For: span(random, 0.3, 1.5)},
 				Step{At: span(random, 10, 17), Do: "upstream-kill", Target: upstreamName(d, random), For: span(random, 0.2, 1)},
 				Step{At: span(random, 10, 17), Do: "connections-break"})
 		}
-		return append(plan, Step{At: span(random, 12, 16), Do: "upstream-vanish", Target: upstreamName(d, random), For: span(random, 0.02, 0.5)})
+		return append(plan, Step{
+			At:     span(random, 12, 16),
+			Do:     "upstream-vanish",
+			Target: upstreamName(d, random),
+			For:    span(random, 0.02, 0.5),
+		})
 	}
 	Scenarios["once-only"] = func(d workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{}
 		for _, service := range d.Services {
 			for index := range service.Count {
-				plan = append(plan, Step{At: span(random, 9, 12), Do: "upstream-faults", Target: fmt.Sprintf("%s/%s-%d", service.Name, service.Name, index+1), For: span(random, 4, 8)})
+				plan = append(plan, Step{
+					At:     span(random, 9, 12),
+					Do:     "upstream-faults",
+					Target: fmt.Sprintf("%s/%s-%d", service.Name, service.Name, index+1),
+					For:    span(random, 4, 8),
+				})
 			}
 		}
 		for range 8 {
@@ -76,7 +89,10 @@
 func (r *Result) dangersReached() {
 	for _, danger := range wantedDangers[r.Scenario] {
 		if count := r.Review.Seen["danger: "+danger]; count < dangerLeast {
-			r.Review.Violations = append(r.Review.Violations, checker.Violation{Rule: dangerMissing, Detail: fmt.Sprintf("%s: %d, want at least %d", danger, count, dangerLeast)})
+			r.Review.Violations = append(r.Review.Violations, checker.Violation{
+				Rule:   dangerMissing,
+				Detail: fmt.Sprintf("%s: %d, want at least %d", danger, count, dangerLeast),
+			})
 		}
 	}
 }
--- a/internal/simulation/anycontrol.go
+++ b/internal/simulation/anycontrol.go
@@ -17,7 +17,9 @@
 	case 0:
 		plan = append(plan, Step{at, "rival-orders", "", length}, Step{at, "lose-answers", "", length})
 	case 1:
-		plan = append(plan, Step{at, "orders-at-once", "", length}, Step{at, "lose-answers", "", length}, Step{at, "resend-orders", "", length})
+		plan = append(plan, Step{at, "orders-at-once", "", length},
+			Step{at, "lose-answers", "", length},
+			Step{at, "resend-orders", "", length})
 	case 2:
 		plan = append(plan, Step{at, "order-at-all-sides", "", length})
 	default:
--- a/internal/simulation/brief_test.go
+++ b/internal/simulation/brief_test.go
@@ -51,7 +51,8 @@
 		named := namedProof.FindAllStringSubmatch(proof, -1)
 		for _, name := range named {
 			_, simulated := Scenarios[name[2]]
-			there := name[1] == "scenario:" && simulated || name[1] == "real:" && slices.Contains(realScenarios, name[2]) || name[1] == "Test" && tests["Test"+name[2]]
+			there := name[1] == "scenario:" && simulated || name[1] == "real:" && slices.Contains(realScenarios, name[2]) ||
+				name[1] == "Test" && tests["Test"+name[2]]
 			if !there {
 				faults = append(faults, fmt.Sprintf("%s names %s%s, which does not exist", id, name[1], name[2]))
 			}
@@ -67,7 +68,8 @@
 	for point := range 12 {
 		wanted = append(wanted, fmt.Sprintf("never.%d", point+1))
 	}
-	for _, failure := range []string{"replaced", "answers", "nodes", "disks", "turn", "cuts", "slow", "seeds", "freeze", "voter", "configurations", "last"} {
+	for _, failure := range []string{"replaced", "answers", "nodes", "disks", "turn", "cuts", "slow", "seeds", "freeze", "voter",
+		"configurations", "last"} {
 		wanted = append(wanted, "fails."+failure)
 	}
 	for _, id := range wanted {
--- a/internal/simulation/causes.go
+++ b/internal/simulation/causes.go
@@ -50,7 +50,7 @@
 	for _, board := range w.alive(message.RoleRegistry) {
 		if w.linked(from, board) && w.linked(board, from) {
 			board.request(registry.ReadConfigurationStatus{ConfigName: "main"}, func(answer any) {
-				age := gjson.GetBytes(answer.(registry.Answer).Body, "age_ms")
+				age := gjson.GetBytes(mustBe[registry.Answer](answer).Body, "age_ms")
 				known = known || age.Exists() && age.Int() <= from.settings.Reparent().Milliseconds()
 			})
 		}
--- a/internal/simulation/control_test.go
+++ b/internal/simulation/control_test.go
@@ -23,7 +23,8 @@
 			t.Errorf("%s %s seed %d: %s: %s", deployment, scenario, seed, violation.Rule, violation.Detail)
 		}
 		if t.Failed() {
-			t.Fatalf("replay: simulate --deployment %s --scenario %s --rate %d --count 1 --seed %d --log\n%v", deployment, scenario, controlRate, seed, result.Plan)
+			t.Fatalf("replay: simulate --deployment %s --scenario %s --rate %d --count 1 --seed %d --log\n%v", deployment, scenario,
+				controlRate, seed, result.Plan)
 		}
 		for name, count := range result.Review.Seen {
 			seen[name] += count
@@ -51,7 +52,8 @@
 			seen := playControl(t, deployment, "same-version", seeds...)
 			reached(t, "answers to operators that were lost", seen["danger: answers to operators that were lost"], 50)
 			reached(t, "orders sent again that had been taken", seen["danger: orders sent again that had been taken"], 50)
-			reached(t, "orders sent again that are older than what is kept", seen["danger: orders sent again that are older than what is kept"], 20)
+			reached(t, "orders sent again that are older than what is kept",
+				seen["danger: orders sent again that are older than what is kept"], 20)
 			reached(t, "rival orders that were refused", seen["danger: rival orders that were refused"], 10)
 			reached(t, "rival orders that were taken", seen["danger: rival orders that were taken"], 10)
 		})
@@ -74,7 +76,8 @@
 		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
 			seen := playControl(t, deployment, "second-loss", seeds...)
-			losses := seen["danger: second losses right after a newcomer's vote"] + seen["danger: newcomers lost in the middle of a planned replacement"]
+			losses := seen["danger: second losses right after a newcomer's vote"] +
+				seen["danger: newcomers lost in the middle of a planned replacement"]
 			reached(t, "losses within a moment of a repair", losses, len(seeds))
 			reached(t, "orders taken while the second is away", seen["danger: orders taken while the second is away"], 10)
 		})
@@ -93,5 +96,6 @@
 // carry its log in seconds: orders are taken again soon, and requests are answered.
 func TestLargeConfigurationAfterAllOff(t *testing.T) {
 	seen := playControl(t, "jendela-narrow", "large-all-off", 4, 5)
-	reached(t, "returns of the whole core with a large configuration", seen["danger: returns of the whole core with a large configuration"], 2)
+	reached(t, "returns of the whole core with a large configuration",
+		seen["danger: returns of the whole core with a large configuration"], 2)
 }
--- a/internal/simulation/cutoff.go
+++ b/internal/simulation/cutoff.go
@@ -172,7 +172,7 @@
 	for _, question := range []any{registry.ReadRoster{}, registry.ReadConfigurationStatus{ConfigName: "main"}} {
 		board.request(question, func(answer any) {
 			w.dangers["views asked of a cut-off node"]++
-			if code := answer.(registry.Answer).Code; code == errcode.OK {
+			if code := mustBe[registry.Answer](answer).Code; code == errcode.OK {
 				w.fail("%s, cut off for %s, answered %T as current", board.name, w.now-since, question)
 			}
 		})
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -4,6 +4,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"strconv"
 	"strings"
 	"time"
@@ -123,107 +124,168 @@
 	return kept
 }
 
-// do carries out one step.
+// fault carries out one kind of step.
+type fault func(w *World, step Step)
+
+// nodeFaults returns the faults of processes, machines and their disks, by the name that plans use.
+func nodeFaults() map[string]fault {
+	return map[string]fault{
+		"kill":          func(w *World, step Step) { w.restart(w.machineNodes(step.Target), false, step.For) },
+		"kill-disk":     func(w *World, step Step) { w.restart(w.machineNodes(step.Target), true, step.For) },
+		"stop":          (*World).stopNodes,
+		"kill-holder":   (*World).killHolder,
+		"freeze":        func(w *World, step Step) { w.freeze(w.machineNodes(step.Target), step.For) },
+		"freeze-holder": (*World).freezeHolder,
+		"slow-disk":     (*World).slowDisks,
+		"disk-full":     func(w *World, step Step) { w.fillDisks(w.machineNodes(step.Target), step.For) },
+		"disk-fails":    (*World).failDisks,
+		"herd":          (*World).restartEverySecondProxy,
+		"kill-core":     func(w *World, step Step) { w.restartMachines(w.cores(), step.For) },
+		"kill-all":      func(w *World, step Step) { w.restartMachines(w.machines(), step.For) },
+		"replace-voter": func(w *World, step Step) { w.replaceVoter(step.Target, step.For) },
+		"replace-core":  func(w *World, step Step) { w.replaceCore(step.Target, step.For) },
+		"usurp":         func(w *World, step Step) { w.usurp(step.Target, step.For) },
+		"force-recover": func(w *World, step Step) { w.forceRecover(step.Target) },
+	}
+}
+
+// networkFaults returns the faults of the network between machines, by the name that plans use.
+func networkFaults() map[string]fault {
+	return map[string]fault{
+		"isolate":          func(w *World, step Step) { w.isolate(step, w.machines(), true) },
+		"isolate-out":      func(w *World, step Step) { w.isolate(step, w.machines(), false) },
+		"cut-core":         func(w *World, step Step) { w.isolate(step, w.cores(), true) },
+		"cut-core-one-way": func(w *World, step Step) { w.isolate(step, w.cores(), false) },
+		"halve":            (*World).halve,
+	}
+}
+
+// collectorFaults returns the faults of the usage collector, and the end of a plan's load.
+func collectorFaults() map[string]fault {
+	return map[string]fault{
+		// The collector takes reports, but its answer is lost, an error, or late, in turn.
+		"collector-odd":  func(w *World, step Step) { w.collectorOdd = w.now + step.For },
+		"collector-down": func(w *World, step Step) { w.collectorDown = w.now + step.For },
+		// Callers send no requests after this step; the callers look for it in the plan.
+		"end": func(*World, Step) {},
+	}
+}
+
+// operatorSteps returns the orders of operators, by the name that plans use.
+func operatorSteps() map[string]fault {
+	steps := map[string]fault{}
+	for _, name := range []string{
+		"put", "put-huge", "withdraw", "restore-keys", "put-race", "put-bad", "put-and-kill", "put-and-kill-disk",
+	} {
+		steps[name] = (*World).operate
+	}
+	return steps
+}
+
+// allFaults joins the tables of faults.
+func allFaults() map[string]fault {
+	joined := map[string]fault{}
+	for _, table := range []map[string]fault{nodeFaults(), networkFaults(), collectorFaults(), operatorSteps()} {
+		maps.Copy(joined, table)
+	}
+	return joined
+}
+
+// do carries out one step. Names that no table has belong to a scenario of its own file, or are
+// faults of upstreams.
 func (w *World) do(step Step) {
 	w.mark("STEP %s", step)
-	nodes := w.machineNodes(step.Target)
-	switch step.Do {
-	case "kill":
-		w.restart(nodes, false, step.For)
-	case "stop":
-		for _, nodeName := range nodes {
-			nodeName.stop(step.For)
-		}
-	case "kill-disk":
-		w.restart(nodes, true, step.For)
-	case "kill-holder":
-		if machine := w.holder(step.Target); machine != "" {
-			w.restart(w.machineNodes(machine), false, step.For)
-		}
-	case "freeze-holder":
-		if machine := w.holder(step.Target); machine != "" {
-			w.freeze(w.machineNodes(machine), step.For)
-		}
-	case "freeze":
-		w.freeze(nodes, step.For)
-	case "isolate":
-		w.cutBetween([]string{step.Target}, without(w.machines(), step.Target), true, step.For)
-	case "isolate-out":
-		w.cutBetween([]string{step.Target}, without(w.machines(), step.Target), false, step.For)
-	case "cut-core":
-		w.cutBetween([]string{step.Target}, without(w.cores(), step.Target), true, step.For)
-	case "cut-core-one-way":
-		w.cutBetween([]string{step.Target}, without(w.cores(), step.Target), false, step.For)
-	case "halve":
-		left, right := []string{step.Target}, without(w.cores(), step.Target)
-		for index, nodeName := range w.of(message.RoleProxy) {
-			if index%3 == 0 {
-				left = append(left, nodeName.machine)
-			} else {
-				right = append(right, nodeName.machine)
-			}
-		}
-		w.cutBetween(left, right, true, step.For)
-	case "slow-disk":
-		for _, nodeName := range nodes {
-			slowNode, usual := nodeName, w.options.Deployment.DiskDelay
-			slowNode.slow = usual * 10
-			slowNode.slowUntil = max(slowNode.slowUntil, w.now+step.For)
-			w.after(step.For, func() {
-				if w.now >= slowNode.slowUntil {
-					slowNode.slow = usual
-				}
-			})
-		}
-	case "disk-full":
-		w.fillDisks(nodes, step.For)
-	case "disk-fails":
-		// Every sync fails until the machine is restarted with a disk that works.
-		for _, nodeName := range nodes {
-			nodeName.disk.fail = true
+	if apply, found := w.faults[step.Do]; found {
+		apply(w, step)
+		return
+	}
+	scenarios := []func(Step) bool{
+		w.doAnswers, w.doCutoff, w.doSameVersion, w.doSecondLoss, w.doHundreds, w.doOverlap,
+	}
+	for _, try := range scenarios {
+		if try(step) {
+			return
 		}
+	}
+	w.doUpstream(step)
+}
+
+func (w *World) stopNodes(step Step) {
+	for _, node := range w.machineNodes(step.Target) {
+		node.stop(step.For)
+	}
+}
+
+func (w *World) killHolder(step Step) {
+	if machine := w.holder(step.Target); machine != "" {
+		w.restart(w.machineNodes(machine), false, step.For)
+	}
+}
+
+func (w *World) freezeHolder(step Step) {
+	if machine := w.holder(step.Target); machine != "" {
+		w.freeze(w.machineNodes(machine), step.For)
+	}
+}
+
+// slowDisks makes writes of the target's processes take ten times as long.
+func (w *World) slowDisks(step Step) {
+	for _, node := range w.machineNodes(step.Target) {
+		usual := w.options.Deployment.DiskDelay
+		node.slow = usual * 10
+		node.slowUntil = max(node.slowUntil, w.now+step.For)
 		w.after(step.For, func() {
-			for _, nodeName := range nodes {
-				nodeName.disk.fail = false
+			if w.now >= node.slowUntil {
+				node.slow = usual
 			}
-			w.restart(nodes, false, 500*time.Millisecond)
 		})
-	case "collector-odd":
-		// It takes reports, but its answer is lost, an error, or late, in turn.
-		w.collectorOdd = w.now + step.For
-	case "end":
-		// The day ends here: callers ask nothing more.
-	case "collector-down":
-		w.collectorDown = w.now + step.For
-	case "herd":
-		for index, nodeName := range w.of(message.RoleProxy) {
-			if index%2 == 0 {
-				w.restart([]*Node{nodeName}, false, step.For)
-			}
-		}
-	case "kill-core":
-		for _, voter := range w.cores() {
-			w.restart(w.machineNodes(voter), false, step.For)
+	}
+}
+
+// failDisks has every sync fail until the processes are restarted with disks that work.
+func (w *World) failDisks(step Step) {
+	nodes := w.machineNodes(step.Target)
+	for _, node := range nodes {
+		node.disk.fail = true
+	}
+	w.after(step.For, func() {
+		for _, node := range nodes {
+			node.disk.fail = false
 		}
-	case "kill-all":
-		for _, machine := range w.machines() {
-			w.restart(w.machineNodes(machine), false, step.For)
+		w.restart(nodes, false, 500*time.Millisecond)
+	})
+}
+
+func (w *World) restartEverySecondProxy(step Step) {
+	for index, node := range w.of(message.RoleProxy) {
+		if index%2 == 0 {
+			w.restart([]*Node{node}, false, step.For)
 		}
-	case "replace-voter":
-		w.replaceVoter(step.Target, step.For)
-	case "replace-core":
-		w.replaceCore(step.Target, step.For)
-	case "usurp":
-		w.usurp(step.Target, step.For)
-	case "force-recover":
-		w.forceRecover(step.Target)
-	case "put", "put-huge", "withdraw", "restore-keys", "put-race", "put-bad", "put-and-kill", "put-and-kill-disk":
-		w.operate(step)
-	default:
-		if !w.doAnswers(step) && !w.doCutoff(step) && !w.doSameVersion(step) && !w.doSecondLoss(step) && !w.doHundreds(step) && !w.doOverlap(step) {
-			w.doUpstream(step)
+	}
+}
+
+func (w *World) restartMachines(machines []string, down time.Duration) {
+	for _, machine := range machines {
+		w.restart(w.machineNodes(machine), false, down)
+	}
+}
+
+// isolate cuts the target from the other machines, both ways or only what it sends.
+func (w *World) isolate(step Step, machines []string, both bool) {
+	w.cutBetween([]string{step.Target}, without(machines, step.Target), both, step.For)
+}
+
+// halve cuts the target and every third proxy from all other machines.
+func (w *World) halve(step Step) {
+	left, right := []string{step.Target}, without(w.cores(), step.Target)
+	for index, node := range w.of(message.RoleProxy) {
+		if index%3 == 0 {
+			left = append(left, node.machine)
+		} else {
+			right = append(right, node.machine)
 		}
 	}
+	w.cutBetween(left, right, true, step.For)
 }
 
 func (w *World) freeze(nodes []*Node, length time.Duration) {
@@ -276,7 +338,8 @@
 		old.retired = true
 		w.serial++
 		host, port, _ := strings.Cut(old.settings.Address, ":")
-		heir := w.addNode(old.role, fmt.Sprintf("%s-after", machine), "", old.settings.Zone, fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.serial), port), old.settings.Seeds)
+		heir := w.addNode(old.role, fmt.Sprintf("%s-after", machine), "", old.settings.Zone,
+			fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.serial), port), old.settings.Seeds)
 		heir.settings.Found = false
 		w.after(down, func() {
 			heir.settings.Seeds = []string{}
@@ -313,7 +376,12 @@
 				w.fail("%s has nothing to force-recover: %v", survivor.name, err)
 				return
 			}
-			self := message.Member{Name: survivor.name, Role: survivor.role, Voter: survivor.settings.Voter, Address: survivor.settings.Address}
+			self := message.Member{
+				Name:    survivor.name,
+				Role:    survivor.role,
+				Voter:   survivor.settings.Voter,
+				Address: survivor.settings.Address,
+			}
 			var machine interface{ ForceRecover() []byte }
 			if survivor.role == message.RoleRegistry {
 				machine, err = registry.New(survivor.settings, self, snapshot, records)
@@ -443,8 +511,22 @@
 			continue
 		}
 		key := fmt.Sprintf("%s/%s-heir-%d", service.Name, service.Name, len(w.upOrder))
-		heir := &Upstream{world: w, key: key, vanished: map[int]bool{}, work: service.Work, slots: int(service.Slots), serviceSpec: service, servingProxies: old.servingProxies,
-			response: backend.Announcement{Service: service.Name, Instance: key[len(service.Name)+1:], Address: old.response.Address, Zone: old.response.Zone, Slots: service.Slots}}
+		heir := &Upstream{
+			world:          w,
+			key:            key,
+			vanished:       map[int]bool{},
+			work:           service.Work,
+			slots:          int(service.Slots),
+			serviceSpec:    service,
+			servingProxies: old.servingProxies,
+			response: backend.Announcement{
+				Service:  service.Name,
+				Instance: key[len(service.Name)+1:],
+				Address:  old.response.Address,
+				Zone:     old.response.Zone,
+				Slots:    service.Slots,
+			},
+		}
 		w.upstreams[key] = heir
 		w.upOrder = append(w.upOrder, key)
 		// It takes connections at once and announces itself only later, to another proxy.
--- a/internal/simulation/linear.go
+++ b/internal/simulation/linear.go
@@ -8,6 +8,7 @@
 import (
 	"fmt"
 	"math"
+	"strconv"
 	"strings"
 	"time"
 
@@ -48,7 +49,7 @@
 	if boards := w.alive(message.RoleRegistry); len(boards) > 0 {
 		operation := &configLogOperation{from: w.now}
 		boards[w.random.IntN(len(boards))].request(registry.ReadConfiguration{ConfigName: "main"}, func(answer any) {
-			got := answer.(registry.Answer)
+			got := mustBe[registry.Answer](answer)
 			if got.Code == errcode.OK || got.Code == errcode.ConfigurationNotFound {
 				operation.answer = configLogAnswer{code: got.Code, digest: checker.Digest(got.Body)}
 				operation.to, operation.answered = w.now, true
@@ -59,19 +60,34 @@
 	w.after(every, func() { w.readConfigLog(every, until) })
 }
 
+// newestEntry returns version and digest of the last entry in the model's state; zero values when
+// the state holds none. An entry that does not begin with a number is a programming error of the model.
+func newestEntry(committed string) (version int64, digest string) {
+	entries := strings.Fields(committed)
+	if len(entries) == 0 {
+		return 0, ""
+	}
+	number, digest, _ := strings.Cut(entries[len(entries)-1], ":")
+	version, err := strconv.ParseInt(number, 10, 64)
+	if err != nil {
+		panic(fmt.Sprintf("simulation: model entry %q has no version: %v", entries[len(entries)-1], err))
+	}
+	return version, digest
+}
+
 // configLogModel: the state is the list of settled versions, oldest first.
 var configLogModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		committed, request, answer := state.(string), input.(configLogRequest), output.(configLogAnswer)
-		current, currentDigest := int64(0), ""
-		if entries := strings.Fields(committed); len(entries) > 0 {
-			fmt.Sscanf(entries[len(entries)-1], "%d:%s", &current, &currentDigest)
-		}
+		committed := mustBe[string](state)
+		request := mustBe[configLogRequest](input)
+		answer := mustBe[configLogAnswer](output)
+		current, currentDigest := newestEntry(committed)
 		held := strings.Contains(" "+committed+" ", " "+request.entry+" ")
 		applied := strings.TrimSpace(committed + " " + request.entry)
 		switch {
-		case !request.write && answer.code == errcode.ConfigurationNotFound && committed == "", !request.write && answer.code == errcode.OK && answer.digest == currentDigest:
+		case !request.write && answer.code == errcode.ConfigurationNotFound && committed == "",
+			!request.write && answer.code == errcode.OK && answer.digest == currentDigest:
 			return []any{state}
 		case !request.write:
 			return nil
@@ -106,7 +122,13 @@
 		if !operation.answered || answer.code == errcode.ConfigurationUnsure {
 			answer, to = configLogAnswer{unknown: true}, math.MaxInt64
 		}
-		history = append(history, porcupine.Operation{ClientId: index, Input: operation.request, Call: int64(operation.from), Output: answer, Return: to})
+		history = append(history, porcupine.Operation{
+			ClientId: index,
+			Input:    operation.request,
+			Call:     int64(operation.from),
+			Output:   answer,
+			Return:   to,
+		})
 	}
 	return porcupine.CheckOperationsTimeout(configLogModel.ToModel(), history, 20*time.Second) != porcupine.Illegal, len(history)
 }
--- a/internal/simulation/linear_test.go
+++ b/internal/simulation/linear_test.go
@@ -13,10 +13,21 @@
 func TestConfigLogOrderCheckCanFail(t *testing.T) {
 	c := qt.New(t)
 	write := func(from, to int, version int64, entry string, code errcode.Code) *configLogOperation {
-		return &configLogOperation{request: configLogRequest{write: true, version: version, entry: entry}, answer: configLogAnswer{code: code}, from: time.Duration(from), to: time.Duration(to), answered: true}
+		return &configLogOperation{
+			request:  configLogRequest{write: true, version: version, entry: entry},
+			answer:   configLogAnswer{code: code},
+			from:     time.Duration(from),
+			to:       time.Duration(to),
+			answered: true,
+		}
 	}
 	read := func(from, to int, digest string) *configLogOperation {
-		return &configLogOperation{answer: configLogAnswer{code: errcode.OK, digest: digest}, from: time.Duration(from), to: time.Duration(to), answered: true}
+		return &configLogOperation{
+			answer:   configLogAnswer{code: errcode.OK, digest: digest},
+			from:     time.Duration(from),
+			to:       time.Duration(to),
+			answered: true,
+		}
 	}
 	lost := write(1, 2, 2, "2:b", errcode.OK)
 	lost.answered = false
@@ -25,13 +36,19 @@
 		operations []*configLogOperation
 		sound      bool
 	}{
-		"in turn":                     {[]*configLogOperation{one, read(2, 3, "a"), write(4, 5, 2, "2:b", errcode.OK), read(6, 7, "b")}, true},
-		"the same bytes again":        {[]*configLogOperation{one, write(2, 3, 1, "1:a", errcode.OK), read(4, 5, "a")}, true},
-		"unknown, took effect":        {[]*configLogOperation{one, lost, read(9, 10, "b")}, true},
-		"unknown, took none":          {[]*configLogOperation{one, lost, read(9, 10, "a")}, true},
-		"a read goes back":            {[]*configLogOperation{one, write(2, 3, 2, "2:b", errcode.OK), read(4, 5, "a")}, false},
-		"two win one number":          {[]*configLogOperation{write(0, 9, 1, "1:a", errcode.OK), write(0, 9, 1, "1:b", errcode.OK)}, false},
-		"refused, yet settled":        {[]*configLogOperation{write(0, 1, 1, "1:a", errcode.ConfigurationConflict), read(2, 3, "a")}, false},
+		"in turn": {
+			[]*configLogOperation{one, read(2, 3, "a"), write(4, 5, 2, "2:b", errcode.OK), read(6, 7, "b")},
+			true,
+		},
+		"the same bytes again": {[]*configLogOperation{one, write(2, 3, 1, "1:a", errcode.OK), read(4, 5, "a")}, true},
+		"unknown, took effect": {[]*configLogOperation{one, lost, read(9, 10, "b")}, true},
+		"unknown, took none":   {[]*configLogOperation{one, lost, read(9, 10, "a")}, true},
+		"a read goes back":     {[]*configLogOperation{one, write(2, 3, 2, "2:b", errcode.OK), read(4, 5, "a")}, false},
+		"two win one number":   {[]*configLogOperation{write(0, 9, 1, "1:a", errcode.OK), write(0, 9, 1, "1:b", errcode.OK)}, false},
+		"refused, yet settled": {
+			[]*configLogOperation{write(0, 1, 1, "1:a", errcode.ConfigurationConflict), read(2, 3, "a")},
+			false,
+		},
 		"unknown goes back and forth": {[]*configLogOperation{one, lost, read(9, 10, "b"), read(11, 12, "a")}, false},
 	} {
 		sound, _ := (&World{operations: history.operations}).linear()
--- a/internal/simulation/never_test.go
+++ b/internal/simulation/never_test.go
@@ -59,11 +59,14 @@
 
 // 1: once-only requests ran, and their answers were lost with a serving proxy or an upstream.
 func TestNeverTwice(t *testing.T) {
-	result := simulate(t, "umuyoboro", 2, 500, Step{12 * second, "herd", "", second}, Step{14 * second, "upstream-faults", "dispatch/dispatch-2", 6 * second},
+	result := simulate(t, "umuyoboro", 2, 500,
+		Step{12 * second, "herd", "", second},
+		Step{14 * second, "upstream-faults", "dispatch/dispatch-2", 6 * second},
 		Step{16 * second, "kill", "edge-2", second}, Step{18 * second, "upstream-kill", "dispatch/dispatch-4", second})
-	reached(t, "once-only requests that ran and whose answer was lost", counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
-		return asked.Once && len(runs) == 1 && unknown(asked)
-	}), 5)
+	reached(t, "once-only requests that ran and whose answer was lost",
+		counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
+			return asked.Once && len(runs) == 1 && unknown(asked)
+		}), 5)
 }
 
 // 1, at full rate: the ends of two connections to one serving proxy are told in either order.
@@ -71,23 +74,29 @@
 	d, _ := workload.Named("umuyoboro")
 	random := rand.New(rand.NewPCG(2, 5))
 	result := simulate(t, "umuyoboro", 2, d.Rate, Scenarios["edges-killed"](d, random)...)
-	reached(t, "once-only requests that ran and whose answer was lost", counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
-		return asked.Once && len(runs) == 1 && unknown(asked)
-	}), 1)
+	reached(t, "once-only requests that ran and whose answer was lost",
+		counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
+			return asked.Once && len(runs) == 1 && unknown(asked)
+		}), 1)
 }
 
 // 2: requests that had run and could be tried again found nobody for the next try.
 func TestNeverBusyAfterRunning(t *testing.T) {
-	result := simulate(t, "umuyoboro", 3, 300, Step{11 * second, "upstream-kill", "registry/registry-1", 9 * second}, Step{11 * second, "upstream-kill", "registry/registry-2", 9 * second},
-		Step{12 * second, "upstream-faults", "registry/registry-3", 4 * second}, Step{17 * second, "service-kill", "dispatch/dispatch-1", 3 * second})
-	reached(t, "requests that ran and had no second upstream to go to", counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
-		return !asked.Once && len(runs) > 0 && runs[0].Whole == 0 && unknown(asked)
-	}), 3)
+	result := simulate(t, "umuyoboro", 3, 300,
+		Step{11 * second, "upstream-kill", "registry/registry-1", 9 * second},
+		Step{11 * second, "upstream-kill", "registry/registry-2", 9 * second},
+		Step{12 * second, "upstream-faults", "registry/registry-3", 4 * second},
+		Step{17 * second, "service-kill", "dispatch/dispatch-1", 3 * second})
+	reached(t, "requests that ran and had no second upstream to go to",
+		counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
+			return !asked.Once && len(runs) > 0 && runs[0].Whole == 0 && unknown(asked)
+		}), 3)
 }
 
 // 3: upstreams claim codes of the mesh's, refuse in their own name, and break off.
 func TestNeverAnotherAnswer(t *testing.T) {
-	result := simulate(t, "jendela", 4, 120, Step{11 * second, "upstream-faults", "quoting/quoting-1", 6 * second}, Step{12 * second, "upstream-faults", "booking/booking-2", 6 * second})
+	result := simulate(t, "jendela", 4, 120, Step{11 * second, "upstream-faults", "quoting/quoting-1", 6 * second},
+		Step{12 * second, "upstream-faults", "booking/booking-2", 6 * second})
 	reached(t, "answers that claim a code of the mesh's", result.Review.Seen["danger: answers that claim a code of the mesh's"], 50)
 	reached(t, "callers told an upstream's own refusal", counted(result.Record, func(asked checker.Asked, _ []checker.Ran) bool {
 		return asked.Code == 0 && asked.Status >= 400
@@ -104,7 +113,8 @@
 // 5: machines of upstreams vanish without a word, others get their addresses.
 func TestNeverAtAnHeir(t *testing.T) {
 	plan := []Step{}
-	for index, name := range []string{"dispatch/dispatch-1", "registry/registry-2", "dispatch/dispatch-3", "registry/registry-3", "dispatch/dispatch-5"} {
+	for index, name := range []string{"dispatch/dispatch-1", "registry/registry-2", "dispatch/dispatch-3", "registry/registry-3",
+		"dispatch/dispatch-5"} {
 		plan = append(plan, Step{time.Duration(11+index) * second, "upstream-vanish", name, 20 * time.Millisecond})
 	}
 	result := simulate(t, "umuyoboro", 6, 400, plan...)
@@ -114,8 +124,10 @@
 // 6: a configuration is put while a voter is cut off; proxies behind it restart.
 func TestNeverAnOlderConfiguration(t *testing.T) {
 	result := simulate(t, "umuyoboro", 1, testRate, Step{10 * second, "cut-core", "core-1", 8 * second}, Step{11 * second, "put", "", 0},
-		Step{14500 * time.Millisecond, "kill", "edge-1", 300 * time.Millisecond}, Step{15 * second, "kill", "edge-4", 300 * time.Millisecond},
-		Step{15500 * time.Millisecond, "kill", "edge-7", 300 * time.Millisecond}, Step{15800 * time.Millisecond, "kill", "edge-10", 300 * time.Millisecond})
+		Step{14500 * time.Millisecond, "kill", "edge-1", 300 * time.Millisecond},
+		Step{15 * second, "kill", "edge-4", 300 * time.Millisecond},
+		Step{15500 * time.Millisecond, "kill", "edge-7", 300 * time.Millisecond},
+		Step{15800 * time.Millisecond, "kill", "edge-10", 300 * time.Millisecond})
 	lives := 0
 	for _, span := range result.Record.Up {
 		if span.Born > 14*second && span.Born < 18*second {
@@ -131,21 +143,26 @@
 func TestNeverAWithdrawnKey(t *testing.T) {
 	result := simulate(t, "jendela", 7, 200, Step{12 * second, "isolate", "edge-1", 10 * second}, Step{13 * second, "withdraw", "", 0})
 	write := result.Record.Writes[len(result.Record.Writes)-1]
-	reached(t, "requests with the key at the cut-off proxy past the bound, refused", counted(result.Record, func(asked checker.Asked, _ []checker.Ran) bool {
-		_, honoured := write.Keys[asked.Key]
-		return asked.Proxy == "edge-1" && !honoured && asked.Sent > write.At+5*second && asked.Code == int(errcode.BusyStale)
-	}), 3)
-	reached(t, "requests with the key at the cut-off proxy before the bound, run", counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
-		_, honoured := write.Keys[asked.Key]
-		return asked.Proxy == "edge-1" && !honoured && asked.Sent > write.At && len(runs) > 0
-	}), 1)
+	reached(t, "requests with the key at the cut-off proxy past the bound, refused",
+		counted(result.Record, func(asked checker.Asked, _ []checker.Ran) bool {
+			_, honoured := write.Keys[asked.Key]
+			return asked.Proxy == "edge-1" && !honoured && asked.Sent > write.At+5*second && asked.Code == int(errcode.BusyStale)
+		}), 3)
+	reached(t, "requests with the key at the cut-off proxy before the bound, run",
+		counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
+			_, honoured := write.Keys[asked.Key]
+			return asked.Proxy == "edge-1" && !honoured && asked.Sent > write.At && len(runs) > 0
+		}), 1)
 }
 
 // 8: upstreams say that they leave to another proxy, while their serving proxy is cut off.
 func TestNeverWorkForWhoLeft(t *testing.T) {
-	result := simulate(t, "umuyoboro", 8, 450, Step{12 * second, "isolate", "edge-1", 6 * second}, Step{12100 * time.Millisecond, "upstream-leave-elsewhere", "dispatch/dispatch-1", 5 * second},
+	result := simulate(t, "umuyoboro", 8, 450,
+		Step{12 * second, "isolate", "edge-1", 6 * second},
+		Step{12100 * time.Millisecond, "upstream-leave-elsewhere", "dispatch/dispatch-1", 5 * second},
 		Step{13 * second, "upstream-leave-elsewhere", "dispatch/dispatch-2", 5 * second})
-	qt.Assert(t, result.Review.Worst["drain-ms"] > 500, qt.IsTrue, qt.Commentf("the cut-off home gave work for %v ms", result.Review.Worst["drain-ms"]))
+	qt.Assert(t, result.Review.Worst["drain-ms"] > 500, qt.IsTrue,
+		qt.Commentf("the cut-off home gave work for %v ms", result.Review.Worst["drain-ms"]))
 	after := 0
 	for _, leaving := range result.Record.Leaving {
 		after += counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
@@ -165,7 +182,8 @@
 	underway := 0
 	for _, stop := range result.Record.Stopped {
 		underway += counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
-			return len(runs) > 0 && (asked.Proxy == stop.Name || runs[0].ServingProxy == stop.Name) && runs[0].At < stop.From && runs[0].Whole > stop.From
+			return len(runs) > 0 && (asked.Proxy == stop.Name || runs[0].ServingProxy == stop.Name) && runs[0].At < stop.From &&
+				runs[0].Whole > stop.From
 		})
 	}
 	reached(t, "requests running at the signal", underway, 5)
@@ -173,7 +191,9 @@
 
 // 10: a whole service ends and comes back: every request would try every upstream.
 func TestNeverAStormOfRetries(t *testing.T) {
-	result := simulate(t, "umuyoboro", 10, 300, Step{12 * second, "service-kill", "dispatch/dispatch-1", 2 * second}, Step{12500 * time.Millisecond, "herd", "", 300 * time.Millisecond},
+	result := simulate(t, "umuyoboro", 10, 300,
+		Step{12 * second, "service-kill", "dispatch/dispatch-1", 2 * second},
+		Step{12500 * time.Millisecond, "herd", "", 300 * time.Millisecond},
 		Step{18 * second, "service-kill", "dispatch/dispatch-1", 2 * second})
 	reached(t, "tries again", result.Review.Seen["tries again"], 20)
 	reached(t, "requests refused for the budget", counted(result.Record, func(asked checker.Asked, _ []checker.Ran) bool {
@@ -186,7 +206,9 @@
 	for _, deployment := range []string{"umuyoboro", "jendela"} {
 		t.Run(deployment, func(t *testing.T) {
 			killed := 15700 * time.Millisecond
-			result := simulate(t, deployment, 11, 300, Step{killed, "kill-all", "", 4 * second}, Step{25 * second, "kill-holder", "usage", second})
+			result := simulate(t, deployment, 11, 300,
+				Step{killed, "kill-all", "", 4 * second},
+				Step{25 * second, "kill-holder", "usage", second})
 			reached(t, "answers in the last tenth of a second", counted(result.Record, func(asked checker.Asked, _ []checker.Ran) bool {
 				return asked.Code == 0 && !asked.Connection && asked.Done > killed-second/10 && asked.Done <= killed
 			}), 10)
@@ -206,7 +228,9 @@
 	const firstSeed, mostRuns = 11, 12
 	for seed := uint64(firstSeed); seed < firstSeed+mostRuns; seed++ {
 		result := playUnbroken(t, "jendela", seed, testRate, Step{9500 * time.Millisecond, "cut-core", "core-2", 2400 * time.Millisecond},
-			Step{10 * second, "put-and-kill-disk", "", 3 * second}, Step{18 * second, "put-and-kill", "", second}, Step{22 * second, "kill-all", "", second})
+			Step{10 * second, "put-and-kill-disk", "", 3 * second},
+			Step{18 * second, "put-and-kill", "", second},
+			Step{22 * second, "kill-all", "", second})
 		behind := false
 		holders := map[string]bool{}
 		for _, keeping := range result.Record.Keeping {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -90,7 +90,8 @@
 		w.addNode(message.RoleConfigStore, voter, voter, zone, host+":7500", seeds)
 	}
 	for number := range d.Proxies {
-		w.addNode(message.RoleProxy, fmt.Sprintf("edge-%d", number+1), "", d.Zones[number%len(d.Zones)], fmt.Sprintf("10.2.0.%d:7400", number+1), seeds)
+		w.addNode(message.RoleProxy, fmt.Sprintf("edge-%d", number+1), "", d.Zones[number%len(d.Zones)],
+			fmt.Sprintf("10.2.0.%d:7400", number+1), seeds)
 	}
 	number := 0
 	for _, service := range d.Services {
@@ -104,9 +105,18 @@
 func (w *World) addNode(role, machine, voter, zone, address string, seeds []string) *Node {
 	cfg := w.options.Deployment.Settings(role, machine, voter, zone, address, address, seeds, "data")
 	cfg.Collector = "http://collector/"
-	nodeName := &Node{world: w, name: role + "/" + machine, role: role, machine: machine, settings: cfg, disk: NewDisk(),
-		drift: (w.random.Float64() - 0.5) * 0.002, wallOff: time.Duration(w.random.Int64N(int64(60*time.Millisecond))) - 30*time.Millisecond,
-		slow: w.options.Deployment.DiskDelay, replies: map[int64]func(any){}}
+	nodeName := &Node{
+		world:    w,
+		name:     role + "/" + machine,
+		role:     role,
+		machine:  machine,
+		settings: cfg,
+		disk:     NewDisk(),
+		drift:    (w.random.Float64() - 0.5) * 0.002,
+		wallOff:  time.Duration(w.random.Int64N(int64(60*time.Millisecond))) - 30*time.Millisecond,
+		slow:     w.options.Deployment.DiskDelay,
+		replies:  map[int64]func(any){},
+	}
 	w.nodes[nodeName.name] = nodeName
 	w.order = append(w.order, nodeName.name)
 	w.byAddress[address] = nodeName
@@ -215,7 +225,7 @@
 }
 
 func (n *Node) count() {
-	usage, closed := n.frontend.Usage(time.Duration(n.Wall().UnixNano()), n.control.(*proxy.Machine).SealedBelow())
+	usage, closed := n.frontend.Usage(time.Duration(n.Wall().UnixNano()), mustBe[*proxy.Machine](n.control).SealedBelow())
 	n.apply(statemachine.Asked{Question: proxy.UsageCounted{Usage: usage, Closed: closed}})
 }
 
@@ -275,7 +285,7 @@
 			reply(done.Answer)
 		}
 	case statemachine.Publish:
-		n.snapshot = done.Snapshot.(*proxy.Snapshot)
+		n.snapshot = mustBe[*proxy.Snapshot](done.Snapshot)
 		n.tracker.UpdateSnapshot(n.snapshot)
 	case statemachine.Event:
 		n.logEvent(done)
@@ -283,11 +293,15 @@
 		n.world.after(n.world.transit()*2, func() {
 			owner := n.world.addresses[done.Address]
 			n.run(life, func() {
-				n.apply(statemachine.Asked{Question: proxy.Probed{Key: done.Key, Incarnation: done.Incarnation, Answered: owner != nil && owner.up}})
+				n.apply(statemachine.Asked{Question: proxy.Probed{
+					Key:         done.Key,
+					Incarnation: done.Incarnation,
+					Answered:    owner != nil && owner.up,
+				}})
 			})
 		})
 	case statemachine.Report:
-		report := done.Body.(registry.UsageReport)
+		report := mustBe[registry.UsageReport](done.Body)
 		if n.Now() > report.Until {
 			return
 		}
@@ -306,12 +320,7 @@
 			return
 		}
 		n.underway = n.underway[1:]
-		var failure error
-		if written.Snapshot != nil {
-			failure = n.store.Compact(written.Snapshot)
-		} else {
-			failure = n.store.Append([][]byte{written.Record})
-		}
+		failure := n.storeWrite(written)
 		if failure != nil {
 			n.recoverDisk(life)
 		}
@@ -319,19 +328,36 @@
 	})
 }
 
+// storeWrite hands a write to the store: a snapshot to keep, or a record for the log.
+func (n *Node) storeWrite(written statemachine.Write) error {
+	if written.Snapshot != nil {
+		return n.store.Compact(written.Snapshot)
+	}
+	return n.store.Append([][]byte{written.Record})
+}
 func (n *Node) logEvent(done statemachine.Event) {
 	n.world.mark("%s NOTE %s %d %s", n.name, done.EventName, done.Epoch, done.Cause)
 	switch done.EventName {
 	case "lease-taken":
 		tag, _, _ := strings.Cut(done.Cause, " ")
-		n.world.record.Keeping = append(n.world.record.Keeping, checker.Keeping{Tag: tag, Voter: n.place(), Epoch: done.Epoch, At: n.world.now})
+		n.world.record.Keeping = append(n.world.record.Keeping, checker.Keeping{
+			Tag:   tag,
+			Voter: n.place(),
+			Epoch: done.Epoch,
+			At:    n.world.now,
+		})
 	case "voter-recovered":
 		n.world.dangers["voters taken by an empty disk"]++
 		n.world.recovered(n)
 	case "voter-lost":
 		n.world.dangers["voters lost to another machine"]++
 	case "configuration-in-force":
-		n.world.record.Forced = append(n.world.record.Forced, checker.Force{Node: n.machine, ConfigName: done.Cause, Version: done.Epoch, At: n.world.now})
+		n.world.record.Forced = append(n.world.record.Forced, checker.Force{
+			Node:       n.machine,
+			ConfigName: done.Cause,
+			Version:    done.Epoch,
+			At:         n.world.now,
+		})
 	case "roster-change":
 		tag, _, _ := strings.Cut(done.Cause, " ")
 		n.world.record.Acts = append(n.world.record.Acts, checker.Keeping{Tag: tag, Voter: n.place(), Epoch: done.Epoch, At: n.world.now})
@@ -411,17 +437,18 @@
 	}
 	if since, cut := n.world.cutSince[n.machine]; cut && n.role == message.RoleProxy {
 		// What it counted while cut off died with it, untold.
-		n.world.record.Untold = append(n.world.record.Untold, checker.Span{Name: n.machine, From: since - 200*time.Millisecond, To: n.world.now})
+		n.world.record.Untold = append(n.world.record.Untold, checker.Span{
+			Name: n.machine,
+			From: since - 200*time.Millisecond,
+			To:   n.world.now,
+		})
 	}
 	n.world.mark("kill %s", n.name)
 	if len(n.underway) > 0 && !n.disk.fail {
 		// What the disk was at is done up to some step: written, synced, named.
 		n.disk.steps = n.world.random.IntN(7)
-		if written := n.underway[0]; written.Snapshot != nil {
-			n.store.Compact(written.Snapshot)
-		} else {
-			n.store.Append([][]byte{written.Record})
-		}
+		// The disk stops at that step, so the failure is what is wanted.
+		_ = n.storeWrite(n.underway[0])
 		n.world.dangers["kills in the middle of a write"]++
 	}
 	n.underway = nil
@@ -497,18 +524,22 @@
 		n.run(b.life, func() {
 			switch env {
 			case frontend.StageAdmit:
-				n.tracker.Admit(item.(*frontend.PendingRequest))
+				n.tracker.Admit(mustBe[*frontend.PendingRequest](item))
 			case frontend.StageSelect:
-				trip := item.(*frontend.PendingRequest)
+				trip := mustBe[*frontend.PendingRequest](item)
 				before := trip.Request.Attempts
 				n.tracker.SelectUpstream(trip)
 				if trip.Request.Attempts > before {
-					n.world.record.Attempts = append(n.world.record.Attempts, checker.Attempt{Service: trip.Request.Route.Service, At: n.world.now, Again: before > 0})
+					n.world.record.Attempts = append(n.world.record.Attempts, checker.Attempt{
+						Service: trip.Request.Route.Service,
+						At:      n.world.now,
+						Again:   before > 0,
+					})
 				}
 			case frontend.StageOutcome:
-				n.tracker.HandleOutcome(item.(frontend.AttemptOutcome))
+				n.tracker.HandleOutcome(mustBe[frontend.AttemptOutcome](item))
 			case frontend.StageStart:
-				n.call(b.life, item.(backend.Decision))
+				n.call(b.life, mustBe[backend.Decision](item))
 			}
 		})
 	})
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -44,7 +44,10 @@
 
 func (w *World) newOrder(version int64, tenants []loadgen.Tenant, body []byte, then func(code errcode.Code)) *order {
 	o := &order{version: version, tenants: tenants, body: body, digest: checker.Digest(body), then: then}
-	o.operation = &configLogOperation{request: configLogRequest{write: true, version: version, entry: fmt.Sprintf("%d:%s", version, o.digest)}, from: w.now}
+	o.operation = &configLogOperation{
+		request: configLogRequest{write: true, version: version, entry: fmt.Sprintf("%d:%s", version, o.digest)},
+		from:    w.now,
+	}
 	w.operations = append(w.operations, o.operation)
 	w.orders = append(w.orders, o)
 	w.contents[o.digest] = version
@@ -78,7 +81,12 @@
 	}
 	w.mark("order %d %s at %s", o.version, o.digest, board.name)
 	told := false
-	w.askBoard(board, registry.WriteConfiguration{ConfigName: "main", Version: o.version, Body: o.body, Check: registry.CheckConfiguration(board.settings, o.body)}, func(answer registry.Answer) {
+	w.askBoard(board, registry.WriteConfiguration{
+		ConfigName: "main",
+		Version:    o.version,
+		Body:       o.body,
+		Check:      registry.CheckConfiguration(board.settings, o.body),
+	}, func(answer registry.Answer) {
 		told = true
 		if w.orderAnswered(o, answer) {
 			w.after(min(orderPause*time.Duration(o.tries), orderPauseMax), func() { w.persist(o) })
@@ -149,7 +157,14 @@
 
 // acknowledged records a configuration that an operator was told is taken.
 func (w *World) acknowledged(version int64, digest string, tenants []loadgen.Tenant) {
-	write := checker.Write{ConfigName: "main", Version: version, At: w.now, Services: map[string]string{}, Keys: map[string]string{}, Digest: digest}
+	write := checker.Write{
+		ConfigName: "main",
+		Version:    version,
+		At:         w.now,
+		Services:   map[string]string{},
+		Keys:       map[string]string{},
+		Digest:     digest,
+	}
 	for _, kind := range w.options.Deployment.Kinds {
 		write.Services[kind.Route] = kind.Service
 	}
@@ -168,7 +183,7 @@
 	answered := false
 	board.request(question, func(reply any) {
 		answered = true
-		answer := reply.(registry.Answer)
+		answer := mustBe[registry.Answer](reply)
 		if get, isRead := question.(registry.ReadConfiguration); isRead && answer.Code == errcode.OK && !get.List && get.Version == 0 {
 			w.judgeRead(board, answer, newest)
 		}
--- a/internal/simulation/platform.go
+++ b/internal/simulation/platform.go
@@ -59,7 +59,8 @@
 func (w *World) coreStands(nodeName *Node) bool {
 	count := 0
 	for _, board := range w.alive(message.RoleRegistry) {
-		if w.linked(nodeName, board) && w.linked(board, nodeName) && w.now-board.born > commit && !w.cutOff(board.machine) && !w.voteLost(board) {
+		if w.linked(nodeName, board) && w.linked(board, nodeName) && w.now-board.born > commit && !w.cutOff(board.machine) &&
+			!w.voteLost(board) {
 			count++
 		}
 	}
@@ -76,7 +77,8 @@
 // the platform.
 func (w *World) refusedAfterReady(nodeName *Node, code errcode.Code, attempts int) {
 	held := w.readiness[nodeName.name]
-	if attempts > 0 || code != errcode.BusyNotReady && code != errcode.BusyStale || held == nil || !held.said || held.life != nodeName.life {
+	if attempts > 0 || code != errcode.BusyNotReady && code != errcode.BusyStale || held == nil || !held.said ||
+		held.life != nodeName.life {
 		return
 	}
 	if w.now-held.at < readyHolds {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -101,7 +101,7 @@
 	for _, nodeName := range w.alive(message.RoleRegistry) {
 		board := nodeName
 		board.request(registry.ReadConfiguration{ConfigName: "main", List: true}, func(answer any) {
-			got := answer.(registry.Answer)
+			got := mustBe[registry.Answer](answer)
 			if got.Code != errcode.OK {
 				w.fail("%s does not list the versions: %s", board.name, got.Code)
 				return
@@ -109,8 +109,13 @@
 			for _, listed := range gjson.GetBytes(got.Body, "versions").Array() {
 				version := listed.Int()
 				board.request(registry.ReadConfiguration{ConfigName: "main", Version: version}, func(answer any) {
-					if got := answer.(registry.Answer); got.Code == errcode.OK {
-						w.record.Kept = append(w.record.Kept, checker.Kept{Voter: board.place(), ConfigName: "main", Version: version, Digest: checker.Digest(got.Body)})
+					if got := mustBe[registry.Answer](answer); got.Code == errcode.OK {
+						w.record.Kept = append(w.record.Kept, checker.Kept{
+							Voter:      board.place(),
+							ConfigName: "main",
+							Version:    version,
+							Digest:     checker.Digest(got.Body),
+						})
 					}
 				})
 			}
@@ -118,7 +123,7 @@
 		for _, report := range w.record.Reported {
 			window := report.Window
 			board.request(registry.ReadUsage{Window: window}, func(answer any) {
-				if got := answer.(registry.Answer); got.Code == errcode.OK {
+				if got := mustBe[registry.Answer](answer); got.Code == errcode.OK {
 					counts := map[string]int64{}
 					gjson.GetBytes(got.Body, "counts").ForEach(func(tenant, count gjson.Result) bool {
 						counts[tenant.String()] = count.Int()
@@ -158,14 +163,23 @@
 		result.Review.Worst[refusedThoughAble] = float64(result.Review.Seen["unanswered: "+refusedThoughAble]) / float64(count)
 	}
 	if share := result.Review.Worst[refusedThoughAble]; share > refusedMost {
-		result.Review.Violations = append(result.Review.Violations, checker.Violation{Rule: "refused", Detail: fmt.Sprintf("%.4f of all requests were refused though some upstream could have run them", share)})
+		result.Review.Violations = append(result.Review.Violations, checker.Violation{
+			Rule:   "refused",
+			Detail: fmt.Sprintf("%.4f of all requests were refused though some upstream could have run them", share),
+		})
 	}
 	result.Review.Worst["restore-ms"] = float64(latest.Milliseconds())
 	if latest > bound {
-		result.Review.Violations = append(result.Review.Violations, checker.Violation{Rule: "restore", Detail: fmt.Sprintf("a request %s after the last fault was not answered", latest)})
+		result.Review.Violations = append(result.Review.Violations, checker.Violation{
+			Rule:   "restore",
+			Detail: fmt.Sprintf("a request %s after the last fault was not answered", latest),
+		})
 	}
 	if len(w.record.Writes) > 0 && len(w.record.Kept) == 0 {
-		result.Review.Violations = append(result.Review.Violations, checker.Violation{Rule: "restore", Detail: "no configuration could be read back at the end"})
+		result.Review.Violations = append(result.Review.Violations, checker.Violation{
+			Rule:   "restore",
+			Detail: "no configuration could be read back at the end",
+		})
 	}
 	if result.Review.Seen["answered"] == 0 {
 		result.Review.Violations = append(result.Review.Violations, checker.Violation{Rule: "empty", Detail: "no request was answered"})
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -36,20 +36,30 @@
 	"stopped-in-turn": func(d workload.Deployment, random *rand.Rand) []Step {
 		return append(inTurn(d, random, "stop"), Step{At: span(random, 12, 20), Do: "put"})
 	},
-	"core-cut": func(d workload.Deployment, random *rand.Rand) []Step {
+	"core-cut": func(_ workload.Deployment, random *rand.Rand) []Step {
 		kinds := []string{"cut-core", "cut-core-one-way", "halve"}
-		return []Step{{At: span(random, 10, 12), Do: kinds[random.IntN(3)], Target: voter(random), For: span(random, 1, 6)}, {At: span(random, 13, 15), Do: "put"},
-			{At: span(random, 18, 20), Do: kinds[random.IntN(3)], Target: voter(random), For: span(random, 1, 5)}}
+		return []Step{
+			{At: span(random, 10, 12), Do: kinds[random.IntN(3)], Target: voter(random), For: span(random, 1, 6)},
+			{At: span(random, 13, 15), Do: "put"},
+			{At: span(random, 18, 20), Do: kinds[random.IntN(3)], Target: voter(random), For: span(random, 1, 5)},
+		}
 	},
 	"isolated": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 10, 12), Do: "isolate", Target: edge(d, random), For: span(random, 1, 8)}, {At: span(random, 10, 14), Do: "isolate", Target: voter(random), For: span(random, 1, 6)},
-			{At: span(random, 12, 14), Do: "withdraw"}, {At: span(random, 16, 18), Do: "isolate-out", Target: edge(d, random), For: span(random, 1, 5)}}
+		return []Step{
+			{At: span(random, 10, 12), Do: "isolate", Target: edge(d, random), For: span(random, 1, 8)},
+			{At: span(random, 10, 14), Do: "isolate", Target: voter(random), For: span(random, 1, 6)},
+			{At: span(random, 12, 14), Do: "withdraw"},
+			{At: span(random, 16, 18), Do: "isolate-out", Target: edge(d, random), For: span(random, 1, 5)},
+		}
 	},
 	"freeze": func(d workload.Deployment, random *rand.Rand) []Step {
 		tags := allTags(d)
-		return []Step{{At: span(random, 10, 12), Do: "freeze-holder", Target: tags[random.IntN(len(tags))], For: span(random, 0.3, 8)},
-			{At: span(random, 12, 15), Do: "freeze", Target: edge(d, random), For: span(random, 0.3, 8)}, {At: span(random, 13, 14), Do: "withdraw"},
-			{At: span(random, 18, 20), Do: "freeze", Target: voter(random), For: span(random, 0.3, 4)}}
+		return []Step{
+			{At: span(random, 10, 12), Do: "freeze-holder", Target: tags[random.IntN(len(tags))], For: span(random, 0.3, 8)},
+			{At: span(random, 12, 15), Do: "freeze", Target: edge(d, random), For: span(random, 0.3, 8)},
+			{At: span(random, 13, 14), Do: "withdraw"},
+			{At: span(random, 18, 20), Do: "freeze", Target: voter(random), For: span(random, 0.3, 4)},
+		}
 	},
 	"cut-and-killed": func(d workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{}
@@ -60,17 +70,28 @@
 		}
 		return plan
 	},
-	"usurped": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 10, 12), Do: "usurp", Target: voter(random), For: span(random, 1, 9)}, {At: span(random, 12.5, 14), Do: "put"},
-			{At: span(random, 14, 17), Do: "kill-holder", Target: settings.ConfigLogTag, For: span(random, 0.5, 2)}, {At: span(random, 22, 24), Do: "put"}}
+	"usurped": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 10, 12), Do: "usurp", Target: voter(random), For: span(random, 1, 9)},
+			{At: span(random, 12.5, 14), Do: "put"},
+			{At: span(random, 14, 17), Do: "kill-holder", Target: settings.ConfigLogTag, For: span(random, 0.5, 2)},
+			{At: span(random, 22, 24), Do: "put"},
+		}
 	},
-	"two-disks-lost": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 9, 10), Do: "put"}, {At: span(random, 12, 13), Do: "kill-disk", Target: workload.Voters[0], For: span(random, 0.3, 2)},
+	"two-disks-lost": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 9, 10), Do: "put"},
+			{At: span(random, 12, 13), Do: "kill-disk", Target: workload.Voters[0], For: span(random, 0.3, 2)},
 			{At: span(random, 12, 13), Do: "kill-disk", Target: workload.Voters[1], For: span(random, 0.3, 2)},
-			{At: span(random, 18, 20), Do: "force-recover", Target: workload.Voters[2]}, {At: span(random, 24, 25), Do: "put"}}
+			{At: span(random, 18, 20), Do: "force-recover", Target: workload.Voters[2]},
+			{At: span(random, 24, 25), Do: "put"},
+		}
 	},
 	"restarted-behind-cut": func(d workload.Deployment, random *rand.Rand) []Step {
-		plan := []Step{{At: 10 * time.Second, Do: "halve", Target: voter(random), For: span(random, 5, 9)}, {At: span(random, 11, 12), Do: "put"}}
+		plan := []Step{
+			{At: 10 * time.Second, Do: "halve", Target: voter(random), For: span(random, 5, 9)},
+			{At: span(random, 11, 12), Do: "put"},
+		}
 		for range 5 {
 			plan = append(plan, Step{At: span(random, 12, 15), Do: "kill", Target: edge(d, random), For: span(random, 0.2, 1)})
 		}
@@ -78,28 +99,53 @@
 	},
 	"stale-root": func(d workload.Deployment, random *rand.Rand) []Step {
 		chosen := random.IntN(3)
-		plan := []Step{{At: 10 * time.Second, Do: "cut-core", Target: workload.Voters[chosen], For: span(random, 7, 9)}, {At: span(random, 11, 12), Do: "withdraw"}}
+		plan := []Step{
+			{At: 10 * time.Second, Do: "cut-core", Target: workload.Voters[chosen], For: span(random, 7, 9)},
+			{At: span(random, 11, 12), Do: "withdraw"},
+		}
 		for number := chosen; number < d.Proxies; number += 3 {
-			plan = append(plan, Step{At: span(random, 14.5, 16), Do: "kill", Target: fmt.Sprintf("edge-%d", number+1), For: span(random, 0.2, 0.6)})
+			plan = append(plan, Step{
+				At:     span(random, 14.5, 16),
+				Do:     "kill",
+				Target: fmt.Sprintf("edge-%d", number+1),
+				For:    span(random, 0.2, 0.6),
+			})
 		}
 		return plan
 	},
-	"acked-and-back": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 9, 10), Do: "put-and-kill", For: span(random, 0.25, 0.4)}, {At: span(random, 15, 16), Do: "put-and-kill", For: span(random, 0.25, 0.4)}}
+	"acked-and-back": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 9, 10), Do: "put-and-kill", For: span(random, 0.25, 0.4)},
+			{At: span(random, 15, 16), Do: "put-and-kill", For: span(random, 0.25, 0.4)},
+		}
 	},
-	"acked-and-killed": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 9, 10), Do: "put-and-kill", For: span(random, 0.3, 4)}, {At: span(random, 16, 18), Do: "put-and-kill-disk", For: span(random, 0.3, 4)},
-			{At: span(random, 23, 24), Do: "put"}}
+	"acked-and-killed": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 9, 10), Do: "put-and-kill", For: span(random, 0.3, 4)},
+			{At: span(random, 16, 18), Do: "put-and-kill-disk", For: span(random, 0.3, 4)},
+			{At: span(random, 23, 24), Do: "put"},
+		}
 	},
-	"disks-lost": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 10, 11), Do: "kill-disk", Target: workload.Voters[0], For: span(random, 0.3, 3)}, {At: span(random, 14, 15), Do: "put"},
-			{At: span(random, 18, 19), Do: "kill-disk", Target: workload.Voters[1], For: span(random, 0.3, 3)}, {At: span(random, 22, 23), Do: "put"}}
+	"disks-lost": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 10, 11), Do: "kill-disk", Target: workload.Voters[0], For: span(random, 0.3, 3)},
+			{At: span(random, 14, 15), Do: "put"},
+			{At: span(random, 18, 19), Do: "kill-disk", Target: workload.Voters[1], For: span(random, 0.3, 3)},
+			{At: span(random, 22, 23), Do: "put"},
+		}
 	},
-	"voter-replaced": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 10, 12), Do: "replace-voter", Target: voter(random), For: span(random, 0.3, 4)}, {At: span(random, 16, 18), Do: "put"}}
+	"voter-replaced": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 10, 12), Do: "replace-voter", Target: voter(random), For: span(random, 0.3, 4)},
+			{At: span(random, 16, 18), Do: "put"},
+		}
 	},
 	"core-replaced": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 10, 12), Do: "replace-core", Target: core(d, random), For: span(random, 0.3, 4)}, {At: span(random, 10, 13), Do: "put"}, {At: span(random, 16, 18), Do: "put"}}
+		return []Step{
+			{At: span(random, 10, 12), Do: "replace-core", Target: core(d, random), For: span(random, 0.3, 4)},
+			{At: span(random, 10, 13), Do: "put"},
+			{At: span(random, 16, 18), Do: "put"},
+		}
 	},
 	"zones-lost": func(d workload.Deployment, random *rand.Rand) []Step {
 		// All core machines of a zone go at once and come back; then those of the next.
@@ -119,93 +165,161 @@
 		// One after another, until all that founded are gone.
 		plan := []Step{}
 		for index, name := range d.CoreNames() {
-			plan = append(plan, Step{At: span(random, 10+float64(index)*9, 11+float64(index)*9), Do: "replace-core", Target: name, For: span(random, 0.3, 2)},
+			plan = append(plan, Step{
+				At:     span(random, 10+float64(index)*9, 11+float64(index)*9),
+				Do:     "replace-core",
+				Target: name,
+				For:    span(random, 0.3, 2),
+			},
 				Step{At: span(random, 12+float64(index)*9, 17+float64(index)*9), Do: "put"})
 		}
 		return plan
 	},
-	"acked-and-wiped": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 9, 10), Do: "put-and-kill-disk", For: span(random, 0.2, 2)}, {At: span(random, 18, 19), Do: "put-and-kill-disk", For: span(random, 0.2, 2)},
-			{At: span(random, 26, 27), Do: "put"}}
+	"acked-and-wiped": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 9, 10), Do: "put-and-kill-disk", For: span(random, 0.2, 2)},
+			{At: span(random, 18, 19), Do: "put-and-kill-disk", For: span(random, 0.2, 2)},
+			{At: span(random, 26, 27), Do: "put"},
+		}
 	},
 	"core-replaced-one-away": func(d workload.Deployment, random *rand.Rand) []Step {
 		chosen := random.Perm(len(d.CoreNames()))
 		at := span(random, 10, 12)
-		return []Step{{At: at, Do: "replace-core", Target: d.CoreNames()[chosen[0]], For: span(random, 0.3, 3)},
+		return []Step{
+			{At: at, Do: "replace-core", Target: d.CoreNames()[chosen[0]], For: span(random, 0.3, 3)},
 			{At: at + span(random, 0, 6), Do: "kill", Target: d.CoreNames()[chosen[1]], For: span(random, 0.3, 3)},
-			{At: at + span(random, 0, 6), Do: []string{"cut-core", "cut-core-one-way", "put"}[random.IntN(3)], Target: d.CoreNames()[chosen[2]], For: span(random, 0.3, 3)}, {At: span(random, 22, 24), Do: "put"}}
+			{
+				At:     at + span(random, 0, 6),
+				Do:     []string{"cut-core", "cut-core-one-way", "put"}[random.IntN(3)],
+				Target: d.CoreNames()[chosen[2]],
+				For:    span(random, 0.3, 3),
+			},
+			{At: span(random, 22, 24), Do: "put"},
+		}
 	},
 	"core-replaced-all-killed": func(d workload.Deployment, random *rand.Rand) []Step {
 		at := span(random, 10, 12)
-		return []Step{{At: at, Do: "replace-core", Target: core(d, random), For: span(random, 0.3, 3)}, {At: at + span(random, 0.5, 7), Do: "kill-core", For: span(random, 0.2, 1)},
-			{At: span(random, 22, 24), Do: "put"}}
+		return []Step{
+			{At: at, Do: "replace-core", Target: core(d, random), For: span(random, 0.3, 3)},
+			{At: at + span(random, 0.5, 7), Do: "kill-core", For: span(random, 0.2, 1)},
+			{At: span(random, 22, 24), Do: "put"},
+		}
 	},
 	"core-wiped-others-killed": func(d workload.Deployment, random *rand.Rand) []Step {
 		name := core(d, random)
 		at := span(random, 10, 12)
-		return []Step{{At: at, Do: "kill-disk", Target: name, For: span(random, 0.2, 2)}, {At: at + span(random, 0, 3), Do: "kill-core", For: span(random, 0.2, 1)}, {At: span(random, 12, 20), Do: "put"}}
+		return []Step{
+			{At: at, Do: "kill-disk", Target: name, For: span(random, 0.2, 2)},
+			{At: at + span(random, 0, 3), Do: "kill-core", For: span(random, 0.2, 1)},
+			{At: span(random, 12, 20), Do: "put"},
+		}
 	},
 	"seeds-swapped": func(d workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{}
 		for index, voter := range workload.Voters {
-			plan = append(plan, Step{At: time.Duration(10+index*7) * time.Second, Do: "replace-voter", Target: voter, For: span(random, 0.3, 1.5)})
+			plan = append(plan, Step{
+				At:     time.Duration(10+index*7) * time.Second,
+				Do:     "replace-voter",
+				Target: voter,
+				For:    span(random, 0.3, 1.5),
+			})
 		}
-		return append(plan, Step{At: 29 * time.Second, Do: "put"}, Step{At: 31 * time.Second, Do: "kill", Target: edge(d, random), For: time.Second})
+		return append(plan, Step{At: 29 * time.Second, Do: "put"},
+			Step{At: 31 * time.Second, Do: "kill", Target: edge(d, random), For: time.Second})
 	},
 	"away-and-swapped": func(d workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{{At: 9 * time.Second, Do: "kill", Target: edge(d, random), For: 85 * time.Second}}
 		for index, voter := range workload.Voters {
-			plan = append(plan, Step{At: time.Duration(10+index*7) * time.Second, Do: "replace-voter", Target: voter, For: span(random, 0.3, 1.5)})
+			plan = append(plan, Step{
+				At:     time.Duration(10+index*7) * time.Second,
+				Do:     "replace-voter",
+				Target: voter,
+				For:    span(random, 0.3, 1.5),
+			})
 		}
 		return plan
 	},
-	"seeds-swapped-all-killed": func(d workload.Deployment, random *rand.Rand) []Step {
+	"seeds-swapped-all-killed": func(_ workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{}
 		for index, voter := range workload.Voters {
-			plan = append(plan, Step{At: time.Duration(10+index*7) * time.Second, Do: "replace-voter", Target: voter, For: span(random, 0.3, 1.5)})
+			plan = append(plan, Step{
+				At:     time.Duration(10+index*7) * time.Second,
+				Do:     "replace-voter",
+				Target: voter,
+				For:    span(random, 0.3, 1.5),
+			})
 		}
 		return append(plan, Step{At: span(random, 31, 32), Do: "kill-all", For: span(random, 0.3, 2)})
 	},
 	"disks-full-in-turn": disksFullInTurn,
-	"disk-fails": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 9, 10), Do: "disk-fails", Target: voter(random), For: span(random, 4, 9)}, {At: span(random, 11, 12), Do: "put"},
-			{At: span(random, 13, 14), Do: "withdraw"}, {At: span(random, 21, 22), Do: "put"}}
+	"disk-fails": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 9, 10), Do: "disk-fails", Target: voter(random), For: span(random, 4, 9)},
+			{At: span(random, 11, 12), Do: "put"},
+			{At: span(random, 13, 14), Do: "withdraw"},
+			{At: span(random, 21, 22), Do: "put"},
+		}
 	},
-	"collector-down": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 10, 12), Do: "collector-down", For: span(random, 4, 6)}, {At: span(random, 12, 15), Do: "kill-holder", Target: settings.UsageTag, For: span(random, 0.5, 2)}}
+	"collector-down": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 10, 12), Do: "collector-down", For: span(random, 4, 6)},
+			{At: span(random, 12, 15), Do: "kill-holder", Target: settings.UsageTag, For: span(random, 0.5, 2)},
+		}
 	},
-	"two-core-down": func(d workload.Deployment, random *rand.Rand) []Step {
+	"two-core-down": func(_ workload.Deployment, random *rand.Rand) []Step {
 		// Two voters are away together; a configuration is put before, meanwhile and after.
 		first := random.IntN(3)
-		return []Step{{At: span(random, 9, 10), Do: "put"}, {At: span(random, 11, 12), Do: "kill", Target: workload.Voters[first], For: span(random, 6, 8)},
-			{At: span(random, 12, 13), Do: "kill", Target: workload.Voters[(first+1)%3], For: span(random, 3, 8)}, {At: span(random, 13, 15), Do: "put"}, {At: span(random, 24, 25), Do: "put"}}
+		return []Step{
+			{At: span(random, 9, 10), Do: "put"},
+			{At: span(random, 11, 12), Do: "kill", Target: workload.Voters[first], For: span(random, 6, 8)},
+			{At: span(random, 12, 13), Do: "kill", Target: workload.Voters[(first+1)%3], For: span(random, 3, 8)},
+			{At: span(random, 13, 15), Do: "put"},
+			{At: span(random, 24, 25), Do: "put"},
+		}
 	},
-	"collector-odd": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 9, 10), Do: "collector-odd", For: span(random, 12, 16)}, {At: span(random, 12, 15), Do: "kill-holder", Target: settings.UsageTag, For: span(random, 0.5, 2)},
-			{At: span(random, 17, 19), Do: "kill-holder", Target: settings.UsageTag, For: span(random, 0.5, 2)}}
+	"collector-odd": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 9, 10), Do: "collector-odd", For: span(random, 12, 16)},
+			{At: span(random, 12, 15), Do: "kill-holder", Target: settings.UsageTag, For: span(random, 0.5, 2)},
+			{At: span(random, 17, 19), Do: "kill-holder", Target: settings.UsageTag, For: span(random, 0.5, 2)},
+		}
 	},
 	"last-fault": func(d workload.Deployment, random *rand.Rand) []Step {
 		end := span(random, 16, 20)
 		last := anyStep(d, random)
 		switch random.IntN(4) {
 		case 0:
-			last = Step{Do: []string{"kill-all", "kill-core", "put-and-kill", "put-and-kill-disk"}[random.IntN(4)], For: span(random, 0.3, 2)}
+			last = Step{
+				Do:  []string{"kill-all", "kill-core", "put-and-kill", "put-and-kill-disk"}[random.IntN(4)],
+				For: span(random, 0.3, 2),
+			}
 		case 1:
-			last = Step{Do: []string{"kill-disk", "replace-voter", "usurp", "stop"}[random.IntN(4)], Target: voter(random), For: span(random, 0.3, 2)}
+			last = Step{
+				Do:     []string{"kill-disk", "replace-voter", "usurp", "stop"}[random.IntN(4)],
+				Target: voter(random),
+				For:    span(random, 0.3, 2),
+			}
 		}
 		last.At = end - span(random, 0, 0.5)
 		return []Step{{At: span(random, 11, 14), Do: "put"}, last, {At: end, Do: "end"}}
 	},
 	"slow-heir": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: 9 * time.Second, Do: "slow-disk", Target: workload.Voters[1], For: 14 * time.Second},
+		return []Step{
+			{At: 9 * time.Second, Do: "slow-disk", Target: workload.Voters[1], For: 14 * time.Second},
 			{At: span(random, 12, 13), Do: "kill", Target: workload.Voters[0], For: span(random, 4, 6)},
-			{At: span(random, 15, 16), Do: "put"}, {At: span(random, 15, 16), Do: "upstream-replace", Target: upstreamName(d, random), For: time.Second}}
+			{At: span(random, 15, 16), Do: "put"},
+			{At: span(random, 15, 16), Do: "upstream-replace", Target: upstreamName(d, random), For: time.Second},
+		}
 	},
-	"slow-disks": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 9, 10), Do: "slow-disk", Target: voter(random), For: 12 * time.Second}, {At: span(random, 11, 12), Do: "put"},
-			{At: span(random, 13, 14), Do: "put-huge"}, {At: span(random, 15, 16), Do: "kill-holder", Target: settings.ConfigLogTag, For: 2 * time.Second}}
+	"slow-disks": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 9, 10), Do: "slow-disk", Target: voter(random), For: 12 * time.Second},
+			{At: span(random, 11, 12), Do: "put"},
+			{At: span(random, 13, 14), Do: "put-huge"},
+			{At: span(random, 15, 16), Do: "kill-holder", Target: settings.ConfigLogTag, For: 2 * time.Second},
+		}
 	},
-	"configurations": func(d workload.Deployment, random *rand.Rand) []Step {
+	"configurations": func(_ workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{}
 		kinds := []string{"put", "put-race", "put-bad", "put-huge", "withdraw", "restore-keys", "put"}
 		for index := range 10 {
@@ -217,14 +331,24 @@
 		plan := []Step{}
 		kinds := []string{"upstream-kill", "upstream-replace", "upstream-faults", "upstream-handover", "upstream-leave"}
 		for index := range 8 {
-			plan = append(plan, Step{At: span(random, 9+float64(index)*1.5, 10.5+float64(index)*1.5), Do: kinds[index%len(kinds)], Target: upstreamName(d, random), For: span(random, 0.05, 2)})
+			plan = append(plan, Step{
+				At:     span(random, 9+float64(index)*1.5, 10.5+float64(index)*1.5),
+				Do:     kinds[index%len(kinds)],
+				Target: upstreamName(d, random),
+				For:    span(random, 0.05, 2),
+			})
 		}
 		return plan
 	},
 	"vanished": func(d workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{}
 		for index := range 3 {
-			plan = append(plan, Step{At: span(random, 9+float64(index)*4, 12+float64(index)*4), Do: "upstream-vanish", Target: upstreamName(d, random), For: span(random, 0, 0.5)})
+			plan = append(plan, Step{
+				At:     span(random, 9+float64(index)*4, 12+float64(index)*4),
+				Do:     "upstream-vanish",
+				Target: upstreamName(d, random),
+				For:    span(random, 0, 0.5),
+			})
 		}
 		return plan
 	},
@@ -233,14 +357,22 @@
 		for index := range 2 {
 			at := span(random, 9+float64(index)*6, 11+float64(index)*6)
 			plan = append(plan, Step{At: at, Do: "upstream-leave-elsewhere", Target: upstreamName(d, random), For: 4 * time.Second},
-				Step{At: at - span(random, 0, 0.5), Do: []string{"isolate", "freeze", "kill", "put"}[random.IntN(4)], Target: edge(d, random), For: span(random, 1, 4)})
+				Step{
+					At:     at - span(random, 0, 0.5),
+					Do:     []string{"isolate", "freeze", "kill", "put"}[random.IntN(4)],
+					Target: edge(d, random),
+					For:    span(random, 1, 4),
+				})
 		}
 		return plan
 	},
-	"all-killed": func(d workload.Deployment, random *rand.Rand) []Step {
-		return []Step{{At: span(random, 12, 14), Do: "kill-all", For: span(random, 0.3, 2)}, {At: span(random, 22, 23), Do: "kill-core", For: span(random, 0.3, 2)}}
+	"all-killed": func(_ workload.Deployment, random *rand.Rand) []Step {
+		return []Step{
+			{At: span(random, 12, 14), Do: "kill-all", For: span(random, 0.3, 2)},
+			{At: span(random, 22, 23), Do: "kill-core", For: span(random, 0.3, 2)},
+		}
 	},
-	"all-killed-young-window": func(d workload.Deployment, random *rand.Rand) []Step {
+	"all-killed-young-window": func(_ workload.Deployment, random *rand.Rand) []Step {
 		// Windows end at every fifth second: this one is 0.5 to 1.5 s old, and gets no
 		// more than that.
 		return []Step{{At: span(random, 15.5, 16.5), Do: "kill-all", For: span(random, 3.5, 4.5)}}
@@ -260,7 +392,12 @@
 		plan = append(plan, Step{At: time.Duration(10+index*5) * time.Second, Do: do, Target: voter, For: span(random, 0.3, 2)})
 	}
 	for number := range d.Proxies {
-		plan = append(plan, Step{At: time.Duration(10000+number*1200) * time.Millisecond, Do: do, Target: fmt.Sprintf("edge-%d", number+1), For: span(random, 0.3, 1)})
+		plan = append(plan, Step{
+			At:     time.Duration(10000+number*1200) * time.Millisecond,
+			Do:     do,
+			Target: fmt.Sprintf("edge-%d", number+1),
+			For:    span(random, 0.3, 1),
+		})
 	}
 	return plan
 }
--- a/internal/simulation/secondloss.go
+++ b/internal/simulation/secondloss.go
@@ -171,7 +171,8 @@
 	w.serial++
 	host, port, _ := strings.Cut(old.settings.Address, ":")
 	parts := strings.Split(host, ".")
-	heir := w.addNode(old.role, machine, "", old.settings.Zone, fmt.Sprintf("%s.%d:%s", strings.Join(parts[:3], "."), 100+w.serial, port), old.settings.Seeds)
+	heir := w.addNode(old.role, machine, "", old.settings.Zone,
+		fmt.Sprintf("%s.%d:%s", strings.Join(parts[:3], "."), 100+w.serial, port), old.settings.Seeds)
 	heir.settings.Found = false
 	heir.settings.Seeds = []string{}
 	for _, board := range w.of(message.RoleRegistry) {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -29,7 +29,8 @@
 		t.Errorf("%s %s seed %d: %s: %s", deployment, scenario, seed, violation.Rule, violation.Detail)
 	}
 	if t.Failed() {
-		t.Logf("replay: simulate --deployment %s --scenario %s --rate %d --count 1 --seed %d --log\n%v", deployment, scenario, testRate, seed, result.Plan)
+		t.Logf("replay: simulate --deployment %s --scenario %s --rate %d --count 1 --seed %d --log\n%v", deployment, scenario, testRate,
+			seed, result.Plan)
 	}
 	return result
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -27,6 +27,15 @@
 
 type eventQueue []*event
 
+// mustBe returns value as a T. Callbacks and queues carry values of any type; a value of another
+// type than the one expected is a programming error of the simulator, so it panics.
+func mustBe[T any](value any) T {
+	typed, ok := value.(T)
+	if !ok {
+		panic(fmt.Sprintf("simulation: got a %T, want a %T", value, typed))
+	}
+	return typed
+}
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
@@ -35,7 +44,7 @@
 
 // Push adds an event, for package heap.
 func (q *eventQueue) Push(item any) {
-	*q = append(*q, item.(*event))
+	*q = append(*q, mustBe[*event](item))
 }
 
 // Pop removes the last event, for package heap.
@@ -95,6 +104,7 @@
 	answersLost time.Duration            // until when answers to operators are lost
 	lostShare   float64                  // and how many of them
 	severed     map[string]time.Duration // core machines cut off from all others, since when
+	faults      map[string]fault         // by the name of a step
 	armed       *armedLoss               // the second loss that waits for a newcomer's vote
 	voting      map[string]int           // programs of a machine whose newcomers have their votes
 	diskMost    int                      // the most bytes on one store's disk
@@ -117,10 +127,30 @@
 
 // NewWorld builds a deployment; nothing runs yet.
 func NewWorld(options Options) *World {
-	w := &World{options: options, random: rand.New(rand.NewPCG(options.Seed, 99)), nodes: map[string]*Node{}, byAddress: map[string]*Node{},
-		cuts: map[string]int{}, cutSince: map[string]time.Duration{}, lastAt: map[string]time.Duration{}, links: map[string]*link{}, upstreams: map[string]*Upstream{}, addresses: map[string]*Upstream{},
-		sent: map[int64]int{}, dangers: map[string]int{}, readiness: map[string]*readiness{}, couldServe: map[string]bool{}, unvouched: map[string]bool{},
-		taken: map[int64]string{}, contents: map[string]int64{}, severed: map[string]time.Duration{}, voting: map[string]int{}, loss: 0.002, delay: 300 * time.Microsecond}
+	w := &World{
+		options:    options,
+		random:     rand.New(rand.NewPCG(options.Seed, 99)),
+		nodes:      map[string]*Node{},
+		byAddress:  map[string]*Node{},
+		cuts:       map[string]int{},
+		cutSince:   map[string]time.Duration{},
+		lastAt:     map[string]time.Duration{},
+		links:      map[string]*link{},
+		upstreams:  map[string]*Upstream{},
+		addresses:  map[string]*Upstream{},
+		sent:       map[int64]int{},
+		dangers:    map[string]int{},
+		readiness:  map[string]*readiness{},
+		couldServe: map[string]bool{},
+		unvouched:  map[string]bool{},
+		taken:      map[int64]string{},
+		contents:   map[string]int64{},
+		faults:     allFaults(),
+		severed:    map[string]time.Duration{},
+		voting:     map[string]int{},
+		loss:       0.002,
+		delay:      300 * time.Microsecond,
+	}
 	w.record.Bounds = checker.BriefBounds(options.Deployment.Withdrawal)
 	w.record.Window, w.record.Epoch = time.Duration(settings.Default().Bounds.UsageWindow)*time.Millisecond, epoch
 	w.record.KeptMost = int(settings.Default().Limits.KeptConfigurations)
@@ -139,7 +169,7 @@
 // Run plays until a true time.
 func (w *World) Run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
-		next := heap.Pop(&w.events).(*event)
+		next := mustBe[*event](heap.Pop(&w.events))
 		w.now = next.at
 		w.steps++
 		next.do()
@@ -306,7 +336,10 @@
 	review.Worst["largest-frame-bytes"] = float64(w.frameMax)
 	review.Worst["store-disk-bytes"] = float64(w.diskMost)
 	if !sound {
-		review.Violations = append(review.Violations, checker.Violation{Rule: "config-log-order", Detail: fmt.Sprintf("%d puts and reads fit no order", count)})
+		review.Violations = append(review.Violations, checker.Violation{
+			Rule:   "config-log-order",
+			Detail: fmt.Sprintf("%d puts and reads fit no order", count),
+		})
 	}
 	for _, text := range w.broken {
 		review.Violations = append(review.Violations, checker.Violation{Rule: "simulator", Detail: text})
