--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -11,6 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"beaconvane/internal/fleet"
+	"beaconvane/internal/message"
 	"beaconvane/internal/workload"
 )
 
@@ -34,7 +35,7 @@
 				}
 				folder = made
 				if !keep {
-					defer os.RemoveAll(made)
+					defer func() { _ = os.RemoveAll(made) }() // a folder left in the temporary one does no harm
 				}
 			}
 			outcome, err := fleet.Play(deployment, bin, folder, scenario, length, seed, slack)
@@ -43,7 +44,9 @@
 			}
 			encoder := json.NewEncoder(os.Stdout)
 			encoder.SetIndent("", "  ")
-			encoder.Encode(outcome)
+			if err := encoder.Encode(outcome); err != nil {
+				return err
+			}
 			if len(outcome.Review.Violations) > 0 {
 				return fmt.Errorf("%d violations", len(outcome.Review.Violations))
 			}
@@ -67,7 +70,8 @@
 // lay writes the settings of a fleet and says how to start it by hand.
 func lay() *cobra.Command {
 	name, folder := "small", "run"
-	command := &cobra.Command{Use: "lay", Short: "write the settings and a configuration of a fleet, to be started by hand", Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "lay", Args: cobra.NoArgs,
+		Short: "write the settings and a configuration of a fleet, to be started by hand",
 		RunE: func(*cobra.Command, []string) error {
 			deployment, known := workload.Named(name)
 			if !known {
@@ -85,9 +89,12 @@
 				return err
 			}
 			for _, process := range fleetRun.Processes {
-				fmt.Printf("./bin/%s --config %s 2>> %s/%s-%s.log &\n", process.Role, process.Settings(), folder, process.Role, process.Node)
+				fmt.Printf("./bin/%s --config %s 2>> %s/%s-%s.log &\n",
+					process.Role, process.Settings(), folder, process.Role, process.Node)
 			}
-			fmt.Printf("REGISTRY=%s PROXY=%s OTHER=%s\n", fleetRun.Of("registry")[0].Outside, fleetRun.Of("proxy")[0].Outside, fleetRun.Of("proxy")[1].Outside)
+			proxies := fleetRun.Of(message.RoleProxy)
+			fmt.Printf("REGISTRY=%s PROXY=%s OTHER=%s\n",
+				fleetRun.Of(message.RoleRegistry)[0].Outside, proxies[0].Outside, proxies[1].Outside)
 			return nil
 		}}
 	command.Flags().StringVar(&name, "deployment", name, "small, umuyoboro or jendela")
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -40,7 +40,9 @@
 				defer file.Close()
 				encoder := json.NewEncoder(file)
 				for _, request := range asked {
-					encoder.Encode(request)
+					if err := encoder.Encode(request); err != nil {
+						return err
+					}
 				}
 			}
 			encoder := json.NewEncoder(os.Stdout)
@@ -51,7 +53,9 @@
 	root.Flags().StringVar(&record, "record", "", "file for one JSON line a request")
 	root.Flags().DurationVar(&length, "length", length, "how long to send requests")
 	root.Flags().DurationVar(&limit, "limit", limit, "how long to wait for an answer")
-	root.MarkFlagRequired("plan")
+	if err := root.MarkFlagRequired("plan"); err != nil {
+		panic("loadgen: " + err.Error()) // no such flag: a programming error
+	}
 	if root.Execute() != nil {
 		os.Exit(1)
 	}
--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, errcode.Wrap("scaletest", errcode.DiskFault, err)
 	}
-	defer os.RemoveAll(folder)
+	defer func() { _ = os.RemoveAll(folder) }() // a folder left in the temporary one does no harm
 	plan := m.plan
 	plan.Proxies, plan.Share, plan.Folder, plan.Program = size, m.share, folder, program
 	if m.share == 0 {
--- a/cmd/stubserver/main.go
+++ b/cmd/stubserver/main.go
@@ -37,7 +37,9 @@
 			server.SignOff()
 			encoder := json.NewEncoder(os.Stdout)
 			for _, ran := range server.Runs() {
-				encoder.Encode(ran)
+				if err := encoder.Encode(ran); err != nil {
+					return err
+				}
 			}
 			return nil
 		}}
@@ -48,7 +50,8 @@
 	flags.StringVar(&server.Announcement.Zone, "zone", "", "zone")
 	flags.Int64Var(&server.Announcement.Slots, "slots", 8, "requests at one time")
 	flags.Float64Var(&server.Announcement.Load, "load", 0, "load to report, 0 to 1")
-	flags.StringVar(&proxies, "proxies", "127.0.0.1:8080", "outside addresses of proxies, comma between; the first that answers is announced to")
+	flags.StringVar(&proxies, "proxies", "127.0.0.1:8080",
+		"outside addresses of proxies, comma between; the first that answers is announced to")
 	flags.DurationVar(&server.Work, "work", 20*time.Millisecond, "how long a request takes")
 	flags.Float64Var(&faults.Lose, "lose", 0, "share of runs that end without an answer")
 	flags.Float64Var(&faults.Garbage, "garbage", 0, "share of runs answered with garbage")
@@ -56,7 +59,9 @@
 	flags.Float64Var(&faults.Excess, "excess", 0, "share of runs answered with too much")
 	flags.Float64Var(&faults.Slow, "slow", 0, "share of runs that take ten times as long")
 	for _, name := range []string{"service", "instance", "zone"} {
-		root.MarkFlagRequired(name)
+		if err := root.MarkFlagRequired(name); err != nil {
+			panic("stubserver: " + err.Error()) // no such flag: a programming error
+		}
 	}
 	if root.Execute() != nil {
 		os.Exit(1)
--- a/internal/checker/bounds.go
+++ b/internal/checker/bounds.go
@@ -19,8 +19,18 @@
 
 // BriefBounds returns the promised bounds; withdrawal says whether withdrawn keys have one.
 func BriefBounds(withdrawal bool) Bounds {
-	bounds := Bounds{ConfigurationInForce: 2 * time.Second, SlipBack: 250 * time.Millisecond, Drain: 2 * time.Second, AnswerHold: 200 * time.Millisecond,
-		HolderRest: 3 * time.Second, UsageLate: 10 * time.Second, UsageOff: 0.05, RetryShare: 0.2, RetryWindow: 10 * time.Second, RetryMore: 10}
+	bounds := Bounds{
+		ConfigurationInForce: 2 * time.Second,
+		SlipBack:             250 * time.Millisecond,
+		Drain:                2 * time.Second,
+		AnswerHold:           200 * time.Millisecond,
+		HolderRest:           3 * time.Second,
+		UsageLate:            10 * time.Second,
+		UsageOff:             0.05,
+		RetryShare:           0.2,
+		RetryWindow:          10 * time.Second,
+		RetryMore:            10,
+	}
 	if withdrawal {
 		bounds.KeyWithdrawal = 5 * time.Second
 	}
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -14,20 +14,48 @@
 func clean() Record {
 	return Record{
 		Asked: []Asked{
-			{ID: "a", Proxy: "e1", Route: "send", Service: "pay", Tenant: "t", Caller: "c", Key: "k", Once: true, Sent: 10 * sec, Done: 11 * sec, Status: 200, Body: "by one", Mark: "m"},
-			{ID: "b", Proxy: "e1", Route: "send", Service: "pay", Tenant: "t", Caller: "c", Key: "k", Once: true, Sent: 12 * sec, Done: 12 * sec, Status: 503, Code: 3103, Retry: true},
+			{
+				ID: "a", Proxy: "e1", Route: "send", Service: "pay", Tenant: "t", Caller: "c", Key: "k", Once: true,
+				Sent: 10 * sec, Done: 11 * sec, Status: 200, Body: "by one", Mark: "m",
+			},
+			{
+				ID: "b", Proxy: "e1", Route: "send", Service: "pay", Tenant: "t", Caller: "c", Key: "k", Once: true,
+				Sent: 12 * sec, Done: 12 * sec, Status: 503, Code: 3103, Retry: true,
+			},
+		},
+		Ran: []Ran{{
+			ID: "a", Service: "pay", Instance: "one", Tenant: "t", Caller: "c",
+			At: 10 * sec, Whole: 11 * sec, Answer: "by one", Status: 200, Mark: "m", Life: 1, ServingProxy: "e1",
+		}},
+		Writes: []Write{
+			{
+				ConfigName: "main", Version: 1, At: sec, Services: map[string]string{"send": "pay"},
+				Keys: map[string]string{"k": "t", "old": "t"}, Digest: "one",
+			},
+			{
+				ConfigName: "main", Version: 2, At: 3 * sec, Services: map[string]string{"send": "pay"},
+				Keys: map[string]string{"k": "t"}, Digest: "two",
+			},
+		},
+		Forced:  []Force{{Node: "e1", ConfigName: "main", Version: 1, At: sec}, {Node: "e1", ConfigName: "main", Version: 2, At: 4 * sec}},
+		Up:      []Span{{Name: "e1", From: 0, To: 60 * sec}},
+		Leaving: []Leaving{{Service: "pay", Instance: "one", Life: 1, At: 20 * sec}},
+		Reported: []Reported{
+			{Window: 2, From: "s1", Counts: map[string]int64{"t": 1}, At: 16 * sec, End: 15 * sec},
+			{Window: 2, From: "s2", Counts: map[string]int64{"t": 1}, At: 17 * sec, End: 15 * sec},
+		},
+		Keeping: []Keeping{
+			{Tag: "x", Voter: "s1", Epoch: 1, At: sec},
+			{Tag: "x", Voter: "s2", Epoch: 2, At: 10 * sec},
+			{Tag: "x", Voter: "s1", Epoch: 3, At: 20 * sec},
 		},
-		Ran:      []Ran{{ID: "a", Service: "pay", Instance: "one", Tenant: "t", Caller: "c", At: 10 * sec, Whole: 11 * sec, Answer: "by one", Status: 200, Mark: "m", Life: 1, ServingProxy: "e1"}},
-		Writes:   []Write{{ConfigName: "main", Version: 1, At: sec, Services: map[string]string{"send": "pay"}, Keys: map[string]string{"k": "t", "old": "t"}, Digest: "one"}, {ConfigName: "main", Version: 2, At: 3 * sec, Services: map[string]string{"send": "pay"}, Keys: map[string]string{"k": "t"}, Digest: "two"}},
-		Forced:   []Force{{Node: "e1", ConfigName: "main", Version: 1, At: sec}, {Node: "e1", ConfigName: "main", Version: 2, At: 4 * sec}},
-		Up:       []Span{{Name: "e1", From: 0, To: 60 * sec}},
-		Leaving:  []Leaving{{Service: "pay", Instance: "one", Life: 1, At: 20 * sec}},
-		Reported: []Reported{{Window: 2, From: "s1", Counts: map[string]int64{"t": 1}, At: 16 * sec, End: 15 * sec}, {Window: 2, From: "s2", Counts: map[string]int64{"t": 1}, At: 17 * sec, End: 15 * sec}},
-		Keeping:  []Keeping{{Tag: "x", Voter: "s1", Epoch: 1, At: sec}, {Tag: "x", Voter: "s2", Epoch: 2, At: 10 * sec}, {Tag: "x", Voter: "s1", Epoch: 3, At: 20 * sec}},
 		Acts:     []Keeping{{Tag: "x", Voter: "s1", Epoch: 1, At: sec}, {Tag: "x", Voter: "s2", Epoch: 2, At: 11 * sec}},
 		Reread:   []Reported{{Window: 2, From: "s3", Counts: map[string]int64{"t": 1}}},
-		Kept:     []Kept{{"s1", "main", 1, "one"}, {"s1", "main", 2, "two"}, {"s2", "main", 2, "two"}, {"s2", "main", 1, "one"}}, KeptMost: 16, End: 60 * sec,
-		Bounds: BriefBounds(true), Window: 5 * sec,
+		Kept:     []Kept{{"s1", "main", 1, "one"}, {"s1", "main", 2, "two"}, {"s2", "main", 2, "two"}, {"s2", "main", 1, "one"}},
+		KeptMost: 16,
+		End:      60 * sec,
+		Bounds:   BriefBounds(true),
+		Window:   5 * sec,
 	}
 }
 
--- a/internal/checker/leases.go
+++ b/internal/checker/leases.go
@@ -36,7 +36,8 @@
 			r.Seen["takeovers"]++
 			for back := index - 2; back >= 0; back-- {
 				if list[back].Voter == keeping.Voter && keeping.At-list[back+1].At < record.Bounds.HolderRest {
-					r.add("back-and-forth", "%s: %s, %s, %s within %s", tag, keeping.Voter, list[back+1].Voter, keeping.Voter, keeping.At-list[back+1].At)
+					r.add("back-and-forth", "%s: %s, %s, %s within %s",
+						tag, keeping.Voter, list[back+1].Voter, keeping.Voter, keeping.At-list[back+1].At)
 				}
 				if list[back].Voter != list[back+1].Voter {
 					break
--- a/internal/checker/requests.go
+++ b/internal/checker/requests.go
@@ -53,10 +53,12 @@
 		}
 		own = true
 		held = min(held, request.Done-ran.Whole)
-		excused = Within(record.Held, request.Proxy, ran.Whole, request.Done) || Within(record.Held, ran.ServingProxy, ran.Whole, request.Done)
+		excused = Within(record.Held, request.Proxy, ran.Whole, request.Done) ||
+			Within(record.Held, ran.ServingProxy, ran.Whole, request.Done)
 	}
 	if !own {
-		r.add("own-answer", "%s got status %d, mark %q and a body of %d bytes that no run of it sent", request.ID, request.Status, request.Mark, len(request.Body))
+		r.add("own-answer", "%s got status %d, mark %q and a body of %d bytes that no run of it sent",
+			request.ID, request.Status, request.Mark, len(request.Body))
 		return
 	}
 	if excused {
@@ -122,7 +124,8 @@
 				r.Seen["answers lost with a machine"]++
 				continue
 			}
-			r.add("dropped", "%s was answered whole by %s at %s and its caller got %d (%d), connection %t, at %s", request.ID, ran.Instance, ran.Whole, request.Status, request.Code, request.Connection, request.Done)
+			r.add("dropped", "%s was answered whole by %s at %s and its caller got %d (%d), connection %t, at %s",
+				request.ID, ran.Instance, ran.Whole, request.Status, request.Code, request.Connection, request.Done)
 		}
 	}
 }
@@ -132,8 +135,10 @@
 	for _, stop := range record.Stopped {
 		r.Seen["polite stops"]++
 		for _, request := range record.Asked {
-			if request.Proxy == stop.Name && request.Connection && request.Sent < stop.From && stop.From-request.Sent < 10*time.Second && request.Done == 0 {
-				r.add("dropped", "%s, sent %s before %s was stopped, was never answered", request.ID, stop.From-request.Sent, stop.Name)
+			sentBefore := stop.From - request.Sent
+			unanswered := request.Connection && request.Done == 0
+			if request.Proxy == stop.Name && unanswered && sentBefore > 0 && sentBefore < 10*time.Second {
+				r.add("dropped", "%s, sent %s before %s was stopped, was never answered", request.ID, sentBefore, stop.Name)
 			}
 		}
 	}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -16,6 +16,9 @@
 	"beaconvane/internal/message"
 )
 
+// configName is the configuration that the fleet runs with.
+const configName = "main"
+
 // requestLimit bounds one request of the load generator.
 const requestLimit = 8 * time.Second
 
@@ -59,7 +62,7 @@
 func (f *Fleet) Write(version int64, tenants []loadgen.Tenant, more int) (int, error) {
 	body := f.Deployment.Configuration(tenants, more)
 	for _, process := range f.Of(message.RoleRegistry) {
-		url := fmt.Sprintf("http://%s/v1/configurations/main/%d", process.Outside, version)
+		url := fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.Outside, configName, version)
 		request, err := http.NewRequest(http.MethodPut, url, bytes.NewReader(body))
 		if err != nil {
 			return 0, errcode.Wrap("fleet.write", errcode.Internal, err)
@@ -88,7 +91,14 @@
 
 // acknowledged records what a version allows from now on.
 func (f *Fleet) acknowledged(version int64, tenants []loadgen.Tenant, body []byte) {
-	write := checker.Write{ConfigName: "main", Version: version, At: f.since(), Services: map[string]string{}, Keys: map[string]string{}, Digest: checker.Digest(body)}
+	write := checker.Write{
+		ConfigName: configName,
+		Version:    version,
+		At:         f.since(),
+		Services:   map[string]string{},
+		Keys:       map[string]string{},
+		Digest:     checker.Digest(body),
+	}
 	for _, kind := range f.Deployment.Kinds {
 		write.Services[kind.Route] = kind.Service
 	}
@@ -121,6 +131,14 @@
 	for _, process := range f.Of(message.RoleProxy) {
 		proxies = append(proxies, process.Outside)
 	}
-	return loadgen.Run(f.Group.Context, f.Group, loadgen.Plan{Proxies: proxies, Kinds: f.Deployment.Kinds, Tenants: f.Deployment.Tenants(),
-		Rate: rate, Length: length, Limit: requestLimit, Seed: seed, Base: f.Base})
+	return loadgen.Run(f.Group.Context, f.Group, loadgen.Plan{
+		Proxies: proxies,
+		Kinds:   f.Deployment.Kinds,
+		Tenants: f.Deployment.Tenants(),
+		Rate:    rate,
+		Length:  length,
+		Limit:   requestLimit,
+		Seed:    seed,
+		Base:    f.Base,
+	})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -53,7 +53,15 @@
 
 // New prepares a fleet: folders, settings, addresses and the stand-in collector. Nothing is started.
 func New(deployment workload.Deployment, bin, folder string) (*Fleet, error) {
-	f := &Fleet{Deployment: deployment, Bin: bin, Folder: folder, Base: time.Now(), Group: goroutine.New(), watched: map[string]time.Duration{}, answers: map[string]int{}}
+	f := &Fleet{
+		Deployment: deployment,
+		Bin:        bin,
+		Folder:     folder,
+		Base:       time.Now(),
+		Group:      goroutine.New(),
+		watched:    map[string]time.Duration{},
+		answers:    map[string]int{},
+	}
 	collector, err := net.Listen("tcp", "127.77.3.1:0")
 	if err != nil {
 		return nil, errcode.Wrap("fleet.collector", errcode.ConnectionLost, err)
@@ -71,7 +79,9 @@
 		f.Processes = append(f.Processes, process)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(f.collect)}
-	f.Group.Go("fleet.collector", func(context.Context) { server.Serve(collector) })
+	f.Group.Go("fleet.collector", func(context.Context) {
+		_ = server.Serve(collector) // it ends with the listener, which StopAll closes
+	})
 	return f, nil
 }
 
--- a/internal/fleet/play.go
+++ b/internal/fleet/play.go
@@ -67,13 +67,17 @@
 	}
 	outcome.ReadyMS = time.Since(begin).Milliseconds()
 	f.Watch()
+	var actError error
 	acted := make(chan struct{})
 	f.Group.Go("fleet.act", func(context.Context) {
 		defer close(acted)
-		act(f, length, &outcome)
+		actError = act(f, length, &outcome)
 	})
 	asked := f.Load(deployment.Rate, length, seed)
 	<-acted
+	if actError != nil {
+		return outcome, actError
+	}
 	outcome.Summary = loadgen.Summarise(asked)
 	asked = append(asked, f.uploads...)
 	outcome.Uses = f.Uses()
@@ -96,7 +100,8 @@
 		return err == nil && status == http.StatusOK
 	})
 	if !written || !f.Until(readyLimit, f.Ready) || !f.Until(readyLimit, f.upstreamsReady) {
-		return errcode.Wrap("fleet.play", errcode.BusyNotReady, fmt.Errorf("the fleet did not become ready (configuration written: %t); logs in %s", written, f.Folder))
+		return errcode.Wrap("fleet.play", errcode.BusyNotReady,
+			fmt.Errorf("the fleet did not become ready (configuration written: %t); logs in %s", written, f.Folder))
 	}
 	return nil
 }
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -7,6 +7,8 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
+	"strings"
 	"syscall"
 	"time"
 
@@ -54,7 +56,7 @@
 	process.ended = ended
 	command := process.command
 	f.Group.Go("fleet.wait", func(context.Context) {
-		command.Wait()
+		_ = command.Wait() // how it ended is not judged: scenarios kill processes
 		log.Close()
 		close(ended)
 	})
@@ -97,7 +99,7 @@
 	select {
 	case <-process.ended:
 	default:
-		process.command.Process.Signal(signal)
+		_ = process.command.Process.Signal(signal) // it may have ended meanwhile
 	}
 }
 
@@ -147,12 +149,34 @@
 		if err != nil {
 			continue
 		}
-		fields := bytes.Fields(body[bytes.LastIndexByte(body, ')')+2:])
-		var user, system, pages int64
-		fmt.Sscan(string(fields[11]), &user)
-		fmt.Sscan(string(fields[12]), &system)
-		fmt.Sscan(string(fields[21]), &pages)
-		list = append(list, Use{process.Role, process.Node, float64(user+system) / clockTicks, pages * pageKiB})
+		use, err := parseStat(body)
+		if err != nil {
+			continue
+		}
+		use.Role, use.Node = process.Role, process.Node
+		list = append(list, use)
 	}
 	return list
 }
+
+// Fields of /proc/PID/stat, counted from the one behind the name of the program.
+const (
+	statUserTicks   = 11
+	statSystemTicks = 12
+	statPages       = 21
+)
+
+// parseStat reads processor time and memory from a process's line in /proc.
+func parseStat(line []byte) (Use, error) {
+	fields := strings.Fields(string(line[bytes.LastIndexByte(line, ')')+1:]))
+	figures := [3]int64{}
+	for index, field := range []int{statUserTicks, statSystemTicks, statPages} {
+		figure, err := strconv.ParseInt(fields[field], 10, 64)
+		if err != nil {
+			return Use{}, err
+		}
+		figures[index] = figure
+	}
+	user, system, pages := figures[0], figures[1], figures[2]
+	return Use{CPU: float64(user+system) / clockTicks, Memory: pages * pageKiB}, nil
+}
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -28,7 +28,13 @@
 	end := time.Duration(report.Window+1)*length - time.Duration(f.Base.UnixNano())
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.reported = append(f.reported, checker.Reported{Window: report.Window, From: report.From, Counts: report.Counts, At: f.since(), End: end})
+	f.reported = append(f.reported, checker.Reported{
+		Window: report.Window,
+		From:   report.From,
+		Counts: report.Counts,
+		At:     f.since(),
+		End:    end,
+	})
 }
 
 // Record returns all that the run left, with the logs of the processes.
@@ -37,7 +43,11 @@
 	for _, upstream := range f.Upstreams {
 		record.Ran = append(record.Ran, upstream.Runs()...)
 		record.Asked = append(record.Asked, upstream.Asked()...)
-		record.Peaks = append(record.Peaks, checker.Peak{Instance: upstream.Announcement.Instance, Most: upstream.Most(), Slots: int(upstream.Announcement.Slots)})
+		record.Peaks = append(record.Peaks, checker.Peak{
+			Instance: upstream.Announcement.Instance,
+			Most:     upstream.Most(),
+			Slots:    int(upstream.Announcement.Slots),
+		})
 	}
 	for _, process := range f.Processes {
 		f.unwatch(process)
@@ -65,11 +75,16 @@
 		listed := struct {
 			Versions []int64 `json:"versions"`
 		}{}
-		Get("http://"+process.Outside+"/v1/configurations/main/versions", &listed)
+		Get("http://"+process.Outside+"/v1/configurations/"+configName+"/versions", &listed)
 		for _, version := range listed.Versions {
-			body, status := fetch(fmt.Sprintf("http://%s/v1/configurations/main/%d", process.Outside, version))
+			body, status := fetch(fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.Outside, configName, version))
 			if status == http.StatusOK {
-				record.Kept = append(record.Kept, checker.Kept{Voter: process.Node, ConfigName: "main", Version: version, Digest: checker.Digest(body)})
+				record.Kept = append(record.Kept, checker.Kept{
+					Voter:      process.Node,
+					ConfigName: configName,
+					Version:    version,
+					Digest:     checker.Digest(body),
+				})
 			}
 		}
 		for _, report := range record.Reported {
--- a/internal/fleet/scenarios.go
+++ b/internal/fleet/scenarios.go
@@ -13,8 +13,12 @@
 	"beaconvane/internal/workload"
 )
 
+// scenario is what is done to a fleet under load; length is the load's. Writes may be refused
+// meanwhile: how each was answered stands in the outcome. It fails where a process does not start.
+type scenario func(f *Fleet, length time.Duration, outcome *Outcome) error
+
 // overhead compares in pairs at the deployment's full rate, on one kind of request.
-func overhead(f *Fleet, _ time.Duration, outcome *Outcome) {
+func overhead(f *Fleet, _ time.Duration, outcome *Outcome) error {
 	chosenKind := f.Deployment.Kinds[1]
 	addresses, proxies := []string{}, []string{}
 	for _, upstream := range f.Upstreams {
@@ -26,131 +30,206 @@
 		proxies = append(proxies, process.Outside)
 	}
 	run := func(targets []string, seed uint64) loadgen.Summary {
-		return loadgen.Summarise(loadgen.Run(f.Group.Context, f.Group, loadgen.Plan{Proxies: targets, Kinds: []loadgen.Kind{chosenKind}, Tenants: f.Deployment.Tenants(),
-			Rate: 500, Length: 3 * time.Second, Limit: requestLimit, Seed: seed, Base: f.Base}))
+		return loadgen.Summarise(loadgen.Run(f.Group.Context, f.Group, loadgen.Plan{
+			Proxies: targets,
+			Kinds:   []loadgen.Kind{chosenKind},
+			Tenants: f.Deployment.Tenants(),
+			Rate:    500,
+			Length:  3 * time.Second,
+			Limit:   requestLimit,
+			Seed:    seed,
+			Base:    f.Base,
+		}))
 	}
 	for number := range uint64(5) {
 		straight, mesh := run(addresses, 1000+number), run(proxies, 2000+number)
-		outcome.Pairs = append(outcome.Pairs, Pair{straight.P50, mesh.P50, straight.P99, mesh.P99, mesh.P50 - straight.P50, mesh.P99 - straight.P99})
+		outcome.Pairs = append(outcome.Pairs, Pair{
+			StraightP50: straight.P50,
+			MeshP50:     mesh.P50,
+			StraightP99: straight.P99,
+			MeshP99:     mesh.P99,
+			ExtraP50:    mesh.P50 - straight.P50,
+			ExtraP99:    mesh.P99 - straight.P99,
+		})
 	}
+	return nil
 }
 
-// scenarios are what is done to a fleet under load, by name; length is the load's.
-var scenarios = map[string]func(f *Fleet, length time.Duration, outcome *Outcome){
-	"overhead": overhead,
-	"calm":     func(*Fleet, time.Duration, *Outcome) {},
-	"holder": func(f *Fleet, length time.Duration, _ *Outcome) {
-		f.after(length / 4)
-		if holder := f.Holder(f.Deployment.Zones[0]); holder != nil {
-			f.Kill(holder)
-			f.after(length / 4)
-			f.Start(holder)
-		}
-	},
-	"voter": func(f *Fleet, length time.Duration, _ *Outcome) {
-		f.after(length / 4)
-		for _, process := range f.Processes {
-			if process.Node == workload.Voters[0] {
-				f.Kill(process)
-			}
-		}
-		f.after(length / 8)
-		f.Write(2, f.Deployment.Tenants(), 10)
-		f.after(length / 4)
-		for _, process := range f.Processes {
-			if process.Node == workload.Voters[0] {
-				f.Start(process)
-			}
+// killHolder kills the holder of a zone's lease, and starts it again.
+func killHolder(f *Fleet, length time.Duration, _ *Outcome) error {
+	f.after(length / 4)
+	holder := f.Holder(f.Deployment.Zones[0])
+	if holder == nil {
+		return nil
+	}
+	f.Kill(holder)
+	f.after(length / 4)
+	return f.Start(holder)
+}
+
+// killVoter kills both processes of a voter, writes without it, and starts them again.
+func killVoter(f *Fleet, length time.Duration, _ *Outcome) error {
+	f.after(length / 4)
+	for _, process := range f.Processes {
+		if process.Node == workload.Voters[0] {
+			f.Kill(process)
 		}
-	},
-	"proxies": func(f *Fleet, length time.Duration, _ *Outcome) {
-		proxies := f.Of(message.RoleProxy)
-		for index, process := range proxies[:min(3, len(proxies))] {
-			f.after(length / 8)
-			if index%2 == 0 {
-				f.Kill(process)
-			} else {
-				f.Signal(process, syscall.SIGTERM)
-				<-process.ended
-			}
-			f.after(length / 16)
-			f.Start(process)
+	}
+	f.after(length / 8)
+	f.tryWrite(2, f.Deployment.Tenants(), 10)
+	f.after(length / 4)
+	for _, process := range f.Processes {
+		if process.Node != workload.Voters[0] {
+			continue
 		}
-	},
-	"freeze": func(f *Fleet, length time.Duration, _ *Outcome) {
-		f.after(length / 4)
-		if holder := f.Holder(f.Deployment.Zones[0]); holder != nil {
-			f.Signal(holder, syscall.SIGSTOP)
-			f.after(length / 4)
-			f.Signal(holder, syscall.SIGCONT)
+		if err := f.Start(process); err != nil {
+			return err
 		}
-	},
-	"configurations": func(f *Fleet, length time.Duration, _ *Outcome) {
-		for version := int64(2); version < 8; version++ {
-			f.after(length / 8)
-			f.Write(version, f.Deployment.Tenants(), int(version)*100)
+	}
+	return nil
+}
+
+// restartProxies stops some proxies one after the other, by kill and politely in turn, and starts
+// each again.
+func restartProxies(f *Fleet, length time.Duration, _ *Outcome) error {
+	proxies := f.Of(message.RoleProxy)
+	for index, process := range proxies[:min(3, len(proxies))] {
+		f.after(length / 8)
+		if index%2 == 0 {
+			f.Kill(process)
+		} else {
+			f.Signal(process, syscall.SIGTERM)
+			<-process.ended
 		}
-	},
-	"withdraw": func(f *Fleet, length time.Duration, _ *Outcome) {
-		// A key is withdrawn while one proxy is frozen; it wakes into a changed world.
-		proxies := f.Of(message.RoleProxy)
-		f.after(length / 4)
-		f.Signal(proxies[0], syscall.SIGSTOP)
 		f.after(length / 16)
-		f.Write(2, f.Deployment.Tenants()[1:], 0)
-		f.after(length / 3)
-		f.Signal(proxies[0], syscall.SIGCONT)
-	},
-	"huge": func(f *Fleet, length time.Duration, _ *Outcome) {
-		f.after(length / 4)
-		f.Write(2, f.Deployment.Tenants(), 19000)
-		f.after(length / 4)
-		f.Write(3, f.Deployment.Tenants(), 18000)
-	},
-	"uploads": func(f *Fleet, length time.Duration, outcome *Outcome) {
-		// Contact lists of nearly the largest body, many at once, beside the load.
-		kind := f.Deployment.Kinds[0]
-		for _, other := range f.Deployment.Kinds {
-			if other.Body > kind.Body {
-				kind = other
-			}
+		if err := f.Start(process); err != nil {
+			return err
 		}
-		kind.Body = int(settings.Default().Limits.Body) - 1024
-		f.after(length / 4)
-		proxies := []string{}
-		for _, process := range f.Of(message.RoleProxy) {
-			proxies = append(proxies, process.Outside)
-		}
-		f.uploads = loadgen.Run(f.Group.Context, f.Group, loadgen.Plan{Proxies: proxies, Kinds: []loadgen.Kind{kind}, Tenants: f.Deployment.Tenants(),
-			Rate: 30, Length: length / 3, Limit: requestLimit, Seed: 9000, Base: f.Base})
-		summary := loadgen.Summarise(f.uploads)
-		outcome.Uploads = &summary
-	},
-	"drain": func(f *Fleet, length time.Duration, _ *Outcome) {
+	}
+	return nil
+}
+
+// freezeHolder stops the holder of a zone's lease for a while.
+func freezeHolder(f *Fleet, length time.Duration, _ *Outcome) error {
+	f.after(length / 4)
+	if holder := f.Holder(f.Deployment.Zones[0]); holder != nil {
+		f.Signal(holder, syscall.SIGSTOP)
 		f.after(length / 4)
-		f.Leave(f.Upstreams[0])
+		f.Signal(holder, syscall.SIGCONT)
+	}
+	return nil
+}
+
+// writeOften writes versions that grow.
+func writeOften(f *Fleet, length time.Duration, _ *Outcome) error {
+	for version := int64(2); version < 8; version++ {
 		f.after(length / 8)
-		f.Upstreams[0].SignOff()
-		f.End(f.Upstreams[0])
-		f.End(f.Upstreams[1])
-	},
-	"garbage": func(f *Fleet, length time.Duration, _ *Outcome) {
-		for _, upstream := range f.Upstreams[:2] {
-			upstream.SetFaults(stubserver.Faults{Lose: 0.05, Garbage: 0.05, Truncate: 0.05, Excess: 0.05, Slow: 0.05})
-		}
-	},
-	"restart": func(f *Fleet, length time.Duration, outcome *Outcome) {
-		f.after(length / 4)
-		for _, process := range f.Processes {
-			f.Kill(process)
+		f.tryWrite(version, f.Deployment.Tenants(), int(version)*100)
+	}
+	return nil
+}
+
+// withdrawKey withdraws a key while one proxy is frozen, which must not honor it afterwards.
+func withdrawKey(f *Fleet, length time.Duration, _ *Outcome) error {
+	proxies := f.Of(message.RoleProxy)
+	f.after(length / 4)
+	f.Signal(proxies[0], syscall.SIGSTOP)
+	f.after(length / 16)
+	f.tryWrite(2, f.Deployment.Tenants()[1:], 0)
+	f.after(length / 3)
+	f.Signal(proxies[0], syscall.SIGCONT)
+	return nil
+}
+
+// writeHuge writes two versions of nearly the largest size.
+func writeHuge(f *Fleet, length time.Duration, _ *Outcome) error {
+	f.after(length / 4)
+	f.tryWrite(2, f.Deployment.Tenants(), 19000)
+	f.after(length / 4)
+	f.tryWrite(3, f.Deployment.Tenants(), 18000)
+	return nil
+}
+
+// uploadMany sends bodies of nearly the largest size, many at once, beside the load.
+func uploadMany(f *Fleet, length time.Duration, outcome *Outcome) error {
+	kind := f.Deployment.Kinds[0]
+	for _, other := range f.Deployment.Kinds {
+		if other.Body > kind.Body {
+			kind = other
 		}
-		for _, process := range f.Processes {
-			f.Start(process)
+	}
+	kind.Body = int(settings.Default().Limits.Body) - 1024
+	f.after(length / 4)
+	proxies := []string{}
+	for _, process := range f.Of(message.RoleProxy) {
+		proxies = append(proxies, process.Outside)
+	}
+	f.uploads = loadgen.Run(f.Group.Context, f.Group, loadgen.Plan{
+		Proxies: proxies,
+		Kinds:   []loadgen.Kind{kind},
+		Tenants: f.Deployment.Tenants(),
+		Rate:    30,
+		Length:  length / 3,
+		Limit:   requestLimit,
+		Seed:    9000,
+		Base:    f.Base,
+	})
+	summary := loadgen.Summarise(f.uploads)
+	outcome.Uploads = &summary
+	return nil
+}
+
+// drainUpstream lets one upstream leave in order, and ends another at once.
+func drainUpstream(f *Fleet, length time.Duration, _ *Outcome) error {
+	f.after(length / 4)
+	f.Leave(f.Upstreams[0])
+	f.after(length / 8)
+	f.Upstreams[0].SignOff()
+	f.End(f.Upstreams[0])
+	f.End(f.Upstreams[1])
+	return nil
+}
+
+// garbleAnswers makes two upstreams lose and spoil some answers.
+func garbleAnswers(f *Fleet, _ time.Duration, _ *Outcome) error {
+	for _, upstream := range f.Upstreams[:2] {
+		upstream.SetFaults(stubserver.Faults{Lose: 0.05, Garbage: 0.05, Truncate: 0.05, Excess: 0.05, Slow: 0.05})
+	}
+	return nil
+}
+
+// restartAll kills all processes, starts them again, and measures until every proxy is ready.
+func restartAll(f *Fleet, length time.Duration, outcome *Outcome) error {
+	f.after(length / 4)
+	for _, process := range f.Processes {
+		f.Kill(process)
+	}
+	for _, process := range f.Processes {
+		if err := f.Start(process); err != nil {
+			return err
 		}
-		begin := time.Now()
-		f.Until(30*time.Second, f.Ready)
-		outcome.RestoreMS = time.Since(begin).Milliseconds()
-	},
+	}
+	begin := time.Now()
+	f.Until(readyLimit, f.Ready)
+	outcome.RestoreMS = time.Since(begin).Milliseconds()
+	return nil
+}
+
+// scenarios are the scenarios by name.
+var scenarios = map[string]scenario{
+	"overhead":       overhead,
+	"calm":           func(*Fleet, time.Duration, *Outcome) error { return nil },
+	"holder":         killHolder,
+	"voter":          killVoter,
+	"proxies":        restartProxies,
+	"freeze":         freezeHolder,
+	"configurations": writeOften,
+	"withdraw":       withdrawKey,
+	"huge":           writeHuge,
+	"uploads":        uploadMany,
+	"drain":          drainUpstream,
+	"garbage":        garbleAnswers,
+	"restart":        restartAll,
 }
 
 // ScenarioNames returns the names of the scenarios, with commas.
@@ -163,6 +242,11 @@
 	return strings.Join(names, ", ")
 }
 
+// tryWrite writes a version that the fleet may refuse or lose; how it was answered is counted.
+func (f *Fleet) tryWrite(version int64, tenants []loadgen.Tenant, more int) {
+	_, _ = f.Write(version, tenants, more)
+}
+
 // after waits.
 func (f *Fleet) after(wait time.Duration) {
 	timer := time.NewTimer(wait)
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -75,7 +75,13 @@
 	for _, kind := range f.Deployment.Kinds {
 		called, callsOn := f.Deployment.Kind(kind.Calls)
 		if callsOn && kind.Service == service.Name {
-			calls[kind.Path] = stubserver.Call{Route: called.Route, Service: called.Service, Method: called.Method, Path: called.Path, Once: called.Once}
+			calls[kind.Path] = stubserver.Call{
+				Route:   called.Route,
+				Service: called.Service,
+				Method:  called.Method,
+				Path:    called.Path,
+				Once:    called.Once,
+			}
 		}
 	}
 	return calls
@@ -86,7 +92,12 @@
 	upstream.Change(func(announcement *backend.Announcement) { announcement.Leaving = true })
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.leaving = append(f.leaving, checker.Leaving{Service: upstream.Announcement.Service, Instance: upstream.Announcement.Instance, Life: upstream.Announcement.Incarnation, At: f.since()})
+	f.leaving = append(f.leaving, checker.Leaving{
+		Service:  upstream.Announcement.Service,
+		Instance: upstream.Announcement.Instance,
+		Life:     upstream.Announcement.Incarnation,
+		At:       f.since(),
+	})
 }
 
 // End kills an upstream, and records when.
--- a/internal/golden/counters_test.go
+++ b/internal/golden/counters_test.go
@@ -21,7 +21,10 @@
 )
 
 // rareCounters are the names of those counters; the metrics page puts "beaconvane_" before.
-var rareCounters = []string{"control_queue_full", "datagrams_dropped", "disk_recoveries_failed", "reports_failed", "reports_refused", "reports_too_late", "sends_dropped"}
+var rareCounters = []string{
+	"control_queue_full", "datagrams_dropped", "disk_recoveries_failed",
+	"reports_failed", "reports_refused", "reports_too_late", "sends_dropped",
+}
 
 // Each name stands as it is in the code.
 func TestRareCounters(t *testing.T) {
@@ -52,7 +55,9 @@
 func TestReportCounters(t *testing.T) {
 	c := qt.New(t)
 	status := atomic.NewInt64(http.StatusConflict)
-	collector := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) { out.WriteHeader(int(status.Load())) }))
+	collector := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) {
+		out.WriteHeader(int(status.Load()))
+	}))
 	cfg := standInSettings()
 	cfg.Collector = collector.URL
 	process := runProcess(c, cfg, message.RoleRegistry, &reportingMachine{})
--- a/internal/golden/deployment_test.go
+++ b/internal/golden/deployment_test.go
@@ -43,7 +43,8 @@
 )
 
 const deploymentConfiguration = `{"version":1,"services":["dispatch"],"tenants":[{"name":"clinic","keys":["secret"]}],
- "routes":[{"name":"send","service":"dispatch","path":"/messages","methods":["POST"],"callers":["frontdesk"],"body_bytes":64,"timeout_ms":4000},
+ "routes":[{"name":"send","service":"dispatch","path":"/messages","methods":["POST"],` +
+	`"callers":["frontdesk"],"body_bytes":64,"timeout_ms":4000},
  {"name":"own","service":"dispatch","path":"/own","methods":["POST"],"callers":["nobody"]}]}`
 
 // deployment is the running one.
@@ -111,9 +112,9 @@
 	base.Bounds.UsageWindow = 1000
 	base.Limits.Grace = 3000
 	registryAddress, configStoreAddress := base.Seeds[0], base.Seeds[1]
-	core := func(node, address string) settings.Settings {
+	core := func(nodeName, address string) settings.Settings {
 		cfg := base
-		cfg.Node, cfg.Address, cfg.Data, cfg.VoterCount, cfg.Found = node, address, c.TempDir(), 1, true
+		cfg.Node, cfg.Address, cfg.Data, cfg.VoterCount, cfg.Found = nodeName, address, c.TempDir(), 1, true
 		cfg.Anchors = []string{address}
 		cfg.Collector, cfg.Metrics = collector+"/reports", freeAddress(c)
 		return cfg
@@ -126,15 +127,19 @@
 	start(c, message.RoleConfigStore, d.configStore, cli.ConfigStoreModule)
 	start(c, message.RoleRegistry, d.registry, cli.RegistryModule)
 	start(c, message.RoleProxy, d.proxy, cli.ProxyModule)
-	for name, address := range map[string]string{"STORE": configStoreAddress, "REGISTRY": registryAddress, "REGISTRY-HTTP": d.registry.Outside,
-		"PROXY": d.proxy.Address, "PROXY-HTTP": d.proxy.Outside} {
+	for name, address := range map[string]string{
+		"STORE": configStoreAddress, "REGISTRY": registryAddress, "REGISTRY-HTTP": d.registry.Outside,
+		"PROXY": d.proxy.Address, "PROXY-HTTP": d.proxy.Outside,
+	} {
 		d.names[address] = name
 	}
 	return d
 }
 
-// call makes a request until its answer is as wanted.
-func (d *deployment) call(c *qt.C, method, target string, header map[string]string, body string) (status int, fields http.Header, answer string) {
+// call makes a request and returns its answer; status 0: none came whole.
+func (d *deployment) call(
+	c *qt.C, method, target string, header map[string]string, body string,
+) (status int, fields http.Header, answer string) {
 	in, err := http.NewRequest(method, "http://"+target, strings.NewReader(body))
 	c.Assert(err, qt.IsNil)
 	for name, value := range header {
@@ -272,7 +277,8 @@
 	at, err := url.Parse(upstream)
 	c.Assert(err, qt.IsNil)
 	d.names[at.Host] = "UPSTREAM"
-	body := fmt.Sprintf(`{"service":"dispatch","instance":"d1","incarnation":1,"address":"%s","zone":"north","slots":4,"warming":false,"leaving":false,"load":0.5}`, at.Host)
+	body := fmt.Sprintf(`{"service":"dispatch","instance":"d1","incarnation":1,"address":"%s","zone":"north",`+
+		`"slots":4,"warming":false,"leaving":false,"load":0.5}`, at.Host)
 	group := goroutine.New()
 	c.Cleanup(func() { group.Stop(time.Second) })
 	group.Go("announce", func(ctx context.Context) {
@@ -346,7 +352,8 @@
 func (d *deployment) checkOperators(c *qt.C) {
 	at := d.registry.Outside
 	for name, path := range map[string]string{
-		"ready": "/ready", "status": "/v1/status", "roster": "/v1/roster", "configuration": "/v1/configurations/main", "version": "/v1/configurations/main/1",
+		"ready": "/ready", "status": "/v1/status", "roster": "/v1/roster",
+		"configuration": "/v1/configurations/main", "version": "/v1/configurations/main/1",
 		"versions": "/v1/configurations/main/versions", "configuration-status": "/v1/configurations/main/status",
 		"in-force": "/v1/configurations/main/1/in-force", "lacking": "/v1/configurations/main/9/in-force?wait_ms=1",
 		"no-configuration": "/v1/configurations/other", "no-version": "/v1/configurations/main/9", "no-usage": "/v1/usage/9",
--- a/internal/golden/proxy_api_test.go
+++ b/internal/golden/proxy_api_test.go
@@ -31,8 +31,14 @@
 func (standInProxy) Asked(env *statemachine.Env, requestID int64, question any) {
 	switch question.(type) {
 	case proxy.ReadStatus:
-		env.Reply(requestID, proxy.Status{AgesMS: map[string]int64{"topic": 11}, Configurations: map[string]int64{"main": 12}, Members: 13, Moves: 14,
-			Parent: "registry/a", Path: []string{"registry/a", "proxy/b"}})
+		env.Reply(requestID, proxy.Status{
+			AgesMS:         map[string]int64{"topic": 11},
+			Configurations: map[string]int64{"main": 12},
+			Members:        13,
+			Moves:          14,
+			Parent:         "registry/a",
+			Path:           []string{"registry/a", "proxy/b"},
+		})
 	case metrics.Read:
 		env.Reply(requestID, []metrics.Sample{metrics.Of("figure", 1)})
 	}
@@ -49,7 +55,8 @@
 	return api.NewProxy(cfg, process, process.Group, front, upstreams, stages), process
 }
 
-const goodAnnouncement = `{"service":"dispatch","instance":"d1","incarnation":5,"address":"127.0.0.1:9","zone":"north","slots":4,"warming":true,"leaving":false,"load":0.5,"number":1,"cold_ms":100}`
+const goodAnnouncement = `{"service":"dispatch","instance":"d1","incarnation":5,"address":"127.0.0.1:9","zone":"north",` +
+	`"slots":4,"warming":true,"leaving":false,"load":0.5,"number":1,"cold_ms":100}`
 
 func TestProxyPaths(t *testing.T) {
 	c := qt.New(t)
@@ -72,7 +79,8 @@
 	} {
 		play("POST", "/beacon/announce", strings.Replace(goodAnnouncement, change.old, change.new, 1))
 	}
-	play("POST", "/beacon/announce/d2", `{"service":"dispatch","address":"127.0.0.1:9","zone":"north","slots":4,"state":"ready","unknown":1}`)
+	play("POST", "/beacon/announce/d2",
+		`{"service":"dispatch","address":"127.0.0.1:9","zone":"north","slots":4,"state":"ready","unknown":1}`)
 	play("POST", "/beacon/announce/d2", `{"service":"dispatch","address":"127.0.0.1:9","zone":"north","slots":4,"state":"gone"}`)
 	play("POST", "/beacon/announce/d2", `{`)
 	play("POST", "/beacon/signoff", `{"service":"dispatch","instance":"d1","incarnation":5}`)
--- a/internal/golden/registry_api_test.go
+++ b/internal/golden/registry_api_test.go
@@ -46,7 +46,8 @@
 func asked(question any) string {
 	switch it := question.(type) {
 	case registry.WriteConfiguration:
-		return fmt.Sprintf("write %s %d %d bytes, checked %t, %d faults", it.ConfigName, it.Version, len(it.Body), it.Check.Done, len(it.Check.Faults))
+		return fmt.Sprintf("write %s %d %d bytes, checked %t, %d faults",
+			it.ConfigName, it.Version, len(it.Body), it.Check.Done, len(it.Check.Faults))
 	case registry.ReadConfiguration:
 		return fmt.Sprintf("get %s %d list %t", it.ConfigName, it.Version, it.List)
 	case registry.ReadConfigurationStatus:
@@ -109,7 +110,8 @@
 	return golden.Response(out.Code, out.Result().Header, fixed(out.Body.String()))
 }
 
-const goodConfiguration = `{"services":["dispatch"],"tenants":[{"name":"t","keys":["secret"]}],"routes":[{"name":"r","service":"dispatch","path":"/a","methods":["GET"],"callers":["*"]}]}`
+const goodConfiguration = `{"services":["dispatch"],"tenants":[{"name":"t","keys":["secret"]}],` +
+	`"routes":[{"name":"r","service":"dispatch","path":"/a","methods":["GET"],"callers":["*"]}]}`
 
 // Each path of a registry, with the machine's answer OK.
 func TestRegistryPaths(t *testing.T) {
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -46,7 +46,8 @@
 // The defaults, and what comes of the smallest file of each role.
 func TestSettingsDefaults(t *testing.T) {
 	c := qt.New(t)
-	const minimal = `{"node":"one","zone":"north","zones":["north"],"address":"10.0.0.1:1","outside":"10.0.0.1:2","seeds":["10.0.0.1:1","10.0.0.2:1","10.0.0.3:1"]`
+	const minimal = `{"node":"one","zone":"north","zones":["north"],"address":"10.0.0.1:1","outside":"10.0.0.1:2",` +
+		`"seeds":["10.0.0.1:1","10.0.0.2:1","10.0.0.3:1"]`
 	for name, from := range map[string]struct{ role, file string }{
 		"proxy":       {message.RoleProxy, minimal + `}`},
 		"registry":    {message.RoleRegistry, minimal + `,"data":"/data","voter_count":3,"collector":"http://10.0.0.9/usage"}`},
@@ -63,9 +64,12 @@
 // The texts of the faults of a file in which nearly all is wrong, and of flags over a file.
 func TestSettingsFaults(t *testing.T) {
 	c := qt.New(t)
-	const wrong = `{"node":"","zone":"x","zones":["y","y"],"address":"host:1","outside":"1","metrics":"2","seeds":["a"],"data":"","configurations":[],"puts":"p",
-		"slices":["z"],"collector":"ftp://","active":{"other":"v"},"proof":"p","fields":"f","counted":"c","beacon":["b"],"colour":1,"voter_count":2,
-		"bounds":{"drain_ms":-1,"lease_ms":-1,"retry_share":2,"sync_ms":9000,"other":1},"limits":{"queue":0,"linger_ms":-1,"frame_bytes":1}}`
+	const wrong = `{"node":"","zone":"x","zones":["y","y"],"address":"host:1","outside":"1","metrics":"2","seeds":["a"],` +
+		`"data":"","configurations":[],"puts":"p",
+		"slices":["z"],"collector":"ftp://","active":{"other":"v"},"proof":"p","fields":"f","counted":"c",` +
+		`"beacon":["b"],"colour":1,"voter_count":2,
+		"bounds":{"drain_ms":-1,"lease_ms":-1,"retry_share":2,"sync_ms":9000,"other":1},` +
+		`"limits":{"queue":0,"linger_ms":-1,"frame_bytes":1}}`
 	text := strings.Builder{}
 	for _, role := range []string{message.RoleProxy, message.RoleRegistry, message.RoleConfigStore} {
 		_, faults := settings.Read(role, []byte(wrong), nil)
@@ -73,8 +77,10 @@
 	}
 	golden.Check(c, "settings-faults.txt", text.String())
 
-	flags := map[string]string{"node": "n", "voter": "v", "zone": "z", "address": "1.1.1.1:1", "outside": "1.1.1.1:2", "data": "d", "collector": "http://c/",
-		"metrics": "1.1.1.1:3", "found": "true", "seeds": "1.1.1.1:4,1.1.1.1:5"}
+	flags := map[string]string{
+		"node": "n", "voter": "v", "zone": "z", "address": "1.1.1.1:1", "outside": "1.1.1.1:2", "data": "d",
+		"collector": "http://c/", "metrics": "1.1.1.1:3", "found": "true", "seeds": "1.1.1.1:4,1.1.1.1:5",
+	}
 	cfg, _ := settings.Read(message.RoleRegistry, []byte(`{}`), flags)
 	body, err := json.MarshalIndent(cfg, "", " ")
 	c.Assert(err, qt.IsNil)
@@ -85,7 +91,8 @@
 func TestProtocolNames(t *testing.T) {
 	c := qt.New(t)
 	golden.Check(c, "protocol-names.txt", strings.Join([]string{
-		"code " + frontend.CodeHeader, "key " + frontend.APIKeyHeader, "key parameter " + frontend.KeyParam, "tenant " + backend.TenantHeader,
-		"caller " + backend.CallerHeader, "pass " + backend.DelegationHeader, "request " + backend.RequestHeader,
+		"code " + frontend.CodeHeader, "key " + frontend.APIKeyHeader, "key parameter " + frontend.KeyParam,
+		"tenant " + backend.TenantHeader, "caller " + backend.CallerHeader, "pass " + backend.DelegationHeader,
+		"request " + backend.RequestHeader,
 	}, "\n")+"\n")
 }
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"net"
+	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -71,7 +72,7 @@
 	f.input.Close()
 	done := make(chan struct{})
 	f.group.Go("scaletest.wait", func(context.Context) {
-		f.command.Wait()
+		_ = f.command.Wait() // how it ended is of no interest
 		close(done)
 	})
 	limit := time.NewTimer(20 * time.Second)
@@ -79,7 +80,7 @@
 	select {
 	case <-done:
 	case <-limit.C:
-		f.command.Process.Kill()
+		_ = f.command.Process.Kill() // it may have ended meanwhile
 		<-done
 	}
 }
@@ -163,7 +164,12 @@
 			return nil, err
 		}
 		cfg := plan.Settings(message.RoleProxy, fmt.Sprintf("edge-%05d", number+1), "", zoneName(number%plan.Zones), address, seeds)
-		parts = append(parts, Part{Role: message.RoleProxy, Settings: cfg, Service: serviceName(number % plan.Services), Tenants: plan.Tenants})
+		parts = append(parts, Part{
+			Role:     message.RoleProxy,
+			Settings: cfg,
+			Service:  serviceName(number % plan.Services),
+			Tenants:  plan.Tenants,
+		})
 		if len(parts) == plan.Share || number == plan.Proxies-1 {
 			if err := f.add(message.RoleProxy, parts); err != nil {
 				f.Stop()
@@ -281,7 +287,11 @@
 func (f *Fleet) write() (time.Time, error) {
 	f.version++
 	began := time.Now()
-	answer := f.processes[message.RoleRegistry][0].do(Request{Command: CommandWrite, Version: f.version, Body: configurationBody(f.plan.Services, f.plan.Tenants, f.version)})
+	answer := f.processes[message.RoleRegistry][0].do(Request{
+		Command: CommandWrite,
+		Version: f.version,
+		Body:    configurationBody(f.plan.Services, f.plan.Tenants, f.version),
+	})
 	if answer.Fault != "" {
 		return began, errcode.Wrap("scaletest.write", errcode.ConfigurationUnsure, fmt.Errorf("%s", answer.Fault))
 	}
@@ -293,14 +303,30 @@
 	names, routes, listed := []string{}, []map[string]any{}, []map[string]any{}
 	for number := range services {
 		name := serviceName(number)
+		callers := []string{serviceName((number + 1) % services), serviceName((number + 7) % services)}
 		names = append(names, name)
-		routes = append(routes, map[string]any{"name": "route-" + name, "service": name, "path": "/" + name, "match": "prefix",
-			"methods": []string{"GET", "POST"}, "callers": slices.Compact([]string{serviceName((number + 1) % services), serviceName((number + 7) % services)}), "timeout_ms": 3000})
+		routes = append(routes, map[string]any{
+			"name":       "route-" + name,
+			"service":    name,
+			"path":       "/" + name,
+			"match":      "prefix",
+			"methods":    []string{http.MethodGet, http.MethodPost},
+			"callers":    slices.Compact(callers),
+			"timeout_ms": 3000,
+		})
 	}
 	for number := range max(tenants, 1) {
-		listed = append(listed, map[string]any{"name": fmt.Sprintf("tenant-%d", number), "keys": []string{fmt.Sprintf("key-%d-secret", number)}})
+		listed = append(listed, map[string]any{
+			"name": fmt.Sprintf("tenant-%d", number),
+			"keys": []string{fmt.Sprintf("key-%d-secret", number)},
+		})
 	}
-	body, err := json.Marshal(map[string]any{"services": names, "tenants": listed, "routes": routes, "note": fmt.Sprintf("version %d", version)})
+	body, err := json.Marshal(map[string]any{
+		"services": names,
+		"tenants":  listed,
+		"routes":   routes,
+		"note":     fmt.Sprintf("version %d", version),
+	})
 	if err != nil {
 		panic("scaletest: " + err.Error())
 	}
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -141,8 +141,12 @@
 	if held.part.Role == message.RoleProxy {
 		tracker := frontend.New(held.part.Settings, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 		process.OnPublish(func(snapshot any) {
-			tracker.UpdateSnapshot(members.Now(), snapshot.(*proxy.Snapshot))
-			t.shown(held, snapshot.(*proxy.Snapshot))
+			current, isSnapshot := snapshot.(*proxy.Snapshot)
+			if !isSnapshot {
+				panic(fmt.Sprintf("scaletest: a proxy published %T", snapshot)) // a programming error
+			}
+			tracker.UpdateSnapshot(members.Now(), current)
+			t.shown(held, current)
 		})
 		if err := process.Run(proxy.New(held.part.Settings, self), nil); err != nil {
 			return err
@@ -161,11 +165,32 @@
 	})
 }
 
+// ask asks a node's control machine, and returns its answer in the type that this question has.
+func ask[T any](ctx context.Context, process *node.Node, question any) (T, error) {
+	var none T
+	answered, err := process.Request(ctx, question)
+	if err != nil {
+		return none, err
+	}
+	answer, isWanted := answered.(T)
+	if !isWanted {
+		return none, errcode.Wrap("scaletest.ask", errcode.Internal, fmt.Errorf("%T was answered by %T", question, answered))
+	}
+	return answer, nil
+}
+
 // announce stands for the one upstream beside a proxy. Its address is the proxy's own, so that each
 // upstream has one of its own and probes are answered.
 func announce(ctx context.Context, part Part, process *node.Node) {
-	registration := message.Registration{Service: part.Service, Instance: part.Settings.Node, Incarnation: time.Now().UnixNano(), Address: part.Settings.Address,
-		Zone: part.Settings.Zone, Slots: 16, State: message.StateReady}
+	registration := message.Registration{
+		Service:     part.Service,
+		Instance:    part.Settings.Node,
+		Incarnation: time.Now().UnixNano(),
+		Address:     part.Settings.Address,
+		Zone:        part.Settings.Zone,
+		Slots:       16,
+		State:       message.StateReady,
+	}
 	ticker := time.NewTicker(part.Settings.HeartbeatEvery())
 	defer ticker.Stop()
 	for {
@@ -190,7 +215,7 @@
 		case <-ticker.C:
 		}
 		asked, cancel := context.WithTimeout(ctx, part.Settings.HeartbeatEvery())
-		answer, err := process.Request(asked, proxy.ReadSealed{})
+		sealedBelow, err := ask[int64](asked, process, proxy.ReadSealed{})
 		cancel()
 		if err != nil {
 			continue
@@ -202,7 +227,7 @@
 		counts[current][fmt.Sprintf("tenant-%d", round%part.Tenants)]++
 		counted := proxy.UsageCounted{Closed: current}
 		for window := range counts {
-			if window < answer.(int64) || window < current-4 {
+			if window < sealedBelow || window < current-4 {
 				delete(counts, window)
 			}
 		}
@@ -212,7 +237,11 @@
 				for tenant, number := range held {
 					copied[tenant] = number
 				}
-				counted.Usage = append(counted.Usage, message.UsageCount{Window: window, Counts: copied, Open: map[string]int64{"tenant-0": 1}})
+				counted.Usage = append(counted.Usage, message.UsageCount{
+					Window: window,
+					Counts: copied,
+					Open:   map[string]int64{"tenant-0": 1},
+				})
 			}
 		}
 		process.Notify(counted)
@@ -259,7 +288,13 @@
 func merge(sums map[string]transport.Count, passed transport.Count) {
 	key := fmt.Sprintf("%s %t %s", passed.Protocol, passed.Outbound, passed.Kind)
 	sum := sums[key]
-	sums[key] = transport.Count{Protocol: passed.Protocol, Outbound: passed.Outbound, Kind: passed.Kind, Messages: sum.Messages + passed.Messages, Bytes: sum.Bytes + passed.Bytes}
+	sums[key] = transport.Count{
+		Protocol: passed.Protocol,
+		Outbound: passed.Outbound,
+		Kind:     passed.Kind,
+		Messages: sum.Messages + passed.Messages,
+		Bytes:    sum.Bytes + passed.Bytes,
+	}
 }
 
 // Do answers one question.
@@ -302,11 +337,11 @@
 	defer cancel()
 	write := registry.WriteConfiguration{ConfigName: n.part.Settings.ConfigNames[0], Version: request.Version, Body: request.Body,
 		Check: registry.CheckConfiguration(n.part.Settings, request.Body)}
-	answered, err := n.process.Request(limited, write)
+	answer, err := ask[registry.Answer](limited, n.process, write)
 	if err != nil {
 		return err
 	}
-	if answer := answered.(registry.Answer); answer.Code != errcode.OK {
+	if answer.Code != errcode.OK {
 		return errcode.Wrap("scaletest.write", answer.Code, fmt.Errorf("%s", answer.Body))
 	}
 	return nil
@@ -314,8 +349,12 @@
 
 func (t *HollowFleet) read() *Reading {
 	usage := syscall.Rusage{}
-	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
-	reading := &Reading{At: time.Since(t.startedAt), Processor: time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), Node: map[string]int64{}}
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // it knows no fault for these arguments
+	reading := &Reading{
+		At:        time.Since(t.startedAt),
+		Processor: time.Duration(usage.Utime.Nano() + usage.Stime.Nano()),
+		Node:      map[string]int64{},
+	}
 	sums := map[string]transport.Count{}
 	for _, held := range t.nodes {
 		for _, passed := range held.gone {
@@ -351,7 +390,9 @@
 		return 0
 	}
 	size, pages := int64(0), int64(0)
-	fmt.Sscan(strings.TrimSpace(string(body)), &size, &pages)
+	if _, err := fmt.Sscan(strings.TrimSpace(string(body)), &size, &pages); err != nil {
+		return 0
+	}
 	return pages * int64(os.Getpagesize())
 }
 
@@ -386,12 +427,11 @@
 			continue
 		}
 		limited, cancel := context.WithTimeout(held.goroutines.Context, held.part.Settings.HolderRest())
-		answered, err := held.process.Request(limited, proxy.ReadStatus{})
+		status, err := ask[proxy.Status](limited, held.process, proxy.ReadStatus{})
 		cancel()
 		if err != nil {
 			continue
 		}
-		status := answered.(proxy.Status)
 		state.Depth, depths = max(state.Depth, len(status.Path)), depths+len(status.Path)
 		state.Moves += status.Moves
 		for _, age := range status.AgesMS {
@@ -425,7 +465,7 @@
 	}
 	hollow, err := NewHollowFleet(parts)
 	if err != nil {
-		encoder.Encode(Answer{Fault: err.Error()})
+		_ = encoder.Encode(Answer{Fault: err.Error()}) // the error is returned in any case
 		return err
 	}
 	defer hollow.Close()
--- a/internal/scaletest/measure.go
+++ b/internal/scaletest/measure.go
@@ -44,7 +44,8 @@
 	"HeartbeatBatch": "heartbeats", "HeartbeatResponse": "heartbeats", "ProbeRequest": "heartbeats",
 	"UsageUpdate": "usage", "UsageRead": "usage", "UsageReadResponse": "usage", "UsageSeal": "usage", "UsageSealResponse": "usage",
 	"WriteRequest": "config_log", "ReadRequest": "config_log", "StoreResponse": "config_log",
-	"LogPositionRequest": "config_log", "LogPositionResponse": "config_log", "LogSnapshotRequest": "config_log", "LogSnapshot": "config_log",
+	"LogPositionRequest": "config_log", "LogPositionResponse": "config_log",
+	"LogSnapshotRequest": "config_log", "LogSnapshot": "config_log",
 	"LogRecommit": "config_log", "LogAppend": "config_log", "LogAppended": "config_log",
 	"RosterChange": "roster", "RosterCheck": "roster", "RosterDigest": "roster", "RosterPull": "roster", "RosterSnapshot": "roster",
 }
@@ -111,7 +112,8 @@
 		sums["processor"] += sign * reading.Processor.Seconds() * 100
 		sums["disk_syncs"] += sign * float64(reading.Node["disk_syncs"])
 		sums["disk_bytes"] += sign * float64(reading.Node["disk_bytes"])
-		sums["dropped"] += sign * float64(reading.Node["sends_dropped"]+reading.Node["datagrams_dropped"]+reading.Node["control_queue_full"])
+		dropped := reading.Node["sends_dropped"] + reading.Node["datagrams_dropped"] + reading.Node["control_queue_full"]
+		sums["dropped"] += sign * float64(dropped)
 	}
 	take(after, 1)
 	take(before, -1)
@@ -121,9 +123,14 @@
 	return sums
 }
 
-var metrics = []string{"messages", "bytes", "tcp_in_messages", "tcp_in_bytes", "tcp_out_messages", "tcp_out_bytes", "udp_in_messages", "udp_in_bytes",
-	"udp_out_messages", "udp_out_bytes", "bytes_membership", "bytes_updates", "bytes_heartbeats", "bytes_usage", "bytes_roster", "bytes_voters", "bytes_config_log",
-	"processor", "disk_syncs", "disk_bytes", "dropped"}
+// metrics are the rates that each window has, in the order of the table.
+var metrics = []string{
+	"messages", "bytes",
+	"tcp_in_messages", "tcp_in_bytes", "tcp_out_messages", "tcp_out_bytes",
+	"udp_in_messages", "udp_in_bytes", "udp_out_messages", "udp_out_bytes",
+	"bytes_membership", "bytes_updates", "bytes_heartbeats", "bytes_usage", "bytes_roster", "bytes_voters", "bytes_config_log",
+	"processor", "disk_syncs", "disk_bytes", "dropped",
+}
 
 func (f *Fleet) compare(sum *rows, phase string, before, after map[string][]Reading) {
 	for _, role := range roles {
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -21,7 +21,8 @@
 	list := []Row{}
 	for _, size := range []int{16, 32, 64, 128, 256} {
 		value := grows(float64(size))
-		list = append(list, Row{Phase: Steady, Role: message.RoleProxy, Metric: "bytes", Size: size, Values: []float64{value * (1 - scatter), value, value * (1 + scatter)}})
+		values := []float64{value * (1 - scatter), value, value * (1 + scatter)}
+		list = append(list, Row{Phase: Steady, Role: message.RoleProxy, Metric: "bytes", Size: size, Values: values})
 	}
 	return list
 }
@@ -74,7 +75,10 @@
 
 func TestNumbers(t *testing.T) {
 	c := qt.New(t)
-	for value, text := range map[float64]string{0: "0", 0.0001: "0", 0.0123: "0.0123", 9.876: "9.88", 123.4: "123", 5678: "5678", 45678: "45.7k", 3.21e6: "3.21M", 4e9: "4G"} {
+	for value, text := range map[float64]string{
+		0: "0", 0.0001: "0", 0.0123: "0.0123", 9.876: "9.88", 123.4: "123",
+		5678: "5678", 45678: "45.7k", 3.21e6: "3.21M", 4e9: "4G",
+	} {
 		c.Assert(number(value), qt.Equals, text)
 	}
 }
@@ -82,12 +86,17 @@
 // The table has a column a size and leaves out what never was; the plots are drawn.
 func TestTableAndPlots(t *testing.T) {
 	c := qt.New(t)
-	table := Table{Course: Course{Sizes: []int{16, 32, 64, 128, 256}, Phases: []string{Steady}}, Target: 12000,
-		Rows: append(made(func(size float64) float64 { return 100 * size }, 0.1), Row{Phase: Steady, Role: message.RoleProxy, Metric: "dropped", Size: 16, Values: []float64{0}})}
+	never := Row{Phase: Steady, Role: message.RoleProxy, Metric: "dropped", Size: 16, Values: []float64{0}}
+	table := Table{
+		Course: Course{Sizes: []int{16, 32, 64, 128, 256}, Phases: []string{Steady}},
+		Target: 12000,
+		Rows:   append(made(func(size float64) float64 { return 100 * size }, 0.1), never),
+	}
 	table.Fit()
 	out := bytes.Buffer{}
 	table.Markdown(&out)
-	c.Assert(out.String(), qt.Contains, "| proxy | bytes | 1600 ±160 | 3200 ±320 | 6400 ±640 | 12.8k ±1280 | 25.6k ±2560 | n | 0% | 1.2M (1.08M..1.32M) |")
+	c.Assert(out.String(), qt.Contains,
+		"| proxy | bytes | 1600 ±160 | 3200 ±320 | 6400 ±640 | 12.8k ±1280 | 25.6k ±2560 | n | 0% | 1.2M (1.08M..1.32M) |")
 	c.Assert(strings.Contains(out.String(), "dropped"), qt.IsFalse)
 	body := bytes.Buffer{}
 	c.Assert(table.JSON(&body), qt.IsNil)
@@ -101,16 +110,32 @@
 	c.Assert(drawn.Size() > 1000, qt.IsTrue)
 }
 
+// The names that are matched are those of message types: a renamed type would count with the voters.
+func TestPartsNameMessages(t *testing.T) {
+	c := qt.New(t)
+	names := map[string]bool{}
+	for kind := range math.MaxUint8 + 1 {
+		names[message.KindName(byte(kind))] = true
+	}
+	for name := range partOf {
+		c.Check(names[name], qt.IsTrue, qt.Commentf("no message type %s", name))
+	}
+}
+
 // Differences of two readings are a second's; a kind that is known to no part counts
 // with the voters.
 func TestRates(t *testing.T) {
 	c := qt.New(t)
-	before, after := Reading{At: time.Second, Processor: time.Second}, Reading{At: 3 * time.Second, Processor: 1500 * time.Millisecond, Node: map[string]int64{"disk_syncs": 8}}
+	before := Reading{At: time.Second, Processor: time.Second}
+	after := Reading{At: 3 * time.Second, Processor: 1500 * time.Millisecond, Node: map[string]int64{"disk_syncs": 8}}
 	for _, kind := range []string{"Ping", "HeartbeatBatch", "LeaseRequest", "WriteRequest"} {
 		after.Counts = append(after.Counts, transport.Count{Protocol: "tcp", Outbound: true, Kind: kind, Messages: 10, Bytes: 100})
 	}
 	rate := rates(before, after)
-	for metric, value := range map[string]float64{"processor": 25, "disk_syncs": 4, "tcp_out_messages": 20, "bytes": 200, "bytes_membership": 50, "bytes_heartbeats": 50, "bytes_voters": 50, "bytes_config_log": 50, "udp_in_bytes": 0} {
+	for metric, value := range map[string]float64{
+		"processor": 25, "disk_syncs": 4, "tcp_out_messages": 20, "bytes": 200, "bytes_membership": 50,
+		"bytes_heartbeats": 50, "bytes_voters": 50, "bytes_config_log": 50, "udp_in_bytes": 0,
+	} {
 		c.Assert(rate[metric], qt.Equals, value, qt.Commentf(metric))
 	}
 }
@@ -120,7 +145,8 @@
 func TestTinyFleet(t *testing.T) {
 	c := qt.New(t)
 	plan := Plan{Proxies: 4, Zones: 2, Services: 3, Tenants: 2, Fanout: 2, Share: 2, Folder: t.TempDir()}
-	course := Course{Sizes: []int{4}, Repeats: 1, Limit: time.Minute, Window: time.Millisecond, Phases: []string{Steady, Configurations, Restarts}}
+	phases := []string{Steady, Configurations, Restarts}
+	course := Course{Sizes: []int{4}, Repeats: 1, Limit: time.Minute, Window: time.Millisecond, Phases: phases}
 	list, err := Measure(plan, course)
 	c.Assert(err, qt.IsNil)
 	found := map[string]float64{}
@@ -142,11 +168,13 @@
 	plan := Plan{Proxies: 1, Zones: 1, Services: 1, Fanout: 2, Folder: t.TempDir()}
 	address, err := freeAddress("127.88.9.1")
 	c.Assert(err, qt.IsNil)
-	parts := []Part{{Role: message.RoleProxy, Service: "service-001", Settings: plan.Settings(message.RoleProxy, "edge", "", zoneName(0), address, []string{address, address, address})}}
+	cfg := plan.Settings(message.RoleProxy, "edge", "", zoneName(0), address, []string{address, address, address})
+	parts := []Part{{Role: message.RoleProxy, Service: "service-001", Settings: cfg}}
 	input, output := bytes.Buffer{}, bytes.Buffer{}
 	encoder := json.NewEncoder(&input)
 	c.Assert(encoder.Encode(parts), qt.IsNil)
-	for _, request := range []Request{{Command: CommandRead}, {Command: "nothing"}, {Command: CommandState, Index: 7}, {Command: CommandWeigh}} {
+	requests := []Request{{Command: CommandRead}, {Command: "nothing"}, {Command: CommandState, Index: 7}, {Command: CommandWeigh}}
+	for _, request := range requests {
 		c.Assert(encoder.Encode(request), qt.IsNil)
 	}
 	c.Assert(Serve(&input, &output), qt.IsNil)
--- a/internal/scaletest/table.go
+++ b/internal/scaletest/table.go
@@ -91,7 +91,9 @@
 			for _, size := range sizes {
 				fmt.Fprintf(out, " %s |", line.cell(size))
 			}
-			fmt.Fprintf(out, " %s | %.0f%% | %s (%s..%s) |\n", line.Slope.Shape, line.Slope.Miss*100, number(line.Slope.Target), number(line.Slope.Least), number(line.Slope.Most))
+			slope := line.Slope
+			fmt.Fprintf(out, " %s | %.0f%% | %s (%s..%s) |\n",
+				slope.Shape, slope.Miss*100, number(slope.Target), number(slope.Least), number(slope.Most))
 		}
 		fmt.Fprintln(out)
 	}
@@ -142,16 +144,43 @@
 
 // Charts are the plots of docs/CAPACITY.md.
 var Charts = []Chart{
-	{"capacity-bytes", "Control bytes a second of one proxy, in and out, by part", "bytes a second", 3000, []Curve{
-		{Steady, "proxy", "bytes", "all"}, {Steady, "proxy", "bytes_membership", "membership"}, {Steady, "proxy", "bytes_updates", "updates"},
-		{Steady, "proxy", "bytes_heartbeats", "heartbeats"}, {Steady, "proxy", "bytes_usage", "usage"}, {Configurations, "proxy", "bytes", "all, one configuration a second"}}, 1},
-	{"capacity-processor", "Processor time", "% of a core", 3.1, []Curve{
-		{Steady, "proxy", "processor", "proxy"}, {Configurations, "proxy", "processor", "proxy, one configuration a second"},
-		{Steady, "registry", "processor", "busiest registry"}, {Steady, "configstore", "processor", "busiest configstore"}}, 1},
-	{"capacity-memory", "Memory in use", "MB", 128, []Curve{
-		{Steady, "proxy", "live", "proxy"}, {Steady, "registry", "live", "largest registry"}, {Steady, "configstore", "live", "largest configstore"}}, 1e-6},
-	{"capacity-in-force", "Until a configuration is in force everywhere", "ms", 6000, []Curve{
-		{Configurations, "fleet", "in_force_ms", "in force everywhere"}, {Configurations, "fleet", "settled_ms", "settled"}, {Restarts, "fleet", "restored_ms", "a restarted proxy is ready, all known"}}, 1},
+	{
+		Name: "capacity-bytes", Title: "Control bytes a second of one proxy, in and out, by part",
+		Unit: "bytes a second", Bound: 3000, Scale: 1,
+		Curves: []Curve{
+			{Steady, "proxy", "bytes", "all"},
+			{Steady, "proxy", "bytes_membership", "membership"},
+			{Steady, "proxy", "bytes_updates", "updates"},
+			{Steady, "proxy", "bytes_heartbeats", "heartbeats"},
+			{Steady, "proxy", "bytes_usage", "usage"},
+			{Configurations, "proxy", "bytes", "all, one configuration a second"},
+		},
+	},
+	{
+		Name: "capacity-processor", Title: "Processor time", Unit: "% of a core", Bound: 3.1, Scale: 1,
+		Curves: []Curve{
+			{Steady, "proxy", "processor", "proxy"},
+			{Configurations, "proxy", "processor", "proxy, one configuration a second"},
+			{Steady, "registry", "processor", "busiest registry"},
+			{Steady, "configstore", "processor", "busiest configstore"},
+		},
+	},
+	{
+		Name: "capacity-memory", Title: "Memory in use", Unit: "MB", Bound: 128, Scale: 1e-6,
+		Curves: []Curve{
+			{Steady, "proxy", "live", "proxy"},
+			{Steady, "registry", "live", "largest registry"},
+			{Steady, "configstore", "live", "largest configstore"},
+		},
+	},
+	{
+		Name: "capacity-in-force", Title: "Until a configuration is in force everywhere", Unit: "ms", Bound: 6000, Scale: 1,
+		Curves: []Curve{
+			{Configurations, "fleet", "in_force_ms", "in force everywhere"},
+			{Configurations, "fleet", "settled_ms", "settled"},
+			{Restarts, "fleet", "restored_ms", "a restarted proxy is ready, all known"},
+		},
+	},
 }
 
 // Plot draws the charts as PNG files into a folder.
@@ -164,71 +193,116 @@
 	return nil
 }
 
+// drawing is one plot in the making, with the range of what it shows.
+type drawing struct {
+	plot            *plot.Plot
+	scale           float64
+	target          float64 // the size extrapolated to
+	lowest, highest float64
+}
+
+// draw draws one chart into a folder; a chart without figures is left out.
 func (t *Table) draw(chart Chart, folder string) error {
-	drawing := plot.New()
-	drawing.Title.Text, drawing.X.Label.Text, drawing.Y.Label.Text = chart.Title, "proxies in the fleet", chart.Unit
-	drawing.X.Scale, drawing.Y.Scale = plot.LogScale{}, plot.LogScale{}
-	drawing.X.Tick.Marker, drawing.Y.Tick.Marker = plot.LogTicks{}, plot.LogTicks{}
-	drawing.Legend.Top, drawing.Legend.Left = true, true
-	drawing.Add(plotter.NewGrid())
-	lowest, highest := math.Inf(1), chart.Bound
+	d := newDrawing(chart, float64(t.Target))
 	for index, curve := range chart.Curves {
 		for _, line := range t.Lines {
 			if line.Phase != curve.Phase || line.Role != curve.Role || line.Metric != curve.Metric {
 				continue
 			}
-			points, bars := plotter.XYs{}, plotter.YErrors{}
-			for _, row := range line.rows {
-				middle := mean(row.Values) * chart.Scale
-				if middle <= 0 {
-					continue
-				}
-				least, most := extent(row.Values)
-				points = append(points, plotter.XY{X: float64(row.Size), Y: middle})
-				bars = append(bars, struct{ Low, High float64 }{math.Min(middle-least*chart.Scale, middle*0.9), most*chart.Scale - middle})
-				lowest, highest = math.Min(lowest, middle), math.Max(highest, middle)
-			}
-			if len(points) == 0 {
-				continue
-			}
-			drawn, dots, err := plotter.NewLinePoints(points)
-			if err != nil {
+			if err := d.addLine(line, curve.Label, index); err != nil {
 				return err
 			}
-			drawn.Color, dots.Color = plotutil.Color(index), plotutil.Color(index)
-			dots.Shape = plotutil.Shape(index)
-			spread, err := plotter.NewYErrorBars(struct {
-				plotter.XYer
-				plotter.YErrorer
-			}{points, bars})
-			if err != nil {
-				return err
-			}
-			spread.Color = plotutil.Color(index)
-			drawing.Add(drawn, dots, spread)
-			drawing.Legend.Add(curve.Label, drawn, dots)
-			if line.Slope.Target > 0 && line.Slope.Shape != "none" {
-				reached := plotter.XYs{points[len(points)-1], {X: float64(t.Target), Y: math.Max(line.Slope.Target*chart.Scale, 1e-6)}}
-				onward, err := plotter.NewLine(reached)
-				if err != nil {
-					return err
-				}
-				onward.Color, onward.Dashes = plotutil.Color(index), []vg.Length{vg.Points(3), vg.Points(3)}
-				drawing.Add(onward)
-				lowest, highest = math.Min(lowest, reached[1].Y), math.Max(highest, reached[1].Y)
-			}
 		}
 	}
-	if math.IsInf(lowest, 1) {
+	if math.IsInf(d.lowest, 1) {
 		return nil
 	}
-	bound, err := plotter.NewLine(plotter.XYs{{X: float64(t.Course.Sizes[0]), Y: chart.Bound}, {X: float64(t.Target), Y: chart.Bound}})
+	if err := d.addBound(chart.Bound, float64(t.Course.Sizes[0])); err != nil {
+		return err
+	}
+	return d.plot.Save(16*vg.Centimeter, 11*vg.Centimeter, filepath.Join(folder, chart.Name+".png"))
+}
+
+func newDrawing(chart Chart, target float64) *drawing {
+	drawn := plot.New()
+	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = chart.Title, "proxies in the fleet", chart.Unit
+	drawn.X.Scale, drawn.Y.Scale = plot.LogScale{}, plot.LogScale{}
+	drawn.X.Tick.Marker, drawn.Y.Tick.Marker = plot.LogTicks{}, plot.LogTicks{}
+	drawn.Legend.Top, drawn.Legend.Left = true, true
+	drawn.Add(plotter.NewGrid())
+	return &drawing{plot: drawn, scale: chart.Scale, target: target, lowest: math.Inf(1), highest: chart.Bound}
+}
+
+// include widens the range of the plot.
+func (d *drawing) include(value float64) {
+	d.lowest, d.highest = math.Min(d.lowest, value), math.Max(d.highest, value)
+}
+
+// points returns the means of a line with the distances to their extremes; sizes without a figure
+// above 0 have no place on a logarithmic axis.
+func (d *drawing) points(line Line) (plotter.XYs, plotter.YErrors) {
+	points, bars := plotter.XYs{}, plotter.YErrors{}
+	for _, row := range line.rows {
+		middle := mean(row.Values) * d.scale
+		if middle <= 0 {
+			continue
+		}
+		least, most := extent(row.Values)
+		points = append(points, plotter.XY{X: float64(row.Size), Y: middle})
+		bars = append(bars, struct{ Low, High float64 }{math.Min(middle-least*d.scale, middle*0.9), most*d.scale - middle})
+		d.include(middle)
+	}
+	return points, bars
+}
+
+// addLine adds the measured points of a line, and the way from the last to the figure extrapolated.
+func (d *drawing) addLine(line Line, label string, index int) error {
+	points, bars := d.points(line)
+	if len(points) == 0 {
+		return nil
+	}
+	measured, dots, err := plotter.NewLinePoints(points)
+	if err != nil {
+		return err
+	}
+	measured.Color, dots.Color = plotutil.Color(index), plotutil.Color(index)
+	dots.Shape = plotutil.Shape(index)
+	spread, err := plotter.NewYErrorBars(struct {
+		plotter.XYer
+		plotter.YErrorer
+	}{points, bars})
 	if err != nil {
 		return err
 	}
-	bound.Color, bound.Width = color.RGBA{R: 200, A: 255}, vg.Points(1.5)
-	drawing.Add(bound)
-	drawing.Legend.Add(fmt.Sprintf("bound: %s", number(chart.Bound)), bound)
-	drawing.Y.Min, drawing.Y.Max = math.Min(lowest, chart.Bound)/2, highest*20
-	return drawing.Save(16*vg.Centimeter, 11*vg.Centimeter, filepath.Join(folder, chart.Name+".png"))
+	spread.Color = plotutil.Color(index)
+	d.plot.Add(measured, dots, spread)
+	d.plot.Legend.Add(label, measured, dots)
+	if line.Slope.Target > 0 && line.Slope.Shape != "none" {
+		return d.addExtrapolation(points[len(points)-1], line.Slope.Target, index)
+	}
+	return nil
+}
+
+func (d *drawing) addExtrapolation(last plotter.XY, target float64, index int) error {
+	reached := plotter.XY{X: d.target, Y: math.Max(target*d.scale, 1e-6)}
+	onward, err := plotter.NewLine(plotter.XYs{last, reached})
+	if err != nil {
+		return err
+	}
+	onward.Color, onward.Dashes = plotutil.Color(index), []vg.Length{vg.Points(3), vg.Points(3)}
+	d.plot.Add(onward)
+	d.include(reached.Y)
+	return nil
+}
+
+func (d *drawing) addBound(bound, smallest float64) error {
+	level, err := plotter.NewLine(plotter.XYs{{X: smallest, Y: bound}, {X: d.target, Y: bound}})
+	if err != nil {
+		return err
+	}
+	level.Color, level.Width = color.RGBA{R: 200, A: 255}, vg.Points(1.5)
+	d.plot.Add(level)
+	d.plot.Legend.Add(fmt.Sprintf("bound: %s", number(bound)), level)
+	d.plot.Y.Min, d.plot.Y.Max = math.Min(d.lowest, bound)/2, d.highest*20
+	return nil
 }
--- a/internal/stubserver/stubserver.go
+++ b/internal/stubserver/stubserver.go
@@ -12,6 +12,7 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
+	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -31,7 +32,13 @@
 
 // OtherStatuses are the statuses besides 200 that a stub server may answer with: its own refusals
 // and failures are whole answers too.
-var OtherStatuses = []int{http.StatusCreated, http.StatusNotFound, http.StatusUnprocessableEntity, http.StatusInternalServerError, http.StatusServiceUnavailable}
+var OtherStatuses = []int{
+	http.StatusCreated,
+	http.StatusNotFound,
+	http.StatusUnprocessableEntity,
+	http.StatusInternalServerError,
+	http.StatusServiceUnavailable,
+}
 
 // UsualOtherShare is the share of runs that load tests and the simulator answer with one of
 // OtherStatuses.
@@ -106,7 +113,9 @@
 	server := &http.Server{Handler: http.HandlerFunc(u.serve)}
 	ctx, cancel := context.WithCancel(group.Context)
 	u.cancel = cancel
-	group.Go("stubserver.serve", func(context.Context) { server.Serve(listener) })
+	group.Go("stubserver.serve", func(context.Context) {
+		_ = server.Serve(listener) // it ends with server.Close
+	})
 	group.Go("stubserver.close", func(context.Context) { <-ctx.Done(); server.Close() })
 	group.Go("stubserver.announce", func(context.Context) { u.announce(ctx) })
 	return nil
@@ -188,7 +197,7 @@
 		if err != nil {
 			continue
 		}
-		io.Copy(io.Discard, response.Body)
+		_, _ = io.Copy(io.Discard, response.Body) // only the status counts
 		response.Body.Close()
 		if response.StatusCode == http.StatusOK || response.StatusCode == http.StatusNotFound {
 			u.lock.Lock()
@@ -203,8 +212,18 @@
 
 // callOn makes a further request to the proxy beside it, on behalf of the caller of a run.
 func (u *StubServer) callOn(call Call, ran checker.Ran, index int, pass string) {
-	asked := checker.Asked{ID: fmt.Sprintf("%s~%s~%d", ran.ID, ran.Instance, index), Proxy: ran.ServingProxy, Route: call.Route, Service: call.Service,
-		Tenant: ran.Tenant, Caller: ran.Service, Once: call.Once, Sent: u.since(), Intended: u.since(), Connection: true}
+	asked := checker.Asked{
+		ID:         fmt.Sprintf("%s~%s~%d", ran.ID, ran.Instance, index),
+		Proxy:      ran.ServingProxy,
+		Route:      call.Route,
+		Service:    call.Service,
+		Tenant:     ran.Tenant,
+		Caller:     ran.Service,
+		Once:       call.Once,
+		Sent:       u.since(),
+		Intended:   u.since(),
+		Connection: true,
+	}
 	request, err := http.NewRequest(call.Method, "http://"+ran.ServingProxy+call.Path, http.NoBody)
 	if err != nil {
 		return
@@ -217,7 +236,7 @@
 		response.Body.Close()
 		asked.Connection, asked.Status, asked.Body = err != nil, response.StatusCode, string(body)
 		asked.Mark, asked.Retry = response.Header.Get(MarkHeader), response.Header.Get("Retry-After") != ""
-		fmt.Sscan(response.Header.Get(frontend.CodeHeader), &asked.Code)
+		asked.Code, _ = strconv.Atoi(response.Header.Get(frontend.CodeHeader)) // 0 where the header is missing
 	}
 	asked.Done = u.since()
 	u.lock.Lock()
@@ -234,7 +253,7 @@
 
 func (u *StubServer) keySeen(in *http.Request, body []byte) bool {
 	text := bytes.Buffer{}
-	in.Header.Write(&text)
+	_ = in.Header.Write(&text) // a buffer takes all
 	text.WriteString(in.URL.String())
 	for _, key := range u.Keys {
 		if strings.Contains(text.String(), key) || bytes.Contains(body, []byte(key)) {
@@ -324,7 +343,7 @@
 	if err != nil {
 		return
 	}
-	conn.Write([]byte(raw))
+	_, _ = conn.Write([]byte(raw)) // the caller may have gone
 	conn.Close()
 }
 
@@ -341,5 +360,5 @@
 		out.Header().Set(frontend.CodeHeader, "3101")
 	}
 	out.WriteHeader(status)
-	io.WriteString(out, answer)
+	_, _ = io.WriteString(out, answer) // the caller may have gone
 }
--- a/internal/stubserver/stubserver_test.go
+++ b/internal/stubserver/stubserver_test.go
@@ -28,7 +28,8 @@
 	defer server.Kill()
 	client := &http.Client{Timeout: 10 * time.Second}
 	for range 300 {
-		request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, fmt.Sprintf("http://%s/", server.Announcement.Address), nil)
+		target := fmt.Sprintf("http://%s/", server.Announcement.Address)
+		request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, target, nil)
 		c.Assert(err, qt.IsNil)
 		answer, err := client.Do(request)
 		c.Assert(err, qt.IsNil)
--- a/internal/tools/days/draw_test.go
+++ b/internal/tools/days/draw_test.go
@@ -70,7 +70,8 @@
 func TestDrawnMatrixPlaysEachDayOnEachSite(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
-	bench := writeFile(c, c.TempDir(), "bench", "#!/bin/sh\n[ \"$1\" = kinds ] || exit 2\necho 'core_cut: cut'\necho 'node_kill: killed'\n", 0o755)
+	script := "#!/bin/sh\n[ \"$1\" = kinds ] || exit 2\necho 'core_cut: cut'\necho 'node_kill: killed'\n"
+	bench := writeFile(c, c.TempDir(), "bench", script, 0o755)
 	matrix, err := options{bench: bench, sites: []string{"x.toml", "y.toml"}, draw: 2, drawSeed: 5}.matrix(folder)
 	c.Assert(err, qt.IsNil)
 	var names []string
--- a/internal/tools/days/table.go
+++ b/internal/tools/days/table.go
@@ -30,7 +30,7 @@
 		fmt.Fprintf(table, "%s\t%s\t%.3f\t%.3f\t%d\t%s\n", r.report.rules(), r.report.gate(),
 			r.report.Score, r.report.Served, len(r.report.Missed), r.report.slowestRecovery())
 	}
-	table.Flush()
+	_ = table.Flush() // a report on standard output; nothing is left to do on failure
 }
 
 // verdict is an error if any play broke something or was not played.
--- a/internal/tools/knownred/judge_test.go
+++ b/internal/tools/knownred/judge_test.go
@@ -33,19 +33,24 @@
 func TestFailuresAreJudged(t *testing.T) {
 	known, err := parseList(oneKnown)
 	qt.Assert(t, err, qt.IsNil)
+	//nolint:dupword // the output of go test repeats FAIL
 	for name, run := range map[string]struct {
 		log    string
 		status int
 		passes bool
 	}{
-		"all pass":           {"ok  \tbeaconvane/a\t0.1s\n", 0, true},
-		"known":              {"--- FAIL: TestSlow (0.1s)\n    a_test.go:1: late\nFAIL\nFAIL\tbeaconvane/a\t0.1s\nFAIL\n", 1, true},
-		"known, with parts":  {"--- FAIL: TestSlow (0.1s)\n    --- FAIL: TestSlow/part (0.1s)\nFAIL\nFAIL\tbeaconvane/a\t0.1s\nFAIL\n", 1, true},
-		"another":            {"--- FAIL: TestSlower (0.1s)\nFAIL\nFAIL\tbeaconvane/a\t0.1s\nFAIL\n", 1, false},
-		"known and another":  {"--- FAIL: TestSlow (0.1s)\n--- FAIL: TestOther (0.1s)\nFAIL\nFAIL\tbeaconvane/a\t0.1s\n", 1, false},
-		"build failed":       {"# beaconvane/a\na.go:1:1: oops\nFAIL\tbeaconvane/a [build failed]\nFAIL\n", 1, false},
-		"panic in known":     {"--- FAIL: TestSlow (0.1s)\npanic: oops\nFAIL\tbeaconvane/a\t0.1s\nFAIL\n", 1, false},
-		"outside the tests":  {"--- FAIL: TestSlow (0.1s)\nFAIL\nFAIL\tbeaconvane/a\t0.1s\nFAIL\nFAIL\tbeaconvane/b\t0.1s\nFAIL\n", 1, false},
+		"all pass": {"ok  \tbeaconvane/a\t0.1s\n", 0, true},
+		"known":    {"--- FAIL: TestSlow (0.1s)\n    a_test.go:1: late\nFAIL\nFAIL\tbeaconvane/a\t0.1s\nFAIL\n", 1, true},
+		"known, with parts": {
+			"--- FAIL: TestSlow (0.1s)\n    --- FAIL: TestSlow/part (0.1s)\nFAIL\nFAIL\tbeaconvane/a\t0.1s\nFAIL\n", 1, true,
+		},
+		"another":           {"--- FAIL: TestSlower (0.1s)\nFAIL\nFAIL\tbeaconvane/a\t0.1s\nFAIL\n", 1, false},
+		"known and another": {"--- FAIL: TestSlow (0.1s)\n--- FAIL: TestOther (0.1s)\nFAIL\nFAIL\tbeaconvane/a\t0.1s\n", 1, false},
+		"build failed":      {"# beaconvane/a\na.go:1:1: oops\nFAIL\tbeaconvane/a [build failed]\nFAIL\n", 1, false},
+		"panic in known":    {"--- FAIL: TestSlow (0.1s)\npanic: oops\nFAIL\tbeaconvane/a\t0.1s\nFAIL\n", 1, false},
+		"outside the tests": {
+			"--- FAIL: TestSlow (0.1s)\nFAIL\nFAIL\tbeaconvane/a\t0.1s\nFAIL\nFAIL\tbeaconvane/b\t0.1s\nFAIL\n", 1, false,
+		},
 		"nothing is told":    {"", 1, false},
 		"exits in a package": {"ok  \tbeaconvane/a\t0.1s\nexit status 2\nFAIL\tbeaconvane/b\t0.1s\n", 1, false},
 	} {
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -5,6 +5,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"time"
 
 	"beaconvane/internal/loadgen"
@@ -46,26 +47,70 @@
 
 // Umuyoboro is the deployment that sends patient messages in Kigali.
 func Umuyoboro() Deployment {
-	return Deployment{Name: "umuyoboro", Zones: []string{"gasabo", "kicukiro", "nyarugenge"}, Proxies: 10, Rate: 540, DiskDelay: 2 * time.Millisecond,
-		Services: []Service{{"dispatch", 7, 24, 25 * time.Millisecond, false, false}, {"registry", 3, 32, 10 * time.Millisecond, false, true}},
+	return Deployment{
+		Name:      "umuyoboro",
+		Zones:     []string{"gasabo", "kicukiro", "nyarugenge"},
+		Proxies:   10,
+		Rate:      540,
+		DiskDelay: 2 * time.Millisecond,
+		Services: []Service{
+			{Name: "dispatch", Count: 7, Slots: 24, Work: 25 * time.Millisecond},
+			{Name: "registry", Count: 3, Slots: 32, Work: 10 * time.Millisecond, Closes: true},
+		},
 		Kinds: []loadgen.Kind{
-			{Route: "send", Service: "dispatch", Method: "POST", Path: "/messages", Caller: "clinic", Once: true, Body: 400, Weight: 5, Calls: "contacts"},
-			{Route: "sent", Service: "dispatch", Method: "GET", Path: "/messages/state", Caller: "nurse", Weight: 3, Calls: "templates"},
-			{Route: "contacts", Service: "registry", Method: "POST", Path: "/contacts", Caller: "clinic", Once: true, Body: 4000, Weight: 1},
-			{Route: "templates", Service: "registry", Method: "GET", Path: "/templates/list", Caller: "clinic", Weight: 1},
-		}}
+			{
+				Route: "send", Service: "dispatch", Method: http.MethodPost, Path: "/messages", Caller: "clinic",
+				Once: true, Body: 400, Weight: 5, Calls: "contacts",
+			},
+			{
+				Route: "sent", Service: "dispatch", Method: http.MethodGet, Path: "/messages/state", Caller: "nurse",
+				Weight: 3, Calls: "templates",
+			},
+			{
+				Route: "contacts", Service: "registry", Method: http.MethodPost, Path: "/contacts", Caller: "clinic",
+				Once: true, Body: 4000, Weight: 1,
+			},
+			{
+				Route: "templates", Service: "registry", Method: http.MethodGet, Path: "/templates/list", Caller: "clinic",
+				Weight: 1,
+			},
+		},
+	}
 }
 
 // Jendela is the deployment that prices windows in the Klang Valley.
 func Jendela() Deployment {
-	return Deployment{Name: "jendela", Zones: []string{"klang", "petaling", "shah-alam"}, Proxies: 11, Rate: 510, Withdrawal: true, DiskDelay: 20 * time.Millisecond,
-		Services: []Service{{"quoting", 5, 24, 20 * time.Millisecond, true, false}, {"booking", 3, 24, 25 * time.Millisecond, true, true}, {"factory", 3, 24, 30 * time.Millisecond, true, false}},
+	return Deployment{
+		Name:       "jendela",
+		Zones:      []string{"klang", "petaling", "shah-alam"},
+		Proxies:    11,
+		Rate:       510,
+		Withdrawal: true,
+		DiskDelay:  20 * time.Millisecond,
+		Services: []Service{
+			{Name: "quoting", Count: 5, Slots: 24, Work: 20 * time.Millisecond, Load: true},
+			{Name: "booking", Count: 3, Slots: 24, Work: 25 * time.Millisecond, Load: true, Closes: true},
+			{Name: "factory", Count: 3, Slots: 24, Work: 30 * time.Millisecond, Load: true},
+		},
 		Kinds: []loadgen.Kind{
-			{Route: "quote", Service: "quoting", Method: "GET", Path: "/quotes/window", Caller: "showroom", Weight: 5, Calls: "catalogue"},
-			{Route: "deposit", Service: "booking", Method: "POST", Path: "/deposits", Caller: "showroom", Once: true, Body: 300, Weight: 2, Calls: "order"},
-			{Route: "order", Service: "factory", Method: "POST", Path: "/orders", Caller: "showroom", Once: true, Body: 600, Weight: 1},
-			{Route: "catalogue", Service: "factory", Method: "GET", Path: "/catalogue/frames", Caller: "showroom", Weight: 2},
-		}}
+			{
+				Route: "quote", Service: "quoting", Method: http.MethodGet, Path: "/quotes/window", Caller: "showroom",
+				Weight: 5, Calls: "catalogue",
+			},
+			{
+				Route: "deposit", Service: "booking", Method: http.MethodPost, Path: "/deposits", Caller: "showroom",
+				Once: true, Body: 300, Weight: 2, Calls: "order",
+			},
+			{
+				Route: "order", Service: "factory", Method: http.MethodPost, Path: "/orders", Caller: "showroom",
+				Once: true, Body: 600, Weight: 1,
+			},
+			{
+				Route: "catalogue", Service: "factory", Method: http.MethodGet, Path: "/catalogue/frames", Caller: "showroom",
+				Weight: 2,
+			},
+		},
+	}
 }
 
 // Vanish is how long an address is free at the least after a machine disappeared without closing its
@@ -100,11 +145,12 @@
 	case "voters-3", "voters-5", "voters-3-4", "voters-zones":
 		discovered, _ := Named("small")
 		discovered.Name, discovered.Cores, discovered.VoterCount = name, 3, 3
-		if name == "voters-5" {
+		switch name {
+		case "voters-5":
 			discovered.Cores, discovered.VoterCount = 5, 5
-		} else if name == "voters-3-4" {
+		case "voters-3-4":
 			discovered.Cores = 4
-		} else if name == "voters-zones" {
+		case "voters-zones":
 			discovered.Cores, discovered.Tolerated = 6, settings.Tolerated{Zones: 1}
 			for _, zone := range discovered.Zones {
 				discovered.CoreZones = append(discovered.CoreZones, zone, zone)
@@ -133,7 +179,10 @@
 func (d Deployment) Tenants() []loadgen.Tenant {
 	tenants := []loadgen.Tenant{}
 	for number := range 8 {
-		tenants = append(tenants, loadgen.Tenant{Name: fmt.Sprintf("tenant-%d", number), Key: fmt.Sprintf("key-%s-%d-secret", d.Name, number)})
+		tenants = append(tenants, loadgen.Tenant{
+			Name: fmt.Sprintf("tenant-%d", number),
+			Key:  fmt.Sprintf("key-%s-%d-secret", d.Name, number),
+		})
 	}
 	return tenants
 }
@@ -148,12 +197,24 @@
 		listed = append(listed, map[string]any{"name": tenant.Name, "keys": []string{tenant.Key}})
 	}
 	for _, kind := range d.Kinds {
-		routes = append(routes, map[string]any{"name": kind.Route, "service": kind.Service, "path": kind.Path, "methods": []string{kind.Method},
-			"callers": append(d.callersOf(kind.Route), kind.Caller), "once": kind.Once, "timeout_ms": 3000})
+		routes = append(routes, map[string]any{
+			"name":       kind.Route,
+			"service":    kind.Service,
+			"path":       kind.Path,
+			"methods":    []string{kind.Method},
+			"callers":    append(d.callersOf(kind.Route), kind.Caller),
+			"once":       kind.Once,
+			"timeout_ms": 3000,
+		})
 	}
 	for number := range more {
-		routes = append(routes, map[string]any{"name": fmt.Sprintf("more-%d", number), "service": services[0], "path": fmt.Sprintf("/more/%d", number),
-			"methods": []string{"GET"}, "callers": []string{"*"}})
+		routes = append(routes, map[string]any{
+			"name":    fmt.Sprintf("more-%d", number),
+			"service": services[0],
+			"path":    fmt.Sprintf("/more/%d", number),
+			"methods": []string{http.MethodGet},
+			"callers": []string{"*"},
+		})
 	}
 	body, err := json.Marshal(map[string]any{"services": services, "tenants": listed, "routes": routes})
 	if err != nil {
