--- a/internal/checker/bounds.go
+++ b/internal/checker/bounds.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Bounds are the promises to hold a record against. A KeyWithdrawal of 0 is not checked.
+// Bounds are the limits of the promises that have one. A KeyWithdrawal of 0 is not checked.
 type Bounds struct {
-	ConfigurationInForce time.Duration // from its acknowledgement to each node
+	ConfigurationInForce time.Duration // from the acknowledgement until it is in force on each node
 	SlipBack             time.Duration // for which an older version may be in force again
 	KeyWithdrawal        time.Duration // for which a withdrawn key may still work
-	Drain                time.Duration // for which a leaving upstream may still get requests
-	AnswerHold           time.Duration // for which a whole answer may be held back
+	Drain                time.Duration // for which a draining upstream may still get requests
+	AnswerHold           time.Duration // for which a complete answer may be delayed
 	HolderRest           time.Duration // before a lease may go back to its former holder
 	UsageLate            time.Duration // from a window's end to its report
-	UsageOff             float64       // share of a window's counts that may be off
-	RetryShare           float64       // retries against first tries in RetryWindow
+	UsageOff             float64       // share of a window's counts that may be wrong
+	RetryShare           float64       // retries for each first attempt in RetryWindow
 	RetryWindow          time.Duration
-	RetryMore            int // retries in RetryWindow that the share is not held against
+	RetryMore            int // retries in RetryWindow beyond the share
 }
 
-// BriefBounds returns the promised bounds; withdrawal says whether withdrawn keys have one.
+// BriefBounds returns the bounds of docs/brief.md; withdrawal says whether withdrawn keys have one.
 func BriefBounds(withdrawal bool) Bounds {
 	bounds := Bounds{
 		ConfigurationInForce: 2 * time.Second,
@@ -37,8 +37,8 @@
 	return bounds
 }
 
-// Stretch returns bounds that are looser in time, for a smoke test on a machine of unknown speed;
-// what must never happen at all stays as it is.
+// Stretch returns bounds whose times, and share of wrong usage counts, are larger by a factor, for a
+// smoke test on a machine of unknown speed. What must never happen at all stays as it is.
 func (b Bounds) Stretch(by float64) Bounds {
 	for _, bound := range []*time.Duration{&b.ConfigurationInForce, &b.SlipBack, &b.KeyWithdrawal, &b.Drain, &b.AnswerHold, &b.UsageLate} {
 		*bound = time.Duration(float64(*bound) * by)
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,10 +1,14 @@
-// Package checker holds the records of both ends against the promises of the mesh: what callers
-// asked and were told, what upstreams ran, what nodes had in force, what the collector was told. It
-// serves the fleet of real processes and the simulator alike. Each check gives its violations and
-// the worst figure seen, and counts what it saw, so that a run which never exercised a promise shows.
+// Package checker verifies a finished run against the promises of the mesh. It compares what callers
+// sent and received, what upstreams ran, which configurations nodes had in force, who held leases,
+// and what the usage collector was told.
 //
-// The checks stand in one file a subject: requests, configurations, upstreams, retries, usage,
-// leases.
+// The input is a Record, which the fleet of real processes and the simulator both produce; times in
+// it are since the start of the run. The output is a Review: the broken promises, the worst figure
+// for each promise with a bound, and how often each kind of event was seen, so that a run which never
+// exercised a promise can be told from one that kept it.
+//
+// The promises are the constants of type rule in rules.go, their bounds are in Bounds, and each
+// subject has a file of its own with the checks.
 package checker
 
 import "fmt"
@@ -23,39 +27,45 @@
 	Seen       map[string]int
 }
 
-func (r *Review) add(rule, format string, values ...any) {
-	r.Violations = append(r.Violations, Violation{rule, fmt.Sprintf(format, values...)})
+// violate adds a broken promise.
+func (r *Review) violate(broken rule, format string, values ...any) {
+	r.Violations = append(r.Violations, Violation{Rule: string(broken), Detail: fmt.Sprintf(format, values...)})
 }
 
-func (r *Review) worst(rule string, value float64) {
-	if held, known := r.Worst[rule]; !known || value > held {
-		r.Worst[rule] = value
+// measure keeps the highest value of a figure.
+func (r *Review) measure(name figure, value float64) {
+	if highest, known := r.Worst[string(name)]; !known || value > highest {
+		r.Worst[string(name)] = value
 	}
 }
 
+// count counts an event.
+func (r *Review) count(seen event) { r.Seen[string(seen)]++ }
+
 // Check holds a record against all promises.
 func Check(record Record) Review {
 	review := Review{Worst: map[string]float64{}, Seen: map[string]int{}}
 	runs := runsByID(record)
-	asked := askedByID(record)
-	review.requests(record, runs)
-	review.runs(record, asked)
-	review.configurations(record)
-	review.slips(record)
-	review.keys(record, asked)
-	review.drains(record)
-	review.retries(record, runs)
-	review.dropped(record, runs)
-	review.kept(record)
-	review.Seen["asked whether ready"] = record.ReadyAsked
-	review.usage(record)
-	review.holders(record)
-	review.stops(record)
-	review.slots(record)
-	review.acts(record)
+	requests := requestsByID(record)
+	review.checkAnswers(record, runs)
+	review.checkRuns(record, requests)
+	review.checkConfigurationArrivals(record)
+	review.checkConfigurationOrder(record)
+	review.checkWithdrawnKeys(record, requests)
+	review.checkDrains(record)
+	review.checkRetries(record, runs)
+	review.checkLostAnswers(record, runs)
+	review.checkConfigurationCopies(record)
+	review.Seen[string(readinessChecked)] = record.ReadyAsked
+	review.checkUsage(record)
+	review.checkLeaseHolders(record)
+	review.checkPoliteStops(record)
+	review.checkSlots(record)
+	review.checkLeaseActs(record)
 	return review
 }
 
+// runsByID returns the runs of each request.
 func runsByID(record Record) map[string][]Ran {
 	runs := map[string][]Ran{}
 	for _, ran := range record.Ran {
@@ -64,10 +74,11 @@
 	return runs
 }
 
-func askedByID(record Record) map[string]Asked {
-	asked := map[string]Asked{}
+// requestsByID returns the requests by the ID that their callers gave them.
+func requestsByID(record Record) map[string]Asked {
+	requests := map[string]Asked{}
 	for _, request := range record.Asked {
-		asked[request.ID] = request
+		requests[request.ID] = request
 	}
-	return asked
+	return requests
 }
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -1,4 +1,4 @@
-// Each check can fail: a clean record passes, and one planted fault breaks its rule.
+// Each check can fail: a correct record passes, and one planted fault breaks its rule.
 package checker
 
 import (
--- a/internal/checker/leases.go
+++ b/internal/checker/leases.go
@@ -2,47 +2,54 @@
 
 import "sort"
 
-// acts checks that once a holder of a higher epoch has acted, no lower one does.
-func (r *Review) acts(record Record) {
+// checkLeaseActs checks that once a holder of a higher epoch has acted, no lower one does.
+func (r *Review) checkLeaseActs(record Record) {
 	highest := map[string]int64{}
 	for _, act := range record.Acts {
-		r.Seen["holder acts"]++
+		r.count(leaseAct)
 		if act.Epoch < highest[act.Tag] {
-			r.add("stale-act", "%s: %s acted in epoch %d after %d", act.Tag, act.Voter, act.Epoch, highest[act.Tag])
+			r.violate(staleAct, "%s: %s acted in epoch %d after %d", act.Tag, act.Voter, act.Epoch, highest[act.Tag])
 		}
 		highest[act.Tag] = max(highest[act.Tag], act.Epoch)
 	}
 }
 
-// holders checks that no epoch of a lease has two holders, and that no voter gets a lease back from
-// another within the rest.
-func (r *Review) holders(record Record) {
+// checkLeaseHolders checks that no epoch of a lease has two holders, and that no voter gets a lease
+// back from another too soon.
+func (r *Review) checkLeaseHolders(record Record) {
 	byTag := map[string][]Keeping{}
-	for _, keeping := range record.Keeping {
-		byTag[keeping.Tag] = append(byTag[keeping.Tag], keeping)
+	for _, holder := range record.Keeping {
+		byTag[holder.Tag] = append(byTag[holder.Tag], holder)
 	}
-	for tag, list := range byTag {
-		sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
-		owner := map[int64]string{}
-		for index, keeping := range list {
-			r.Seen["leases"]++
-			if voter, known := owner[keeping.Epoch]; known && voter != keeping.Voter {
-				r.add("two-holders", "%s epoch %d: %s and %s", tag, keeping.Epoch, voter, keeping.Voter)
+	for tag, holders := range byTag {
+		sort.SliceStable(holders, func(i, j int) bool { return holders[i].At < holders[j].At })
+		voterOf := map[int64]string{}
+		for index, holder := range holders {
+			r.count(leaseSeen)
+			if voter, known := voterOf[holder.Epoch]; known && voter != holder.Voter {
+				r.violate(twoHolders, "%s epoch %d: %s and %s", tag, holder.Epoch, voter, holder.Voter)
 			}
-			owner[keeping.Epoch] = keeping.Voter
-			if index == 0 || list[index-1].Voter == keeping.Voter {
+			voterOf[holder.Epoch] = holder.Voter
+			if index == 0 || holders[index-1].Voter == holder.Voter {
 				continue
 			}
-			r.Seen["takeovers"]++
-			for back := index - 2; back >= 0; back-- {
-				if list[back].Voter == keeping.Voter && keeping.At-list[back+1].At < record.Bounds.HolderRest {
-					r.add("back-and-forth", "%s: %s, %s, %s within %s",
-						tag, keeping.Voter, list[back+1].Voter, keeping.Voter, keeping.At-list[back+1].At)
-				}
-				if list[back].Voter != list[back+1].Voter {
-					break
-				}
-			}
+			r.count(leaseTakeover)
+			r.checkFlapping(record.Bounds, tag, holders[:index+1])
+		}
+	}
+}
+
+// checkFlapping checks that the last of the holders, which took the lease over, did not hold it
+// itself shortly before: of the holders before it, only the two last voters are looked at.
+func (r *Review) checkFlapping(bounds Bounds, tag string, holders []Keeping) {
+	last := holders[len(holders)-1]
+	for index := len(holders) - 3; index >= 0; index-- {
+		earlier, between := holders[index], holders[index+1]
+		if earlier.Voter == last.Voter && last.At-between.At < bounds.HolderRest {
+			r.violate(leaseFlapped, "%s: %s, %s, %s within %s", tag, last.Voter, between.Voter, last.Voter, last.At-between.At)
+		}
+		if earlier.Voter != between.Voter {
+			return
 		}
 	}
 }
--- a/internal/checker/record.go
+++ b/internal/checker/record.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Asked is one request as its caller saw it. Times are since the start of the run.
+// Asked is one request as its caller saw it.
 type Asked struct {
 	ID         string        `json:"id"`
 	Proxy      string        `json:"proxy"`
@@ -15,19 +15,19 @@
 	Tenant     string        `json:"tenant"`
 	Caller     string        `json:"caller"`
 	Key        string        `json:"-"`
-	Once       bool          `json:"once"`
-	Intended   time.Duration `json:"intended"`
+	Once       bool          `json:"once"`     // must not run twice
+	Intended   time.Duration `json:"intended"` // when the load's schedule wanted it sent
 	Sent       time.Duration `json:"sent"`
 	Done       time.Duration `json:"done"`
 	Status     int           `json:"status"`
-	Code       int           `json:"code"`
-	Retry      bool          `json:"retry_after"`
+	Code       int           `json:"code"`             // of the mesh, where the answer is its own; 0: an upstream's answer
+	Retry      bool          `json:"retry_after"`      // the answer had a Retry-After header
 	Connection bool          `json:"connection_error"` // no answer at all
 	Body       string        `json:"body"`
 	Mark       string        `json:"mark"` // the header by which an upstream marks its answer
 }
 
-// Ran is one run at an upstream.
+// Ran is one run of a request at an upstream.
 type Ran struct {
 	ID           string        `json:"id"`
 	Service      string        `json:"service"`
@@ -38,7 +38,7 @@
 	Caller       string        `json:"caller"`
 	KeySeen      bool          `json:"key_seen"`
 	At           time.Duration `json:"at"`
-	Whole        time.Duration `json:"whole"` // when the answer was sent whole; 0: never
+	Whole        time.Duration `json:"whole"` // when the answer was sent completely; 0: never
 	Answer       string        `json:"answer"`
 	Status       int           `json:"status"`
 	Mark         string        `json:"mark"`
@@ -56,14 +56,14 @@
 	Digest     string            // of its bytes
 }
 
-// Digest returns a short digest of bytes, to compare them by.
+// Digest returns a short hash by which bytes are compared.
 func Digest(body []byte) string {
 	hash := fnv.New64a()
-	hash.Write(body)
+	_, _ = hash.Write(body) // a hash never fails
 	return fmt.Sprintf("%x", hash.Sum64())
 }
 
-// Kept is a version as a voter returns it at the end of the run.
+// Kept is a version of a configuration as a voter returns it at the end of the run.
 type Kept struct {
 	Voter      string
 	ConfigName string
@@ -71,7 +71,7 @@
 	Digest     string
 }
 
-// Attempt is one try of a request that left a proxy towards a serving proxy; Again says that it was
+// Attempt is one attempt to send a request from a proxy to a serving proxy; Again says that it was
 // not the request's first.
 type Attempt struct {
 	Service string
@@ -79,7 +79,7 @@
 	Again   bool
 }
 
-// Force is a node taking a version into force.
+// Force records that a version of a configuration came into force on a node.
 type Force struct {
 	Node       string
 	ConfigName string
@@ -87,15 +87,15 @@
 	At         time.Duration
 }
 
-// Span is a stretch of time of a node or upstream.
+// Span is an interval of time of a node or upstream, both ends included.
 type Span struct {
 	Name string
 	From time.Duration
 	To   time.Duration
-	Born time.Duration // when this life of the node began, before From after a cut
+	Born time.Duration // when this incarnation of the node began, before From after a cut
 }
 
-// Within says whether a machine has a span that touches a stretch of time.
+// Within reports whether a machine has a span that touches the interval from one time to another.
 func Within(spans []Span, machine string, from, to time.Duration) bool {
 	for _, span := range spans {
 		if span.Name == machine && span.From <= to && span.To >= from {
@@ -105,14 +105,14 @@
 	return false
 }
 
-// Peak is the most that an upstream ran at one time, against its slots.
+// Peak is the highest number of requests that an upstream ran at one time, and its slots.
 type Peak struct {
 	Instance string
 	Most     int
 	Slots    int
 }
 
-// Leaving is an upstream that said it leaves.
+// Leaving records that an upstream announced that it is draining; Life is its incarnation.
 type Leaving struct {
 	Service  string
 	Instance string
@@ -129,7 +129,8 @@
 	End    time.Duration // end of the window on the same clock
 }
 
-// Keeping is one voter acting as the holder of a lease.
+// Keeping records that a voter became the holder of a lease, or, among Record.Acts, that it acted as
+// the holder. Tag is the name of the lease.
 type Keeping struct {
 	Tag   string
 	Voter string
@@ -137,24 +138,24 @@
 	At    time.Duration
 }
 
-// Record is all that a run left.
+// Record is all that a run left behind. Times are since the start of the run.
 type Record struct {
 	Asked      []Asked
 	Ran        []Ran
 	Writes     []Write
 	Forced     []Force
-	Up         []Span // nodes alive and connected to the core, by name
+	Up         []Span // nodes running and connected to the core, by name
 	Held       []Span // machines frozen or cut off, by name
 	Peaks      []Peak // the most that ran at one time, by upstream
 	Hurt       []Span // hard ends of machines and upstreams, by name
 	Stopped    []Span // polite stops of proxies, from the signal to the exit
-	Untold     []Span // stretches whose counts died with a proxy that was cut off
+	Untold     []Span // intervals whose usage counts were lost with a proxy that was cut off
 	Leaving    []Leaving
 	Reported   []Reported
 	Reread     []Reported // windows as the voters give them back
 	Attempts   []Attempt
 	Kept       []Kept
-	ReadyAsked int // how often the platform asked a node whether it is ready
+	ReadyAsked int // how often the platform checked the readiness of a node
 	KeptMost   int // how many versions a voter must keep
 	End        time.Duration
 	Keeping    []Keeping
--- a/internal/checker/retries.go
+++ b/internal/checker/retries.go
@@ -5,71 +5,72 @@
 	"time"
 )
 
-// leastFirstTries is how many first tries a window needs before its share is told as a figure.
-const leastFirstTries = 20
+// leastFirstAttempts is how many first attempts a window needs before its share is a figure.
+const leastFirstAttempts = 20
 
-// try is one attempt or run; again says that it was not the request's first.
-type try struct {
+// timedAttempt is one attempt to send a request, or one run of it; again says that it was not the
+// request's first.
+type timedAttempt struct {
 	at    time.Duration
 	again bool
 }
 
-// retries checks the tries past the first of a request against the traffic of its service, in any
-// span of the window: those that left a proxy, and those that ran.
-func (r *Review) retries(record Record, runs map[string][]Ran) {
-	for service, tries := range r.tries(record, runs) {
-		if !r.retryShare(record, service, tries) {
+// checkRetries checks the retries against the first attempts of the same service, in any span as
+// long as the window: those that left a proxy, and those that ran.
+func (r *Review) checkRetries(record Record, runs map[string][]Ran) {
+	for service, attempts := range r.attemptsByService(record, runs) {
+		if !r.checkRetryShare(record.Bounds, service, attempts) {
 			return
 		}
 	}
 }
 
-// tries collects the attempts and the runs, by service.
-func (r *Review) tries(record Record, runs map[string][]Ran) map[string][]try {
-	tries := map[string][]try{}
+// attemptsByService collects the attempts and the runs.
+func (r *Review) attemptsByService(record Record, runs map[string][]Ran) map[string][]timedAttempt {
+	attempts := map[string][]timedAttempt{}
 	for _, attempt := range record.Attempts {
 		key := "attempts at " + attempt.Service
-		tries[key] = append(tries[key], try{attempt.At, attempt.Again})
+		attempts[key] = append(attempts[key], timedAttempt{attempt.At, attempt.Again})
 		if attempt.Again {
-			r.Seen["tries again"]++
+			r.count(attemptAgain)
 		}
 	}
 	for _, list := range runs {
 		sort.Slice(list, func(i, j int) bool { return list[i].At < list[j].At })
 		for index, ran := range list {
-			tries[ran.Service] = append(tries[ran.Service], try{ran.At, index > 0})
+			attempts[ran.Service] = append(attempts[ran.Service], timedAttempt{ran.At, index > 0})
 			if index > 0 {
-				r.Seen["retries seen"]++
+				r.count(retrySeen)
 			}
 		}
 	}
-	return tries
+	return attempts
 }
 
-// retryShare slides the window over the tries of a service; it returns false at the first window
-// that breaks the bound.
-func (r *Review) retryShare(record Record, service string, tries []try) bool {
-	sort.Slice(tries, func(i, j int) bool { return tries[i].at < tries[j].at })
-	first, again, begin := 0, 0, 0
-	count := func(counted try, by int) {
-		if counted.again {
-			again += by
+// checkRetryShare slides the window over the attempts of a service; it returns false at the first
+// window that breaks the bound.
+func (r *Review) checkRetryShare(bounds Bounds, service string, attempts []timedAttempt) bool {
+	sort.Slice(attempts, func(i, j int) bool { return attempts[i].at < attempts[j].at })
+	first, again, oldest := 0, 0, 0
+	count := func(attempt timedAttempt, change int) {
+		if attempt.again {
+			again += change
 		} else {
-			first += by
+			first += change
 		}
 	}
-	for _, now := range tries {
-		count(now, 1)
-		for now.at-tries[begin].at > record.Bounds.RetryWindow {
-			count(tries[begin], -1)
-			begin++
+	for _, newest := range attempts {
+		count(newest, 1)
+		for newest.at-attempts[oldest].at > bounds.RetryWindow {
+			count(attempts[oldest], -1)
+			oldest++
 		}
-		if float64(again) > record.Bounds.RetryShare*float64(first)+float64(record.Bounds.RetryMore) {
-			r.add("retry-share", "%s: %d retries to %d first tries before %s", service, again, first, now.at)
+		if float64(again) > bounds.RetryShare*float64(first)+float64(bounds.RetryMore) {
+			r.violate(retryShareExceeded, "%s: %d retries to %d first tries before %s", service, again, first, newest.at)
 			return false
 		}
-		if first > leastFirstTries {
-			r.worst("retry-share", float64(again)/float64(first))
+		if first > leastFirstAttempts {
+			r.measure(retryShare, float64(again)/float64(first))
 		}
 	}
 	return true
--- a/internal/checker/upstreams.go
+++ b/internal/checker/upstreams.go
@@ -1,28 +1,34 @@
 package checker
 
-// drains checks that an upstream gets no new work for long after it said that it leaves.
-func (r *Review) drains(record Record) {
+// checkDrains checks that an upstream gets no new request for long after it announced that it is
+// draining.
+func (r *Review) checkDrains(record Record) {
 	for _, leaving := range record.Leaving {
-		r.Seen["drains"]++
+		r.count(drainSeen)
 		for _, ran := range record.Ran {
-			if ran.Service != leaving.Service || ran.Instance != leaving.Instance || ran.Life != leaving.Life || ran.At < leaving.At {
+			if !leaving.ranAfter(ran) {
 				continue
 			}
 			late := ran.At - leaving.At
-			r.worst("drain-ms", float64(late.Milliseconds()))
+			r.measure(drainMS, float64(late.Milliseconds()))
 			if late > record.Bounds.Drain {
-				r.add("drain-late", "%s got %s %s after it said it leaves", leaving.Instance, ran.ID, late)
+				r.violate(drainLate, "%s got %s %s after it said it leaves", leaving.Instance, ran.ID, late)
 			}
 		}
 	}
 }
 
-// slots checks that no upstream ran more at one time than it has slots.
-func (r *Review) slots(record Record) {
+// ranAfter reports whether a run began at the draining incarnation after its announcement.
+func (l Leaving) ranAfter(ran Ran) bool {
+	return ran.Service == l.Service && ran.Instance == l.Instance && ran.Life == l.Life && ran.At >= l.At
+}
+
+// checkSlots checks that no upstream ran more at one time than it has slots.
+func (r *Review) checkSlots(record Record) {
 	for _, peak := range record.Peaks {
-		r.worst("slots-used", float64(peak.Most)/float64(peak.Slots))
+		r.measure(slotsUsed, float64(peak.Most)/float64(peak.Slots))
 		if peak.Most > peak.Slots {
-			r.add("slots", "%s ran %d at one time, slots %d", peak.Instance, peak.Most, peak.Slots)
+			r.violate(slotsExceeded, "%s ran %d at one time, slots %d", peak.Instance, peak.Most, peak.Slots)
 		}
 	}
 }
--- a/internal/checker/usage.go
+++ b/internal/checker/usage.go
@@ -1,50 +1,52 @@
 package checker
 
 import (
-	"fmt"
+	"maps"
+	"math"
 	"time"
 )
 
-// windowEdge is how far from a window's end an answer may count on either side.
+// windowEdge is how far from the border of two windows an answer may count in either.
 const windowEdge = 80 * time.Millisecond
 
-// usage checks the reports of usage windows: in time, the same whenever a window comes again, none
+// checkUsage checks the reports of usage windows: in time, the same whenever a window comes again, none
 // missing, and near to what callers saw.
-func (r *Review) usage(record Record) {
-	reports := r.usageReports(record)
+func (r *Review) checkUsage(record Record) {
+	reports := r.firstReports(record)
 	for _, reread := range record.Reread {
-		r.Seen["windows read back"]++
-		if first, known := reports[reread.Window]; known && fmt.Sprint(first.Counts) != fmt.Sprint(reread.Counts) {
-			r.add("usage-twice", "window %d was reported as %v, %s gives back %v", reread.Window, first.Counts, reread.From, reread.Counts)
+		r.count(windowReadBack)
+		if first, known := reports[reread.Window]; known && !maps.Equal(first.Counts, reread.Counts) {
+			r.violate(usageChanged, "window %d was reported as %v, %s gives back %v",
+				reread.Window, first.Counts, reread.From, reread.Counts)
 		}
 	}
 	if record.Window == 0 {
 		return
 	}
 	least, most := countAnswers(record)
-	r.usageMissing(record, reports, least)
+	r.checkMissingWindows(record, reports, least)
 	for window, report := range reports {
-		r.usageOff(record, window, report.Counts, least[window], most[window])
+		r.checkWindowCounts(record.Bounds, window, report.Counts, least[window], most[window])
 	}
 }
 
-// usageReports returns the first report of each window, and checks it and its repetitions.
-func (r *Review) usageReports(record Record) map[int64]Reported {
+// firstReports returns the first report of each window, and checks it and its repetitions.
+func (r *Review) firstReports(record Record) map[int64]Reported {
 	reports := map[int64]Reported{}
 	for _, report := range record.Reported {
-		r.Seen["usage reports"]++
+		r.count(usageReport)
 		first, known := reports[report.Window]
 		if known {
-			if fmt.Sprint(first.Counts) != fmt.Sprint(report.Counts) {
-				r.add("usage-twice", "window %d was %v, then %v", report.Window, first.Counts, report.Counts)
+			if !maps.Equal(first.Counts, report.Counts) {
+				r.violate(usageChanged, "window %d was %v, then %v", report.Window, first.Counts, report.Counts)
 			}
 			continue
 		}
 		reports[report.Window] = report
 		late := report.At - report.End
-		r.worst("usage-late-ms", float64(late.Milliseconds()))
+		r.measure(usageLateMS, float64(late.Milliseconds()))
 		if late > record.Bounds.UsageLate {
-			r.add("usage-late", "window %d came %s after its end", report.Window, late)
+			r.violate(usageLate, "window %d came %s after its end", report.Window, late)
 		}
 	}
 	return reports
@@ -60,8 +62,8 @@
 	t[window][tenant]++
 }
 
-// countAnswers returns the least and the most that a true report may hold: an answer near a
-// window's edge may count on either side, by clock and way.
+// countAnswers returns the least and the most that a true report may contain: an answer near the
+// border of two windows may count in either, since clocks differ and answers take time.
 func countAnswers(record Record) (least, most tenantCounts) {
 	least, most = tenantCounts{}, tenantCounts{}
 	for _, request := range record.Asked {
@@ -83,32 +85,32 @@
 	return least, most
 }
 
-// usageMissing checks that no window with answers, and none among those reported, is missing.
-func (r *Review) usageMissing(record Record, reports map[int64]Reported, least tenantCounts) {
-	first, last := int64(1<<62), int64(0)
+// checkMissingWindows checks that no window with answers, and none among those reported, is missing.
+func (r *Review) checkMissingWindows(record Record, reports map[int64]Reported, least tenantCounts) {
+	first, last := int64(math.MaxInt64), int64(0)
 	for window := range reports {
 		first, last = min(first, window), max(last, window)
 	}
 	for window := range least {
 		due := time.Duration(window+1)*record.Window - record.Epoch + record.Bounds.UsageLate
 		if _, reported := reports[window]; !reported && due <= record.End {
-			r.add("usage-missing", "window %d had answers and was never reported", window)
+			r.violate(usageMissing, "window %d had answers and was never reported", window)
 		}
 	}
 	for window := first; window < last; window++ {
 		if _, reported := reports[window]; !reported {
-			r.add("usage-missing", "window %d is a gap among those reported", window)
+			r.violate(usageMissing, "window %d is a gap among those reported", window)
 		}
 	}
 }
 
-// tenantLeast is how many answers a tenant has in a window before its own share of
-// error is looked at; below it one request would be too much.
-const tenantLeast = 100
+// busyTenant is how many answers a tenant needs in a window before its own deviation is looked at;
+// below it one request would be too much.
+const busyTenant = 100
 
-// usageOff sums what is off tenant by tenant, so that counts under a wrong tenant
-// show twice, and looks at each busy tenant by itself.
-func (r *Review) usageOff(record Record, window int64, counts, least, most map[string]int64) {
+// checkWindowCounts sums the deviations tenant by tenant, so that counts under a wrong tenant show
+// twice, and looks at each busy tenant by itself.
+func (r *Review) checkWindowCounts(bounds Bounds, window int64, counts, least, most map[string]int64) {
 	tenants := map[string]bool{}
 	for _, list := range []map[string]int64{counts, least, most} {
 		for tenant := range list {
@@ -117,18 +119,19 @@
 	}
 	off, all, worst := int64(0), int64(0), 0.0
 	for tenant := range tenants {
-		mine := max(0, least[tenant]-counts[tenant], counts[tenant]-most[tenant])
-		off, all = off+mine, all+most[tenant]
-		if most[tenant] >= tenantLeast {
-			worst = max(worst, float64(mine)/float64(most[tenant]))
+		deviation := max(0, least[tenant]-counts[tenant], counts[tenant]-most[tenant])
+		off += deviation
+		all += most[tenant]
+		if most[tenant] >= busyTenant {
+			worst = max(worst, float64(deviation)/float64(most[tenant]))
 		}
 	}
 	if all == 0 && off == 0 {
 		return
 	}
 	share := max(worst, float64(off)/float64(max(1, all)))
-	r.worst("usage-off", share)
-	if share > record.Bounds.UsageOff {
-		r.add("usage-off", "window %d reported %v, callers saw %v to %v", window, counts, least, most)
+	r.measure(usageDeviation, share)
+	if share > bounds.UsageOff {
+		r.violate(usageOff, "window %d reported %v, callers saw %v to %v", window, counts, least, most)
 	}
 }
