--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -17,6 +17,7 @@
 	"beaconvane/internal/goroutine"
 	"beaconvane/internal/message"
 	"beaconvane/internal/settings"
+	"beaconvane/internal/workload"
 )
 
 // HollowFleetCommand is the subcommand by which a program that embeds this package runs Serve.
@@ -298,37 +299,33 @@
 	return began, nil
 }
 
-// configurationBody returns a configuration of one route a service.
+// configurationBody returns a configuration of one route for each service.
 func configurationBody(services, tenants int, version int64) []byte {
-	names, routes, listed := []string{}, []map[string]any{}, []map[string]any{}
+	configuration := workload.Configuration{
+		Note:     fmt.Sprintf("version %d", version),
+		Routes:   []workload.Route{},
+		Services: []string{},
+		Tenants:  []workload.Tenant{},
+	}
 	for number := range services {
 		name := serviceName(number)
 		callers := []string{serviceName((number + 1) % services), serviceName((number + 7) % services)}
-		names = append(names, name)
-		routes = append(routes, map[string]any{
-			"name":       "route-" + name,
-			"service":    name,
-			"path":       "/" + name,
-			"match":      "prefix",
-			"methods":    []string{http.MethodGet, http.MethodPost},
-			"callers":    slices.Compact(callers),
-			"timeout_ms": 3000,
+		configuration.Services = append(configuration.Services, name)
+		configuration.Routes = append(configuration.Routes, workload.Route{
+			Name:      "route-" + name,
+			Service:   name,
+			Path:      "/" + name,
+			Match:     "prefix",
+			Methods:   []string{http.MethodGet, http.MethodPost},
+			Callers:   slices.Compact(callers),
+			TimeoutMS: 3000,
 		})
 	}
 	for number := range max(tenants, 1) {
-		listed = append(listed, map[string]any{
-			"name": fmt.Sprintf("tenant-%d", number),
-			"keys": []string{fmt.Sprintf("key-%d-secret", number)},
+		configuration.Tenants = append(configuration.Tenants, workload.Tenant{
+			Name: fmt.Sprintf("tenant-%d", number),
+			Keys: []string{fmt.Sprintf("key-%d-secret", number)},
 		})
 	}
-	body, err := json.Marshal(map[string]any{
-		"services": names,
-		"tenants":  listed,
-		"routes":   routes,
-		"note":     fmt.Sprintf("version %d", version),
-	})
-	if err != nil {
-		panic("scaletest: " + err.Error())
-	}
-	return body
+	return configuration.JSON()
 }
