--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -89,7 +89,7 @@
 
 // ServeSlice makes this node a source of a slice. Its owner changes it, and calls SliceChanged.
 func (d *Distribution) ServeSlice(slice *RosterSlice) {
-	state := d.topic(slice.Mark.Topic)
+	state := d.topic(slice.Position.Topic)
 	state.slice, state.known = slice, true
 }
 
--- a/internal/distribution/marks_golden_test.go
+++ b/internal/distribution/marks_golden_test.go
@@ -46,10 +46,10 @@
 		Cause:        "created",
 	})
 	slice.Append(4, other, false, "created")
-	c.Check(slice.Mark, qt.Equals,
+	c.Check(slice.Position, qt.Equals,
 		message.Position{Topic: "slice:east", Epoch: 4, Seq: 2, Count: 2, Hash: 1413103518032186973})
 	slice.Append(4, registration, true, "signed off")
-	c.Check(slice.Mark, qt.Equals,
+	c.Check(slice.Position, qt.Equals,
 		message.Position{Topic: "slice:east", Epoch: 4, Seq: 3, Count: 1, Hash: -3312675418132607226})
 	c.Check(distribution.IsConfiguration("configuration:main"), qt.IsTrue)
 	c.Check(distribution.IsConfiguration("slice:east"), qt.IsFalse)
--- a/internal/distribution/roster_slice.go
+++ b/internal/distribution/roster_slice.go
@@ -14,55 +14,55 @@
 // that is a little behind is sent those, one that is further behind the snapshot. The digest in the
 // position is a sum over the registrations, so that each change updates it in place.
 type RosterSlice struct {
-	Mark          message.Position
+	Position          message.Position
 	Registrations map[string]message.Registration // by key
-	changes       []message.RosterChange          // in a row, up to Mark
+	changes       []message.RosterChange          // in a row, up to Position
 }
 
 // NewRosterSlice returns an empty slice.
 func NewRosterSlice(topic string) *RosterSlice {
-	return &RosterSlice{Mark: message.Position{Topic: topic}, Registrations: map[string]message.Registration{}}
+	return &RosterSlice{Position: message.Position{Topic: topic}, Registrations: map[string]message.Registration{}}
 }
 
 // Append makes the next change in an epoch, applies it and returns it.
 func (s *RosterSlice) Append(epoch int64, registration message.Registration, removed bool, cause string) message.RosterChange {
-	if epoch != s.Mark.Epoch {
+	if epoch != s.Position.Epoch {
 		s.StartEpoch(epoch)
 	}
 	s.set(registration, removed)
-	s.Mark.Seq++
-	change := message.RosterChange{Position: s.Mark, Registration: registration, Removed: removed, Cause: cause}
+	s.Position.Seq++
+	change := message.RosterChange{Position: s.Position, Registration: registration, Removed: removed, Cause: cause}
 	s.keep(change)
 	return change
 }
 
 // StartEpoch moves the slice to a new epoch with its content as it is.
 func (s *RosterSlice) StartEpoch(epoch int64) {
-	s.Mark.Epoch, s.Mark.Seq = epoch, 0
+	s.Position.Epoch, s.Position.Seq = epoch, 0
 	s.changes = nil
 }
 
 // Apply applies a change that another node made, if it is the one after this position. It reports
 // whether the slice is then where that node was.
 func (s *RosterSlice) Apply(change message.RosterChange) bool {
-	if change.Position.Epoch != s.Mark.Epoch || change.Position.Seq != s.Mark.Seq+1 {
+	if change.Position.Epoch != s.Position.Epoch || change.Position.Seq != s.Position.Seq+1 {
 		return false
 	}
 	s.set(change.Registration, change.Removed)
-	s.Mark.Seq++
+	s.Position.Seq++
 	s.keep(change)
-	return s.Mark.Same(change.Position)
+	return s.Position.Same(change.Position)
 }
 
 // Replace replaces the content by a snapshot's.
 func (s *RosterSlice) Replace(position message.Position, registrations []message.Registration) {
 	s.Registrations = map[string]message.Registration{}
-	s.Mark.Count, s.Mark.Hash = 0, 0
+	s.Position.Count, s.Position.Hash = 0, 0
 	for _, registration := range registrations {
 		s.set(registration, false)
 	}
 	s.StartEpoch(position.Epoch)
-	s.Mark.Seq = position.Seq
+	s.Position.Seq = position.Seq
 }
 
 // List returns the registrations in the order of their keys.
@@ -78,7 +78,7 @@
 // Since returns the changes after a position, or false where they are not all kept and the
 // snapshot is needed.
 func (s *RosterSlice) Since(position message.Position) ([]message.RosterChange, bool) {
-	if position.Epoch != s.Mark.Epoch || position.Seq > s.Mark.Seq || len(s.changes) == 0 {
+	if position.Epoch != s.Position.Epoch || position.Seq > s.Position.Seq || len(s.changes) == 0 {
 		return nil, false
 	}
 	first := s.changes[0].Position.Seq
@@ -92,14 +92,14 @@
 func (s *RosterSlice) set(registration message.Registration, removed bool) {
 	key := registration.Key()
 	if old, found := s.Registrations[key]; found {
-		s.Mark.Hash -= digest(old)
+		s.Position.Hash -= digest(old)
 		delete(s.Registrations, key)
 	}
 	if !removed {
-		s.Mark.Hash += digest(registration)
+		s.Position.Hash += digest(registration)
 		s.Registrations[key] = registration
 	}
-	s.Mark.Count = int64(len(s.Registrations))
+	s.Position.Count = int64(len(s.Registrations))
 }
 
 func (s *RosterSlice) keep(change message.RosterChange) {
--- a/internal/distribution/topic.go
+++ b/internal/distribution/topic.go
@@ -55,7 +55,7 @@
 // position returns the position of the content.
 func (t *topicState) position() message.Position {
 	if t.slice != nil {
-		return t.slice.Mark
+		return t.slice.Position
 	}
 	return t.current
 }
--- a/internal/distribution/update_item.go
+++ b/internal/distribution/update_item.go
@@ -46,7 +46,7 @@
 		item.Patches = patches
 		return true
 	}
-	if !from.Before(t.slice.Mark) {
+	if !from.Before(t.slice.Position) {
 		return false
 	}
 	changes, found := t.slice.Since(from)
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -105,7 +105,7 @@
 		if !isSlice {
 			continue
 		}
-		if replica, known := m.zones[zone]; known && replica.slice.Mark.Before(mark) {
+		if replica, known := m.zones[zone]; known && replica.slice.Position.Before(mark) {
 			m.pullZone(env, zone, "a proxy is ahead")
 		}
 	}
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -124,7 +124,7 @@
 
 // holdsZone says that this registry acts for a zone at this moment.
 func (m *Machine) holdsZone(env *statemachine.Env, zone string) bool {
-	return m.leases.Holding(zone, env.Now) && m.zones[zone].slice.Mark.Epoch == m.leases.Epoch(zone)
+	return m.leases.Holding(zone, env.Now) && m.zones[zone].slice.Position.Epoch == m.leases.Epoch(zone)
 }
 
 // Tick is one step of the clock.
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -11,7 +11,7 @@
 	samples = append(samples, m.distribution.Metrics(env.Now)...)
 	samples = append(samples, m.membership.Metrics()...)
 	for _, zone := range m.settings.Zones {
-		count := m.zones[zone].slice.Mark.Count
+		count := m.zones[zone].slice.Position.Count
 		samples = append(samples, metrics.About("registrations", "zone", zone, float64(count)))
 	}
 	return append(samples,
--- a/internal/registry/persistence.go
+++ b/internal/registry/persistence.go
@@ -45,7 +45,7 @@
 	}
 	for _, zone := range m.settings.Zones {
 		slice := m.zones[zone].slice
-		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Position: slice.Mark, Registrations: slice.List()})
+		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Position: slice.Position, Registrations: slice.List()})
 	}
 	body, err := message.Encode(state)
 	if err != nil {
@@ -73,7 +73,7 @@
 		}
 		m.usage.sealed.learnReported(state.Reported)
 		for _, snapshot := range state.Slices {
-			if replica, known := m.zones[snapshot.Tag]; known && replica.slice.Mark.Before(snapshot.Position) {
+			if replica, known := m.zones[snapshot.Tag]; known && replica.slice.Position.Before(snapshot.Position) {
 				replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 			}
 		}
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -57,7 +57,7 @@
 	}
 	env.Send(registration.ServingProxyAddress, message.ProbeRequest{
 		Tag:         zone,
-		Epoch:       m.zones[zone].slice.Mark.Epoch,
+		Epoch:       m.zones[zone].slice.Position.Epoch,
 		Service:     registration.Service,
 		Instance:    registration.Instance,
 		Incarnation: registration.Incarnation,
--- a/internal/registry/replication.go
+++ b/internal/registry/replication.go
@@ -58,7 +58,7 @@
 		Tag:      zone,
 		Round:    m.replication.round,
 		Voter:    m.quorum.Voter,
-		Position: m.zones[zone].slice.Mark,
+		Position: m.zones[zone].slice.Position,
 	}
 }
 
@@ -75,7 +75,7 @@
 	if !isSlice || !known || m.holdsZone(env, zone) {
 		return
 	}
-	current := replica.slice.Mark
+	current := replica.slice.Position
 	if change.Position.Epoch < m.leases.Epoch(zone) || change.Position.Epoch < current.Epoch {
 		return
 	}
@@ -84,7 +84,7 @@
 		m.distribution.SliceChanged(env, change.Position.Topic)
 		return
 	}
-	current = replica.slice.Mark
+	current = replica.slice.Position
 	samePosition := current.Epoch == change.Position.Epoch && current.Seq == change.Position.Seq
 	if current.Before(change.Position) || samePosition && !current.Same(change.Position) {
 		m.pullZone(env, zone, "gap in broadcasts")
@@ -101,7 +101,7 @@
 		Tag:      check.Tag,
 		Round:    check.Round,
 		Voter:    m.quorum.Voter,
-		Position: replica.slice.Mark,
+		Position: replica.slice.Position,
 	})
 }
 
@@ -113,7 +113,7 @@
 	if !known || !asked || digest.Position.Epoch < m.leases.Epoch(digest.Tag) || m.holdsZone(env, digest.Tag) {
 		return
 	}
-	if replica.slice.Mark.Same(digest.Position) {
+	if replica.slice.Position.Same(digest.Position) {
 		m.distribution.SetFreshAt(distribution.SliceTopic(digest.Tag), askedAt)
 		return
 	}
@@ -133,7 +133,7 @@
 	half := m.settings.DigestEvery() / 2
 	jitter := time.Duration(env.Random.Int64N(int64(half)))
 	replica.nextPullAt = env.Now + half + jitter
-	env.Event("roster-pull", 0, replica.slice.Mark.Epoch, zone+": "+cause)
+	env.Event("roster-pull", 0, replica.slice.Position.Epoch, zone+": "+cause)
 	for _, peer := range m.Peers() {
 		env.Send(peer.Address, message.RosterPull{Tag: zone, Voter: m.quorum.Voter})
 	}
@@ -150,7 +150,7 @@
 		Voter:         m.quorum.Voter,
 		Complete:      replica.complete,
 		HoldsLease:    m.holdsZone(env, pull.Tag),
-		Position:      replica.slice.Mark,
+		Position:      replica.slice.Position,
 		Registrations: replica.slice.List(),
 	})
 }
@@ -168,12 +168,12 @@
 		}
 		return
 	}
-	current := replica.slice.Mark
+	current := replica.slice.Position
 	holderDiffers := snapshot.HoldsLease && snapshot.Position.Epoch >= m.leases.Epoch(snapshot.Tag) && !current.Same(snapshot.Position)
 	if current.Before(snapshot.Position) || holderDiffers {
 		replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 		m.replication.snapshotDue = true
-		m.distribution.SliceChanged(env, replica.slice.Mark.Topic)
+		m.distribution.SliceChanged(env, replica.slice.Position.Topic)
 	}
 	replica.complete = true
 }
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -59,7 +59,7 @@
 	answers := map[string]sliceAnswer{}
 	for _, zone := range m.settings.Zones {
 		replica := m.zones[zone]
-		mark := replica.slice.Mark
+		mark := replica.slice.Position
 		age, known := m.distribution.Age(distribution.SliceTopic(zone), env.Now)
 		answers[zone] = sliceAnswer{
 			Epoch: mark.Epoch,
