--- a/internal/distribution/roster_slice.go
+++ b/internal/distribution/roster_slice.go
@@ -14,7 +14,7 @@
 // that is a little behind is sent those, one that is further behind the snapshot. The digest in the
 // position is a sum over the registrations, so that each change updates it in place.
 type RosterSlice struct {
-	Position          message.Position
+	Position      message.Position
 	Registrations map[string]message.Registration // by key
 	changes       []message.RosterChange          // in a row, up to Position
 }
