--- a/internal/api/caller_timeouts.go
+++ b/internal/api/caller_timeouts.go
@@ -69,6 +69,9 @@
 	return &callerConn{Conn: conn, timeouts: l.timeouts}, nil
 }
 
+// The frontend finds the time of arrival by a type assertion.
+var _ frontend.Arrival = (*callerConn)(nil)
+
 // callerConn is a caller's connection. It replaces the server's fixed timeouts by the limits in
 // force, lets a connection stay idle for longer when the limit was raised meanwhile, and knows when
 // the first byte of the present request arrived.
--- a/internal/backend/guard.go
+++ b/internal/backend/guard.go
@@ -11,7 +11,7 @@
 // machine that has gone is reset by the new owner of its address, so a guard that breaks says that
 // the upstream may not be there any more: nothing is dialled until a newer heartbeat.
 type guardConnections struct {
-	serving    *Backend
+	backend    *Backend
 	goroutines *goroutine.Group
 
 	lock   sync.Mutex
@@ -19,48 +19,48 @@
 }
 
 func newGuardConnections(serving *Backend, goroutines *goroutine.Group) *guardConnections {
-	return &guardConnections{serving: serving, goroutines: goroutines, guards: map[Target]*upstreamConnection{}}
+	return &guardConnections{backend: serving, goroutines: goroutines, guards: map[Target]*upstreamConnection{}}
 }
 
 // replace sets the guard of a target and closes the one before.
-func (serving *guardConnections) replace(target Target, guard *upstreamConnection) {
-	serving.lock.Lock()
-	former := serving.guards[target]
-	serving.guards[target] = guard
-	serving.lock.Unlock()
+func (g *guardConnections) replace(target Target, guard *upstreamConnection) {
+	g.lock.Lock()
+	former := g.guards[target]
+	g.guards[target] = guard
+	g.lock.Unlock()
 	if former != nil {
 		former.close()
 	}
 }
 
 // stands reports whether the guard of a target stands.
-func (serving *guardConnections) stands(target Target) bool {
-	serving.lock.Lock()
-	defer serving.lock.Unlock()
+func (g *guardConnections) stands(target Target) bool {
+	g.lock.Lock()
+	defer g.lock.Unlock()
 	key := poolKey(target)
-	guard, known := serving.guards[key]
+	guard, known := g.guards[key]
 	if !known || guard.isQuiet() {
 		return known
 	}
 	guard.close()
-	delete(serving.guards, key)
-	serving.serving.MarkBroken(serving.goroutines.Now(), target)
+	delete(g.guards, key)
+	g.backend.MarkBroken(g.goroutines.Now(), target)
 	return false
 }
 
 // sweep looks at every guard, and closes those that broke or whose target has ended.
-func (serving *guardConnections) sweep(now time.Duration) {
-	serving.lock.Lock()
-	defer serving.lock.Unlock()
-	for target, guard := range serving.guards {
+func (g *guardConnections) sweep(now time.Duration) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	for target, guard := range g.guards {
 		quiet := guard.isQuiet()
-		if quiet && serving.serving.IsRegistered(target) {
+		if quiet && g.backend.IsRegistered(target) {
 			continue
 		}
 		guard.close()
-		delete(serving.guards, target)
+		delete(g.guards, target)
 		if !quiet {
-			serving.serving.MarkBroken(now, target)
+			g.backend.MarkBroken(now, target)
 		}
 	}
 }
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -110,6 +110,8 @@
 // namedUpstreams name in each answer the request that it belongs to.
 type namedUpstreams struct{ backend.NativeProtocol }
 
+var _ backend.RequestNamer = namedUpstreams{}
+
 // RequestName gives that name.
 func (namedUpstreams) RequestName(answer *http.Response) string { return answer.Header.Get(strayName) }
 
