--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,6 +1,7 @@
-// Package loadgen is the load generator: an open loop at a set rate, so that a stall shows as late
-// answers and not as fewer requests. Latency counts from the intended start. Every request has an id
-// of its own, kept with its answer, for the checker to compare with what the upstreams ran.
+// Package loadgen generates load in an open loop: requests start at a set rate whether or not earlier
+// ones were answered, so that a stall shows as late answers and not as fewer requests. Latency counts
+// from the intended start. Every request has an ID of its own, recorded with its answer, by which the
+// checker finds what the upstreams ran.
 package loadgen
 
 import (
@@ -11,7 +12,6 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"sort"
 	"strconv"
 	"sync"
 	"time"
@@ -33,7 +33,7 @@
 	Once    bool    `json:"once"`
 	Body    int     `json:"body_bytes"`
 	Weight  float64 `json:"weight"`
-	Calls   string  `json:"calls"` // the route that its upstream calls in turn, now and then
+	Calls   string  `json:"calls"` // the route that its upstream calls for a share of the runs
 }
 
 // Tenant is a tenant with a key to use.
@@ -54,10 +54,13 @@
 	Base    time.Time     `json:"-"` // times of the record are since then
 }
 
-// Run makes the requests of a plan and returns the record, when all are answered or the context
-// ends.
+// seedStream is the second half of the random source's seed; the plan gives the first.
+const seedStream = 7
+
+// Run makes the requests of a plan and returns their record, once all are answered or the context
+// has ended.
 func Run(ctx context.Context, group *goroutine.Group, plan Plan) []checker.Asked {
-	run := &run{plan: plan, client: newClient(plan), random: rand.New(rand.NewPCG(plan.Seed, 7))}
+	run := &run{plan: plan, client: newClient(plan), random: rand.New(rand.NewPCG(plan.Seed, seedStream))}
 	begin := time.Now()
 	count := int(plan.Rate * plan.Length.Seconds())
 	for number := range count {
@@ -70,14 +73,14 @@
 		group.Go("loadgen.request", func(context.Context) {
 			defer run.waiting.Done()
 			run.request(kind, &asked)
-			run.keep(asked)
+			run.addRecord(asked)
 		})
 	}
 	run.waiting.Wait()
 	return run.record
 }
 
-// run is a plan being carried out.
+// run is the state of a plan that is being run.
 type run struct {
 	plan    Plan
 	client  *http.Client
@@ -101,7 +104,7 @@
 	}
 }
 
-// waitUntil returns false when the context ended first.
+// waitUntil waits for a time; it returns false when the context ended first.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	wait := time.Until(at)
 	if wait <= 0 {
@@ -117,7 +120,7 @@
 	}
 }
 
-// next draws the kind, tenant and proxy of a request.
+// next draws kind, tenant and proxy of the next request.
 func (r *run) next(number int, intended time.Time) (Kind, checker.Asked) {
 	kind := r.drawKind()
 	tenant := r.plan.Tenants[r.random.IntN(len(r.plan.Tenants))]
@@ -150,7 +153,8 @@
 	return r.plan.Kinds[0]
 }
 
-func (r *run) keep(asked checker.Asked) {
+// addRecord adds a request to the record.
+func (r *run) addRecord(asked checker.Asked) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.record = append(r.record, asked)
@@ -187,44 +191,3 @@
 	asked.Mark = response.Header.Get(stubserver.MarkHeader)
 	asked.Retry = response.Header.Get("Retry-After") != ""
 }
-
-// Summary is a run in numbers; latencies are those of good answers.
-type Summary struct {
-	Asked   int            `json:"asked"`
-	Good    int            `json:"good"`
-	Share   float64        `json:"share"`
-	ByCode  map[string]int `json:"by_code"`
-	P50     float64        `json:"p50_ms"`
-	P99     float64        `json:"p99_ms"`
-	P999    float64        `json:"p999_ms"`
-	Longest float64        `json:"max_ms"`
-}
-
-// Summarise counts answers and ranks latencies, in milliseconds from the intended start.
-func Summarise(list []checker.Asked) Summary {
-	summary := Summary{Asked: len(list), ByCode: map[string]int{}}
-	waits := []float64{}
-	for _, asked := range list {
-		switch {
-		case asked.Connection:
-			summary.ByCode["connection"]++
-		case asked.Code != 0:
-			summary.ByCode[strconv.Itoa(asked.Code)]++
-		default:
-			summary.Good++
-			waits = append(waits, float64((asked.Done-asked.Intended).Microseconds())/1000)
-		}
-	}
-	if len(list) > 0 {
-		summary.Share = float64(summary.Good) / float64(len(list))
-	}
-	sort.Float64s(waits)
-	rank := func(share float64) float64 {
-		if len(waits) == 0 {
-			return 0
-		}
-		return waits[min(len(waits)-1, int(share*float64(len(waits))))]
-	}
-	summary.P50, summary.P99, summary.P999, summary.Longest = rank(0.5), rank(0.99), rank(0.999), rank(1)
-	return summary
-}
