--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -19,12 +19,15 @@
 // configName is the configuration that the fleet runs with.
 const configName = "main"
 
-// requestLimit bounds one request of the load generator.
+// errNoRegistry says that no registry answered a write.
+var errNoRegistry = errors.New("no registry answers")
+
+// requestLimit is how long the load generator waits for an answer.
 const requestLimit = 8 * time.Second
 
 var httpClient = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{Proxy: nil, MaxIdleConnsPerHost: 4}}
 
-// fetch reads the bytes of an answer; status 0: none came whole.
+// fetch reads the bytes of an answer; status 0 means that none came completely.
 func fetch(url string) ([]byte, int) {
 	response, err := httpClient.Get(url)
 	if err != nil {
@@ -77,20 +80,21 @@
 		if response.StatusCode != http.StatusOK {
 			return response.StatusCode, errcode.Wrap("fleet.write", errcode.ConfigurationBad, fmt.Errorf("%s", answer))
 		}
-		f.acknowledged(version, tenants, body)
+		f.recordWrite(version, tenants, body)
 		return response.StatusCode, nil
 	}
-	return 0, errcode.Wrap("fleet.write", errcode.ConnectionLost, errors.New("no registry answers"))
+	return 0, errcode.Wrap("fleet.write", errcode.ConnectionLost, errNoRegistry)
 }
 
+// countAnswer counts the answer to a write by its status and code.
 func (f *Fleet) countAnswer(response *http.Response) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.answers[fmt.Sprintf("%d %s", response.StatusCode, response.Header.Get(frontend.CodeHeader))]++
+	f.writeAnswers[fmt.Sprintf("%d %s", response.StatusCode, response.Header.Get(frontend.CodeHeader))]++
 }
 
-// acknowledged records what a version allows from now on.
-func (f *Fleet) acknowledged(version int64, tenants []loadgen.Tenant, body []byte) {
+// recordWrite records an acknowledged version, and what it allows from now on.
+func (f *Fleet) recordWrite(version int64, tenants []loadgen.Tenant, body []byte) {
 	write := checker.Write{
 		ConfigName: configName,
 		Version:    version,
@@ -110,14 +114,17 @@
 	f.writes = append(f.writes, write)
 }
 
+// registryStatus is the part of a registry's status that tells which leases it holds.
+type registryStatus struct {
+	Leases map[string]struct {
+		Here bool `json:"here"`
+	} `json:"leases"`
+}
+
 // Holder returns the registry that holds a lease, by its own status; nil for none.
 func (f *Fleet) Holder(tag string) *Process {
 	for _, process := range f.Of(message.RoleRegistry) {
-		status := struct {
-			Leases map[string]struct {
-				Here bool `json:"here"`
-			} `json:"leases"`
-		}{}
+		status := registryStatus{}
 		if Get("http://"+process.Outside+"/v1/status", &status) == http.StatusOK && status.Leases[tag].Here {
 			return process
 		}
@@ -127,13 +134,25 @@
 
 // Load runs the load generator over all proxies and returns its record.
 func (f *Fleet) Load(rate float64, length time.Duration, seed uint64) []checker.Asked {
-	proxies := []string{}
+	return f.runLoad(f.proxyAddresses(), f.Deployment.Kinds, rate, length, seed)
+}
+
+// proxyAddresses returns the addresses at which the proxies take requests.
+func (f *Fleet) proxyAddresses() []string {
+	addresses := []string{}
 	for _, process := range f.Of(message.RoleProxy) {
-		proxies = append(proxies, process.Outside)
+		addresses = append(addresses, process.Outside)
 	}
+	return addresses
+}
+
+// runLoad sends requests of some kinds to some addresses, on behalf of all tenants.
+func (f *Fleet) runLoad(
+	addresses []string, kinds []loadgen.Kind, rate float64, length time.Duration, seed uint64,
+) []checker.Asked {
 	return loadgen.Run(f.Group.Context, f.Group, loadgen.Plan{
-		Proxies: proxies,
-		Kinds:   f.Deployment.Kinds,
+		Proxies: addresses,
+		Kinds:   kinds,
 		Tenants: f.Deployment.Tenants(),
 		Rate:    rate,
 		Length:  length,
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,10 +1,8 @@
-// Package fleet runs a whole fleet on one machine for tests: the three programs as real processes on
-// loopback addresses of their own, stand-in upstreams, a stand-in collector, the load generator, and
-// faults by signal. It ends only what it started.
+// Package fleet runs a whole deployment on one machine for tests: the three programs as real processes
+// on loopback addresses of their own, stand-in upstreams, a stand-in usage collector, the load
+// generator, and faults by signal. It signals only processes that it started.
 //
-// fleet.go prepares a fleet, process.go runs its processes, upstreams.go its upstreams, client.go
-// talks to it over HTTP, record.go gathers what the checker needs; scenarios.go has what is done while
-// the load runs, play.go a whole run.
+// New writes the settings, Play runs one scenario from start to the checker's review.
 package fleet
 
 import (
@@ -37,30 +35,31 @@
 	Processes []*Process
 	Upstreams []*stubserver.StubServer
 
-	lock      sync.Mutex
-	reported  []checker.Reported
-	writes    []checker.Write
-	leaving   []checker.Leaving
 	collector net.Listener
-	seeds     []string
-	watched   map[string]time.Duration
-	spans     []checker.Span
-	answers   map[string]int
-	held      []checker.Span
-	hurt      []checker.Span
-	uploads   []checker.Asked // asked besides the load
+	seeds     []string // addresses of the registries
+
+	lock           sync.Mutex // guards the records below while the load runs
+	reported       []checker.Reported
+	writes         []checker.Write
+	leaving        []checker.Leaving
+	connectedSince map[string]time.Duration // of the proxies that no signal has disturbed
+	connected      []checker.Span           // of proxies, up to the first signal
+	writeAnswers   map[string]int           // by status and code
+	frozen         []checker.Span
+	killed         []checker.Span
+	uploads        []checker.Asked // requests besides the load
 }
 
-// New prepares a fleet: folders, settings, addresses and the stand-in collector. Nothing is started.
+// New prepares a fleet: settings, addresses and the stand-in collector. It starts no process.
 func New(deployment workload.Deployment, bin, folder string) (*Fleet, error) {
 	f := &Fleet{
-		Deployment: deployment,
-		Bin:        bin,
-		Folder:     folder,
-		Base:       time.Now(),
-		Group:      goroutine.New(),
-		watched:    map[string]time.Duration{},
-		answers:    map[string]int{},
+		Deployment:     deployment,
+		Bin:            bin,
+		Folder:         folder,
+		Base:           time.Now(),
+		Group:          goroutine.New(),
+		connectedSince: map[string]time.Duration{},
+		writeAnswers:   map[string]int{},
 	}
 	collector, err := net.Listen("tcp", "127.77.3.1:0")
 	if err != nil {
@@ -85,8 +84,8 @@
 	return f, nil
 }
 
-// place is where one process of the deployment runs.
-type place struct {
+// placement is where one process of the deployment runs.
+type placement struct {
 	role    string
 	node    string
 	voter   string
@@ -96,17 +95,17 @@
 }
 
 // placesOf returns the core's processes on three hosts and each proxy on one of its own.
-func placesOf(deployment workload.Deployment) []*place {
-	places := []*place{}
+func placesOf(deployment workload.Deployment) []*placement {
+	places := []*placement{}
 	for index, voter := range workload.Voters {
 		zone := deployment.CoreZone(index)
 		host := fmt.Sprintf("127.77.1.%d", index+1)
 		places = append(places,
-			&place{role: message.RoleRegistry, node: voter, voter: voter, zone: zone, host: host},
-			&place{role: message.RoleConfigStore, node: voter, voter: voter, zone: zone, host: host})
+			&placement{role: message.RoleRegistry, node: voter, voter: voter, zone: zone, host: host},
+			&placement{role: message.RoleConfigStore, node: voter, voter: voter, zone: zone, host: host})
 	}
 	for number := range deployment.Proxies {
-		places = append(places, &place{
+		places = append(places, &placement{
 			role: message.RoleProxy,
 			node: fmt.Sprintf("edge-%d", number+1),
 			zone: deployment.Zones[number%len(deployment.Zones)],
@@ -117,7 +116,7 @@
 }
 
 // assignAddresses gives each process an address; those of the registries are the seeds.
-func (f *Fleet) assignAddresses(places []*place) error {
+func (f *Fleet) assignAddresses(places []*placement) error {
 	for _, at := range places {
 		address, err := freeAddress(at.host)
 		if err != nil {
@@ -132,7 +131,7 @@
 }
 
 // prepare writes the settings of one process.
-func (f *Fleet) prepare(at *place) (*Process, error) {
+func (f *Fleet) prepare(at *placement) (*Process, error) {
 	outside := ""
 	if at.role != message.RoleConfigStore {
 		address, err := freeAddress(at.host)
@@ -166,9 +165,10 @@
 	return listener.Addr().String(), nil
 }
 
+// since returns the time since the fleet was prepared.
 func (f *Fleet) since() time.Duration { return time.Since(f.Base) }
 
-// Of returns the processes of a role.
+// Of returns the processes of a role, one of message.RoleProxy, RoleRegistry and RoleConfigStore.
 func (f *Fleet) Of(role string) []*Process {
 	list := []*Process{}
 	for _, process := range f.Processes {
@@ -179,8 +179,7 @@
 	return list
 }
 
-// Until waits for a condition, checked at a steady interval, and reports whether it held within
-// the limit.
+// Until checks a condition at a steady interval, and reports whether it was met within the limit.
 func (f *Fleet) Until(limit time.Duration, condition func() bool) bool {
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
--- a/internal/fleet/play.go
+++ b/internal/fleet/play.go
@@ -14,7 +14,7 @@
 	"beaconvane/internal/workload"
 )
 
-// Outcome is a run in numbers.
+// Outcome is what a run came to: its figures, and the checker's review.
 type Outcome struct {
 	Scenario  string          `json:"scenario"`
 	ReadyMS   int64           `json:"ready_ms"`
@@ -22,14 +22,14 @@
 	Summary   loadgen.Summary `json:"summary"`
 	Review    checker.Review  `json:"review"`
 	Uses      []Use           `json:"uses"`
-	Writes    map[string]int  `json:"puts"` // how operators' puts were answered
+	Writes    map[string]int  `json:"puts"` // answers to writes of configurations, by status and code
 	Pairs     []Pair          `json:"pairs,omitempty"`
 
 	Uploads *loadgen.Summary `json:"uploads,omitempty"`
 }
 
-// Pair is one stretch of the same requests straight to the upstreams and one through
-// two proxies, right after each other.
+// Pair compares the latency of the same requests straight to the upstreams and through two proxies,
+// measured right after each other.
 type Pair struct {
 	StraightP50 float64 `json:"straight_p50_ms"`
 	MeshP50     float64 `json:"mesh_p50_ms"`
@@ -46,7 +46,8 @@
 	sealLimit = 12 * time.Second
 )
 
-// Play runs one scenario from start to outcome; slack stretches the bounds in time.
+// Play runs one scenario from start to outcome; slack is the factor by which the bounds are
+// stretched.
 func Play(deployment workload.Deployment, bin, folder, scenario string, length time.Duration, seed uint64, slack float64) (Outcome, error) {
 	outcome := Outcome{Scenario: scenario}
 	act, known := scenarios[scenario]
@@ -82,7 +83,7 @@
 	asked = append(asked, f.uploads...)
 	outcome.Uses = f.Uses()
 	f.awaitUsage()
-	outcome.Writes = f.answers
+	outcome.Writes = f.writeAnswers
 	if len(outcome.Pairs) > 0 {
 		// Half of these requests went past the mesh on purpose: nothing to hold it to.
 		return outcome, nil
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -29,7 +29,7 @@
 type Process struct {
 	Role     string
 	Node     string
-	Outside  string
+	Outside  string // address of the HTTP API; "" for a configuration store
 	settings string
 	log      string
 	command  *exec.Cmd
@@ -38,7 +38,7 @@
 	frozenAt time.Duration
 }
 
-// Settings returns the path of its settings file.
+// Settings returns the path of the settings file.
 func (p *Process) Settings() string { return p.settings }
 
 // Start starts a process.
@@ -63,35 +63,36 @@
 	return nil
 }
 
-// Watch begins to hold the running proxies to the bounds for connected nodes.
+// Watch starts to count the running proxies as connected, which the checker holds to its bounds.
 func (f *Fleet) Watch() {
 	for _, process := range f.Of(message.RoleProxy) {
-		f.watched[process.Node] = f.since()
+		f.connectedSince[process.Node] = f.since()
 	}
 }
 
-// unwatch ends that for a process that is about to be disturbed; it is not resumed.
-func (f *Fleet) unwatch(process *Process) {
+// endConnected stops to count a process as connected that is about to get a signal; it never counts
+// again.
+func (f *Fleet) endConnected(process *Process) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if from, watched := f.watched[process.Node]; watched && process.Role == message.RoleProxy {
-		delete(f.watched, process.Node)
-		f.spans = append(f.spans, checker.Span{Name: process.Node, From: from, To: f.since()})
+	if from, isConnected := f.connectedSince[process.Node]; isConnected && process.Role == message.RoleProxy {
+		delete(f.connectedSince, process.Node)
+		f.connected = append(f.connected, checker.Span{Name: process.Node, From: from, To: f.since()})
 	}
 }
 
 // Signal sends a signal to a process that this fleet started, and records when.
 func (f *Fleet) Signal(process *Process, signal syscall.Signal) {
-	f.unwatch(process)
+	f.endConnected(process)
 	f.lock.Lock()
 	switch signal {
 	case syscall.SIGKILL:
-		f.hurt = append(f.hurt, checker.Span{Name: process.Outside, From: f.since(), To: f.since()})
+		f.killed = append(f.killed, checker.Span{Name: process.Outside, From: f.since(), To: f.since()})
 	case syscall.SIGSTOP:
 		process.frozenAt = f.since()
 	case syscall.SIGCONT:
 		if process.frozenAt > 0 {
-			f.held = append(f.held, checker.Span{Name: process.Outside, From: process.frozenAt, To: f.since()})
+			f.frozen = append(f.frozen, checker.Span{Name: process.Outside, From: process.frozenAt, To: f.since()})
 		}
 		process.frozenAt = 0
 	}
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -37,7 +37,8 @@
 	})
 }
 
-// Record returns all that the run left, with the logs of the processes.
+// Record gathers all that the run left behind, from what this process saw and from the logs of the
+// others.
 func (f *Fleet) Record(asked []checker.Asked) checker.Record {
 	record := checker.Record{Asked: asked, Bounds: checker.BriefBounds(f.Deployment.Withdrawal)}
 	for _, upstream := range f.Upstreams {
@@ -50,16 +51,16 @@
 		})
 	}
 	for _, process := range f.Processes {
-		f.unwatch(process)
+		f.endConnected(process)
 	}
 	f.lock.Lock()
-	record.Up, record.Held, record.Hurt = f.spans, f.held, f.hurt
+	record.Up, record.Held, record.Hurt = f.connected, f.frozen, f.killed
 	record.Writes, record.Reported, record.Leaving = f.writes, f.reported, f.leaving
 	f.lock.Unlock()
 	for _, process := range f.Processes {
-		record.Keeping = append(record.Keeping, f.keepings(process)...)
+		record.Keeping = append(record.Keeping, f.leaseHolders(process)...)
 		if process.Role == message.RoleProxy {
-			record.Forced = append(record.Forced, f.forces(process)...)
+			record.Forced = append(record.Forced, f.configurationsInForce(process)...)
 		}
 	}
 	f.readBack(&record)
@@ -98,6 +99,12 @@
 	}
 }
 
+// Events of the processes' logs that the record is made of.
+const (
+	eventInForce    = "configuration-in-force"
+	eventLeaseTaken = "lease-taken"
+)
+
 // logLine is one line of a process's log.
 type logLine struct {
 	EventName string `json:"msg"`
@@ -122,8 +129,8 @@
 	return list
 }
 
-// at returns the time of a line since the start of the run.
-func (f *Fleet) at(line logLine) time.Duration {
+// timeOf returns the time of a line since the start of the run.
+func (f *Fleet) timeOf(line logLine) time.Duration {
 	at, err := time.Parse(time.RFC3339Nano, line.At)
 	if err != nil {
 		return 0
@@ -131,19 +138,21 @@
 	return at.Sub(f.Base)
 }
 
-func (f *Fleet) forces(process *Process) []checker.Force {
+// configurationsInForce returns when each version came into force on a proxy, by its log.
+func (f *Fleet) configurationsInForce(process *Process) []checker.Force {
 	list := []checker.Force{}
-	for _, line := range f.events(process, "configuration-in-force") {
-		list = append(list, checker.Force{Node: process.Node, ConfigName: line.Cause, Version: line.Epoch, At: f.at(line)})
+	for _, line := range f.events(process, eventInForce) {
+		list = append(list, checker.Force{Node: process.Node, ConfigName: line.Cause, Version: line.Epoch, At: f.timeOf(line)})
 	}
 	return list
 }
 
-func (f *Fleet) keepings(process *Process) []checker.Keeping {
+// leaseHolders returns when a process became the holder of each lease, by its log.
+func (f *Fleet) leaseHolders(process *Process) []checker.Keeping {
 	list := []checker.Keeping{}
-	for _, line := range f.events(process, "lease-taken") {
+	for _, line := range f.events(process, eventLeaseTaken) {
 		tag, _, _ := strings.Cut(line.Cause, " ")
-		list = append(list, checker.Keeping{Tag: tag, Voter: process.Node, Epoch: line.Epoch, At: f.at(line)})
+		list = append(list, checker.Keeping{Tag: tag, Voter: process.Node, Epoch: line.Epoch, At: f.timeOf(line)})
 	}
 	return list
 }
--- a/internal/fleet/scenarios.go
+++ b/internal/fleet/scenarios.go
@@ -17,29 +17,18 @@
 // meanwhile: how each was answered stands in the outcome. It fails where a process does not start.
 type scenario func(f *Fleet, length time.Duration, outcome *Outcome) error
 
-// overhead compares in pairs at the deployment's full rate, on one kind of request.
+// overhead compares the latency of requests straight to the upstreams with that through the mesh, in
+// pairs, on one kind of request.
 func overhead(f *Fleet, _ time.Duration, outcome *Outcome) error {
 	chosenKind := f.Deployment.Kinds[1]
-	addresses, proxies := []string{}, []string{}
+	addresses, proxies := []string{}, f.proxyAddresses()
 	for _, upstream := range f.Upstreams {
 		if upstream.Announcement.Service == chosenKind.Service {
 			addresses = append(addresses, upstream.Announcement.Address)
 		}
 	}
-	for _, process := range f.Of(message.RoleProxy) {
-		proxies = append(proxies, process.Outside)
-	}
 	run := func(targets []string, seed uint64) loadgen.Summary {
-		return loadgen.Summarise(loadgen.Run(f.Group.Context, f.Group, loadgen.Plan{
-			Proxies: targets,
-			Kinds:   []loadgen.Kind{chosenKind},
-			Tenants: f.Deployment.Tenants(),
-			Rate:    500,
-			Length:  3 * time.Second,
-			Limit:   requestLimit,
-			Seed:    seed,
-			Base:    f.Base,
-		}))
+		return loadgen.Summarise(f.runLoad(targets, []loadgen.Kind{chosenKind}, 500, 3*time.Second, seed))
 	}
 	for number := range uint64(5) {
 		straight, mesh := run(addresses, 1000+number), run(proxies, 2000+number)
@@ -57,27 +46,27 @@
 
 // killHolder kills the holder of a zone's lease, and starts it again.
 func killHolder(f *Fleet, length time.Duration, _ *Outcome) error {
-	f.after(length / 4)
+	f.pause(length / 4)
 	holder := f.Holder(f.Deployment.Zones[0])
 	if holder == nil {
 		return nil
 	}
 	f.Kill(holder)
-	f.after(length / 4)
+	f.pause(length / 4)
 	return f.Start(holder)
 }
 
 // killVoter kills both processes of a voter, writes without it, and starts them again.
 func killVoter(f *Fleet, length time.Duration, _ *Outcome) error {
-	f.after(length / 4)
+	f.pause(length / 4)
 	for _, process := range f.Processes {
 		if process.Node == workload.Voters[0] {
 			f.Kill(process)
 		}
 	}
-	f.after(length / 8)
+	f.pause(length / 8)
 	f.tryWrite(2, f.Deployment.Tenants(), 10)
-	f.after(length / 4)
+	f.pause(length / 4)
 	for _, process := range f.Processes {
 		if process.Node != workload.Voters[0] {
 			continue
@@ -94,14 +83,14 @@
 func restartProxies(f *Fleet, length time.Duration, _ *Outcome) error {
 	proxies := f.Of(message.RoleProxy)
 	for index, process := range proxies[:min(3, len(proxies))] {
-		f.after(length / 8)
+		f.pause(length / 8)
 		if index%2 == 0 {
 			f.Kill(process)
 		} else {
 			f.Signal(process, syscall.SIGTERM)
 			<-process.ended
 		}
-		f.after(length / 16)
+		f.pause(length / 16)
 		if err := f.Start(process); err != nil {
 			return err
 		}
@@ -111,10 +100,10 @@
 
 // freezeHolder stops the holder of a zone's lease for a while.
 func freezeHolder(f *Fleet, length time.Duration, _ *Outcome) error {
-	f.after(length / 4)
+	f.pause(length / 4)
 	if holder := f.Holder(f.Deployment.Zones[0]); holder != nil {
 		f.Signal(holder, syscall.SIGSTOP)
-		f.after(length / 4)
+		f.pause(length / 4)
 		f.Signal(holder, syscall.SIGCONT)
 	}
 	return nil
@@ -123,7 +112,7 @@
 // writeOften writes versions that grow.
 func writeOften(f *Fleet, length time.Duration, _ *Outcome) error {
 	for version := int64(2); version < 8; version++ {
-		f.after(length / 8)
+		f.pause(length / 8)
 		f.tryWrite(version, f.Deployment.Tenants(), int(version)*100)
 	}
 	return nil
@@ -132,20 +121,20 @@
 // withdrawKey withdraws a key while one proxy is frozen, which must not honor it afterwards.
 func withdrawKey(f *Fleet, length time.Duration, _ *Outcome) error {
 	proxies := f.Of(message.RoleProxy)
-	f.after(length / 4)
+	f.pause(length / 4)
 	f.Signal(proxies[0], syscall.SIGSTOP)
-	f.after(length / 16)
+	f.pause(length / 16)
 	f.tryWrite(2, f.Deployment.Tenants()[1:], 0)
-	f.after(length / 3)
+	f.pause(length / 3)
 	f.Signal(proxies[0], syscall.SIGCONT)
 	return nil
 }
 
 // writeHuge writes two versions of nearly the largest size.
 func writeHuge(f *Fleet, length time.Duration, _ *Outcome) error {
-	f.after(length / 4)
+	f.pause(length / 4)
 	f.tryWrite(2, f.Deployment.Tenants(), 19000)
-	f.after(length / 4)
+	f.pause(length / 4)
 	f.tryWrite(3, f.Deployment.Tenants(), 18000)
 	return nil
 }
@@ -159,21 +148,8 @@
 		}
 	}
 	kind.Body = int(settings.Default().Limits.Body) - 1024
-	f.after(length / 4)
-	proxies := []string{}
-	for _, process := range f.Of(message.RoleProxy) {
-		proxies = append(proxies, process.Outside)
-	}
-	f.uploads = loadgen.Run(f.Group.Context, f.Group, loadgen.Plan{
-		Proxies: proxies,
-		Kinds:   []loadgen.Kind{kind},
-		Tenants: f.Deployment.Tenants(),
-		Rate:    30,
-		Length:  length / 3,
-		Limit:   requestLimit,
-		Seed:    9000,
-		Base:    f.Base,
-	})
+	f.pause(length / 4)
+	f.uploads = f.runLoad(f.proxyAddresses(), []loadgen.Kind{kind}, 30, length/3, 9000)
 	summary := loadgen.Summarise(f.uploads)
 	outcome.Uploads = &summary
 	return nil
@@ -181,9 +157,9 @@
 
 // drainUpstream lets one upstream leave in order, and ends another at once.
 func drainUpstream(f *Fleet, length time.Duration, _ *Outcome) error {
-	f.after(length / 4)
+	f.pause(length / 4)
 	f.Leave(f.Upstreams[0])
-	f.after(length / 8)
+	f.pause(length / 8)
 	f.Upstreams[0].SignOff()
 	f.End(f.Upstreams[0])
 	f.End(f.Upstreams[1])
@@ -200,7 +176,7 @@
 
 // restartAll kills all processes, starts them again, and measures until every proxy is ready.
 func restartAll(f *Fleet, length time.Duration, outcome *Outcome) error {
-	f.after(length / 4)
+	f.pause(length / 4)
 	for _, process := range f.Processes {
 		f.Kill(process)
 	}
@@ -247,8 +223,8 @@
 	_, _ = f.Write(version, tenants, more)
 }
 
-// after waits.
-func (f *Fleet) after(wait time.Duration) {
+// pause waits.
+func (f *Fleet) pause(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	<-timer.C
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -103,7 +103,7 @@
 // End kills an upstream, and records when.
 func (f *Fleet) End(upstream *stubserver.StubServer) {
 	f.lock.Lock()
-	f.hurt = append(f.hurt, checker.Span{Name: upstream.Announcement.Instance, From: f.since(), To: f.since()})
+	f.killed = append(f.killed, checker.Span{Name: upstream.Announcement.Instance, From: f.since(), To: f.since()})
 	f.lock.Unlock()
 	upstream.Kill()
 }
