--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -88,9 +88,9 @@
 		return false
 	}
 	p.frozen = true
-	life := p.life
+	incarnation := p.incarnation
 	w.after(action.Rounds, func() {
-		if p.life == life {
+		if p.incarnation == incarnation {
 			p.frozen, p.thawedAt = false, w.round
 		}
 	})
@@ -175,9 +175,9 @@
 		return false
 	}
 	p.leaving = true
-	life := p.life
+	incarnation := p.incarnation
 	w.after(leaveLimit, func() {
-		if p.life == life && !p.gone {
+		if p.incarnation == incarnation && !p.gone {
 			w.retire(p)
 		}
 	})
@@ -224,7 +224,7 @@
 	id := w.history.begin(w, asked)
 	w.step++
 	p.requests[id] = request{asked, w.step}
-	order := item{step: w.step, from: operatorAddress, to: p, life: p.life, message: messageOf(id)}
+	order := item{step: w.step, from: operatorAddress, to: p, incarnation: p.incarnation, message: messageOf(id)}
 	w.queue = append([]item{order}, w.queue...)
 }
 
--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -109,7 +109,7 @@
 func (w *World) state() uint64 {
 	f := &fingerprint{met: map[uintptr]int{}}
 	for _, p := range w.processes {
-		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.gone, p.leaving, p.seated, p.life, p.bootAt,
+		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.gone, p.leaving, p.seated, p.incarnation, p.bootAt,
 			p.wall, max(p.slowTo-w.round, 0))
 		f.add(reflect.ValueOf(p.machine))
 		f.add(reflect.ValueOf(p.env))
@@ -137,7 +137,7 @@
 
 func (f *fingerprint) addItems(items []item) {
 	for _, held := range items {
-		fmt.Fprintf(&f.text, "%s>%s %d %T;", held.from, held.to.address, held.life, held.message)
+		fmt.Fprintf(&f.text, "%s>%s %d %T;", held.from, held.to.address, held.incarnation, held.message)
 		if held.write == nil {
 			f.add(reflect.ValueOf(held.message))
 			continue
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -148,7 +148,7 @@
 
 // tell puts a message of the fleet into the queue.
 func (w *World) tell(to *process, from string, body any) {
-	w.queue = append(w.queue, item{step: w.step, from: from, to: to, life: to.life, message: body})
+	w.queue = append(w.queue, item{step: w.step, from: from, to: to, incarnation: to.incarnation, message: body})
 }
 
 func (x *fleetProxy) heartbeat(window int64) message.HeartbeatBatch {
@@ -267,9 +267,9 @@
 	if w.fleet.attempts%answersLost == 0 {
 		return
 	}
-	life := p.life
+	incarnation := p.incarnation
 	w.after(1, func() {
-		if p.up && !p.frozen && p.life == life {
+		if p.up && !p.frozen && p.incarnation == incarnation {
 			p.apply(w, statemachine.Asked{Question: registry.UsageDelivered{Window: sent.Window}})
 		}
 	})
@@ -287,7 +287,7 @@
 	f.acts = append(f.acts, act{p.name(), round})
 }
 
-func lifeOf(p *process) string { return fmt.Sprintf("%s in life %d", p.name(), p.life) }
+func lifeOf(p *process) string { return fmt.Sprintf("%s in life %d", p.name(), p.incarnation) }
 
 // checkReport: a window has one value, a fence one holder, fences don't fall, and no holder
 // comes back within the rest.
@@ -300,8 +300,8 @@
 	if sent.Epoch < f.fence {
 		w.violate("fence", "%s reports under %d, and %d was seen", p.name(), sent.Epoch, f.fence)
 	}
-	if life, used := f.lives[sent.Epoch]; used && life != lifeOf(p) {
-		w.violate("one-fence", "%s reports under %d, which is that of %s", lifeOf(p), sent.Epoch, life)
+	if incarnation, used := f.lives[sent.Epoch]; used && incarnation != lifeOf(p) {
+		w.violate("one-fence", "%s reports under %d, which is that of %s", lifeOf(p), sent.Epoch, incarnation)
 	}
 	if before, came := f.cameBack(p.name()); came && w.round-before.round < w.restRounds() && w.round-p.thawedAt > thawRounds {
 		w.violate("rest", "%s acts %d rounds after it acted before another", p.name(), w.round-before.round)
--- a/internal/explore/process.go
+++ b/internal/explore/process.go
@@ -20,27 +20,27 @@
 }
 
 type process struct {
-	index    int
-	settings settings.Settings
-	address  string
-	role     string
-	machine  controlMachine
-	env      *statemachine.Env
-	disk     *simulation.Disk
-	store    *storage.Store
-	up       bool
-	frozen   bool
-	gone     bool // for good
-	leaving  bool
-	seated   bool // holds a voter, with its data on disk
-	life     int
-	bootAt   time.Duration
-	wall     time.Duration
-	slowTo   int // round until which writes wait
-	thawedAt int // round
-	inbox    []item
-	requests map[int64]request
-	contacts map[string]int64 // by sender: the newest step at which a message that came was sent
+	index       int
+	settings    settings.Settings
+	address     string
+	role        string
+	machine     controlMachine
+	env         *statemachine.Env
+	disk        *simulation.Disk
+	store       *storage.Store
+	up          bool
+	frozen      bool
+	gone        bool // for good
+	leaving     bool
+	seated      bool // holds a voter, with its data on disk
+	incarnation int
+	bootAt      time.Duration
+	wall        time.Duration
+	slowTo      int // round until which writes wait
+	thawedAt    int // round
+	inbox       []item
+	requests    map[int64]request
+	contacts    map[string]int64 // by sender: the newest step at which a message that came was sent
 }
 
 func (p *process) name() string { return p.settings.Node }
@@ -50,12 +50,12 @@
 	if p.up || p.gone {
 		return
 	}
-	if p.life++; p.life > 1 {
+	if p.incarnation++; p.incarnation > 1 {
 		p.settings.Found = false
 	}
 	p.up, p.frozen, p.bootAt, p.inbox = true, false, w.now, nil
 	p.requests, p.contacts = map[int64]request{}, map[string]int64{}
-	p.env = statemachine.NewEnv(w.plan.Seed*1000 + uint64(p.index*100+p.life))
+	p.env = statemachine.NewEnv(w.plan.Seed*1000 + uint64(p.index*100+p.incarnation))
 	self := message.Member{Name: p.role + "/" + p.name(), Role: p.role, Voter: p.settings.Voter,
 		Zone: p.settings.Zone, Address: p.address, StartTime: int64(epoch + w.now + p.wall)}
 	store, snapshot, records, err := storage.Open(p.disk)
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -32,14 +32,14 @@
 
 // item is a message or a write on its way.
 type item struct {
-	step     int64 // when it was sent
-	from     string
-	voter    bool // the sender held a voter when it sent this
-	to       *process
-	life     int
-	message  any
-	datagram bool
-	write    *statemachine.Write
+	step        int64 // when it was sent
+	from        string
+	voter       bool // the sender held a voter when it sent this
+	to          *process
+	incarnation int
+	message     any
+	datagram    bool
+	write       *statemachine.Write
 }
 
 // chooser gives the actions that come before a step; next is nil at a round's begin.
@@ -248,7 +248,7 @@
 	w.queue = w.queue[1:]
 	w.step++
 	p := next.to
-	if !p.up || p.life != next.life {
+	if !p.up || p.incarnation != next.incarnation {
 		return
 	}
 	if p.frozen {
@@ -295,7 +295,7 @@
 	switch done := effect.(type) {
 	case statemachine.Send:
 		if to := w.byAddress[done.To]; to != nil {
-			w.queue = append(w.queue, item{step: w.step, from: p.address, voter: p.seated, to: to, life: to.life, message: done.Message})
+			w.queue = append(w.queue, item{step: w.step, from: p.address, voter: p.seated, to: to, incarnation: to.incarnation, message: done.Message})
 			if change, isChange := done.Message.(message.RosterChange); isChange {
 				w.broadcast(p, change)
 			}
@@ -310,18 +310,18 @@
 	case statemachine.Datagram:
 		if to := w.byAddress[done.To]; to != nil {
 			w.queue = append(w.queue, item{
-				step:     w.step,
-				from:     p.address,
-				voter:    p.seated,
-				to:       to,
-				life:     to.life,
-				message:  done.Message,
-				datagram: true,
+				step:        w.step,
+				from:        p.address,
+				voter:       p.seated,
+				to:          to,
+				incarnation: to.incarnation,
+				message:     done.Message,
+				datagram:    true,
 			})
 		}
 	case statemachine.Write:
 		write := done
-		w.queue = append(w.queue, item{step: w.step, to: p, life: p.life, write: &write})
+		w.queue = append(w.queue, item{step: w.step, to: p, incarnation: p.incarnation, write: &write})
 	case statemachine.Event:
 		w.event(p, done)
 	case statemachine.Report:
@@ -351,11 +351,11 @@
 		p.seated = false
 	case "lease-taken":
 		tag, _, _ := strings.Cut(event.Cause, " by ")
-		held, life := fmt.Sprintf("epoch %d of %s", event.Epoch, tag), lifeOf(p)
-		if other, taken := w.holders[held]; taken && other != life {
-			w.violate("one-holder-an-epoch", "%s is held by %s and was by %s", held, life, other)
+		held, incarnation := fmt.Sprintf("epoch %d of %s", event.Epoch, tag), lifeOf(p)
+		if other, taken := w.holders[held]; taken && other != incarnation {
+			w.violate("one-holder-an-epoch", "%s is held by %s and was by %s", held, incarnation, other)
 		}
-		w.holders[held] = life
+		w.holders[held] = incarnation
 		w.checkDecidedList(p)
 	case "config-log-serving", "configuration-committed", "usage-sealed":
 		w.checkDecidedList(p)
--- a/internal/simulation/actors.go
+++ b/internal/simulation/actors.go
@@ -32,7 +32,7 @@
 	servingProxies []*Node
 	work           time.Duration
 	up             bool
-	life           int
+	incarnation    int
 	running        int
 	most           int
 	slots          int
@@ -76,14 +76,14 @@
 		return
 	}
 	u.up = true
-	u.life++
+	u.incarnation++
 	u.running = 0
 	u.response.Incarnation = int64(epoch+u.world.now) + 1
 	u.response.Leaving = false
 	u.warmUntil = u.world.now + warm
 	u.world.addresses[u.response.Address] = u
 	u.world.mark("upstream %s up at %s", u.key, u.response.Address)
-	u.announceSoon(u.life, 0)
+	u.announceSoon(u.incarnation, 0)
 }
 
 // kill ends it hard.
@@ -110,7 +110,7 @@
 		return
 	}
 	u.up = false
-	u.vanished[u.life] = true
+	u.vanished[u.incarnation] = true
 	u.world.mark("upstream %s vanished", u.key)
 	u.world.record.Hurt = append(u.world.record.Hurt, checker.Span{Name: u.response.Instance, From: u.world.now, To: u.world.now})
 	if u.world.addresses[u.response.Address] == u {
@@ -119,15 +119,15 @@
 	u.ended = nil
 }
 
-func (u *Upstream) announceSoon(life int, wait time.Duration) {
+func (u *Upstream) announceSoon(incarnation int, wait time.Duration) {
 	u.world.after(wait, func() {
-		if !u.up || u.life != life {
+		if !u.up || u.incarnation != incarnation {
 			return
 		}
 		if w := u.world; w.now >= u.quiet {
 			u.announce()
 		}
-		u.announceSoon(life, time.Second)
+		u.announceSoon(incarnation, time.Second)
 	})
 }
 
@@ -138,14 +138,14 @@
 	if u.serviceSpec.Load {
 		response.Load = float64(u.running) / float64(u.slots)
 	}
-	life := u.life
+	incarnation := u.incarnation
 	for _, servingProxy := range u.servingProxies {
 		if !servingProxy.up || servingProxy.frozen {
 			continue
 		}
-		chosenServingProxy, servingProxyLife := servingProxy, servingProxy.life
+		chosenServingProxy, servingProxyLife := servingProxy, servingProxy.incarnation
 		u.world.after(200*time.Microsecond, func() {
-			if u.life != life || !u.up {
+			if u.incarnation != incarnation || !u.up {
 				return
 			}
 			chosenServingProxy.run(servingProxyLife, func() {
@@ -161,31 +161,31 @@
 // upConnection is a connection to an upstream's process, idle or as a guard. It ends when that
 // process ends; of one whose machine vanished nothing is heard.
 type upConnection struct {
-	owner  *Upstream
-	life   int
-	stream *upstreamStream
+	owner       *Upstream
+	incarnation int
+	stream      *upstreamStream
 }
 
-func (u upConnection) there() bool { return u.owner.up && u.owner.life == u.life }
+func (u upConnection) there() bool { return u.owner.up && u.owner.incarnation == u.incarnation }
 
 // quiet: nothing has come on it, as its serving proxy sees it.
 func (u upConnection) quiet() bool {
-	return (u.there() || u.owner.vanished[u.life]) && u.stream.quiet()
+	return (u.there() || u.owner.vanished[u.incarnation]) && u.stream.quiet()
 }
 
 // guard opens the guard connection of an announced upstream and some to be kept ready, as
 // calling.go does.
 func (n *Node) guard(response backend.Announcement) {
 	target := backend.Target{Key: response.Service + "/" + response.Instance, Address: response.Address, Incarnation: response.Incarnation}
-	life := n.life
+	incarnation := n.incarnation
 	n.world.after(n.world.transit(), func() {
-		n.run(life, func() {
+		n.run(incarnation, func() {
 			owner := n.world.addresses[target.Address]
 			if owner == nil || !owner.up {
 				n.serving.MarkBroken(n.Now(), target)
 				return
 			}
-			n.guards[target] = upConnection{owner: owner, life: owner.life}
+			n.guards[target] = upConnection{owner: owner, incarnation: owner.incarnation}
 			n.fill(target)
 		})
 	})
@@ -194,7 +194,7 @@
 func (n *Node) fill(target backend.Target) {
 	owner := n.world.addresses[target.Address]
 	for owner != nil && owner.up && len(n.pools[target]) < n.serving.WarmConnections(target) && n.serving.Dialable(n.Now(), target) {
-		n.pools[target] = append(n.pools[target], upConnection{owner: owner, life: owner.life})
+		n.pools[target] = append(n.pools[target], upConnection{owner: owner, incarnation: owner.incarnation})
 	}
 }
 
@@ -227,9 +227,9 @@
 	response := u.response
 	for _, servingProxy := range u.servingProxies {
 		if servingProxy.up && !servingProxy.frozen {
-			chosenServingProxy, life := servingProxy, servingProxy.life
+			chosenServingProxy, incarnation := servingProxy, servingProxy.incarnation
 			u.world.after(200*time.Microsecond, func() {
-				chosenServingProxy.run(life, func() {
+				chosenServingProxy.run(incarnation, func() {
 					chosenServingProxy.tracker.Deregister(response.Service, response.Instance, response.Incarnation)
 				})
 			})
@@ -239,15 +239,15 @@
 }
 
 // call is the serving proxy's exchange with an upstream, as calling.go does it on sockets.
-func (n *Node) call(life int, order backend.Decision) {
+func (n *Node) call(incarnation int, order backend.Decision) {
 	w := n.world
 	target := order.Target
 	target.DelegationToken = ""
 	refuse := func(code errcode.Code) {
-		n.run(life, func() { n.tracker.Complete(order, message.Outcome{Kind: message.NotStarted, Code: int64(code)}) })
+		n.run(incarnation, func() { n.tracker.Complete(order, message.Outcome{Kind: message.NotStarted, Code: int64(code)}) })
 	}
 	if connection, kept := n.idle(target); kept {
-		n.exchange(life, order, connection)
+		n.exchange(incarnation, order, connection)
 		return
 	}
 	guarded := func() bool {
@@ -269,7 +269,7 @@
 		return
 	}
 	w.after(w.transit(), func() {
-		n.run(life, func() {
+		n.run(incarnation, func() {
 			owner := w.addresses[target.Address]
 			switch {
 			case owner == nil || !owner.up:
@@ -278,14 +278,14 @@
 			case !n.serving.Dialable(n.Now(), target) || !guarded():
 				refuse(errcode.BusyUnproven)
 			default:
-				n.exchange(life, order, upConnection{owner: owner, life: owner.life})
+				n.exchange(incarnation, order, upConnection{owner: owner, incarnation: owner.incarnation})
 			}
 		})
 	})
 }
 
 // exchange sends a request on a connection, once.
-func (n *Node) exchange(life int, order backend.Decision, connection upConnection) {
+func (n *Node) exchange(incarnation int, order backend.Decision, connection upConnection) {
 	w, target := n.world, order.Target
 	target.DelegationToken = ""
 	limit := time.Duration(order.Forward.Remaining)
@@ -298,7 +298,7 @@
 			return
 		}
 		over = true
-		n.run(life, func() {
+		n.run(incarnation, func() {
 			if broke {
 				n.serving.MarkDoubtful(target)
 			} else if outcome.Kind == message.Completed {
@@ -325,7 +325,7 @@
 		case connection.there():
 			connection.stream.sent(w)
 			connection.owner.run(n, order, connection.stream, end, lost)
-		case !connection.owner.vanished[connection.life]:
+		case !connection.owner.vanished[connection.incarnation]:
 			lost()
 		case w.addresses[target.Address] != nil:
 			// Whoever has the address now knows nothing of that connection and resets it.
@@ -350,7 +350,7 @@
 	if w.random.Float64() < u.faults.Slow {
 		work *= 10
 	}
-	life, over := u.life, false
+	incarnation, over := u.incarnation, false
 	u.ended = append(u.ended, func() {
 		if !over {
 			over = true
@@ -358,7 +358,7 @@
 		}
 	})
 	finish := func() {
-		if over || !u.up || u.life != life {
+		if over || !u.up || u.incarnation != incarnation {
 			return
 		}
 		over = true
@@ -382,7 +382,7 @@
 		w.after(work, finish)
 	} else {
 		w.after(work/2, func() {
-			if !over && u.up && u.life == life {
+			if !over && u.up && u.incarnation == incarnation {
 				w.callOn(servingProxy, order, u.response.Service, called, fmt.Sprintf("%s~%s~%d", id, u.response.Instance, index),
 					func() { w.after(work/2, finish) })
 			}
@@ -519,13 +519,13 @@
 	asked.Intended, asked.Sent = w.now, w.now
 	asked.Connection = true
 	w.asked = append(w.asked, asked)
-	if !chosenProxy.up || chosenProxy.deaf {
+	if !chosenProxy.up || chosenProxy.listenerClosed {
 		asked.Done = w.now
 		then()
 		return
 	}
-	life := chosenProxy.life
-	chosenProxy.run(life, func() {
+	incarnation := chosenProxy.incarnation
+	chosenProxy.run(incarnation, func() {
 		header.Set(stubserver.IDHeader, asked.ID)
 		request := &frontend.Request{
 			ID:       asked.ID + "@" + chosenProxy.machine,
@@ -535,14 +535,14 @@
 			Body:     []byte{},
 			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestLimit(),
 		}
-		sentLife := life
-		chosenProxy.inside++
+		sentLife := incarnation
+		chosenProxy.inFlight++
 		going := chosenProxy.tracker.Submit(request, func(time.Duration) {}, func(final *frontend.Response) {
 			w.after(100*time.Microsecond, func() {
-				if !chosenProxy.up || chosenProxy.life != sentLife {
+				if !chosenProxy.up || chosenProxy.incarnation != sentLife {
 					return
 				}
-				chosenProxy.inside--
+				chosenProxy.inFlight--
 				asked.Connection, asked.Done, asked.Status, asked.Body = false, w.now, final.Status, string(final.Body)
 				asked.Code, asked.Retry = int(final.Code), final.RetryAfter > 0
 				for _, line := range final.Headers {
@@ -564,19 +564,19 @@
 			})
 		})
 		w.after(chosenProxy.trueWait(chosenProxy.settings.RequestLimit()), func() {
-			chosenProxy.run(life, func() { chosenProxy.tracker.Abandon(going) })
+			chosenProxy.run(incarnation, func() { chosenProxy.tracker.Abandon(going) })
 		})
 	})
 }
 
 // write has an operator send a configuration to a registry, once.
 func (w *World) write(version int64, tenants []loadgen.Tenant, body []byte, committed func(code errcode.Code)) {
-	boards := w.alive(message.RoleRegistry)
-	if len(boards) == 0 {
+	registries := w.alive(message.RoleRegistry)
+	if len(registries) == 0 {
 		return
 	}
-	chosenBoard := boards[w.random.IntN(len(boards))]
-	w.mark("put %d at %s", version, chosenBoard.name)
+	registryNode := registries[w.random.IntN(len(registries))]
+	w.mark("put %d at %s", version, registryNode.name)
 	digest := checker.Digest(body)
 	operation := &configLogOperation{
 		request: configLogRequest{write: true, version: version, entry: fmt.Sprintf("%d:%s", version, digest)},
@@ -586,11 +586,11 @@
 		w.operations = append(w.operations, operation)
 		w.contents[digest] = version
 	}
-	chosenBoard.request(registry.WriteConfiguration{
+	registryNode.request(registry.WriteConfiguration{
 		ConfigName: "main",
 		Version:    version,
 		Body:       body,
-		Check:      registry.CheckConfiguration(chosenBoard.settings, body),
+		Check:      registry.CheckConfiguration(registryNode.settings, body),
 	}, func(answer any) {
 		given := mustBe[registry.Answer](answer)
 		code := given.Code
@@ -625,7 +625,7 @@
 }
 
 // collect takes a usage report; the reporter hears of it unless it died meanwhile.
-func (w *World) collect(from *Node, life int, report registry.UsageReport) {
+func (w *World) collect(from *Node, incarnation int, report registry.UsageReport) {
 	if w.now < w.collectorDown {
 		return
 	}
@@ -647,6 +647,6 @@
 		wait += time.Duration(w.random.Int64N(int64(2 * time.Second)))
 	}
 	w.after(wait, func() {
-		from.run(life, func() { from.apply(statemachine.Asked{Question: registry.UsageDelivered{Window: report.Window}}) })
+		from.run(incarnation, func() { from.apply(statemachine.Asked{Question: registry.UsageDelivered{Window: report.Window}}) })
 	})
 }
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -222,12 +222,12 @@
 
 // breakConnections ends some of the connections between proxies, as resets would.
 func (w *World) breakConnections() {
-	for _, nodeName := range w.of(message.RoleProxy) {
-		for _, connection := range nodeName.connections {
+	for _, node := range w.of(message.RoleProxy) {
+		for _, connection := range node.connections {
 			if !connection.attached || connection.closed || w.random.Float64() >= brokenShare {
 				continue
 			}
-			w.dangers[dangerAsked] += nodeName.tracker.AttemptsOn(connection)
+			w.dangers[dangerAsked] += node.tracker.AttemptsOn(connection)
 			connection.drop()
 			w.record.Held = append(w.record.Held, checker.Span{Name: connection.to.machine, From: w.now, To: w.now + brokenHold})
 		}
--- a/internal/simulation/causes.go
+++ b/internal/simulation/causes.go
@@ -47,9 +47,9 @@
 // a life may begin with no other.
 func (w *World) vouched(from *Node) bool {
 	known := false
-	for _, board := range w.alive(message.RoleRegistry) {
-		if w.linked(from, board) && w.linked(board, from) {
-			board.request(registry.ReadConfigurationStatus{ConfigName: "main"}, func(answer any) {
+	for _, registryNode := range w.alive(message.RoleRegistry) {
+		if w.linked(from, registryNode) && w.linked(registryNode, from) {
+			registryNode.request(registry.ReadConfigurationStatus{ConfigName: "main"}, func(answer any) {
 				age := gjson.GetBytes(mustBe[registry.Answer](answer).Body, "age_ms")
 				known = known || age.Exists() && age.Int() <= from.settings.Reparent().Milliseconds()
 			})
--- a/internal/simulation/cutoff.go
+++ b/internal/simulation/cutoff.go
@@ -121,16 +121,16 @@
 
 // side picks a registry of the cut-off side, or of the other one.
 func (w *World) side(severed bool) *Node {
-	boards := []*Node{}
-	for _, board := range w.alive(message.RoleRegistry) {
-		if _, cut := w.severed[board.machine]; cut == severed {
-			boards = append(boards, board)
+	registries := []*Node{}
+	for _, registryNode := range w.alive(message.RoleRegistry) {
+		if _, cut := w.severed[registryNode.machine]; cut == severed {
+			registries = append(registries, registryNode)
 		}
 	}
-	if len(boards) == 0 {
+	if len(registries) == 0 {
 		return nil
 	}
-	return boards[w.random.IntN(len(boards))]
+	return registries[w.random.IntN(len(registries))]
 }
 
 // orderAtAllSides sends an order to each side, the same to both every third time.
@@ -140,10 +140,10 @@
 	}
 	tenants := w.options.Deployment.Tenants()[:w.tenants]
 	for _, severed := range []bool{true, false} {
-		if board := w.side(severed); board != nil {
+		if registryNode := w.side(severed); registryNode != nil {
 			w.versions++
 			o := w.newOrder(w.versions, tenants, w.options.Deployment.Configuration(tenants, int(w.versions)), nil)
-			w.sendOrder(o, board)
+			w.sendOrder(o, registryNode)
 		}
 	}
 	w.after(cutOrderEvery, func() { w.orderAtAllSides(until) })
@@ -154,9 +154,9 @@
 		return
 	}
 	for _, severed := range []bool{true, false} {
-		if board := w.side(severed); board != nil {
-			w.askBoard(board, registry.ReadConfiguration{ConfigName: "main"}, func(registry.Answer) {})
-			w.readViews(board)
+		if registryNode := w.side(severed); registryNode != nil {
+			w.askRegistry(registryNode, registry.ReadConfiguration{ConfigName: "main"}, func(registry.Answer) {})
+			w.readViews(registryNode)
 		}
 	}
 	w.after(cutReadEvery, func() { w.readAtAllSides(until) })
@@ -164,16 +164,16 @@
 
 // readViews: who has been cut off for long gives neither roster nor state of configurations
 // out as current.
-func (w *World) readViews(board *Node) {
-	since, severed := w.severed[board.machine]
-	if !severed || w.now-since < board.settings.MaxAgeReady()+settleTime {
+func (w *World) readViews(registryNode *Node) {
+	since, severed := w.severed[registryNode.machine]
+	if !severed || w.now-since < registryNode.settings.MaxAgeReady()+settleTime {
 		return
 	}
 	for _, question := range []any{registry.ReadRoster{}, registry.ReadConfigurationStatus{ConfigName: "main"}} {
-		board.request(question, func(answer any) {
+		registryNode.request(question, func(answer any) {
 			w.dangers["views asked of a cut-off node"]++
 			if code := mustBe[registry.Answer](answer).Code; code == errcode.OK {
-				w.fail("%s, cut off for %s, answered %T as current", board.name, w.now-since, question)
+				w.fail("%s, cut off for %s, answered %T as current", registryNode.name, w.now-since, question)
 			}
 		})
 	}
@@ -184,9 +184,9 @@
 func (w *World) restartWithSeveredSeed(down time.Duration) {
 	seeds := []string{}
 	for _, machine := range append(w.severedMachines(), w.cores()...) {
-		for _, board := range w.machineNodes(machine) {
-			if board.role == message.RoleRegistry && !strings.Contains(strings.Join(seeds, " "), board.address()) {
-				seeds = append(seeds, board.address())
+		for _, registryNode := range w.machineNodes(machine) {
+			if registryNode.role == message.RoleRegistry && !strings.Contains(strings.Join(seeds, " "), registryNode.address()) {
+				seeds = append(seeds, registryNode.address())
 			}
 		}
 	}
--- a/internal/simulation/diskfull.go
+++ b/internal/simulation/diskfull.go
@@ -32,14 +32,14 @@
 }
 
 // recoverDisk builds the machine anew once the disk works, as package node does.
-func (n *Node) recoverDisk(life int) {
+func (n *Node) recoverDisk(incarnation int) {
 	if n.recovering {
 		return
 	}
 	n.recovering = true
 	var try func()
 	try = func() {
-		if !n.up || n.life != life {
+		if !n.up || n.incarnation != incarnation {
 			return
 		}
 		store, machine, err := storage.Recover(n.disk, n.buildMachine)
@@ -48,8 +48,8 @@
 			return
 		}
 		n.recovering = false
-		n.store, n.control, n.underway = store, machine, nil
-		n.machineLife++
+		n.store, n.control, n.pendingWrites = store, machine, nil
+		n.machineIncarnation++
 		n.replies = map[int64]func(any){}
 		n.world.dangers["machines built anew after a disk refused writes"]++
 		n.world.mark("disk of %s works again", n.name)
@@ -69,7 +69,7 @@
 // self is this life of the node as the others see it.
 func (n *Node) self() message.Member {
 	return message.Member{Name: n.name, Role: n.role, Voter: n.settings.Voter, Zone: n.settings.Zone, Address: n.settings.Address,
-		HTTPAddress: n.settings.Outside, StartTime: int64(epoch + n.world.now + n.wallOff)}
+		HTTPAddress: n.settings.Outside, StartTime: int64(epoch + n.world.now + n.wallOffset)}
 }
 
 // disksFullInTurn fills the disk of each core machine for some seconds, one after the
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -46,12 +46,12 @@
 }
 
 func (w *World) restart(nodes []*Node, loseDisk bool, down time.Duration) {
-	for _, nodeName := range nodes {
-		nodeName.kill(true, loseDisk)
+	for _, node := range nodes {
+		node.kill(true, loseDisk)
 	}
 	w.after(down, func() {
-		for _, nodeName := range nodes {
-			nodeName.boot()
+		for _, node := range nodes {
+			node.boot()
 		}
 	})
 }
@@ -86,10 +86,10 @@
 		small = right
 	}
 	for _, machine := range small {
-		for _, nodeName := range w.machineNodes(machine) {
-			nodeName.closeSpan()
-			if nodeName.up && !nodeName.frozen {
-				nodeName.openSpan()
+		for _, node := range w.machineNodes(machine) {
+			node.closeSpan()
+			if node.up && !node.frozen {
+				node.openSpan()
 			}
 		}
 	}
@@ -98,9 +98,9 @@
 // cores lists the core machines, replaced ones aside.
 func (w *World) cores() []string {
 	list := []string{}
-	for _, nodeName := range w.of(message.RoleRegistry) {
-		if !nodeName.retired && !strings.HasSuffix(nodeName.machine, heirMark) {
-			list = append(list, nodeName.machine)
+	for _, node := range w.of(message.RoleRegistry) {
+		if !node.retired && !strings.HasSuffix(node.machine, heirMark) {
+			list = append(list, node.machine)
 		}
 	}
 	return list
@@ -108,8 +108,8 @@
 
 func (w *World) machines() []string {
 	list := append([]string{}, w.cores()...)
-	for _, nodeName := range w.of(message.RoleProxy) {
-		list = append(list, nodeName.machine)
+	for _, node := range w.of(message.RoleProxy) {
+		list = append(list, node.machine)
 	}
 	return list
 }
@@ -232,11 +232,11 @@
 func (w *World) slowDisks(step Step) {
 	for _, node := range w.machineNodes(step.Target) {
 		usual := w.options.Deployment.DiskDelay
-		node.slow = usual * 10
-		node.slowUntil = max(node.slowUntil, w.now+step.For)
+		node.writeDelay = usual * 10
+		node.writeDelayUntil = max(node.writeDelayUntil, w.now+step.For)
 		w.after(step.For, func() {
-			if w.now >= node.slowUntil {
-				node.slow = usual
+			if w.now >= node.writeDelayUntil {
+				node.writeDelay = usual
 			}
 		})
 	}
@@ -289,11 +289,11 @@
 }
 
 func (w *World) freeze(nodes []*Node, length time.Duration) {
-	for _, nodeName := range nodes {
-		nodeName.freeze()
-		frozenNode, life := nodeName, nodeName.life
+	for _, node := range nodes {
+		node.freeze()
+		frozenNode, incarnation := node, node.incarnation
 		w.after(length, func() {
-			if frozenNode.life == life {
+			if frozenNode.incarnation == incarnation {
 				frozenNode.wake()
 			}
 		})
@@ -303,29 +303,29 @@
 // replaceVoter puts an empty machine in a voter's place, at a new address.
 func (w *World) replaceVoter(machine string, down time.Duration) {
 	nodes := w.machineNodes(machine)
-	for _, nodeName := range nodes {
-		nodeName.kill(true, true)
+	for _, node := range nodes {
+		node.kill(true, true)
 	}
 	w.after(down, func() {
-		for _, nodeName := range nodes {
-			old := nodeName.settings.Address
+		for _, node := range nodes {
+			old := node.settings.Address
 			parts := strings.SplitN(old, ":", 2)
 			fresh := parts[0] + "9:" + parts[1]
 			if _, taken := w.byAddress[fresh]; taken {
 				fresh = parts[0] + "8:" + parts[1]
 			}
 			delete(w.byAddress, old)
-			nodeName.settings.Address, nodeName.settings.Outside = fresh, fresh
-			w.byAddress[fresh] = nodeName
+			node.settings.Address, node.settings.Outside = fresh, fresh
+			w.byAddress[fresh] = node
 		}
 		// The newcomer's settings name the seeds of now; all others keep their old ones.
 		seeds := []string{}
-		for _, board := range w.of(message.RoleRegistry) {
-			seeds = append(seeds, board.address())
+		for _, registryNode := range w.of(message.RoleRegistry) {
+			seeds = append(seeds, registryNode.address())
 		}
-		for _, nodeName := range nodes {
-			nodeName.settings.Seeds = seeds
-			nodeName.boot()
+		for _, node := range nodes {
+			node.settings.Seeds = seeds
+			node.boot()
 		}
 	})
 }
@@ -338,17 +338,17 @@
 		old.retired = true
 		w.serial++
 		host, port, _ := strings.Cut(old.settings.Address, ":")
-		heir := w.addNode(old.role, fmt.Sprintf("%s-after", machine), "", old.settings.Zone,
+		replacement := w.addNode(old.role, fmt.Sprintf("%s-after", machine), "", old.settings.Zone,
 			fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.serial), port), old.settings.Seeds)
-		heir.settings.Found = false
+		replacement.settings.Found = false
 		w.after(down, func() {
-			heir.settings.Seeds = []string{}
-			for _, board := range w.of(message.RoleRegistry) {
-				if board != heir && !board.retired && len(heir.settings.Seeds) < 3 {
-					heir.settings.Seeds = append(heir.settings.Seeds, board.address())
+			replacement.settings.Seeds = []string{}
+			for _, registryNode := range w.of(message.RoleRegistry) {
+				if registryNode != replacement && !registryNode.retired && len(replacement.settings.Seeds) < 3 {
+					replacement.settings.Seeds = append(replacement.settings.Seeds, registryNode.address())
 				}
 			}
-			heir.boot()
+			replacement.boot()
 		})
 	}
 }
@@ -358,18 +358,18 @@
 func (w *World) usurp(machine string, frozen time.Duration) {
 	for index, old := range w.machineNodes(machine) {
 		host := fmt.Sprintf("10.1.9.%d:7%d00", len(w.order)+1, 4+index)
-		heir := w.addNode(old.role, machine+heirMark, old.settings.Voter, old.settings.Zone, host, old.settings.Seeds)
-		heir.name, heir.settings.Node = old.role+"/"+machine+heirMark, old.settings.Node
-		w.after(500*time.Millisecond, heir.boot)
+		replacement := w.addNode(old.role, machine+heirMark, old.settings.Voter, old.settings.Zone, host, old.settings.Seeds)
+		replacement.name, replacement.settings.Node = old.role+"/"+machine+heirMark, old.settings.Node
+		w.after(500*time.Millisecond, replacement.boot)
 	}
 	w.freeze(w.machineNodes(machine), frozen)
 }
 
 // force-recover is the operator's deed on the survivor of two lost disks.
 func (w *World) forceRecover(machine string) {
-	for _, nodeName := range w.machineNodes(machine) {
-		nodeName.kill(true, false)
-		survivor := nodeName
+	for _, node := range w.machineNodes(machine) {
+		node.kill(true, false)
+		survivor := node
 		w.after(200*time.Millisecond, func() {
 			store, snapshot, records, err := storage.Open(survivor.disk)
 			if err != nil || snapshot == nil {
@@ -511,7 +511,7 @@
 			continue
 		}
 		key := fmt.Sprintf("%s/%s-heir-%d", service.Name, service.Name, len(w.upOrder))
-		heir := &Upstream{
+		replacement := &Upstream{
 			world:          w,
 			key:            key,
 			vanished:       map[int]bool{},
@@ -527,12 +527,12 @@
 				Slots:    service.Slots,
 			},
 		}
-		w.upstreams[key] = heir
+		w.upstreams[key] = replacement
 		w.upOrder = append(w.upOrder, key)
 		// It takes connections at once and announces itself only later, to another proxy.
-		heir.servingProxies = append(append([]*Node{}, old.servingProxies[1:]...), old.servingProxies[0])
-		heir.quiet = w.now + time.Duration(w.random.Int64N(int64(2*time.Second)))
-		heir.start(0)
+		replacement.servingProxies = append(append([]*Node{}, old.servingProxies[1:]...), old.servingProxies[0])
+		replacement.quiet = w.now + time.Duration(w.random.Int64N(int64(2*time.Second)))
+		replacement.start(0)
 		return
 	}
 }
--- a/internal/simulation/hundreds.go
+++ b/internal/simulation/hundreds.go
@@ -89,14 +89,14 @@
 // acknowledged when it came, as long as no more machines count as lost than may be: one
 // counts as lost while it is away and for the same bound after it is back.
 func (w *World) expectCaughtUp(store *Node) {
-	wanted, life, began := w.newestAcked, store.life, w.now
+	wanted, incarnation, began := w.newestAcked, store.incarnation, w.now
 	bound := time.Duration(store.settings.Bounds.CatchUp) * time.Millisecond
 	if wanted == 0 || store.role != message.RoleConfigStore || !w.othersStand(store, began-bound) {
 		return
 	}
 	behind := wanted - newestOf(store)
 	w.after(bound, func() {
-		hampered := !store.up || store.frozen || store.life != life || store.wasFrozen(began) || store.slow > w.options.Deployment.DiskDelay
+		hampered := !store.up || store.frozen || store.incarnation != incarnation || store.wasFrozen(began) || store.writeDelay > w.options.Deployment.DiskDelay
 		if hampered || w.isSpare(store) || w.cutOff(store.machine) || !w.othersStand(store, began-bound) {
 			return
 		}
--- a/internal/simulation/linear.go
+++ b/internal/simulation/linear.go
@@ -46,9 +46,9 @@
 	if w.now > until {
 		return
 	}
-	if boards := w.alive(message.RoleRegistry); len(boards) > 0 {
+	if registries := w.alive(message.RoleRegistry); len(registries) > 0 {
 		operation := &configLogOperation{from: w.now}
-		boards[w.random.IntN(len(boards))].request(registry.ReadConfiguration{ConfigName: "main"}, func(answer any) {
+		registries[w.random.IntN(len(registries))].request(registry.ReadConfiguration{ConfigName: "main"}, func(answer any) {
 			got := mustBe[registry.Answer](answer)
 			if got.Code == errcode.OK || got.Code == errcode.ConfigurationNotFound {
 				operation.answer = configLogAnswer{code: got.Code, digest: checker.Digest(got.Body)}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -29,30 +29,30 @@
 
 // Node is one simulated process.
 type Node struct {
-	world    *World
-	name     string
-	role     string
-	machine  string // processes of one machine fail and are cut together
-	settings settings.Settings
-	up       bool
-	frozen   bool
-	life     int
-	drift    float64 // clock rate less 1
-	wallOff  time.Duration
-	bootAt   time.Duration
-	inbox    []func()
+	world       *World
+	name        string
+	role        string
+	machine     string // processes of one machine fail and are cut together
+	settings    settings.Settings
+	up          bool
+	frozen      bool
+	incarnation int
+	drift       float64 // clock rate less 1
+	wallOffset  time.Duration
+	bootAt      time.Duration
+	inbox       []func()
 
 	control statemachine.Machine
 	env     *statemachine.Env
 	disk    *Disk
 
-	recovering  bool // the disk has refused a write; the machine is built anew once it works
-	machineLife int  // grows when the machine is built, also without a new process
-	store       *storage.Store
-	slow        time.Duration
-	diskAt      time.Duration
+	recovering         bool // the disk has refused a write; the machine is built anew once it works
+	machineIncarnation int  // grows when the machine is built, also without a new process
+	store              *storage.Store
+	writeDelay         time.Duration
+	diskFreeAt         time.Duration
 
-	underway []statemachine.Write
+	pendingWrites []statemachine.Write
 
 	tracker       *frontend.Dispatcher
 	frontend      *frontend.Frontend
@@ -66,15 +66,15 @@
 	born          time.Duration
 	spanAt        time.Duration
 
-	frozenAt  time.Duration
-	slowUntil time.Duration
-	inside    int // callers' requests not answered yet
-	stopping  bool
-	retired   bool // its machine was taken away for good
-	wiped     bool // its disk was lost at least once
-	leaving   bool // it is once the process has ended
-	deaf      bool // takes no new requests: its listener is closed
-	spanOn    bool
+	frozenAt        time.Duration
+	writeDelayUntil time.Duration
+	inFlight        int // callers' requests not answered yet
+	stopping        bool
+	retired         bool // its machine was taken away for good
+	diskLost        bool // its disk was lost at least once
+	leaving         bool // it is once the process has ended
+	listenerClosed  bool // takes no new requests: its listener is closed
+	spanOn          bool
 }
 
 func (w *World) build() {
@@ -105,22 +105,22 @@
 func (w *World) addNode(role, machine, voter, zone, address string, seeds []string) *Node {
 	cfg := w.options.Deployment.Settings(role, machine, voter, zone, address, address, seeds, "data")
 	cfg.Collector = "http://collector/"
-	nodeName := &Node{
-		world:    w,
-		name:     role + "/" + machine,
-		role:     role,
-		machine:  machine,
-		settings: cfg,
-		disk:     NewDisk(),
-		drift:    (w.random.Float64() - 0.5) * 0.002,
-		wallOff:  time.Duration(w.random.Int64N(int64(60*time.Millisecond))) - 30*time.Millisecond,
-		slow:     w.options.Deployment.DiskDelay,
-		replies:  map[int64]func(any){},
-	}
-	w.nodes[nodeName.name] = nodeName
-	w.order = append(w.order, nodeName.name)
-	w.byAddress[address] = nodeName
-	return nodeName
+	node := &Node{
+		world:      w,
+		name:       role + "/" + machine,
+		role:       role,
+		machine:    machine,
+		settings:   cfg,
+		disk:       NewDisk(),
+		drift:      (w.random.Float64() - 0.5) * 0.002,
+		wallOffset: time.Duration(w.random.Int64N(int64(60*time.Millisecond))) - 30*time.Millisecond,
+		writeDelay: w.options.Deployment.DiskDelay,
+		replies:    map[int64]func(any){},
+	}
+	w.nodes[node.name] = node
+	w.order = append(w.order, node.name)
+	w.byAddress[address] = node
+	return node
 }
 
 // place names the voter in the record: the settings' one, or the machine.
@@ -141,7 +141,7 @@
 
 // Wall is the node's time of day.
 func (n *Node) Wall() time.Time {
-	return time.Unix(0, int64(epoch+n.world.now+n.wallOff)).UTC()
+	return time.Unix(0, int64(epoch+n.world.now+n.wallOffset)).UTC()
 }
 
 // trueWait turns a wait on the node's clock into true time.
@@ -154,12 +154,12 @@
 	if n.up || n.retired {
 		return
 	}
-	if n.life++; n.life > 1 {
+	if n.incarnation++; n.incarnation > 1 {
 		n.settings.Found = false
 	}
-	n.up, n.frozen, n.bootAt, n.inbox, n.diskAt, n.underway = true, false, n.world.now, nil, 0, nil
-	n.inside, n.deaf, n.stopping, n.recovering = 0, false, false, false
-	n.machineLife++
+	n.up, n.frozen, n.bootAt, n.inbox, n.diskFreeAt, n.pendingWrites = true, false, n.world.now, nil, 0, nil
+	n.inFlight, n.listenerClosed, n.stopping, n.recovering = 0, false, false, false
+	n.machineIncarnation++
 	n.env = statemachine.NewEnv(n.world.random.Uint64())
 	n.replies = map[int64]func(any){}
 	n.born = n.world.now
@@ -183,7 +183,7 @@
 	n.world.mark("boot %s", n.name)
 	n.world.expectCaughtUp(n)
 	n.openSpan()
-	n.every(n.life, n.settings.TickEvery(), n.tick)
+	n.every(n.incarnation, n.settings.TickEvery(), n.tick)
 }
 
 func (n *Node) bootProxy(self message.Member) {
@@ -193,18 +193,18 @@
 	n.frontend = frontend.New(n.settings, n.serving.LookupDelegation)
 	n.frontend.UseProtocol(namedCallers{})
 	n.control = proxy.New(n.settings, self)
-	n.tracker = frontend.NewDispatcher(n.settings, n.frontend, n.serving, &environment{n, n.life}, self)
-	life := n.life
-	n.every(life, n.settings.UpdatesEvery()/4, func() { n.run(life, n.sweep) })
-	n.every(life, n.settings.CountEvery(), func() { n.run(life, n.count) })
+	n.tracker = frontend.NewDispatcher(n.settings, n.frontend, n.serving, &environment{n, n.incarnation}, self)
+	incarnation := n.incarnation
+	n.every(incarnation, n.settings.UpdatesEvery()/4, func() { n.run(incarnation, n.sweep) })
+	n.every(incarnation, n.settings.CountEvery(), func() { n.run(incarnation, n.count) })
 }
 
 // every does something in a steady rhythm of the node's clock, as long as a life lasts.
-func (n *Node) every(life int, wait time.Duration, do func()) {
+func (n *Node) every(incarnation int, wait time.Duration, do func()) {
 	n.world.after(n.trueWait(wait), func() {
-		if n.up && n.life == life {
+		if n.up && n.incarnation == incarnation {
 			do()
-			n.every(life, wait, do)
+			n.every(incarnation, wait, do)
 		}
 	})
 }
@@ -237,9 +237,9 @@
 }
 
 // run does something in the process, now or when it wakes.
-func (n *Node) run(life int, do func()) {
+func (n *Node) run(incarnation int, do func()) {
 	switch {
-	case !n.up || n.life != life:
+	case !n.up || n.incarnation != incarnation:
 	case n.frozen:
 		if len(n.inbox) < inboxCap {
 			n.inbox = append(n.inbox, do)
@@ -250,8 +250,8 @@
 }
 
 func (n *Node) arrive(from string, frame []byte) {
-	life := n.life
-	n.run(life, func() {
+	incarnation := n.incarnation
+	n.run(incarnation, func() {
 		msg, err := message.Decode(frame)
 		if err != nil {
 			n.world.fail("%s cannot read a frame: %v", n.name, err)
@@ -271,14 +271,14 @@
 }
 
 func (n *Node) perform(effect any) {
-	life := n.life
+	incarnation := n.incarnation
 	switch done := effect.(type) {
 	case statemachine.Send:
 		n.world.send(n, done.To, done.Message)
 	case statemachine.Datagram:
 		n.world.datagram(n, done.To, done.Message)
 	case statemachine.Write:
-		n.write(life, done)
+		n.write(incarnation, done)
 	case statemachine.Reply:
 		if reply := n.replies[done.RequestID]; reply != nil {
 			delete(n.replies, done.RequestID)
@@ -292,7 +292,7 @@
 	case statemachine.Probe:
 		n.world.after(n.world.transit()*2, func() {
 			owner := n.world.addresses[done.Address]
-			n.run(life, func() {
+			n.run(incarnation, func() {
 				n.apply(statemachine.Asked{Question: proxy.Probed{
 					Key:         done.Key,
 					Incarnation: done.Incarnation,
@@ -305,26 +305,26 @@
 		if n.Now() > report.Until {
 			return
 		}
-		n.world.after(n.world.transit(), func() { n.world.collect(n, life, report) })
+		n.world.after(n.world.transit(), func() { n.world.collect(n, incarnation, report) })
 	}
 }
 
 // write models the disk's time; what is under way at a crash may be torn.
-func (n *Node) write(life int, written statemachine.Write) {
-	wait := n.slow + time.Duration(n.world.random.Int64N(int64(n.slow)+1))
-	n.diskAt = max(n.diskAt, n.world.now) + wait
-	n.underway = append(n.underway, written)
-	machineLife := n.machineLife
-	n.world.at(n.diskAt, func() {
-		if !n.up || n.life != life || n.machineLife != machineLife {
+func (n *Node) write(incarnation int, written statemachine.Write) {
+	wait := n.writeDelay + time.Duration(n.world.random.Int64N(int64(n.writeDelay)+1))
+	n.diskFreeAt = max(n.diskFreeAt, n.world.now) + wait
+	n.pendingWrites = append(n.pendingWrites, written)
+	machineLife := n.machineIncarnation
+	n.world.at(n.diskFreeAt, func() {
+		if !n.up || n.incarnation != incarnation || n.machineIncarnation != machineLife {
 			return
 		}
-		n.underway = n.underway[1:]
+		n.pendingWrites = n.pendingWrites[1:]
 		failure := n.storeWrite(written)
 		if failure != nil {
-			n.recoverDisk(life)
+			n.recoverDisk(incarnation)
 		}
-		n.run(life, func() { n.apply(statemachine.Synced{RequestID: written.RequestID, Failure: failure}) })
+		n.run(incarnation, func() { n.apply(statemachine.Synced{RequestID: written.RequestID, Failure: failure}) })
 	})
 }
 
@@ -369,7 +369,7 @@
 	n.lastRequestID++
 	requestID := n.lastRequestID
 	n.replies[requestID] = reply
-	n.run(n.life, func() { n.apply(statemachine.Asked{RequestID: requestID, Question: question}) })
+	n.run(n.incarnation, func() { n.apply(statemachine.Asked{RequestID: requestID, Question: question}) })
 }
 
 // stopForGood ends the process politely, and its machine does not come back.
@@ -384,12 +384,12 @@
 	if !n.up || n.frozen {
 		return
 	}
-	life, began := n.life, n.world.now
+	incarnation, began := n.incarnation, n.world.now
 	n.world.mark("stop %s", n.name)
 	n.stopping = true
 	n.closeSpan()
 	restart := func() {
-		if n.up && n.life == life {
+		if n.up && n.incarnation == incarnation {
 			if n.role == message.RoleProxy {
 				n.world.record.Stopped = append(n.world.record.Stopped, checker.Span{Name: n.machine, From: began, To: n.world.now})
 			}
@@ -405,14 +405,14 @@
 		var wait func()
 		wait = func() {
 			running, queue := n.serving.Running()
-			if n.up && n.life == life && (n.inside > 0 || running+queue > 0) && n.world.now-began < n.settings.Grace() {
+			if n.up && n.incarnation == incarnation && (n.inFlight > 0 || running+queue > 0) && n.world.now-began < n.settings.Grace() {
 				n.world.after(n.settings.TickEvery(), wait)
 				return
 			}
 			n.world.after(n.settings.TickEvery(), restart)
 		}
 		n.world.after(n.settings.UpdatesEvery(), func() {
-			n.deaf = true
+			n.listenerClosed = true
 			wait()
 		})
 	case message.RoleRegistry:
@@ -444,17 +444,17 @@
 		})
 	}
 	n.world.mark("kill %s", n.name)
-	if len(n.underway) > 0 && !n.disk.fail {
+	if len(n.pendingWrites) > 0 && !n.disk.fail {
 		// What the disk was at is done up to some step: written, synced, named.
 		n.disk.steps = n.world.random.IntN(7)
 		// The disk stops at that step, so the failure is what is wanted.
-		_ = n.storeWrite(n.underway[0])
+		_ = n.storeWrite(n.pendingWrites[0])
 		n.world.dangers["kills in the middle of a write"]++
 	}
-	n.underway = nil
+	n.pendingWrites = nil
 	n.disk.Crash(n.world.random)
 	if loseDisk {
-		n.wiped = true
+		n.diskLost = true
 		n.disk = NewDisk()
 	}
 	for _, connection := range n.connections {
@@ -501,8 +501,8 @@
 
 // environment is the desk's port in the simulator, for one life of a proxy.
 type environment struct {
-	node *Node
-	life int
+	node        *Node
+	incarnation int
 }
 
 // Now returns the simulated process clock.
@@ -521,7 +521,7 @@
 func (b *environment) Enqueue(env frontend.Stage, item any) bool {
 	n := b.node
 	n.world.after(20*time.Microsecond, func() {
-		n.run(b.life, func() {
+		n.run(b.incarnation, func() {
 			switch env {
 			case frontend.StageAdmit:
 				n.tracker.Admit(mustBe[*frontend.PendingRequest](item))
@@ -539,7 +539,7 @@
 			case frontend.StageOutcome:
 				n.tracker.HandleOutcome(mustBe[frontend.AttemptOutcome](item))
 			case frontend.StageStart:
-				n.call(b.life, mustBe[backend.Decision](item))
+				n.call(b.incarnation, mustBe[backend.Decision](item))
 			}
 		})
 	})
@@ -555,7 +555,7 @@
 
 // After calls a function at a later time.
 func (b *environment) After(wait time.Duration, then func()) {
-	b.node.world.after(b.node.trueWait(wait), func() { b.node.run(b.life, then) })
+	b.node.world.after(b.node.trueWait(wait), func() { b.node.run(b.incarnation, then) })
 }
 
 // simConnection is a traffic connection between two proxies.
@@ -575,7 +575,7 @@
 // Open opens a simulated connection to a serving proxy.
 func (b *environment) Open(servingProxy string, received func(msg any), closed func(connection frontend.Connection)) frontend.Connection {
 	n := b.node
-	connection := &simConnection{from: n, lifeFrom: b.life, received: received, broke: closed}
+	connection := &simConnection{from: n, lifeFrom: b.incarnation, received: received, broke: closed}
 	n.connections = append(n.connections, connection)
 	target, found := n.world.byAddress[servingProxy]
 	n.world.after(n.world.transit()*2, func() { connection.dialled(target, found) })
@@ -602,7 +602,7 @@
 }
 
 func (s *simConnection) attach(target *Node) {
-	s.to, s.lifeTo, s.attached = target, target.life, true
+	s.to, s.lifeTo, s.attached = target, target.incarnation, true
 	for _, msg := range s.queue {
 		s.forward(msg)
 	}
@@ -660,12 +660,12 @@
 }
 
 // deliverLater delivers along the connection; a cut holds it up, a long one breaks the connection.
-func (s *simConnection) deliverLater(arrival time.Duration, from, to *Node, life int, do func()) {
+func (s *simConnection) deliverLater(arrival time.Duration, from, to *Node, incarnation int, do func()) {
 	w := s.from.world
 	tries := 0
 	var deliver func()
 	deliver = func() {
-		if s.closed || !to.up || to.life != life {
+		if s.closed || !to.up || to.incarnation != incarnation {
 			return
 		}
 		if !w.linked(from, to) {
@@ -677,7 +677,7 @@
 			w.after(200*time.Millisecond, deliver)
 			return
 		}
-		to.run(life, do)
+		to.run(incarnation, do)
 	}
 	w.at(arrival, deliver)
 }
@@ -698,16 +698,16 @@
 // connectionsLost breaks the connections that led to a node that ended.
 func (w *World) connectionsLost(ended *Node) {
 	for _, name := range w.order {
-		nodeName := w.nodes[name]
-		if _, spoke := w.lastAt[nodeName.address()+">"+ended.address()]; spoke && nodeName != ended && w.linked(ended, nodeName) {
-			life := nodeName.life
+		node := w.nodes[name]
+		if _, spoke := w.lastAt[node.address()+">"+ended.address()]; spoke && node != ended && w.linked(ended, node) {
+			incarnation := node.incarnation
 			w.after(w.transit(), func() {
-				nodeName.run(life, func() {
-					nodeName.apply(statemachine.Asked{Question: statemachine.ConnectionBroke{Address: ended.address()}})
+				node.run(incarnation, func() {
+					node.apply(statemachine.Asked{Question: statemachine.ConnectionBroke{Address: ended.address()}})
 				})
 			})
 		}
-		for _, connection := range nodeName.connections {
+		for _, connection := range node.connections {
 			if connection.to == ended && connection.attached && !connection.closed {
 				lost := connection
 				var tell func()
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -28,18 +28,18 @@
 
 // order is a content that an operator wants under a number.
 type order struct {
-	version   int64
-	tenants   []loadgen.Tenant
-	body      []byte
-	digest    string
-	board     *Node // asked last
-	tries     int
-	ended     bool // the operator was told yes or no
-	rivalled  bool // another content was sent under the same version
-	code      errcode.Code
-	endedAt   time.Duration
-	operation *configLogOperation
-	then      func(code errcode.Code)
+	version      int64
+	tenants      []loadgen.Tenant
+	body         []byte
+	digest       string
+	registryNode *Node // asked last
+	tries        int
+	ended        bool // the operator was told yes or no
+	rivalled     bool // another content was sent under the same version
+	code         errcode.Code
+	endedAt      time.Duration
+	operation    *configLogOperation
+	then         func(code errcode.Code)
 }
 
 func (w *World) newOrder(version int64, tenants []loadgen.Tenant, body []byte, then func(code errcode.Code)) *order {
@@ -59,40 +59,40 @@
 	if o.ended || w.now > w.ordersEnd {
 		return
 	}
-	boards := w.alive(message.RoleRegistry)
-	if len(boards) == 0 {
+	registries := w.alive(message.RoleRegistry)
+	if len(registries) == 0 {
 		w.after(orderPauseMax, func() { w.persist(o) })
 		return
 	}
-	chosen := boards[w.random.IntN(len(boards))]
-	if chosen == o.board {
-		chosen = boards[(w.random.IntN(len(boards)))]
+	chosen := registries[w.random.IntN(len(registries))]
+	if chosen == o.registryNode {
+		chosen = registries[(w.random.IntN(len(registries)))]
 	}
 	w.sendOrder(o, chosen)
 }
 
 // sendOrder sends an order to a registry, and again elsewhere when it is not told.
-func (w *World) sendOrder(o *order, board *Node) {
+func (w *World) sendOrder(o *order, registryNode *Node) {
 	o.tries++
-	o.board = board
+	o.registryNode = registryNode
 	if o.tries > 1 && w.taken[o.version] == o.digest {
 		w.dangers["orders sent again that had been taken"]++
 		w.countOldOrder(o)
 	}
-	w.mark("order %d %s at %s", o.version, o.digest, board.name)
+	w.mark("order %d %s at %s", o.version, o.digest, registryNode.name)
 	told := false
-	w.askBoard(board, registry.WriteConfiguration{
+	w.askRegistry(registryNode, registry.WriteConfiguration{
 		ConfigName: "main",
 		Version:    o.version,
 		Body:       o.body,
-		Check:      registry.CheckConfiguration(board.settings, o.body),
+		Check:      registry.CheckConfiguration(registryNode.settings, o.body),
 	}, func(answer registry.Answer) {
 		told = true
 		if w.orderAnswered(o, answer) {
 			w.after(min(orderPause*time.Duration(o.tries), orderPauseMax), func() { w.persist(o) })
 		}
 	})
-	w.after(board.settings.AnswerLimit(len(o.body))+orderSilence/5, func() {
+	w.after(registryNode.settings.AnswerLimit(len(o.body))+orderSilence/5, func() {
 		if !told {
 			w.persist(o)
 		}
@@ -175,20 +175,20 @@
 	w.newestAcked = max(w.newestAcked, version)
 }
 
-// askBoard puts an operator's question and holds the answer against what a registry in this
+// askRegistry puts an operator's question and holds the answer against what a registry in this
 // state of the world may say, and how soon.
-func (w *World) askBoard(board *Node, question any, then func(answer registry.Answer)) {
-	began, life, newest := w.now, board.life, w.newestAcked
-	_, cutBefore := w.severed[board.machine]
+func (w *World) askRegistry(registryNode *Node, question any, then func(answer registry.Answer)) {
+	began, incarnation, newest := w.now, registryNode.incarnation, w.newestAcked
+	_, cutBefore := w.severed[registryNode.machine]
 	answered := false
-	board.request(question, func(reply any) {
+	registryNode.request(question, func(reply any) {
 		answered = true
 		answer := mustBe[registry.Answer](reply)
 		if get, isRead := question.(registry.ReadConfiguration); isRead && answer.Code == errcode.OK && !get.List && get.Version == 0 {
-			w.judgeRead(board, answer, newest)
+			w.judgeRead(registryNode, answer, newest)
 		}
-		if since, cut := w.severed[board.machine]; cutBefore && cut && since <= began {
-			w.judgeSevered(board, question, answer.Code)
+		if since, cut := w.severed[registryNode.machine]; cutBefore && cut && since <= began {
+			w.judgeSevered(registryNode, question, answer.Code)
 		}
 		then(answer)
 	})
@@ -196,31 +196,31 @@
 	if write, isWrite := question.(registry.WriteConfiguration); isWrite {
 		body = len(write.Body)
 	}
-	w.after(board.settings.AnswerLimit(body)+orderSilence/5, func() {
-		if !answered && board.up && !board.frozen && board.life == life && !board.wasFrozen(began) {
-			w.fail("%s said nothing within %s", board.name, w.now-began)
+	w.after(registryNode.settings.AnswerLimit(body)+orderSilence/5, func() {
+		if !answered && registryNode.up && !registryNode.frozen && registryNode.incarnation == incarnation && !registryNode.wasFrozen(began) {
+			w.fail("%s said nothing within %s", registryNode.name, w.now-began)
 		}
 	})
 }
 
 // judgeRead: a read gives what was acknowledged before it was asked, or newer.
-func (w *World) judgeRead(board *Node, answer registry.Answer, newest int64) {
+func (w *World) judgeRead(registryNode *Node, answer registry.Answer, newest int64) {
 	version, known := w.contents[checker.Digest(answer.Body)]
 	if !known {
-		w.fail("%s gave back a configuration that nobody sent", board.name)
+		w.fail("%s gave back a configuration that nobody sent", registryNode.name)
 	} else if version < newest {
-		w.fail("%s gave back version %d as current, %d was acknowledged before", board.name, version, newest)
+		w.fail("%s gave back version %d as current, %d was acknowledged before", registryNode.name, version, newest)
 	}
 }
 
 // judgeSevered: who is cut off from the others says only that it can't answer.
-func (w *World) judgeSevered(board *Node, question any, code errcode.Code) {
+func (w *World) judgeSevered(registryNode *Node, question any, code errcode.Code) {
 	what := "reads"
 	if _, isWrite := question.(registry.WriteConfiguration); isWrite {
 		what = "orders"
 	}
 	w.dangers[what+" answered by a cut-off node"]++
 	if code != errcode.ConfigurationNoHolder && code != errcode.ConfigurationBehind && code != errcode.ConfigurationUnsure {
-		w.fail("%s answered %s while it was cut off", board.name, code)
+		w.fail("%s answered %s while it was cut off", registryNode.name, code)
 	}
 }
--- a/internal/simulation/platform.go
+++ b/internal/simulation/platform.go
@@ -19,35 +19,35 @@
 )
 
 type readiness struct {
-	life    int
-	at      time.Duration // of the last yes
-	said    bool
-	unready int // noes in a row, while it could have served
+	incarnation int
+	at          time.Duration // of the last yes
+	said        bool
+	unready     int // noes in a row, while it could have served
 }
 
 func (w *World) requestReady(until time.Duration) {
 	if w.now > until {
 		return
 	}
-	for _, nodeName := range w.of(message.RoleProxy) {
-		held := w.readiness[nodeName.name]
-		if held == nil || held.life != nodeName.life {
-			held = &readiness{life: nodeName.life}
-			w.readiness[nodeName.name] = held
+	for _, node := range w.of(message.RoleProxy) {
+		held := w.readiness[node.name]
+		if held == nil || held.incarnation != node.incarnation {
+			held = &readiness{incarnation: node.incarnation}
+			w.readiness[node.name] = held
 		}
-		if !nodeName.up || nodeName.frozen || nodeName.deaf {
+		if !node.up || node.frozen || node.listenerClosed {
 			continue
 		}
 		w.record.ReadyAsked++
-		if nodeName.frontend.Ready(nodeName.Now()) {
+		if node.frontend.Ready(node.Now()) {
 			held.said, held.at, held.unready = true, w.now, 0
 			continue
 		}
 		held.said = false
-		if _, cut := w.cutSince[nodeName.machine]; cut || nodeName.stopping || !w.vouched(nodeName) || !w.coreStands(nodeName) {
+		if _, cut := w.cutSince[node.machine]; cut || node.stopping || !w.vouched(node) || !w.coreStands(node) {
 			held.unready = 0
 		} else if held.unready++; held.unready == unreadyMost {
-			w.fail("%s could serve and was unready %d s in a row", nodeName.name, unreadyMost)
+			w.fail("%s could serve and was unready %d s in a row", node.name, unreadyMost)
 		}
 	}
 	w.after(requestReadyEvery, func() { w.requestReady(until) })
@@ -56,11 +56,11 @@
 // coreStands: more than half of the registries are up, in reach of a node, and have the disk
 // of their vote, so every tag has a holder. One whose disk was lost is no part of that before
 // it has its vote again: while too few others are up nobody can give it one.
-func (w *World) coreStands(nodeName *Node) bool {
+func (w *World) coreStands(node *Node) bool {
 	count := 0
-	for _, board := range w.alive(message.RoleRegistry) {
-		if w.linked(nodeName, board) && w.linked(board, nodeName) && w.now-board.born > commit && !w.cutOff(board.machine) &&
-			!w.voteLost(board) {
+	for _, registryNode := range w.alive(message.RoleRegistry) {
+		if w.linked(node, registryNode) && w.linked(registryNode, node) && w.now-registryNode.born > commit && !w.cutOff(registryNode.machine) &&
+			!w.voteLost(registryNode) {
 			count++
 		}
 	}
@@ -68,20 +68,20 @@
 }
 
 // voteLost: the disk of a registry's vote was lost, and it has none again.
-func (w *World) voteLost(board *Node) bool {
-	machine, isRegistry := board.control.(*registry.Machine)
-	return board.wiped && isRegistry && !machine.VoterState().Voting
+func (w *World) voteLost(registryNode *Node) bool {
+	machine, isRegistry := registryNode.control.(*registry.Machine)
+	return registryNode.diskLost && isRegistry && !machine.VoterState().Voting
 }
 
 // refusedAfterReady checks a refusal by the caller's own proxy against what it told
 // the platform.
-func (w *World) refusedAfterReady(nodeName *Node, code errcode.Code, attempts int) {
-	held := w.readiness[nodeName.name]
+func (w *World) refusedAfterReady(node *Node, code errcode.Code, attempts int) {
+	held := w.readiness[node.name]
 	if attempts > 0 || code != errcode.BusyNotReady && code != errcode.BusyStale || held == nil || !held.said ||
-		held.life != nodeName.life {
+		held.incarnation != node.incarnation {
 		return
 	}
 	if w.now-held.at < readyHolds {
-		w.fail("%s said that it is ready and refused with %s %s later", nodeName.name, code, w.now-held.at)
+		w.fail("%s said that it is ready and refused with %s %s later", node.name, code, w.now-held.at)
 	}
 }
--- a/internal/simulation/sameversion.go
+++ b/internal/simulation/sameversion.go
@@ -73,8 +73,8 @@
 
 // rivalOrders: two contents under one version, sent at once to two registries.
 func (w *World) rivalOrders() {
-	boards := w.alive(message.RoleRegistry)
-	if len(boards) == 0 {
+	registries := w.alive(message.RoleRegistry)
+	if len(registries) == 0 {
 		return
 	}
 	w.versions += 1 + int64(w.random.IntN(3))
@@ -93,23 +93,23 @@
 			}
 		})
 		o.rivalled = true
-		w.sendOrder(o, boards[(w.random.IntN(len(boards))+rival)%len(boards)])
+		w.sendOrder(o, registries[(w.random.IntN(len(registries))+rival)%len(registries)])
 	}
 	w.dangers["pairs of contents under one version"]++
 }
 
 // ordersTogether sends several new versions at one time.
 func (w *World) ordersTogether() {
-	boards := w.alive(message.RoleRegistry)
+	registries := w.alive(message.RoleRegistry)
 	tenants := w.options.Deployment.Tenants()[:w.tenants]
 	for index := range ordersAtOnce {
 		w.versions++
 		o := w.newOrder(w.versions, tenants, w.options.Deployment.Configuration(tenants, 100+int(w.versions)), nil)
-		if len(boards) == 0 {
+		if len(registries) == 0 {
 			w.persist(o)
 			continue
 		}
-		w.sendOrder(o, boards[index%len(boards)])
+		w.sendOrder(o, registries[index%len(registries)])
 	}
 	w.dangers["eight orders at one time"]++
 }
@@ -122,8 +122,8 @@
 			known = append(known, o)
 		}
 	}
-	boards := w.alive(message.RoleRegistry)
-	if len(known) == 0 || len(boards) == 0 {
+	registries := w.alive(message.RoleRegistry)
+	if len(known) == 0 || len(registries) == 0 {
 		return
 	}
 	chosen := known[0]
@@ -136,7 +136,7 @@
 		}
 	})
 	again.tries = 1
-	w.sendOrder(again, boards[w.random.IntN(len(boards))])
+	w.sendOrder(again, registries[w.random.IntN(len(registries))])
 }
 
 // settled: at the end every operator was told yes or no.
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -49,8 +49,8 @@
 func Play(options Options) Result {
 	w := NewWorld(options)
 	for _, name := range w.order {
-		nodeName := w.nodes[name]
-		w.at(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), nodeName.boot)
+		node := w.nodes[name]
+		w.at(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), node.boot)
 	}
 	for _, key := range w.upOrder {
 		u := w.upstreams[key]
@@ -98,20 +98,20 @@
 func (w *World) closing() {
 	// What is read is under test here, not how long it takes on narrow links.
 	w.options.Deployment.CoreLink = 0
-	for _, nodeName := range w.alive(message.RoleRegistry) {
-		board := nodeName
-		board.request(registry.ReadConfiguration{ConfigName: "main", List: true}, func(answer any) {
+	for _, node := range w.alive(message.RoleRegistry) {
+		registryNode := node
+		registryNode.request(registry.ReadConfiguration{ConfigName: "main", List: true}, func(answer any) {
 			got := mustBe[registry.Answer](answer)
 			if got.Code != errcode.OK {
-				w.fail("%s does not list the versions: %s", board.name, got.Code)
+				w.fail("%s does not list the versions: %s", registryNode.name, got.Code)
 				return
 			}
 			for _, listed := range gjson.GetBytes(got.Body, "versions").Array() {
 				version := listed.Int()
-				board.request(registry.ReadConfiguration{ConfigName: "main", Version: version}, func(answer any) {
+				registryNode.request(registry.ReadConfiguration{ConfigName: "main", Version: version}, func(answer any) {
 					if got := mustBe[registry.Answer](answer); got.Code == errcode.OK {
 						w.record.Kept = append(w.record.Kept, checker.Kept{
-							Voter:      board.place(),
+							Voter:      registryNode.place(),
 							ConfigName: "main",
 							Version:    version,
 							Digest:     checker.Digest(got.Body),
@@ -122,14 +122,14 @@
 		})
 		for _, report := range w.record.Reported {
 			window := report.Window
-			board.request(registry.ReadUsage{Window: window}, func(answer any) {
+			registryNode.request(registry.ReadUsage{Window: window}, func(answer any) {
 				if got := mustBe[registry.Answer](answer); got.Code == errcode.OK {
 					counts := map[string]int64{}
 					gjson.GetBytes(got.Body, "counts").ForEach(func(tenant, count gjson.Result) bool {
 						counts[tenant.String()] = count.Int()
 						return true
 					})
-					w.record.Reread = append(w.record.Reread, checker.Reported{Window: window, From: board.place(), Counts: counts})
+					w.record.Reread = append(w.record.Reread, checker.Reported{Window: window, From: registryNode.place(), Counts: counts})
 				}
 			})
 		}
--- a/internal/simulation/secondloss.go
+++ b/internal/simulation/secondloss.go
@@ -114,8 +114,8 @@
 	for _, old := range w.machineNodes(machine) {
 		heirs = append(heirs, w.addHeir(old, machine+"-after"))
 	}
-	for _, heir := range heirs {
-		heir.boot()
+	for _, replacement := range heirs {
+		replacement.boot()
 	}
 	w.after(max(wait, time.Second), func() {
 		w.holdsNewestAlone(machine)
@@ -127,9 +127,9 @@
 		}
 		w.after(time.Duration(w.random.Int64N(int64(lossWithin))), func() {
 			w.dangers["newcomers lost in the middle of a planned replacement"]++
-			for _, heir := range heirs {
-				heir.kill(true, true)
-				heir.retired = true
+			for _, replacement := range heirs {
+				replacement.kill(true, true)
+				replacement.retired = true
 			}
 		})
 	})
@@ -171,14 +171,14 @@
 	w.serial++
 	host, port, _ := strings.Cut(old.settings.Address, ":")
 	parts := strings.Split(host, ".")
-	heir := w.addNode(old.role, machine, "", old.settings.Zone,
+	replacement := w.addNode(old.role, machine, "", old.settings.Zone,
 		fmt.Sprintf("%s.%d:%s", strings.Join(parts[:3], "."), 100+w.serial, port), old.settings.Seeds)
-	heir.settings.Found = false
-	heir.settings.Seeds = []string{}
-	for _, board := range w.of(message.RoleRegistry) {
-		if board != heir && !board.retired && len(heir.settings.Seeds) < 3 {
-			heir.settings.Seeds = append(heir.settings.Seeds, board.address())
+	replacement.settings.Found = false
+	replacement.settings.Seeds = []string{}
+	for _, registryNode := range w.of(message.RoleRegistry) {
+		if registryNode != replacement && !registryNode.retired && len(replacement.settings.Seeds) < 3 {
+			replacement.settings.Seeds = append(replacement.settings.Seeds, registryNode.address())
 		}
 	}
-	return heir
+	return replacement
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -243,10 +243,10 @@
 	}
 	lane := from.address() + ">" + to
 	arrival := max(w.passLinks(from, target, len(frame)), w.lastAt[lane])
-	life := target.life
+	incarnation := target.incarnation
 	var deliver func()
 	deliver = func() {
-		if !target.up || target.life != life {
+		if !target.up || target.incarnation != incarnation {
 			return
 		}
 		if !w.linked(from, target) {
@@ -294,9 +294,9 @@
 
 func (w *World) alive(role string) []*Node {
 	list := []*Node{}
-	for _, nodeName := range w.of(role) {
-		if nodeName.up && !nodeName.frozen {
-			list = append(list, nodeName)
+	for _, node := range w.of(role) {
+		if node.up && !node.frozen {
+			list = append(list, node)
 		}
 	}
 	return list
