--- a/internal/explore/chain.go
+++ b/internal/explore/chain.go
@@ -1,6 +1,3 @@
-// This file plans the worst that the users have seen: a loss right after another, or after
-// its repair, around a write that only a bare majority has.
-
 package explore
 
 import (
@@ -9,7 +6,8 @@
 	"beaconvane/internal/message"
 )
 
-// due takes the planned actions of a round.
+// due takes the planned actions of a round. Chained actions are a loss right after another or after
+// its repair, around a write that only a bare majority has.
 func (k *walker) due(round int) []Action {
 	actions, rest := []Action{}, []Action{}
 	for _, planned := range k.chain {
--- a/internal/explore/checks.go
+++ b/internal/explore/checks.go
@@ -1,5 +1,3 @@
-// This file holds the promises that every run is checked against.
-
 package explore
 
 import (
--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -1,7 +1,3 @@
-// This file carries actions out. An action that makes no sense where it stands (its
-// process is not up, its message is not there, a loss would be one too many) does
-// nothing, so that every part of a plan is a plan.
-
 package explore
 
 import (
@@ -20,7 +16,9 @@
 	processLimit = 12
 )
 
-// do carries an action out; false when it could not be.
+// do carries an action out and reports whether it could. An action that is impossible where it
+// stands (its process is down, its message is not there, it would lose too many disks) does nothing,
+// so that every part of a plan is a plan and plans can be shrunk.
 func (w *World) do(action Action) bool {
 	switch action.Kind {
 	case Lose, Double, Late:
--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -1,7 +1,3 @@
-// This file takes the fingerprint of a state: of all machines, disks, messages and writes
-// on their way, faults that last, and what operators were told. Two runs that come to one
-// fingerprint at one round go on alike.
-
 package explore
 
 import (
@@ -17,7 +13,9 @@
 	"beaconvane/internal/storage"
 )
 
-// fingerprint folds values into a hash, through unexported fields and pointers as well.
+// fingerprint folds the state of a run into a hash, through unexported fields and pointers as well:
+// machines, disks, messages and writes in flight, lasting faults, and what operators were told. Two
+// runs with one fingerprint at one round go on alike.
 type fingerprint struct {
 	text strings.Builder
 	met  map[uintptr]int
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -1,8 +1,3 @@
-// This file is what the registries work for in a run: proxies that send heartbeats and
-// usage counts, whose upstreams come and go, and the collector of the usage reports. Proxies
-// and collector hold no promise up themselves; they are the truth that the registries'
-// roster and reports are held against.
-
 package explore
 
 import (
@@ -17,6 +12,9 @@
 	"beaconvane/internal/statemachine"
 )
 
+// The fleet is what registries serve in a run: proxies with heartbeats, usage counts and upstreams
+// that come and go, and the usage collector. It keeps no promises itself; it is the truth that the
+// registries' roster and reports are checked against.
 const (
 	fleetProxies      = 2
 	upstreamsPerProxy = 2
--- a/internal/explore/history.go
+++ b/internal/explore/history.go
@@ -1,6 +1,3 @@
-// This file is the operators' view: what was asked and answered, checked as it comes
-// and, at the end of a run, for an order in which each took effect at one moment.
-
 package explore
 
 import (
@@ -16,6 +13,7 @@
 	"beaconvane/internal/message"
 )
 
+// operationKind tells writes from reads.
 type operationKind int
 
 const (
--- a/internal/explore/machine.go
+++ b/internal/explore/machine.go
@@ -1,5 +1,3 @@
-// This file is what the exploration wants of a control machine, and the two that it drives.
-
 package explore
 
 import (
--- a/internal/explore/process.go
+++ b/internal/explore/process.go
@@ -1,5 +1,3 @@
-// This file is one process: a real machine with its disk and its clock.
-
 package explore
 
 import (
--- a/internal/explore/run.go
+++ b/internal/explore/run.go
@@ -1,5 +1,3 @@
-// This file plays plans: drawn, replayed and shrunk.
-
 package explore
 
 import "beaconvane/internal/message"
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -1,7 +1,3 @@
-// This file is the systematic search: every way to depart from the default schedule by up
-// to so many faults within a window of rounds around some operators' orders. A branch is
-// cut where it comes to a state that another branch has come to at the same round.
-
 package explore
 
 import (
@@ -13,7 +9,9 @@
 	"beaconvane/internal/goroutine"
 )
 
-// Bounds limit a search.
+// Bounds limit a search. The search tries every way to depart from the default schedule by up to a
+// number of faults within a window of rounds, and cuts a branch where it reaches a state that another
+// branch reached at the same round.
 type Bounds struct {
 	From   int           // first round in which faults come
 	To     int           // first round in which none come any more
--- a/internal/explore/sweep.go
+++ b/internal/explore/sweep.go
@@ -1,5 +1,3 @@
-// This file plays many walks at once and tells how it goes.
-
 package explore
 
 import (
@@ -14,7 +12,7 @@
 	"beaconvane/internal/goroutine"
 )
 
-// Summary is what a sweep came to.
+// Summary joins the results of many walks or of a search.
 type Summary struct {
 	Walks   int64
 	Steps   int64
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -1,7 +1,3 @@
-// This file is the random walk: each walk has a few kinds of trouble of its own and is
-// guided to the moments that matter, i.e. messages and writes of a commit, of a lease
-// and of a change of voters.
-
 package explore
 
 import (
@@ -10,7 +6,8 @@
 	"beaconvane/internal/message"
 )
 
-// walker draws actions as the run goes on.
+// walker draws actions as the run goes on. Each walk has a few kinds of faults of its own and favours
+// the moments that matter: messages and writes of a commit, of a lease and of a change of voters.
 type walker struct {
 	random  *rand.Rand
 	left    int // faults that may still come
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -1,6 +1,3 @@
-// This file is the world of a run: the clock in rounds, the queue of messages and
-// writes, cuts, and what operators send.
-
 package explore
 
 import (
--- a/internal/simulation/actors.go
+++ b/internal/simulation/actors.go
@@ -1,6 +1,3 @@
-// This file is who is around the mesh: upstreams that announce and run, callers that
-// ask at a rate, operators that put configurations, and the collector of usage reports.
-
 package simulation
 
 import (
@@ -24,7 +21,7 @@
 	"beaconvane/internal/workload"
 )
 
-// Upstream is a simulated one.
+// Upstream is a simulated upstream process: it registers with proxies, sends heartbeats and runs requests.
 type Upstream struct {
 	world          *World
 	key            string
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -1,10 +1,3 @@
-// This file is what upstreams in trouble put on their connections, as bytes, and how a
-// proxy reads them: through the product's own pairing of answers with requests. While an
-// upstream "strays", it sends second answers, late ones, ones without a name, and halves.
-// It also breaks the connections between proxies. The danger is counted: how often a stray
-// answer stood at the place of the next one, and how many once-only requests ran and lost
-// their answer. A run of these scenarios that does not reach its danger fails.
-
 package simulation
 
 import (
@@ -25,7 +18,9 @@
 	"beaconvane/internal/workload"
 )
 
-// Dangers that the scenarios of this file must reach.
+// The dangers that the scenarios of faulty upstream connections must reach; a run that does not
+// reach its danger fails. An upstream that strays sends second answers, late ones, answers without
+// an ID and halves of answers, as bytes that the product's own pairing reads.
 const (
 	dangerStray   = "stray answers at the place of the next one"
 	dangerBehind  = "stray answers on a connection that is kept"
--- a/internal/simulation/anycontrol.go
+++ b/internal/simulation/anycontrol.go
@@ -1,6 +1,3 @@
-// This file mixes the operators of the control scenarios into random plans: orders at all
-// sides of a cut, rival contents, lost answers, orders sent again.
-
 package simulation
 
 import (
@@ -9,7 +6,9 @@
 	"beaconvane/internal/workload"
 )
 
-// anyControl draws one kind of operators, and now and then a core machine that is cut off.
+// anyControl draws steps of the control scenarios for random plans: one kind of operators (on all
+// sides of a cut, with conflicting contents, with lost answers, sending again), and now and then a
+// core machine that is cut off.
 func anyControl(d workload.Deployment, random *rand.Rand) []Step {
 	at, length := span(random, 9, 16), span(random, 4, 9)
 	plan := []Step{}
--- a/internal/simulation/causes.go
+++ b/internal/simulation/causes.go
@@ -1,6 +1,3 @@
-// This file puts each request that was not answered to a cause, so that what could not
-// be helped is told apart from what the mesh refused although it could have served.
-
 package simulation
 
 import (
@@ -58,6 +55,8 @@
 	return known
 }
 
+// causeOf names the cause of a request that was not answered, so that what could not be helped is
+// told apart from what the mesh refused although it could have served.
 func (w *World) causeOf(asked checker.Asked) string {
 	recent := asked.Sent - commit
 	done := max(asked.Done, asked.Sent)
--- a/internal/simulation/cutoff.go
+++ b/internal/simulation/cutoff.go
@@ -1,7 +1,3 @@
-// This file is the scenario of a core machine that is cut off for twenty seconds, both
-// ways or one way, while operators send orders and read at all sides, processes restart on
-// both sides, and some begin with seeds that name the cut-off machine first.
-
 package simulation
 
 import (
@@ -16,6 +12,8 @@
 	"beaconvane/internal/workload"
 )
 
+// The cutoff scenario cuts a core machine off, both ways or one way, while operators send orders
+// and read on all sides and processes restart on both.
 const (
 	cutLength     = 20 * time.Second
 	cutOrderEvery = 900 * time.Millisecond
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -1,7 +1,3 @@
-// Package simulation is the simulator: whole deployments in one process and one
-// thread, on a simulated network, clock and disk, all from one seed. It runs the real
-// machines, desks and disk format; only sockets, files, timers and dice are its own.
-// This file is the disk: what was not synced may vanish or be torn at a crash.
 package simulation
 
 import (
@@ -10,6 +6,7 @@
 	"os"
 )
 
+// simFile is a file whose unsynced bytes may vanish or be torn at a crash.
 type simFile struct {
 	synced  []byte
 	current []byte
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -1,7 +1,5 @@
 package simulation
 
-// This file carries the steps of a plan out.
-
 import (
 	"fmt"
 	"maps"
--- a/internal/simulation/hundreds.go
+++ b/internal/simulation/hundreds.go
@@ -1,8 +1,3 @@
-// This file is the scenario of hundreds of changes, large ones among them, while core
-// machines are away for part of it, are restarted, lose a disk, and hold the lease. Who
-// comes back catches up in bounded time, what lies on disk stays bounded, no frame is
-// over its cap, and no read is older than what was acknowledged.
-
 package simulation
 
 import (
@@ -16,6 +11,9 @@
 	"beaconvane/internal/workload"
 )
 
+// The hundreds scenario changes the configuration hundreds of times, while core machines are away,
+// restart, lose a disk and hold the lease. A machine that returns must catch up in bounded time, its
+// disk and its frames must stay bounded, and no read may be older than what was acknowledged.
 const (
 	changesWanted = 620
 	largeEvery    = 60   // every so many changes one is large
--- a/internal/simulation/linear.go
+++ b/internal/simulation/linear.go
@@ -1,8 +1,3 @@
-// This file checks the operators' snapshot of the configuration log: every put and read, with when it
-// was asked and answered, must fit one order in which each takes effect at one moment
-// between the two. A put without a known outcome may have taken effect at any later
-// time, or never.
-
 package simulation
 
 import (
@@ -21,6 +16,7 @@
 	"beaconvane/internal/settings"
 )
 
+// configLogRequest is the input of the linearizability check of the configuration log.
 type configLogRequest struct {
 	write   bool
 	version int64
@@ -75,7 +71,10 @@
 	return version, digest
 }
 
-// configLogModel: the state is the list of settled versions, oldest first.
+// configLogModel is the configuration log as one copy that takes one operation at a time: every
+// write and read, with when it was sent and answered, must fit one order in which each takes effect
+// at one moment between the two. A write without a known outcome may take effect at any later time,
+// or never. The state is the list of the committed versions, oldest first.
 var configLogModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -1,7 +1,3 @@
-// This file gives machines links of a bounded rate: what a machine sends, and what comes to
-// it, waits for its turn, in order. Without it a message of megabytes takes no longer than
-// one of bytes, and nothing ever stands behind it.
-
 package simulation
 
 import (
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -1,7 +1,3 @@
-// This file is a simulated process: a real machine with its stage, its own clock, its
-// disk, and for a proxy the real desk, frontend and backend. A frozen node takes
-// nothing and its clock runs on; what came meanwhile is there when it wakes.
-
 package simulation
 
 import (
@@ -27,7 +23,9 @@
 
 const inboxCap = 20000
 
-// Node is one simulated process.
+// Node is one simulated process: the product's state machine with its own clock and disk, and for a
+// proxy its frontend and backend. A frozen node handles nothing while its clock runs on; what
+// arrived meanwhile waits in its inbox.
 type Node struct {
 	world       *World
 	name        string
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -1,9 +1,3 @@
-// This file is an operator as the platform's operators are: it sends an order to some
-// registry, goes on to another one after a lost answer, a failure or a second of silence,
-// and sends the same bytes until it is told yes or no. Every answer, also one that is lost
-// on its way, is held against what was told before: one content for a number, and no
-// refusal of what was taken.
-
 package simulation
 
 import (
@@ -20,6 +14,9 @@
 	"beaconvane/internal/settings"
 )
 
+// An operator sends an order to one registry, goes on to another after a lost answer, a failure or
+// a second of silence, and sends the same bytes until the answer is final. Every answer, also a lost
+// one, is held against earlier answers: one content for a version, and no refusal of what was accepted.
 const (
 	orderSilence  = time.Second            // after which an operator tries another registry
 	orderPause    = 50 * time.Millisecond  // before the second try; it grows with each
--- a/internal/simulation/overlap.go
+++ b/internal/simulation/overlap.go
@@ -1,8 +1,3 @@
-// This file has the scenarios of losses that overlap beyond what the voters are placed to
-// outlive, as long as no more disks are lost than that: machines that come back with their
-// disk while others come back without, all machines without power behind the loss of disks,
-// and a core in two halves that everybody else reaches.
-
 package simulation
 
 import (
@@ -13,7 +8,9 @@
 	"beaconvane/internal/workload"
 )
 
-// tolerated is how many disks of the core may be lost at once.
+// tolerated is how many disks of the core may be lost at once. The scenarios of overlapping losses
+// stay within it, and go beyond what the voters are placed to survive otherwise: machines that return
+// with and without their disks at once, power lost everywhere, a core in two halves.
 func tolerated(d workload.Deployment) int { return (len(d.CoreNames()) - 1) / 2 }
 
 // disksLostAllOffPlan ends a day as the users' closing fault does: right behind an
--- a/internal/simulation/platform.go
+++ b/internal/simulation/platform.go
@@ -1,7 +1,3 @@
-// This file is the platform that asks every proxy once a second whether it is ready,
-// and what its answers are held to: who says ready must not refuse a moment later for
-// want of updates, and who could serve must not stay unready.
-
 package simulation
 
 import (
@@ -12,6 +8,8 @@
 	"beaconvane/internal/registry"
 )
 
+// The platform asks every proxy once a second whether it is ready. A proxy that says that it is must
+// not refuse a moment later for want of updates; one that could serve must not stay unready.
 const (
 	requestReadyEvery = time.Second
 	readyHolds        = 400 * time.Millisecond
--- a/internal/simulation/sameversion.go
+++ b/internal/simulation/sameversion.go
@@ -1,7 +1,3 @@
-// This file is the scenario of two operators under one version with different contents:
-// answers are lost in turn and the same order goes to another node, up to eight orders
-// are under way, and orders that were taken long ago come again.
-
 package simulation
 
 import (
@@ -15,6 +11,8 @@
 	"beaconvane/internal/workload"
 )
 
+// The same-version scenario has two operators write different contents under one version, while
+// answers are lost, orders are sent again to other nodes, and old orders return.
 const (
 	rivalEvery    = 600 * time.Millisecond
 	ordersAtOnce  = 8
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,7 +1,3 @@
-// This file has the scenarios as data: a plan is a list of steps, each a fault or an
-// operator's deed at a time. Named scenarios make their plans from the seed; "any"
-// draws steps at random. A failing plan is made smaller by leaving steps out.
-
 package simulation
 
 import (
@@ -20,7 +16,7 @@
 	"beaconvane/internal/workload"
 )
 
-// Step is one thing done to the world.
+// Step is one entry of a plan: a fault or an order of an operator, at a time.
 type Step struct {
 	At     time.Duration `json:"at"`
 	Do     string        `json:"do"`
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -1,7 +1,5 @@
 package simulation
 
-// This file lists the scenarios: plans of faults by name.
-
 import (
 	"fmt"
 	"math/rand/v2"
@@ -12,7 +10,7 @@
 	"beaconvane/internal/workload"
 )
 
-// Scenarios make plans from dice for a deployment.
+// Scenarios make the plan of each scenario, by name, for a deployment from a random source.
 var Scenarios = map[string]func(d workload.Deployment, random *rand.Rand) []Step{
 	"calm":         func(workload.Deployment, *rand.Rand) []Step { return nil },
 	"cutoff":       cutoffPlan,
--- a/internal/simulation/secondloss.go
+++ b/internal/simulation/secondloss.go
@@ -1,8 +1,3 @@
-// This file is the scenario of a second loss right after a repair or a replacement: a disk
-// that was wiped, a machine replaced by an empty one at another address, a planned
-// replacement with the new machine first, a machine taken away. As soon as a newcomer has
-// its vote another core machine is lost; orders go on and must be taken while it is away.
-
 package simulation
 
 import (
@@ -16,6 +11,8 @@
 	"beaconvane/internal/workload"
 )
 
+// The second-loss scenario takes another core machine away as soon as a repaired or replaced one has
+// its vote; orders must be accepted while the second machine is away.
 const (
 	secondLossEvery = 400 * time.Millisecond // between orders
 	lossWithin      = 300 * time.Millisecond // of the newcomer's vote
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,7 +1,3 @@
-// This file is the world: true time, the queue of events, the network between nodes
-// with delays, loss, cuts and one-way cuts, and the trace, a hash over every delivery
-// by which two runs of one seed are compared.
-
 package simulation
 
 import (
@@ -19,6 +15,7 @@
 	"beaconvane/internal/workload"
 )
 
+// event is a callback at a simulated time; number keeps events of one time in the order of their creation.
 type event struct {
 	at     time.Duration
 	number int64
@@ -65,7 +62,9 @@
 	Log        func(line string)
 }
 
-// World is one run.
+// World is one run: simulated time, the queue of events, the network between nodes with its delays,
+// losses and cuts, and the record for the checker. The trace is a hash over every delivery, by which
+// two runs of one seed are compared.
 type World struct {
 	options Options
 	random  *rand.Rand
