--- /dev/null
+++ b/internal/simulation/collector.go
@@ -0,0 +1,36 @@
+package simulation
+
+import (
+	"time"
+
+	"beaconvane/internal/checker"
+	"beaconvane/internal/registry"
+	"beaconvane/internal/statemachine"
+)
+
+// collect takes a usage report; the reporter hears of it unless it died meanwhile.
+func (w *World) collect(from *Node, incarnation int, report registry.UsageReport) {
+	if w.now < w.collectorDown {
+		return
+	}
+	length := from.settings.UsageWindow()
+	w.mark("report %d from %s %v", report.Window, from.machine, len(report.Counts))
+	w.record.Reported = append(w.record.Reported, checker.Reported{
+		Window: report.Window,
+		From:   from.machine,
+		Counts: report.Counts,
+		At:     w.now,
+		End:    time.Duration(report.Window+1)*length - epoch,
+	})
+	wait := w.transit()
+	if w.now < w.collectorOdd {
+		w.dangers["reports taken and not answered rightly"]++
+		if w.random.IntN(3) > 0 {
+			return
+		}
+		wait += time.Duration(w.random.Int64N(int64(2 * time.Second)))
+	}
+	w.after(wait, func() {
+		from.run(incarnation, func() { from.apply(statemachine.Asked{Question: registry.UsageDelivered{Window: report.Window}}) })
+	})
+}
--- /dev/null
+++ b/internal/simulation/node_faults.go
@@ -0,0 +1,113 @@
+package simulation
+
+import (
+	"time"
+
+	"beaconvane/internal/checker"
+	"beaconvane/internal/message"
+)
+
+// machineNodes lists the processes of a machine, or the one named.
+func (w *World) machineNodes(target string) []*Node {
+	list := []*Node{}
+	for _, name := range w.order {
+		if w.nodes[name].machine == target || name == target {
+			list = append(list, w.nodes[name])
+		}
+	}
+	return list
+}
+
+// holder finds the machine whose process acts for a tag now.
+func (w *World) holder(tag string) string {
+	newest := checker.Keeping{}
+	for _, keeping := range w.record.Keeping {
+		if keeping.Tag == tag && keeping.Epoch >= newest.Epoch {
+			newest = keeping
+		}
+	}
+	return newest.Voter
+}
+
+func (w *World) restart(nodes []*Node, loseDisk bool, down time.Duration) {
+	for _, node := range nodes {
+		node.kill(true, loseDisk)
+	}
+	w.after(down, func() {
+		for _, node := range nodes {
+			node.boot()
+		}
+	})
+}
+
+func (w *World) stopNodes(step Step) {
+	for _, node := range w.machineNodes(step.Target) {
+		node.stop(step.For)
+	}
+}
+
+func (w *World) killHolder(step Step) {
+	if machine := w.holder(step.Target); machine != "" {
+		w.restart(w.machineNodes(machine), false, step.For)
+	}
+}
+
+func (w *World) freezeHolder(step Step) {
+	if machine := w.holder(step.Target); machine != "" {
+		w.freeze(w.machineNodes(machine), step.For)
+	}
+}
+
+// slowDisks makes writes of the target's processes take ten times as long.
+func (w *World) slowDisks(step Step) {
+	for _, node := range w.machineNodes(step.Target) {
+		usual := w.options.Deployment.DiskDelay
+		node.writeDelay = usual * 10
+		node.writeDelayUntil = max(node.writeDelayUntil, w.now+step.For)
+		w.after(step.For, func() {
+			if w.now >= node.writeDelayUntil {
+				node.writeDelay = usual
+			}
+		})
+	}
+}
+
+// failDisks has every sync fail until the processes are restarted with disks that work.
+func (w *World) failDisks(step Step) {
+	nodes := w.machineNodes(step.Target)
+	for _, node := range nodes {
+		node.disk.fail = true
+	}
+	w.after(step.For, func() {
+		for _, node := range nodes {
+			node.disk.fail = false
+		}
+		w.restart(nodes, false, 500*time.Millisecond)
+	})
+}
+
+func (w *World) restartEverySecondProxy(step Step) {
+	for index, node := range w.of(message.RoleProxy) {
+		if index%2 == 0 {
+			w.restart([]*Node{node}, false, step.For)
+		}
+	}
+}
+
+func (w *World) restartMachines(machines []string, down time.Duration) {
+	for _, machine := range machines {
+		w.restart(w.machineNodes(machine), false, down)
+	}
+}
+
+func (w *World) freeze(nodes []*Node, length time.Duration) {
+	for _, node := range nodes {
+		node.freeze()
+		frozenNode, incarnation := node, node.incarnation
+		w.after(length, func() {
+			if frozenNode.incarnation == incarnation {
+				frozenNode.wake()
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/simulation/node_lifecycle.go
@@ -0,0 +1,194 @@
+package simulation
+
+import (
+	"strconv"
+	"time"
+
+	"beaconvane/internal/backend"
+	"beaconvane/internal/checker"
+	"beaconvane/internal/configstore"
+	"beaconvane/internal/errcode"
+	"beaconvane/internal/frontend"
+	"beaconvane/internal/message"
+	"beaconvane/internal/proxy"
+	"beaconvane/internal/registry"
+	"beaconvane/internal/statemachine"
+	"beaconvane/internal/storage"
+)
+
+// boot starts the process from its disk.
+func (n *Node) boot() {
+	if n.up || n.retired {
+		return
+	}
+	if n.incarnation++; n.incarnation > 1 {
+		n.settings.Found = false
+	}
+	n.up, n.frozen, n.bootAt, n.inbox, n.diskFreeAt, n.pendingWrites = true, false, n.world.now, nil, 0, nil
+	n.inFlight, n.listenerClosed, n.stopping, n.recovering = 0, false, false, false
+	n.machineIncarnation++
+	n.env = statemachine.NewEnv(n.world.random.Uint64())
+	n.replies = map[int64]func(any){}
+	n.born = n.world.now
+	var err error
+	switch n.role {
+	case message.RoleProxy:
+		n.bootProxy(n.self())
+	default:
+		var snapshot []byte
+		var records [][]byte
+		n.store, snapshot, records, err = storage.Open(n.disk)
+		if err == nil {
+			n.control, err = n.buildMachine(snapshot, records)
+		}
+	}
+	if err != nil {
+		n.world.fail("%s does not boot: %v", n.name, err)
+		n.up = false
+		return
+	}
+	n.world.mark("boot %s", n.name)
+	n.world.expectCaughtUp(n)
+	n.openSpan()
+	n.every(n.incarnation, n.settings.TickEvery(), n.tick)
+}
+
+func (n *Node) bootProxy(self message.Member) {
+	n.pools, n.guards, n.connections, n.snapshot = map[backend.Target][]upConnection{}, map[backend.Target]upConnection{}, nil, nil
+	n.serving = backend.New(n.settings, func(forward message.Forward) errcode.Code { return n.frontend.AuthorizeForward(forward) })
+	n.serving.UseTokenSource(func() string { return strconv.FormatUint(n.world.random.Uint64(), 36) })
+	n.frontend = frontend.New(n.settings, n.serving.LookupDelegation)
+	n.frontend.UseProtocol(namedCallers{})
+	n.control = proxy.New(n.settings, self)
+	n.tracker = frontend.NewDispatcher(n.settings, n.frontend, n.serving, &environment{n, n.incarnation}, self)
+	incarnation := n.incarnation
+	n.every(incarnation, n.settings.UpdatesEvery()/4, func() { n.run(incarnation, n.sweep) })
+	n.every(incarnation, n.settings.CountEvery(), func() { n.run(incarnation, n.count) })
+}
+
+// stopForGood ends the process politely, and its machine does not come back.
+func (n *Node) stopForGood() {
+	n.leaving = true
+	n.stop(0)
+}
+
+// stop ends the process politely, as cli does on a signal: the others are told,
+// what has not started is refused, the rest is finished, then it ends.
+func (n *Node) stop(down time.Duration) {
+	if !n.up || n.frozen {
+		return
+	}
+	incarnation, began := n.incarnation, n.world.now
+	n.world.mark("stop %s", n.name)
+	n.stopping = true
+	n.closeSpan()
+	restart := func() {
+		if n.up && n.incarnation == incarnation {
+			if n.role == message.RoleProxy {
+				n.world.record.Stopped = append(n.world.record.Stopped, checker.Span{Name: n.machine, From: began, To: n.world.now})
+			}
+			n.kill(false, n.leaving)
+			n.retired = n.retired || n.leaving
+			n.world.after(down, n.boot)
+		}
+	}
+	switch n.role {
+	case message.RoleProxy:
+		n.apply(statemachine.Asked{Question: proxy.Stop{}})
+		n.tracker.Drain()
+		var wait func()
+		wait = func() {
+			running, queue := n.serving.Running()
+			if n.up && n.incarnation == incarnation && (n.inFlight > 0 || running+queue > 0) && n.world.now-began < n.settings.Grace() {
+				n.world.after(n.settings.TickEvery(), wait)
+				return
+			}
+			n.world.after(n.settings.TickEvery(), restart)
+		}
+		n.world.after(n.settings.UpdatesEvery(), func() {
+			n.listenerClosed = true
+			wait()
+		})
+	case message.RoleRegistry:
+		n.request(registry.Stop{}, func(any) { n.world.after(n.settings.UpdatesEvery(), restart) })
+	default:
+		n.request(configstore.Stop{}, func(any) { n.world.after(n.settings.UpdatesEvery(), restart) })
+	}
+}
+
+// kill ends the process hard; its disk forgets what was not synced.
+func (n *Node) kill(hard, loseDisk bool) {
+	if !n.up {
+		return
+	}
+	n.closeSpan()
+	n.up = false
+	if n.frozen {
+		n.world.record.Held = append(n.world.record.Held, checker.Span{Name: n.machine, From: n.frozenAt, To: n.world.now})
+	}
+	if hard {
+		n.world.record.Hurt = append(n.world.record.Hurt, checker.Span{Name: n.machine, From: n.world.now, To: n.world.now})
+	}
+	if since, cut := n.world.cutSince[n.machine]; cut && n.role == message.RoleProxy {
+		// What it counted while cut off died with it, untold.
+		n.world.record.Untold = append(n.world.record.Untold, checker.Span{
+			Name: n.machine,
+			From: since - 200*time.Millisecond,
+			To:   n.world.now,
+		})
+	}
+	n.world.mark("kill %s", n.name)
+	if len(n.pendingWrites) > 0 && !n.disk.fail {
+		// What the disk was at is done up to some step: written, synced, named.
+		n.disk.steps = n.world.random.IntN(7)
+		// The disk stops at that step, so the failure is what is wanted.
+		_ = n.storeWrite(n.pendingWrites[0])
+		n.world.dangers["kills in the middle of a write"]++
+	}
+	n.pendingWrites = nil
+	n.disk.Crash(n.world.random)
+	if loseDisk {
+		n.diskLost = true
+		n.disk = NewDisk()
+	}
+	for _, connection := range n.connections {
+		connection.closed = true
+	}
+	n.connections = nil
+	n.world.connectionsLost(n)
+}
+
+// wasFrozen says that the process stood still at some time since.
+func (n *Node) wasFrozen(since time.Duration) bool { return n.frozenAt >= since }
+
+func (n *Node) freeze() {
+	if n.up && !n.frozen {
+		n.closeSpan()
+		n.frozen, n.frozenAt = true, n.world.now
+		n.world.mark("freeze %s", n.name)
+	}
+}
+
+func (n *Node) wake() {
+	if !n.up || !n.frozen {
+		return
+	}
+	n.frozen = false
+	n.world.record.Held = append(n.world.record.Held, checker.Span{Name: n.machine, From: n.frozenAt, To: n.world.now})
+	n.world.mark("wake %s", n.name)
+	n.openSpan()
+	held := n.inbox
+	n.inbox = nil
+	for _, do := range held {
+		do()
+	}
+}
+
+func (n *Node) openSpan() { n.spanAt, n.spanOn = n.world.now, !n.world.cutOff(n.machine) }
+
+func (n *Node) closeSpan() {
+	if n.spanOn && n.role == message.RoleProxy {
+		n.world.record.Up = append(n.world.record.Up, checker.Span{Name: n.machine, From: n.spanAt, To: n.world.now, Born: n.born})
+	}
+	n.spanOn = false
+}
--- /dev/null
+++ b/internal/simulation/replacement.go
@@ -0,0 +1,115 @@
+package simulation
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"beaconvane/internal/configstore"
+	"beaconvane/internal/message"
+	"beaconvane/internal/registry"
+	"beaconvane/internal/storage"
+)
+
+// heirMark ends the name of a machine that was put beside the one it replaces.
+const heirMark = "-heir"
+
+// replaceVoter puts an empty machine in a voter's place, at a new address.
+func (w *World) replaceVoter(machine string, down time.Duration) {
+	nodes := w.machineNodes(machine)
+	for _, node := range nodes {
+		node.kill(true, true)
+	}
+	w.after(down, func() {
+		for _, node := range nodes {
+			old := node.settings.Address
+			parts := strings.SplitN(old, ":", 2)
+			fresh := parts[0] + "9:" + parts[1]
+			if _, taken := w.byAddress[fresh]; taken {
+				fresh = parts[0] + "8:" + parts[1]
+			}
+			delete(w.byAddress, old)
+			node.settings.Address, node.settings.Outside = fresh, fresh
+			w.byAddress[fresh] = node
+		}
+		// The newcomer's settings name the seeds of now; all others keep their old ones.
+		seeds := []string{}
+		for _, registryNode := range w.of(message.RoleRegistry) {
+			seeds = append(seeds, registryNode.address())
+		}
+		for _, node := range nodes {
+			node.settings.Seeds = seeds
+			node.boot()
+		}
+	})
+}
+
+// replaceCore ends a core machine for good and adds an empty one of another name at
+// another address; its settings name three core machines of now.
+func (w *World) replaceCore(machine string, down time.Duration) {
+	for _, old := range w.machineNodes(machine) {
+		old.kill(true, true)
+		old.retired = true
+		w.serial++
+		host, port, _ := strings.Cut(old.settings.Address, ":")
+		replacement := w.addNode(old.role, fmt.Sprintf("%s-after", machine), "", old.settings.Zone,
+			fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.serial), port), old.settings.Seeds)
+		replacement.settings.Found = false
+		w.after(down, func() {
+			replacement.settings.Seeds = []string{}
+			for _, registryNode := range w.of(message.RoleRegistry) {
+				if registryNode != replacement && !registryNode.retired && len(replacement.settings.Seeds) < 3 {
+					replacement.settings.Seeds = append(replacement.settings.Seeds, registryNode.address())
+				}
+			}
+			replacement.boot()
+		})
+	}
+}
+
+// usurp freezes a core machine, puts an empty one at a new address in its voter, and
+// lets the old one wake later.
+func (w *World) usurp(machine string, frozen time.Duration) {
+	for index, old := range w.machineNodes(machine) {
+		host := fmt.Sprintf("10.1.9.%d:7%d00", len(w.order)+1, 4+index)
+		replacement := w.addNode(old.role, machine+heirMark, old.settings.Voter, old.settings.Zone, host, old.settings.Seeds)
+		replacement.name, replacement.settings.Node = old.role+"/"+machine+heirMark, old.settings.Node
+		w.after(500*time.Millisecond, replacement.boot)
+	}
+	w.freeze(w.machineNodes(machine), frozen)
+}
+
+// force-recover is the operator's deed on the survivor of two lost disks.
+func (w *World) forceRecover(machine string) {
+	for _, node := range w.machineNodes(machine) {
+		node.kill(true, false)
+		survivor := node
+		w.after(200*time.Millisecond, func() {
+			store, snapshot, records, err := storage.Open(survivor.disk)
+			if err != nil || snapshot == nil {
+				w.fail("%s has nothing to force-recover: %v", survivor.name, err)
+				return
+			}
+			self := message.Member{
+				Name:    survivor.name,
+				Role:    survivor.role,
+				Voter:   survivor.settings.Voter,
+				Address: survivor.settings.Address,
+			}
+			var machine interface{ ForceRecover() []byte }
+			if survivor.role == message.RoleRegistry {
+				machine, err = registry.New(survivor.settings, self, snapshot, records)
+			} else {
+				machine, err = configstore.New(survivor.settings, self, snapshot, records)
+			}
+			if err == nil {
+				err = store.Compact(machine.ForceRecover())
+			}
+			if err != nil {
+				w.fail("%s: %v", survivor.name, err)
+			}
+			survivor.boot()
+		})
+	}
+}
--- /dev/null
+++ b/internal/simulation/upstream_faults.go
@@ -0,0 +1,99 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"beaconvane/internal/backend"
+	"beaconvane/internal/stubserver"
+)
+
+func (w *World) doUpstream(step Step) {
+	u := w.upstreams[step.Target]
+	if u == nil {
+		w.fail("no target for %s", step)
+		return
+	}
+	switch step.Do {
+	case "upstream-kill":
+		u.kill()
+		w.after(step.For, func() { u.start(500 * time.Millisecond) })
+	case "upstream-replace":
+		u.leave()
+		w.after(step.For, func() {
+			u.signOff()
+			u.kill()
+			w.after(500*time.Millisecond, func() { u.start(time.Second) })
+		})
+	case "upstream-leave":
+		u.leave()
+		u.gone = true
+		w.after(step.For, func() {
+			u.signOff()
+			u.kill()
+		})
+	case "upstream-handover":
+		// Ended, and its address handed at once to another service's new instance.
+		u.kill()
+		u.gone = true
+		w.after(step.For/50, func() { w.handOver(u) })
+	case "upstream-vanish":
+		// Its machine goes without a word, and its address comes to another service.
+		u.vanish()
+		u.gone = true
+		w.after(w.options.Deployment.Vanish()+step.For, func() { w.handOver(u) })
+	case "service-kill":
+		// Every upstream of its service ends, and comes back.
+		for _, key := range w.upOrder {
+			if other := w.upstreams[key]; other.response.Service == u.response.Service {
+				other.kill()
+				w.after(step.For, func() { other.start(500 * time.Millisecond) })
+			}
+		}
+	case "upstream-leave-elsewhere":
+		// It says that it leaves, to another proxy than its serving proxy, and to nobody else.
+		u.servingProxies = append(append([]*Node{}, u.servingProxies[1:]...), u.servingProxies[0])
+		u.leave()
+		u.gone = true
+		w.after(max(step.For, 4*time.Second), func() {
+			u.signOff()
+			u.kill()
+		})
+	case "upstream-faults":
+		u.faults = stubserver.Faults{Lose: 0.1, Garbage: 0.05, Truncate: 0.05, Excess: 0.02, Slow: 0.05}
+		w.after(step.For, func() { u.faults = stubserver.Faults{} })
+	}
+}
+
+func (w *World) handOver(old *Upstream) {
+	services := w.options.Deployment.Services
+	for _, service := range services {
+		if service.Name == old.response.Service {
+			continue
+		}
+		key := fmt.Sprintf("%s/%s-heir-%d", service.Name, service.Name, len(w.upOrder))
+		replacement := &Upstream{
+			world:          w,
+			key:            key,
+			vanished:       map[int]bool{},
+			work:           service.Work,
+			slots:          int(service.Slots),
+			serviceSpec:    service,
+			servingProxies: old.servingProxies,
+			response: backend.Announcement{
+				Service:  service.Name,
+				Instance: key[len(service.Name)+1:],
+				Address:  old.response.Address,
+				Zone:     old.response.Zone,
+				Slots:    service.Slots,
+			},
+		}
+		w.upstreams[key] = replacement
+		w.upOrder = append(w.upOrder, key)
+		// It takes connections at once and announces itself only later, to another proxy.
+		replacement.servingProxies = append(append([]*Node{}, old.servingProxies[1:]...), old.servingProxies[0])
+		replacement.quiet = w.now + time.Duration(w.random.Int64N(int64(2*time.Second)))
+		replacement.start(0)
+		return
+	}
+}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,57 +1,17 @@
 package simulation
 
 import (
-	"container/heap"
 	"fmt"
 	"hash/fnv"
 	"math/rand/v2"
 	"sort"
-	"strings"
 	"time"
 
 	"beaconvane/internal/checker"
-	"beaconvane/internal/message"
 	"beaconvane/internal/settings"
 	"beaconvane/internal/workload"
 )
 
-// event is a callback at a simulated time; number keeps events of one time in the order of their creation.
-type event struct {
-	at     time.Duration
-	number int64
-	do     func()
-}
-
-type eventQueue []*event
-
-// mustBe returns value as a T. Callbacks and queues carry values of any type; a value of another
-// type than the one expected is a programming error of the simulator, so it panics.
-func mustBe[T any](value any) T {
-	typed, ok := value.(T)
-	if !ok {
-		panic(fmt.Sprintf("simulation: got a %T, want a %T", value, typed))
-	}
-	return typed
-}
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
-}
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-
-// Push adds an event, for package heap.
-func (q *eventQueue) Push(item any) {
-	*q = append(*q, mustBe[*event](item))
-}
-
-// Pop removes the last event, for package heap.
-func (q *eventQueue) Pop() any {
-	old := *q
-	last := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return last
-}
-
 // Options shape a run.
 type Options struct {
 	Deployment workload.Deployment
@@ -158,24 +118,6 @@
 	return w
 }
 
-func (w *World) at(when time.Duration, do func()) {
-	w.number++
-	heap.Push(&w.events, &event{max(when, w.now), w.number, do})
-}
-
-func (w *World) after(wait time.Duration, do func()) { w.at(w.now+wait, do) }
-
-// Run plays until a true time.
-func (w *World) Run(until time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		next := mustBe[*event](heap.Pop(&w.events))
-		w.now = next.at
-		w.steps++
-		next.do()
-	}
-	w.now = until
-}
-
 // mark folds a happening into the trace.
 func (w *World) mark(format string, values ...any) {
 	hash := fnv.New64a()
@@ -190,96 +132,6 @@
 // Trace is the hash over all that happened.
 func (w *World) Trace() uint64 { return w.trace }
 
-func (w *World) linked(from, to *Node) bool { return w.cuts[from.machine+">"+to.machine] == 0 }
-
-func (w *World) cut(from, to string, by int) {
-	w.cuts[from+">"+to] += by
-	for _, machine := range []string{from, to} {
-		healed := machine
-		if !w.cutOff(machine) {
-			// What waited on its connections is through a moment later.
-			w.after(time.Second, func() {
-				if !w.cutOff(healed) {
-					delete(w.cutSince, healed)
-				}
-			})
-		} else if _, already := w.cutSince[machine]; !already {
-			w.cutSince[machine] = w.now
-		}
-	}
-}
-
-// cutOff: some link of the machine is cut.
-func (w *World) cutOff(machine string) bool {
-	for pair, count := range w.cuts {
-		if count > 0 && (strings.HasPrefix(pair, machine+">") || strings.HasSuffix(pair, ">"+machine)) {
-			return true
-		}
-	}
-	return false
-}
-
-func (w *World) transit() time.Duration {
-	wait := w.delay + time.Duration(w.random.Int64N(int64(w.delay)))
-	if w.random.IntN(200) == 0 {
-		wait += time.Duration(w.random.Int64N(int64(20 * time.Millisecond)))
-	}
-	return wait
-}
-
-// send carries a control message: in order on a connection. Over a cut it is kept back and
-// comes late, or is lost with the connection.
-func (w *World) send(from *Node, to string, msg any) {
-	frame, err := message.Encode(msg)
-	if err != nil {
-		panic(fmt.Sprintf("simulation: %T: %v", msg, err))
-	}
-	w.sent[int64(w.now/time.Second)]++
-	w.frameMax = max(w.frameMax, len(frame))
-	target, found := w.byAddress[to]
-	if !found {
-		return
-	}
-	lane := from.address() + ">" + to
-	arrival := max(w.passLinks(from, target, len(frame)), w.lastAt[lane])
-	incarnation := target.incarnation
-	var deliver func()
-	deliver = func() {
-		if !target.up || target.incarnation != incarnation {
-			return
-		}
-		if !w.linked(from, target) {
-			if w.random.IntN(3) == 0 {
-				return
-			}
-			w.after(200*time.Millisecond, deliver)
-			return
-		}
-		target.arrive(from.address(), frame)
-	}
-	w.lastAt[lane] = arrival
-	w.at(arrival, deliver)
-}
-
-func (w *World) datagram(from *Node, to string, msg any) {
-	frame, err := message.Encode(msg)
-	if err != nil {
-		panic(fmt.Sprintf("simulation: %T: %v", msg, err))
-	}
-	if len(frame) > 1400 {
-		w.broken = append(w.broken, fmt.Sprintf("datagram of %d bytes: %T", len(frame), msg))
-	}
-	target, found := w.byAddress[to]
-	if !found || !w.linked(from, target) || w.random.Float64() < w.loss || w.crowded(from, target) {
-		return
-	}
-	w.at(w.passLinks(from, target, len(frame)), func() {
-		if target.up && w.linked(from, target) {
-			target.arrive(from.address(), frame)
-		}
-	})
-}
-
 // Names of nodes by role.
 func (w *World) of(role string) []*Node {
 	list := []*Node{}
