--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -107,7 +107,8 @@
 func (w *World) state() uint64 {
 	f := &fingerprint{met: map[uintptr]int{}}
 	for _, p := range w.processes {
-		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.gone, p.leaving, p.seated, p.incarnation, p.bootAt,
+		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.gone, p.leaving, p.seated, p.incarnation,
+			p.bootAt,
 			p.wall, max(p.slowTo-w.round, 0))
 		f.add(reflect.ValueOf(p.machine))
 		f.add(reflect.ValueOf(p.env))
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -69,7 +69,7 @@
 	windows  map[int64]report
 	newest   int64            // window that was reported
 	fence    int64            // the highest that the collector has seen
-	lives    map[int64]string // by fence: the life that used it
+	lives    map[int64]string // by fence: the incarnation that used it
 	acts     []act            // the first of each holder in a row
 	attempts int64
 	deafTo   map[[2]int]int              // by process and proxy: the round until which nothing comes through
@@ -220,7 +220,7 @@
 }
 
 // changeUpstream lets an upstream take its next step: it leaves, is gone, comes back in a
-// new life.
+// new incarnation.
 func (w *World) changeUpstream(proxy, index int) bool {
 	if w.fleet == nil || proxy >= len(w.fleet.proxies) || index >= upstreamsPerProxy {
 		return false
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -60,7 +60,7 @@
 	cutTo     map[[2]int]int // by sender and receiver: the round at which the cut heals
 	history   history
 	lists     []decidedList
-	holders   map[string]string // by tag and epoch: the life that held it
+	holders   map[string]string // by tag and epoch: the incarnation that held it
 	fleet     *fleet            // of registries; nil for configuration stores
 	calmFrom  int               // round from which on no fault comes or lasts
 	violation *Violation
@@ -292,7 +292,14 @@
 	switch done := effect.(type) {
 	case statemachine.Send:
 		if to := w.byAddress[done.To]; to != nil {
-			w.queue = append(w.queue, item{step: w.step, from: p.address, voter: p.seated, to: to, incarnation: to.incarnation, message: done.Message})
+			w.queue = append(w.queue, item{
+				step:        w.step,
+				from:        p.address,
+				voter:       p.seated,
+				to:          to,
+				incarnation: to.incarnation,
+				message:     done.Message,
+			})
 			if change, isChange := done.Message.(message.RosterChange); isChange {
 				w.broadcast(p, change)
 			}
--- a/internal/simulation/causes.go
+++ b/internal/simulation/causes.go
@@ -40,8 +40,8 @@
 	return false
 }
 
-// vouched: some registry that this proxy could reach knew the configuration to be current, as
-// a life may begin with no other.
+// vouched says that some registry that this proxy could reach knew the configuration to be current;
+// a proxy may start with no other.
 func (w *World) vouched(from *Node) bool {
 	known := false
 	for _, registryNode := range w.alive(message.RoleRegistry) {
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -10,7 +10,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// environment is the desk's port in the simulator, for one life of a proxy.
+// environment is the dispatcher's port in the simulator, for one incarnation of a proxy.
 type environment struct {
 	node        *Node
 	incarnation int
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -46,20 +46,28 @@
 	return last
 }
 
-func (w *World) at(when time.Duration, do func()) {
-	w.number++
-	heap.Push(&w.events, &event{max(when, w.now), w.number, do})
+// scheduler plays events in the order of their simulated times; those of one time in the order in
+// which they were scheduled.
+type scheduler struct {
+	now    time.Duration
+	number int64 // of events scheduled
+	events eventQueue
+	steps  int64 // events played
 }
 
-func (w *World) after(wait time.Duration, do func()) { w.at(w.now+wait, do) }
+func (s *scheduler) at(when time.Duration, do func()) {
+	s.number++
+	heap.Push(&s.events, &event{max(when, s.now), s.number, do})
+}
+func (s *scheduler) after(wait time.Duration, do func()) { s.at(s.now+wait, do) }
 
 // Run plays until a true time.
-func (w *World) Run(until time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		next := mustBe[*event](heap.Pop(&w.events))
-		w.now = next.at
-		w.steps++
+func (s *scheduler) Run(until time.Duration) {
+	for len(s.events) > 0 && s.events[0].at <= until {
+		next := mustBe[*event](heap.Pop(&s.events))
+		s.now = next.at
+		s.steps++
 		next.do()
 	}
-	w.now = until
+	s.now = until
 }
--- a/internal/simulation/hundreds.go
+++ b/internal/simulation/hundreds.go
@@ -94,7 +94,8 @@
 	}
 	behind := wanted - newestOf(store)
 	w.after(bound, func() {
-		hampered := !store.up || store.frozen || store.incarnation != incarnation || store.wasFrozen(began) || store.writeDelay > w.options.Deployment.DiskDelay
+		hampered := !store.up || store.frozen || store.incarnation != incarnation || store.wasFrozen(began) ||
+			store.writeDelay > w.options.Deployment.DiskDelay
 		if hampered || w.isSpare(store) || w.cutOff(store.machine) || !w.othersStand(store, began-bound) {
 			return
 		}
--- a/internal/simulation/linear_test.go
+++ b/internal/simulation/linear_test.go
@@ -51,7 +51,7 @@
 		},
 		"unknown goes back and forth": {[]*configLogOperation{one, lost, read(9, 10, "b"), read(11, 12, "a")}, false},
 	} {
-		sound, _ := (&World{operations: history.operations}).linear()
+		sound, _ := (&World{operatorRecord: operatorRecord{operations: history.operations}}).linear()
 		c.Check(sound, qt.Equals, history.sound, qt.Commentf(name))
 	}
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,7 +8,34 @@
 	"beaconvane/internal/message"
 )
 
-func (w *World) linked(from, to *Node) bool { return w.cuts[from.machine+">"+to.machine] == 0 }
+const (
+	usualLoss  = 0.002 // share of datagrams
+	usualDelay = 300 * time.Microsecond
+)
+
+// network is the state of the links between machines: cuts, rates and delays.
+type network struct {
+	cuts     map[string]int // "from>to" by machine name, counted
+	cutSince map[string]time.Duration
+	severed  map[string]time.Duration // core machines cut off from all others, since when
+	lastAt   map[string]time.Duration // "from>to" by address: when the last message arrives
+	links    map[string]*link         // by machine
+	loss     float64
+	delay    time.Duration
+}
+
+func newNetwork() network {
+	return network{
+		cuts:     map[string]int{},
+		cutSince: map[string]time.Duration{},
+		severed:  map[string]time.Duration{},
+		lastAt:   map[string]time.Duration{},
+		links:    map[string]*link{},
+		loss:     usualLoss,
+		delay:    usualDelay,
+	}
+}
+func (n *network) linked(from, to *Node) bool { return n.cuts[from.machine+">"+to.machine] == 0 }
 
 func (w *World) cut(from, to string, by int) {
 	w.cuts[from+">"+to] += by
@@ -27,9 +54,9 @@
 	}
 }
 
-// cutOff: some link of the machine is cut.
-func (w *World) cutOff(machine string) bool {
-	for pair, count := range w.cuts {
+// cutOff says that some link of the machine is cut.
+func (n *network) cutOff(machine string) bool {
+	for pair, count := range n.cuts {
 		if count > 0 && (strings.HasPrefix(pair, machine+">") || strings.HasSuffix(pair, ">"+machine)) {
 			return true
 		}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -18,68 +18,78 @@
 // proxy its frontend and backend. A frozen node handles nothing while its clock runs on; what
 // arrived meanwhile waits in its inbox.
 type Node struct {
-	world       *World
-	name        string
-	role        string
-	machine     string // processes of one machine fail and are cut together
-	settings    settings.Settings
+	process
+	disks
+	proxyParts
+	world         *World
+	name          string
+	role          string
+	machine       string // processes of one machine fail and are cut together
+	settings      settings.Settings
+	clock         processClock
+	control       statemachine.Machine
+	env           *statemachine.Env
+	replies       map[int64]func(answer any)
+	lastRequestID int64
+}
+
+// process is whether and since when the process runs, and what waits while it is frozen.
+type process struct {
 	up          bool
 	frozen      bool
-	incarnation int
-	drift       float64 // clock rate less 1
-	wallOffset  time.Duration
-	bootAt      time.Duration
-	inbox       []func()
-
-	control statemachine.Machine
-	env     *statemachine.Env
-	disk    *Disk
-
-	recovering         bool // the disk has refused a write; the machine is built anew once it works
-	machineIncarnation int  // grows when the machine is built, also without a new process
+	frozenAt    time.Duration
+	inbox       []func() // arrivals while it is frozen
+	incarnation int      // grows with each boot
+	born        time.Duration
+	stopping    bool
+	leaving     bool          // it is once the process has ended
+	retired     bool          // its machine was taken away for good
+	spanAt      time.Duration // begin of the span of service that is open, if spanOn
+	spanOn      bool
+}
+
+// disks is the disk of a process of the core, its store, and the writes that wait for the disk.
+type disks struct {
+	disk               *Disk
+	diskLost           bool // at least once
 	store              *storage.Store
-	writeDelay         time.Duration
-	diskFreeAt         time.Duration
-
-	pendingWrites []statemachine.Write
-
-	tracker       *frontend.Dispatcher
-	frontend      *frontend.Frontend
-	serving       *backend.Backend
-	snapshot      *proxy.Snapshot
-	connections   []*simConnection
-	pools         map[backend.Target][]upConnection
-	guards        map[backend.Target]upConnection
-	replies       map[int64]func(answer any)
-	lastRequestID int64
-	born          time.Duration
-	spanAt        time.Duration
+	machineIncarnation int  // grows when the state machine is built, also without a new process
+	recovering         bool // the disk has refused a write; the state machine is built anew once it works
 
-	frozenAt        time.Duration
+	pendingWrites   []statemachine.Write
+	diskFreeAt      time.Duration
+	writeDelay      time.Duration
 	writeDelayUntil time.Duration
-	inFlight        int // callers' requests not answered yet
-	stopping        bool
-	retired         bool // its machine was taken away for good
-	diskLost        bool // its disk was lost at least once
-	leaving         bool // it is once the process has ended
-	listenerClosed  bool // takes no new requests: its listener is closed
-	spanOn          bool
+}
+
+// proxyParts is what only a proxy has: the product's frontend and backend, and its connections.
+type proxyParts struct {
+	tracker        *frontend.Dispatcher
+	frontend       *frontend.Frontend
+	serving        *backend.Backend
+	snapshot       *proxy.Snapshot
+	connections    []*simConnection
+	pools          map[backend.Target][]upConnection
+	guards         map[backend.Target]upConnection
+	inFlight       int  // callers' requests not answered yet
+	listenerClosed bool // takes no new requests
 }
 
 func (w *World) addNode(role, machine, voter, zone, address string, seeds []string) *Node {
 	cfg := w.options.Deployment.Settings(role, machine, voter, zone, address, address, seeds, "data")
 	cfg.Collector = "http://collector/"
 	node := &Node{
-		world:      w,
-		name:       role + "/" + machine,
-		role:       role,
-		machine:    machine,
-		settings:   cfg,
-		disk:       NewDisk(),
-		drift:      (w.random.Float64() - 0.5) * 0.002,
-		wallOffset: time.Duration(w.random.Int64N(int64(60*time.Millisecond))) - 30*time.Millisecond,
-		writeDelay: w.options.Deployment.DiskDelay,
-		replies:    map[int64]func(any){},
+		world:    w,
+		name:     role + "/" + machine,
+		role:     role,
+		machine:  machine,
+		settings: cfg,
+		disks:    disks{disk: NewDisk(), writeDelay: w.options.Deployment.DiskDelay},
+		clock: processClock{
+			drift:      (w.random.Float64() - 0.5) * 0.002,
+			wallOffset: time.Duration(w.random.Int64N(int64(60*time.Millisecond))) - 30*time.Millisecond,
+		},
+		replies: map[int64]func(any){},
 	}
 	w.nodes[node.name] = node
 	w.order = append(w.order, node.name)
@@ -97,7 +107,7 @@
 
 func (n *Node) address() string { return n.settings.Address }
 
-// every does something in a steady rhythm of the node's clock, as long as a life lasts.
+// every does something in a steady rhythm of the node's clock, until the process restarts.
 func (n *Node) every(incarnation int, wait time.Duration, do func()) {
 	n.world.after(n.trueWait(wait), func() {
 		if n.up && n.incarnation == incarnation {
--- a/internal/simulation/node_lifecycle.go
+++ b/internal/simulation/node_lifecycle.go
@@ -24,7 +24,9 @@
 	if n.incarnation++; n.incarnation > 1 {
 		n.settings.Found = false
 	}
-	n.up, n.frozen, n.bootAt, n.inbox, n.diskFreeAt, n.pendingWrites = true, false, n.world.now, nil, 0, nil
+	n.up, n.frozen, n.inbox = true, false, nil
+	n.clock.bootAt = n.world.now
+	n.diskFreeAt, n.pendingWrites = 0, nil
 	n.inFlight, n.listenerClosed, n.stopping, n.recovering = 0, false, false, false
 	n.machineIncarnation++
 	n.env = statemachine.NewEnv(n.world.random.Uint64())
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -194,7 +194,8 @@
 		body = len(write.Body)
 	}
 	w.after(registryNode.settings.AnswerLimit(body)+orderSilence/5, func() {
-		if !answered && registryNode.up && !registryNode.frozen && registryNode.incarnation == incarnation && !registryNode.wasFrozen(began) {
+		if !answered && registryNode.up && !registryNode.frozen && registryNode.incarnation == incarnation &&
+			!registryNode.wasFrozen(began) {
 			w.fail("%s said nothing within %s", registryNode.name, w.now-began)
 		}
 	})
--- a/internal/simulation/platform.go
+++ b/internal/simulation/platform.go
@@ -57,7 +57,8 @@
 func (w *World) coreStands(node *Node) bool {
 	count := 0
 	for _, registryNode := range w.alive(message.RoleRegistry) {
-		if w.linked(node, registryNode) && w.linked(registryNode, node) && w.now-registryNode.born > commit && !w.cutOff(registryNode.machine) &&
+		if w.linked(node, registryNode) && w.linked(registryNode, node) && w.now-registryNode.born > commit &&
+			!w.cutOff(registryNode.machine) &&
 			!w.voteLost(registryNode) {
 			count++
 		}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -26,59 +26,56 @@
 // losses and cuts, and the record for the checker. The trace is a hash over every delivery, by which
 // two runs of one seed are compared.
 type World struct {
+	scheduler
+	network
+	operatorRecord
+	measurements
 	options Options
 	random  *rand.Rand
-	now     time.Duration
-	number  int64
-	events  eventQueue
 	trace   uint64
-	steps   int64
+	broken  []string
 
 	nodes     map[string]*Node
 	order     []string
 	byAddress map[string]*Node
-	cuts      map[string]int // "from>to" by machine name, counted
-	cutSince  map[string]time.Duration
-	lastAt    map[string]time.Duration
-	links     map[string]*link // by machine
-	loss      float64
-	delay     time.Duration
-
-	upstreams map[string]*Upstream
-	upOrder   []string
-	addresses map[string]*Upstream // who owns an upstream address now
-
-	record     checker.Record
-	asked      []*checker.Asked
-	versions   int64
-	serial     int // of machines added
-	tenants    int // how many tenants the newest configuration has
-	operations []*configLogOperation
+	serial    int // of machines added
+
+	upstreams     map[string]*Upstream
+	upOrder       []string
+	addresses     map[string]*Upstream // who owns an upstream address now
+	strayUntil    time.Duration        // until when upstreams send stray answers
+	record        checker.Record
+	asked         []*checker.Asked
+	faults        map[string]fault // by the name of a step
+	armed         *armedLoss       // the second loss that waits for a newcomer's vote
+	voting        map[string]int   // programs of a machine whose newcomers have their votes
+	collectorDown time.Duration    // until when
+	collectorOdd  time.Duration
+}
 
+// operatorRecord is what operators sent and were told.
+type operatorRecord struct {
+	versions    int64
+	tenants     int // how many tenants the newest configuration has
+	operations  []*configLogOperation
 	orders      []*order
-	ordersEnd   time.Duration            // operators give up then
-	taken       map[int64]string         // digest of what was confirmed under a version, also by a lost answer
-	contents    map[string]int64         // version by digest of all that was sent
-	newestAcked int64                    // version that an operator was told is taken
-	answersLost time.Duration            // until when answers to operators are lost
-	lostShare   float64                  // and how many of them
-	severed     map[string]time.Duration // core machines cut off from all others, since when
-	faults      map[string]fault         // by the name of a step
-	armed       *armedLoss               // the second loss that waits for a newcomer's vote
-	voting      map[string]int           // programs of a machine whose newcomers have their votes
-	diskMost    int                      // the most bytes on one store's disk
-
-	sent     map[int64]int // control messages by second
-	frameMax int
-
-	collectorDown time.Duration // until when
-	collectorOdd  time.Duration
-	strayUntil    time.Duration  // until when upstreams send stray answers
-	dangers       map[string]int // how often a dangerous moment was reached
-	readiness     map[string]*readiness
-	couldServe    map[string]bool // requests refused while some upstream could have run them
-	unvouched     map[string]bool // requests refused while no registry in reach knew the configuration current
-	broken        []string
+	ordersEnd   time.Duration    // operators give up then
+	taken       map[int64]string // digest of what was confirmed under a version, also by a lost answer
+	contents    map[string]int64 // version by digest of all that was sent
+	newestAcked int64            // version that an operator was told is taken
+	answersLost time.Duration    // until when answers to operators are lost
+	lostShare   float64          // and how many of them
+}
+
+// measurements is what a run counts besides the checker's record.
+type measurements struct {
+	sent       map[int64]int // control messages by second
+	frameMax   int
+	diskMost   int            // the most bytes on one store's disk
+	dangers    map[string]int // how often a dangerous moment was reached
+	readiness  map[string]*readiness
+	couldServe map[string]bool // requests refused while some upstream could have run them
+	unvouched  map[string]bool // requests refused while no registry in reach knew the configuration current
 }
 
 // epoch is the time of day at true time 0, for usage windows.
@@ -87,28 +84,26 @@
 // NewWorld builds a deployment; nothing runs yet.
 func NewWorld(options Options) *World {
 	w := &World{
-		options:    options,
-		random:     rand.New(rand.NewPCG(options.Seed, 99)),
-		nodes:      map[string]*Node{},
-		byAddress:  map[string]*Node{},
-		cuts:       map[string]int{},
-		cutSince:   map[string]time.Duration{},
-		lastAt:     map[string]time.Duration{},
-		links:      map[string]*link{},
-		upstreams:  map[string]*Upstream{},
-		addresses:  map[string]*Upstream{},
-		sent:       map[int64]int{},
-		dangers:    map[string]int{},
-		readiness:  map[string]*readiness{},
-		couldServe: map[string]bool{},
-		unvouched:  map[string]bool{},
-		taken:      map[int64]string{},
-		contents:   map[string]int64{},
-		faults:     allFaults(),
-		severed:    map[string]time.Duration{},
-		voting:     map[string]int{},
-		loss:       0.002,
-		delay:      300 * time.Microsecond,
+		network: newNetwork(),
+		operatorRecord: operatorRecord{
+			taken:    map[int64]string{},
+			contents: map[string]int64{},
+		},
+		measurements: measurements{
+			sent:       map[int64]int{},
+			dangers:    map[string]int{},
+			readiness:  map[string]*readiness{},
+			couldServe: map[string]bool{},
+			unvouched:  map[string]bool{},
+		},
+		options:   options,
+		random:    rand.New(rand.NewPCG(options.Seed, 99)),
+		nodes:     map[string]*Node{},
+		byAddress: map[string]*Node{},
+		upstreams: map[string]*Upstream{},
+		addresses: map[string]*Upstream{},
+		faults:    allFaults(),
+		voting:    map[string]int{},
 	}
 	w.record.Bounds = checker.BriefBounds(options.Deployment.Withdrawal)
 	w.record.Window, w.record.Epoch = time.Duration(settings.Default().Bounds.UsageWindow)*time.Millisecond, epoch
