--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -202,17 +202,12 @@
 	return found.Outcome, whole
 }
 
-// doAnswers carries out the steps of this file; false when a step is another's.
-func (w *World) doAnswers(step Step) bool {
-	switch step.Do {
-	case "answers-stray":
-		w.strayUntil = max(w.strayUntil, w.now+step.For)
-	case "connections-break":
-		w.breakConnections()
-	default:
-		return false
+// answerFaults returns the faults of answers and connections, by the name that plans use.
+func answerFaults() map[string]fault {
+	return map[string]fault{
+		"answers-stray":     func(w *World, step Step) { w.strayUntil = max(w.strayUntil, w.now+step.For) },
+		"connections-break": func(w *World, _ Step) { w.breakConnections() },
 	}
-	return true
 }
 
 // breakConnections ends some of the connections between proxies, as resets would.
--- a/internal/simulation/cutoff.go
+++ b/internal/simulation/cutoff.go
@@ -38,36 +38,43 @@
 	return plan
 }
 
-// doCutoff carries out the scenario's own steps; false when the step is another's.
-func (w *World) doCutoff(step Step) bool {
-	switch step.Do {
-	case "sever", "sever-out", "sever-in":
-		w.sever(step)
-	case "order-at-all-sides":
-		until := w.now + step.For
-		w.orderAtAllSides(until)
-		w.readAtAllSides(until)
-	case "restart-severed":
-		for _, machine := range w.severedMachines() {
-			w.restart(w.machineNodes(machine), false, step.For)
-			w.dangers["restarts on the cut-off side"]++
-		}
-	case "restart-other":
-		others := w.cores()
-		for _, machine := range w.severedMachines() {
-			others = without(others, machine)
-		}
-		w.restart(w.machineNodes(others[w.random.IntN(len(others))]), false, step.For)
-		w.dangers["restarts on the other side"]++
-		if away := len(w.severed) + 1; away*2 >= len(w.cores()) {
-			w.unsettled(step.For)
-		}
-	case "restart-with-severed-seed":
-		w.restartWithSeveredSeed(step.For)
-	default:
-		return false
+// cutoffSteps returns the steps of the cutoff scenario, by the name that plans use.
+func cutoffSteps() map[string]fault {
+	return map[string]fault{
+		"sever":                     (*World).sever,
+		"sever-out":                 (*World).sever,
+		"sever-in":                  (*World).sever,
+		"order-at-all-sides":        (*World).operateOnAllSides,
+		"restart-severed":           (*World).restartSevered,
+		"restart-other":             (*World).restartOther,
+		"restart-with-severed-seed": func(w *World, step Step) { w.restartWithSeveredSeed(step.For) },
+	}
+}
+
+func (w *World) operateOnAllSides(step Step) {
+	until := w.now + step.For
+	w.orderAtAllSides(until)
+	w.readAtAllSides(until)
+}
+
+func (w *World) restartSevered(step Step) {
+	for _, machine := range w.severedMachines() {
+		w.restart(w.machineNodes(machine), false, step.For)
+		w.dangers["restarts on the cut-off side"]++
+	}
+}
+
+// restartOther restarts a core machine on the other side of the cut.
+func (w *World) restartOther(step Step) {
+	others := w.cores()
+	for _, machine := range w.severedMachines() {
+		others = without(others, machine)
+	}
+	w.restart(w.machineNodes(others[w.random.IntN(len(others))]), false, step.For)
+	w.dangers["restarts on the other side"]++
+	if away := len(w.severed) + 1; away*2 >= len(w.cores()) {
+		w.unsettled(step.For)
 	}
-	return true
 }
 
 // sever cuts a core machine from all other core machines.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -94,30 +94,26 @@
 	return steps
 }
 
-// allFaults joins the tables of faults.
+// allFaults joins the tables of faults; no name stands in two of them.
 func allFaults() map[string]fault {
 	joined := map[string]fault{}
-	for _, table := range []map[string]fault{nodeFaults(), networkFaults(), collectorFaults(), operatorSteps()} {
+	for _, table := range []map[string]fault{
+		nodeFaults(), networkFaults(), collectorFaults(), operatorSteps(),
+		answerFaults(), cutoffSteps(), sameVersionSteps(), secondLossSteps(), hundredsSteps(), overlapSteps(),
+	} {
 		maps.Copy(joined, table)
 	}
 	return joined
 }
 
-// do carries out one step. Names that no table has belong to a scenario of its own file, or are
-// faults of upstreams.
+// do carries out one step. Names that no table has arm a loss or are faults of upstreams.
 func (w *World) do(step Step) {
 	w.mark("STEP %s", step)
 	if apply, found := w.faults[step.Do]; found {
 		apply(w, step)
-		return
-	}
-	scenarios := []func(Step) bool{
-		w.doAnswers, w.doCutoff, w.doSameVersion, w.doSecondLoss, w.doHundreds, w.doOverlap,
-	}
-	for _, try := range scenarios {
-		if try(step) {
-			return
-		}
+	} else if kind, arms := strings.CutPrefix(step.Do, armPrefix); arms {
+		w.armLoss(kind, step)
+	} else {
+		w.doUpstream(step)
 	}
-	w.doUpstream(step)
 }
--- a/internal/simulation/hundreds.go
+++ b/internal/simulation/hundreds.go
@@ -156,11 +156,9 @@
 	}
 }
 
-// doHundreds carries out the scenario's own step; false when the step is another's.
-func (w *World) doHundreds(step Step) bool {
-	if step.Do != "hundreds" {
-		return false
+// hundredsSteps returns the step of the hundreds scenario, by the name that plans use.
+func hundredsSteps() map[string]fault {
+	return map[string]fault{
+		"hundreds": func(w *World, step Step) { w.changeInTurn(changesWanted, w.now+step.For) },
 	}
-	w.changeInTurn(changesWanted, w.now+step.For)
-	return true
 }
--- a/internal/simulation/overlap.go
+++ b/internal/simulation/overlap.go
@@ -113,19 +113,13 @@
 	})
 }
 
-// doOverlap carries out this file's own steps; false when the step is another's.
-func (w *World) doOverlap(step Step) bool {
-	switch step.Do {
-	case "order-large":
-		w.repeat(largeOrdersEvery, w.now+step.For, w.orderLarge)
-	case "taken-again":
-		w.takenAgain()
-	case "halve-core":
-		w.halveCore(step)
-	default:
-		return false
+// overlapSteps returns the steps of the scenarios of overlapping losses, by the name that plans use.
+func overlapSteps() map[string]fault {
+	return map[string]fault{
+		"order-large": func(w *World, step Step) { w.repeat(largeOrdersEvery, w.now+step.For, w.orderLarge) },
+		"taken-again": func(w *World, _ Step) { w.takenAgain() },
+		"halve-core":  (*World).halveCore,
 	}
-	return true
 }
 
 // halveCore cuts the core machines of a list from the others.
--- a/internal/simulation/sameversion.go
+++ b/internal/simulation/sameversion.go
@@ -42,22 +42,14 @@
 	return plan
 }
 
-// doSameVersion carries out the scenario's own steps; false when the step is another's.
-func (w *World) doSameVersion(step Step) bool {
-	until := w.now + step.For
-	switch step.Do {
-	case "rival-orders":
-		w.repeat(rivalEvery, until, w.rivalOrders)
-	case "orders-at-once":
-		w.repeat(atOnceEvery, until, w.ordersTogether)
-	case "resend-orders":
-		w.repeat(resendEvery, until, w.resendOrder)
-	case "lose-answers":
-		w.answersLost, w.lostShare = until, lostShare
-	default:
-		return false
+// sameVersionSteps returns the steps of the same-version scenario, by the name that plans use.
+func sameVersionSteps() map[string]fault {
+	return map[string]fault{
+		"rival-orders":   func(w *World, step Step) { w.repeat(rivalEvery, w.now+step.For, w.rivalOrders) },
+		"orders-at-once": func(w *World, step Step) { w.repeat(atOnceEvery, w.now+step.For, w.ordersTogether) },
+		"resend-orders":  func(w *World, step Step) { w.repeat(resendEvery, w.now+step.For, w.resendOrder) },
+		"lose-answers":   func(w *World, step Step) { w.answersLost, w.lostShare = w.now+step.For, lostShare },
 	}
-	return true
 }
 
 // repeat does something in a steady rhythm.
--- a/internal/simulation/secondloss.go
+++ b/internal/simulation/secondloss.go
@@ -52,27 +52,30 @@
 	return append(plan, Step{At: at, Do: "arm-" + loss, Target: first, For: secondLossAway})
 }
 
-// doSecondLoss carries out the scenario's own steps; false when the step is another's.
-func (w *World) doSecondLoss(step Step) bool {
-	switch {
-	case step.Do == "order-steadily":
-		w.repeat(secondLossEvery, w.now+step.For, func() {
-			w.versions++
-			tenants := w.options.Deployment.Tenants()[:w.tenants]
-			w.persist(w.newOrder(w.versions, tenants, w.options.Deployment.Configuration(tenants, int(w.versions)), nil))
-		})
-	case strings.HasPrefix(step.Do, "arm-"):
-		w.armed = &armedLoss{kind: strings.TrimPrefix(step.Do, "arm-"), away: step.For, spared: step.Target}
-	case step.Do == "replace-planned":
-		w.replacePlanned(step.Target, step.For, "")
-	case step.Do == "replace-planned-alone":
-		w.replaceAlone(step.Target, step.For)
-	case step.Do == heirDies:
-		w.replacePlanned(step.Target, step.For, heirDies)
-	default:
-		return false
+// armPrefix begins the names of steps that wait for a newcomer's vote; the rest names the loss.
+const armPrefix = "arm-"
+
+// secondLossSteps returns the steps of the second-loss scenario, by the name that plans use.
+func secondLossSteps() map[string]fault {
+	return map[string]fault{
+		"order-steadily":        (*World).orderSteadily,
+		"replace-planned":       func(w *World, step Step) { w.replacePlanned(step.Target, step.For, "") },
+		"replace-planned-alone": func(w *World, step Step) { w.replaceAlone(step.Target, step.For) },
+		heirDies:                func(w *World, step Step) { w.replacePlanned(step.Target, step.For, heirDies) },
 	}
-	return true
+}
+
+func (w *World) orderSteadily(step Step) {
+	w.repeat(secondLossEvery, w.now+step.For, func() {
+		w.versions++
+		tenants := w.options.Deployment.Tenants()[:w.tenants]
+		w.persist(w.newOrder(w.versions, tenants, w.options.Deployment.Configuration(tenants, int(w.versions)), nil))
+	})
+}
+
+// armLoss has the loss that the step names wait for a newcomer's vote.
+func (w *World) armLoss(kind string, step Step) {
+	w.armed = &armedLoss{kind: kind, away: step.For, spared: step.Target}
 }
 
 // recovered: a newcomer's vote stands; the loss that was armed for it comes at any moment now.
