--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -1,7 +1,3 @@
-// This file carries actions out. An action that makes no sense where it stands (its
-// process is not up, its message is not there, a loss would be one too many) does
-// nothing, so that every part of a plan is a plan.
-
 package explore
 
 import (
@@ -20,7 +16,9 @@
 	processLimit = 12
 )
 
-// do carries an action out; false when it could not be.
+// do carries an action out and reports whether it could. An action that is impossible where it
+// stands (its process is down, its message is not there, it would lose too many disks) does nothing,
+// so that every part of a plan is a plan and plans can be shrunk.
 func (w *World) do(action Action) bool {
 	switch action.Kind {
 	case Lose, Double, Late:
@@ -88,9 +86,9 @@
 		return false
 	}
 	p.frozen = true
-	life := p.life
+	incarnation := p.incarnation
 	w.after(action.Rounds, func() {
-		if p.life == life {
+		if p.incarnation == incarnation {
 			p.frozen, p.thawedAt = false, w.round
 		}
 	})
@@ -175,9 +173,9 @@
 		return false
 	}
 	p.leaving = true
-	life := p.life
+	incarnation := p.incarnation
 	w.after(leaveLimit, func() {
-		if p.life == life && !p.gone {
+		if p.incarnation == incarnation && !p.gone {
 			w.retire(p)
 		}
 	})
@@ -224,7 +222,7 @@
 	id := w.history.begin(w, asked)
 	w.step++
 	p.requests[id] = request{asked, w.step}
-	order := item{step: w.step, from: operatorAddress, to: p, life: p.life, message: messageOf(id)}
+	order := item{step: w.step, from: operatorAddress, to: p, incarnation: p.incarnation, message: messageOf(id)}
 	w.queue = append([]item{order}, w.queue...)
 }
 
--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -1,7 +1,3 @@
-// This file takes the fingerprint of a state: of all machines, disks, messages and writes
-// on their way, faults that last, and what operators were told. Two runs that come to one
-// fingerprint at one round go on alike.
-
 package explore
 
 import (
@@ -17,7 +13,9 @@
 	"beaconvane/internal/storage"
 )
 
-// fingerprint folds values into a hash, through unexported fields and pointers as well.
+// fingerprint folds the state of a run into a hash, through unexported fields and pointers as well:
+// machines, disks, messages and writes in flight, lasting faults, and what operators were told. Two
+// runs with one fingerprint at one round go on alike.
 type fingerprint struct {
 	text strings.Builder
 	met  map[uintptr]int
@@ -109,7 +107,8 @@
 func (w *World) state() uint64 {
 	f := &fingerprint{met: map[uintptr]int{}}
 	for _, p := range w.processes {
-		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.gone, p.leaving, p.seated, p.life, p.bootAt,
+		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.gone, p.leaving, p.seated, p.incarnation,
+			p.bootAt,
 			p.wall, max(p.slowTo-w.round, 0))
 		f.add(reflect.ValueOf(p.machine))
 		f.add(reflect.ValueOf(p.env))
@@ -137,7 +136,7 @@
 
 func (f *fingerprint) addItems(items []item) {
 	for _, held := range items {
-		fmt.Fprintf(&f.text, "%s>%s %d %T;", held.from, held.to.address, held.life, held.message)
+		fmt.Fprintf(&f.text, "%s>%s %d %T;", held.from, held.to.address, held.incarnation, held.message)
 		if held.write == nil {
 			f.add(reflect.ValueOf(held.message))
 			continue
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -1,8 +1,3 @@
-// This file is what the registries work for in a run: proxies that send heartbeats and
-// usage counts, whose upstreams come and go, and the collector of the usage reports. Proxies
-// and collector hold no promise up themselves; they are the truth that the registries'
-// roster and reports are held against.
-
 package explore
 
 import (
@@ -17,6 +12,9 @@
 	"beaconvane/internal/statemachine"
 )
 
+// The fleet is what registries serve in a run: proxies with heartbeats, usage counts and upstreams
+// that come and go, and the usage collector. It keeps no promises itself; it is the truth that the
+// registries' roster and reports are checked against.
 const (
 	fleetProxies      = 2
 	upstreamsPerProxy = 2
@@ -71,7 +69,7 @@
 	windows  map[int64]report
 	newest   int64            // window that was reported
 	fence    int64            // the highest that the collector has seen
-	lives    map[int64]string // by fence: the life that used it
+	lives    map[int64]string // by fence: the incarnation that used it
 	acts     []act            // the first of each holder in a row
 	attempts int64
 	deafTo   map[[2]int]int              // by process and proxy: the round until which nothing comes through
@@ -148,7 +146,7 @@
 
 // tell puts a message of the fleet into the queue.
 func (w *World) tell(to *process, from string, body any) {
-	w.queue = append(w.queue, item{step: w.step, from: from, to: to, life: to.life, message: body})
+	w.queue = append(w.queue, item{step: w.step, from: from, to: to, incarnation: to.incarnation, message: body})
 }
 
 func (x *fleetProxy) heartbeat(window int64) message.HeartbeatBatch {
@@ -222,7 +220,7 @@
 }
 
 // changeUpstream lets an upstream take its next step: it leaves, is gone, comes back in a
-// new life.
+// new incarnation.
 func (w *World) changeUpstream(proxy, index int) bool {
 	if w.fleet == nil || proxy >= len(w.fleet.proxies) || index >= upstreamsPerProxy {
 		return false
@@ -267,9 +265,9 @@
 	if w.fleet.attempts%answersLost == 0 {
 		return
 	}
-	life := p.life
+	incarnation := p.incarnation
 	w.after(1, func() {
-		if p.up && !p.frozen && p.life == life {
+		if p.up && !p.frozen && p.incarnation == incarnation {
 			p.apply(w, statemachine.Asked{Question: registry.UsageDelivered{Window: sent.Window}})
 		}
 	})
@@ -287,7 +285,7 @@
 	f.acts = append(f.acts, act{p.name(), round})
 }
 
-func lifeOf(p *process) string { return fmt.Sprintf("%s in life %d", p.name(), p.life) }
+func lifeOf(p *process) string { return fmt.Sprintf("%s in life %d", p.name(), p.incarnation) }
 
 // checkReport: a window has one value, a fence one holder, fences don't fall, and no holder
 // comes back within the rest.
@@ -300,8 +298,8 @@
 	if sent.Epoch < f.fence {
 		w.violate("fence", "%s reports under %d, and %d was seen", p.name(), sent.Epoch, f.fence)
 	}
-	if life, used := f.lives[sent.Epoch]; used && life != lifeOf(p) {
-		w.violate("one-fence", "%s reports under %d, which is that of %s", lifeOf(p), sent.Epoch, life)
+	if incarnation, used := f.lives[sent.Epoch]; used && incarnation != lifeOf(p) {
+		w.violate("one-fence", "%s reports under %d, which is that of %s", lifeOf(p), sent.Epoch, incarnation)
 	}
 	if before, came := f.cameBack(p.name()); came && w.round-before.round < w.restRounds() && w.round-p.thawedAt > thawRounds {
 		w.violate("rest", "%s acts %d rounds after it acted before another", p.name(), w.round-before.round)
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -1,10 +1,3 @@
-// This file is what upstreams in trouble put on their connections, as bytes, and how a
-// proxy reads them: through the product's own pairing of answers with requests. While an
-// upstream "strays", it sends second answers, late ones, ones without a name, and halves.
-// It also breaks the connections between proxies. The danger is counted: how often a stray
-// answer stood at the place of the next one, and how many once-only requests ran and lost
-// their answer. A run of these scenarios that does not reach its danger fails.
-
 package simulation
 
 import (
@@ -25,7 +18,9 @@
 	"beaconvane/internal/workload"
 )
 
-// Dangers that the scenarios of this file must reach.
+// The dangers that the scenarios of faulty upstream connections must reach; a run that does not
+// reach its danger fails. An upstream that strays sends second answers, late ones, answers without
+// an ID and halves of answers, as bytes that the product's own pairing reads.
 const (
 	dangerStray   = "stray answers at the place of the next one"
 	dangerBehind  = "stray answers on a connection that is kept"
@@ -209,27 +204,22 @@
 	return found.Outcome, whole
 }
 
-// doAnswers carries out the steps of this file; false when a step is another's.
-func (w *World) doAnswers(step Step) bool {
-	switch step.Do {
-	case "answers-stray":
-		w.strayUntil = max(w.strayUntil, w.now+step.For)
-	case "connections-break":
-		w.breakConnections()
-	default:
-		return false
+// answerFaults returns the faults of answers and connections, by the name that plans use.
+func answerFaults() map[string]fault {
+	return map[string]fault{
+		"answers-stray":     func(w *World, step Step) { w.strayUntil = max(w.strayUntil, w.now+step.For) },
+		"connections-break": func(w *World, _ Step) { w.breakConnections() },
 	}
-	return true
 }
 
 // breakConnections ends some of the connections between proxies, as resets would.
 func (w *World) breakConnections() {
-	for _, nodeName := range w.of(message.RoleProxy) {
-		for _, connection := range nodeName.connections {
+	for _, node := range w.of(message.RoleProxy) {
+		for _, connection := range node.connections {
 			if !connection.attached || connection.closed || w.random.Float64() >= brokenShare {
 				continue
 			}
-			w.dangers[dangerAsked] += nodeName.tracker.AttemptsOn(connection)
+			w.dangers[dangerAsked] += node.tracker.AttemptsOn(connection)
 			connection.drop()
 			w.record.Held = append(w.record.Held, checker.Span{Name: connection.to.machine, From: w.now, To: w.now + brokenHold})
 		}
--- a/internal/simulation/causes.go
+++ b/internal/simulation/causes.go
@@ -1,6 +1,3 @@
-// This file puts each request that was not answered to a cause, so that what could not
-// be helped is told apart from what the mesh refused although it could have served.
-
 package simulation
 
 import (
@@ -43,13 +40,13 @@
 	return false
 }
 
-// vouched: some registry that this proxy could reach knew the configuration to be current, as
-// a life may begin with no other.
+// vouched says that some registry that this proxy could reach knew the configuration to be current;
+// a proxy may start with no other.
 func (w *World) vouched(from *Node) bool {
 	known := false
-	for _, board := range w.alive(message.RoleRegistry) {
-		if w.linked(from, board) && w.linked(board, from) {
-			board.request(registry.ReadConfigurationStatus{ConfigName: "main"}, func(answer any) {
+	for _, registryNode := range w.alive(message.RoleRegistry) {
+		if w.linked(from, registryNode) && w.linked(registryNode, from) {
+			registryNode.request(registry.ReadConfigurationStatus{ConfigName: "main"}, func(answer any) {
 				age := gjson.GetBytes(mustBe[registry.Answer](answer).Body, "age_ms")
 				known = known || age.Exists() && age.Int() <= from.settings.Reparent().Milliseconds()
 			})
@@ -58,6 +55,8 @@
 	return known
 }
 
+// causeOf names the cause of a request that was not answered, so that what could not be helped is
+// told apart from what the mesh refused although it could have served.
 func (w *World) causeOf(asked checker.Asked) string {
 	recent := asked.Sent - commit
 	done := max(asked.Done, asked.Sent)
--- a/internal/simulation/cutoff.go
+++ b/internal/simulation/cutoff.go
@@ -1,7 +1,3 @@
-// This file is the scenario of a core machine that is cut off for twenty seconds, both
-// ways or one way, while operators send orders and read at all sides, processes restart on
-// both sides, and some begin with seeds that name the cut-off machine first.
-
 package simulation
 
 import (
@@ -16,6 +12,8 @@
 	"beaconvane/internal/workload"
 )
 
+// The cutoff scenario cuts a core machine off, both ways or one way, while operators send orders
+// and read on all sides and processes restart on both.
 const (
 	cutLength     = 20 * time.Second
 	cutOrderEvery = 900 * time.Millisecond
@@ -40,36 +38,43 @@
 	return plan
 }
 
-// doCutoff carries out the scenario's own steps; false when the step is another's.
-func (w *World) doCutoff(step Step) bool {
-	switch step.Do {
-	case "sever", "sever-out", "sever-in":
-		w.sever(step)
-	case "order-at-all-sides":
-		until := w.now + step.For
-		w.orderAtAllSides(until)
-		w.readAtAllSides(until)
-	case "restart-severed":
-		for _, machine := range w.severedMachines() {
-			w.restart(w.machineNodes(machine), false, step.For)
-			w.dangers["restarts on the cut-off side"]++
-		}
-	case "restart-other":
-		others := w.cores()
-		for _, machine := range w.severedMachines() {
-			others = without(others, machine)
-		}
-		w.restart(w.machineNodes(others[w.random.IntN(len(others))]), false, step.For)
-		w.dangers["restarts on the other side"]++
-		if away := len(w.severed) + 1; away*2 >= len(w.cores()) {
-			w.unsettled(step.For)
-		}
-	case "restart-with-severed-seed":
-		w.restartWithSeveredSeed(step.For)
-	default:
-		return false
+// cutoffSteps returns the steps of the cutoff scenario, by the name that plans use.
+func cutoffSteps() map[string]fault {
+	return map[string]fault{
+		"sever":                     (*World).sever,
+		"sever-out":                 (*World).sever,
+		"sever-in":                  (*World).sever,
+		"order-at-all-sides":        (*World).operateOnAllSides,
+		"restart-severed":           (*World).restartSevered,
+		"restart-other":             (*World).restartOther,
+		"restart-with-severed-seed": func(w *World, step Step) { w.restartWithSeveredSeed(step.For) },
+	}
+}
+
+func (w *World) operateOnAllSides(step Step) {
+	until := w.now + step.For
+	w.orderAtAllSides(until)
+	w.readAtAllSides(until)
+}
+
+func (w *World) restartSevered(step Step) {
+	for _, machine := range w.severedMachines() {
+		w.restart(w.machineNodes(machine), false, step.For)
+		w.dangers["restarts on the cut-off side"]++
+	}
+}
+
+// restartOther restarts a core machine on the other side of the cut.
+func (w *World) restartOther(step Step) {
+	others := w.cores()
+	for _, machine := range w.severedMachines() {
+		others = without(others, machine)
+	}
+	w.restart(w.machineNodes(others[w.random.IntN(len(others))]), false, step.For)
+	w.dangers["restarts on the other side"]++
+	if away := len(w.severed) + 1; away*2 >= len(w.cores()) {
+		w.unsettled(step.For)
 	}
-	return true
 }
 
 // sever cuts a core machine from all other core machines.
@@ -121,16 +126,16 @@
 
 // side picks a registry of the cut-off side, or of the other one.
 func (w *World) side(severed bool) *Node {
-	boards := []*Node{}
-	for _, board := range w.alive(message.RoleRegistry) {
-		if _, cut := w.severed[board.machine]; cut == severed {
-			boards = append(boards, board)
+	registries := []*Node{}
+	for _, registryNode := range w.alive(message.RoleRegistry) {
+		if _, cut := w.severed[registryNode.machine]; cut == severed {
+			registries = append(registries, registryNode)
 		}
 	}
-	if len(boards) == 0 {
+	if len(registries) == 0 {
 		return nil
 	}
-	return boards[w.random.IntN(len(boards))]
+	return registries[w.random.IntN(len(registries))]
 }
 
 // orderAtAllSides sends an order to each side, the same to both every third time.
@@ -140,10 +145,10 @@
 	}
 	tenants := w.options.Deployment.Tenants()[:w.tenants]
 	for _, severed := range []bool{true, false} {
-		if board := w.side(severed); board != nil {
+		if registryNode := w.side(severed); registryNode != nil {
 			w.versions++
 			o := w.newOrder(w.versions, tenants, w.options.Deployment.Configuration(tenants, int(w.versions)), nil)
-			w.sendOrder(o, board)
+			w.sendOrder(o, registryNode)
 		}
 	}
 	w.after(cutOrderEvery, func() { w.orderAtAllSides(until) })
@@ -154,9 +159,9 @@
 		return
 	}
 	for _, severed := range []bool{true, false} {
-		if board := w.side(severed); board != nil {
-			w.askBoard(board, registry.ReadConfiguration{ConfigName: "main"}, func(registry.Answer) {})
-			w.readViews(board)
+		if registryNode := w.side(severed); registryNode != nil {
+			w.askRegistry(registryNode, registry.ReadConfiguration{ConfigName: "main"}, func(registry.Answer) {})
+			w.readViews(registryNode)
 		}
 	}
 	w.after(cutReadEvery, func() { w.readAtAllSides(until) })
@@ -164,16 +169,16 @@
 
 // readViews: who has been cut off for long gives neither roster nor state of configurations
 // out as current.
-func (w *World) readViews(board *Node) {
-	since, severed := w.severed[board.machine]
-	if !severed || w.now-since < board.settings.MaxAgeReady()+settleTime {
+func (w *World) readViews(registryNode *Node) {
+	since, severed := w.severed[registryNode.machine]
+	if !severed || w.now-since < registryNode.settings.MaxAgeReady()+settleTime {
 		return
 	}
 	for _, question := range []any{registry.ReadRoster{}, registry.ReadConfigurationStatus{ConfigName: "main"}} {
-		board.request(question, func(answer any) {
+		registryNode.request(question, func(answer any) {
 			w.dangers["views asked of a cut-off node"]++
 			if code := mustBe[registry.Answer](answer).Code; code == errcode.OK {
-				w.fail("%s, cut off for %s, answered %T as current", board.name, w.now-since, question)
+				w.fail("%s, cut off for %s, answered %T as current", registryNode.name, w.now-since, question)
 			}
 		})
 	}
@@ -184,9 +189,9 @@
 func (w *World) restartWithSeveredSeed(down time.Duration) {
 	seeds := []string{}
 	for _, machine := range append(w.severedMachines(), w.cores()...) {
-		for _, board := range w.machineNodes(machine) {
-			if board.role == message.RoleRegistry && !strings.Contains(strings.Join(seeds, " "), board.address()) {
-				seeds = append(seeds, board.address())
+		for _, registryNode := range w.machineNodes(machine) {
+			if registryNode.role == message.RoleRegistry && !strings.Contains(strings.Join(seeds, " "), registryNode.address()) {
+				seeds = append(seeds, registryNode.address())
 			}
 		}
 	}
--- a/internal/simulation/hundreds.go
+++ b/internal/simulation/hundreds.go
@@ -1,8 +1,3 @@
-// This file is the scenario of hundreds of changes, large ones among them, while core
-// machines are away for part of it, are restarted, lose a disk, and hold the lease. Who
-// comes back catches up in bounded time, what lies on disk stays bounded, no frame is
-// over its cap, and no read is older than what was acknowledged.
-
 package simulation
 
 import (
@@ -16,6 +11,9 @@
 	"beaconvane/internal/workload"
 )
 
+// The hundreds scenario changes the configuration hundreds of times, while core machines are away,
+// restart, lose a disk and hold the lease. A machine that returns must catch up in bounded time, its
+// disk and its frames must stay bounded, and no read may be older than what was acknowledged.
 const (
 	changesWanted = 620
 	largeEvery    = 60   // every so many changes one is large
@@ -89,14 +87,15 @@
 // acknowledged when it came, as long as no more machines count as lost than may be: one
 // counts as lost while it is away and for the same bound after it is back.
 func (w *World) expectCaughtUp(store *Node) {
-	wanted, life, began := w.newestAcked, store.life, w.now
+	wanted, incarnation, began := w.newestAcked, store.incarnation, w.now
 	bound := time.Duration(store.settings.Bounds.CatchUp) * time.Millisecond
 	if wanted == 0 || store.role != message.RoleConfigStore || !w.othersStand(store, began-bound) {
 		return
 	}
 	behind := wanted - newestOf(store)
 	w.after(bound, func() {
-		hampered := !store.up || store.frozen || store.life != life || store.wasFrozen(began) || store.slow > w.options.Deployment.DiskDelay
+		hampered := !store.up || store.frozen || store.incarnation != incarnation || store.wasFrozen(began) ||
+			store.writeDelay > w.options.Deployment.DiskDelay
 		if hampered || w.isSpare(store) || w.cutOff(store.machine) || !w.othersStand(store, began-bound) {
 			return
 		}
@@ -157,11 +156,9 @@
 	}
 }
 
-// doHundreds carries out the scenario's own step; false when the step is another's.
-func (w *World) doHundreds(step Step) bool {
-	if step.Do != "hundreds" {
-		return false
+// hundredsSteps returns the step of the hundreds scenario, by the name that plans use.
+func hundredsSteps() map[string]fault {
+	return map[string]fault{
+		"hundreds": func(w *World, step Step) { w.changeInTurn(changesWanted, w.now+step.For) },
 	}
-	w.changeInTurn(changesWanted, w.now+step.For)
-	return true
 }
--- a/internal/simulation/overlap.go
+++ b/internal/simulation/overlap.go
@@ -1,8 +1,3 @@
-// This file has the scenarios of losses that overlap beyond what the voters are placed to
-// outlive, as long as no more disks are lost than that: machines that come back with their
-// disk while others come back without, all machines without power behind the loss of disks,
-// and a core in two halves that everybody else reaches.
-
 package simulation
 
 import (
@@ -13,7 +8,9 @@
 	"beaconvane/internal/workload"
 )
 
-// tolerated is how many disks of the core may be lost at once.
+// tolerated is how many disks of the core may be lost at once. The scenarios of overlapping losses
+// stay within it, and go beyond what the voters are placed to survive otherwise: machines that return
+// with and without their disks at once, power lost everywhere, a core in two halves.
 func tolerated(d workload.Deployment) int { return (len(d.CoreNames()) - 1) / 2 }
 
 // disksLostAllOffPlan ends a day as the users' closing fault does: right behind an
@@ -116,19 +113,13 @@
 	})
 }
 
-// doOverlap carries out this file's own steps; false when the step is another's.
-func (w *World) doOverlap(step Step) bool {
-	switch step.Do {
-	case "order-large":
-		w.repeat(largeOrdersEvery, w.now+step.For, w.orderLarge)
-	case "taken-again":
-		w.takenAgain()
-	case "halve-core":
-		w.halveCore(step)
-	default:
-		return false
+// overlapSteps returns the steps of the scenarios of overlapping losses, by the name that plans use.
+func overlapSteps() map[string]fault {
+	return map[string]fault{
+		"order-large": func(w *World, step Step) { w.repeat(largeOrdersEvery, w.now+step.For, w.orderLarge) },
+		"taken-again": func(w *World, _ Step) { w.takenAgain() },
+		"halve-core":  (*World).halveCore,
 	}
-	return true
 }
 
 // halveCore cuts the core machines of a list from the others.
--- a/internal/simulation/sameversion.go
+++ b/internal/simulation/sameversion.go
@@ -1,7 +1,3 @@
-// This file is the scenario of two operators under one version with different contents:
-// answers are lost in turn and the same order goes to another node, up to eight orders
-// are under way, and orders that were taken long ago come again.
-
 package simulation
 
 import (
@@ -15,6 +11,8 @@
 	"beaconvane/internal/workload"
 )
 
+// The same-version scenario has two operators write different contents under one version, while
+// answers are lost, orders are sent again to other nodes, and old orders return.
 const (
 	rivalEvery    = 600 * time.Millisecond
 	ordersAtOnce  = 8
@@ -44,22 +42,14 @@
 	return plan
 }
 
-// doSameVersion carries out the scenario's own steps; false when the step is another's.
-func (w *World) doSameVersion(step Step) bool {
-	until := w.now + step.For
-	switch step.Do {
-	case "rival-orders":
-		w.repeat(rivalEvery, until, w.rivalOrders)
-	case "orders-at-once":
-		w.repeat(atOnceEvery, until, w.ordersTogether)
-	case "resend-orders":
-		w.repeat(resendEvery, until, w.resendOrder)
-	case "lose-answers":
-		w.answersLost, w.lostShare = until, lostShare
-	default:
-		return false
+// sameVersionSteps returns the steps of the same-version scenario, by the name that plans use.
+func sameVersionSteps() map[string]fault {
+	return map[string]fault{
+		"rival-orders":   func(w *World, step Step) { w.repeat(rivalEvery, w.now+step.For, w.rivalOrders) },
+		"orders-at-once": func(w *World, step Step) { w.repeat(atOnceEvery, w.now+step.For, w.ordersTogether) },
+		"resend-orders":  func(w *World, step Step) { w.repeat(resendEvery, w.now+step.For, w.resendOrder) },
+		"lose-answers":   func(w *World, step Step) { w.answersLost, w.lostShare = w.now+step.For, lostShare },
 	}
-	return true
 }
 
 // repeat does something in a steady rhythm.
@@ -73,8 +63,8 @@
 
 // rivalOrders: two contents under one version, sent at once to two registries.
 func (w *World) rivalOrders() {
-	boards := w.alive(message.RoleRegistry)
-	if len(boards) == 0 {
+	registries := w.alive(message.RoleRegistry)
+	if len(registries) == 0 {
 		return
 	}
 	w.versions += 1 + int64(w.random.IntN(3))
@@ -93,23 +83,23 @@
 			}
 		})
 		o.rivalled = true
-		w.sendOrder(o, boards[(w.random.IntN(len(boards))+rival)%len(boards)])
+		w.sendOrder(o, registries[(w.random.IntN(len(registries))+rival)%len(registries)])
 	}
 	w.dangers["pairs of contents under one version"]++
 }
 
 // ordersTogether sends several new versions at one time.
 func (w *World) ordersTogether() {
-	boards := w.alive(message.RoleRegistry)
+	registries := w.alive(message.RoleRegistry)
 	tenants := w.options.Deployment.Tenants()[:w.tenants]
 	for index := range ordersAtOnce {
 		w.versions++
 		o := w.newOrder(w.versions, tenants, w.options.Deployment.Configuration(tenants, 100+int(w.versions)), nil)
-		if len(boards) == 0 {
+		if len(registries) == 0 {
 			w.persist(o)
 			continue
 		}
-		w.sendOrder(o, boards[index%len(boards)])
+		w.sendOrder(o, registries[index%len(registries)])
 	}
 	w.dangers["eight orders at one time"]++
 }
@@ -122,8 +112,8 @@
 			known = append(known, o)
 		}
 	}
-	boards := w.alive(message.RoleRegistry)
-	if len(known) == 0 || len(boards) == 0 {
+	registries := w.alive(message.RoleRegistry)
+	if len(known) == 0 || len(registries) == 0 {
 		return
 	}
 	chosen := known[0]
@@ -136,7 +126,7 @@
 		}
 	})
 	again.tries = 1
-	w.sendOrder(again, boards[w.random.IntN(len(boards))])
+	w.sendOrder(again, registries[w.random.IntN(len(registries))])
 }
 
 // settled: at the end every operator was told yes or no.
--- a/internal/simulation/secondloss.go
+++ b/internal/simulation/secondloss.go
@@ -1,8 +1,3 @@
-// This file is the scenario of a second loss right after a repair or a replacement: a disk
-// that was wiped, a machine replaced by an empty one at another address, a planned
-// replacement with the new machine first, a machine taken away. As soon as a newcomer has
-// its vote another core machine is lost; orders go on and must be taken while it is away.
-
 package simulation
 
 import (
@@ -16,6 +11,8 @@
 	"beaconvane/internal/workload"
 )
 
+// The second-loss scenario takes another core machine away as soon as a repaired or replaced one has
+// its vote; orders must be accepted while the second machine is away.
 const (
 	secondLossEvery = 400 * time.Millisecond // between orders
 	lossWithin      = 300 * time.Millisecond // of the newcomer's vote
@@ -55,27 +52,30 @@
 	return append(plan, Step{At: at, Do: "arm-" + loss, Target: first, For: secondLossAway})
 }
 
-// doSecondLoss carries out the scenario's own steps; false when the step is another's.
-func (w *World) doSecondLoss(step Step) bool {
-	switch {
-	case step.Do == "order-steadily":
-		w.repeat(secondLossEvery, w.now+step.For, func() {
-			w.versions++
-			tenants := w.options.Deployment.Tenants()[:w.tenants]
-			w.persist(w.newOrder(w.versions, tenants, w.options.Deployment.Configuration(tenants, int(w.versions)), nil))
-		})
-	case strings.HasPrefix(step.Do, "arm-"):
-		w.armed = &armedLoss{kind: strings.TrimPrefix(step.Do, "arm-"), away: step.For, spared: step.Target}
-	case step.Do == "replace-planned":
-		w.replacePlanned(step.Target, step.For, "")
-	case step.Do == "replace-planned-alone":
-		w.replaceAlone(step.Target, step.For)
-	case step.Do == heirDies:
-		w.replacePlanned(step.Target, step.For, heirDies)
-	default:
-		return false
+// armPrefix begins the names of steps that wait for a newcomer's vote; the rest names the loss.
+const armPrefix = "arm-"
+
+// secondLossSteps returns the steps of the second-loss scenario, by the name that plans use.
+func secondLossSteps() map[string]fault {
+	return map[string]fault{
+		"order-steadily":        (*World).orderSteadily,
+		"replace-planned":       func(w *World, step Step) { w.replacePlanned(step.Target, step.For, "") },
+		"replace-planned-alone": func(w *World, step Step) { w.replaceAlone(step.Target, step.For) },
+		heirDies:                func(w *World, step Step) { w.replacePlanned(step.Target, step.For, heirDies) },
 	}
-	return true
+}
+
+func (w *World) orderSteadily(step Step) {
+	w.repeat(secondLossEvery, w.now+step.For, func() {
+		w.versions++
+		tenants := w.options.Deployment.Tenants()[:w.tenants]
+		w.persist(w.newOrder(w.versions, tenants, w.options.Deployment.Configuration(tenants, int(w.versions)), nil))
+	})
+}
+
+// armLoss has the loss that the step names wait for a newcomer's vote.
+func (w *World) armLoss(kind string, step Step) {
+	w.armed = &armedLoss{kind: kind, away: step.For, spared: step.Target}
 }
 
 // recovered: a newcomer's vote stands; the loss that was armed for it comes at any moment now.
@@ -114,8 +114,8 @@
 	for _, old := range w.machineNodes(machine) {
 		heirs = append(heirs, w.addHeir(old, machine+"-after"))
 	}
-	for _, heir := range heirs {
-		heir.boot()
+	for _, replacement := range heirs {
+		replacement.boot()
 	}
 	w.after(max(wait, time.Second), func() {
 		w.holdsNewestAlone(machine)
@@ -127,9 +127,9 @@
 		}
 		w.after(time.Duration(w.random.Int64N(int64(lossWithin))), func() {
 			w.dangers["newcomers lost in the middle of a planned replacement"]++
-			for _, heir := range heirs {
-				heir.kill(true, true)
-				heir.retired = true
+			for _, replacement := range heirs {
+				replacement.kill(true, true)
+				replacement.retired = true
 			}
 		})
 	})
@@ -171,14 +171,14 @@
 	w.serial++
 	host, port, _ := strings.Cut(old.settings.Address, ":")
 	parts := strings.Split(host, ".")
-	heir := w.addNode(old.role, machine, "", old.settings.Zone,
+	replacement := w.addNode(old.role, machine, "", old.settings.Zone,
 		fmt.Sprintf("%s.%d:%s", strings.Join(parts[:3], "."), 100+w.serial, port), old.settings.Seeds)
-	heir.settings.Found = false
-	heir.settings.Seeds = []string{}
-	for _, board := range w.of(message.RoleRegistry) {
-		if board != heir && !board.retired && len(heir.settings.Seeds) < 3 {
-			heir.settings.Seeds = append(heir.settings.Seeds, board.address())
+	replacement.settings.Found = false
+	replacement.settings.Seeds = []string{}
+	for _, registryNode := range w.of(message.RoleRegistry) {
+		if registryNode != replacement && !registryNode.retired && len(replacement.settings.Seeds) < 3 {
+			replacement.settings.Seeds = append(replacement.settings.Seeds, registryNode.address())
 		}
 	}
-	return heir
+	return replacement
 }
