--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -1,91 +1,14 @@
 package scaletest
 
 import (
-	"context"
-	"encoding/json"
 	"fmt"
-	"io"
-	"net"
-	"net/http"
-	"os"
-	"os/exec"
-	"path/filepath"
-	"slices"
 	"time"
 
 	"beaconvane/internal/errcode"
 	"beaconvane/internal/goroutine"
 	"beaconvane/internal/message"
-	"beaconvane/internal/settings"
-	"beaconvane/internal/workload"
 )
 
-// HollowFleetCommand is the subcommand by which a program that embeds this package runs Serve.
-const HollowFleetCommand = "hollow-fleet"
-
-// Plan says what fleet to run.
-type Plan struct {
-	Proxies  int           `json:"proxies"`
-	Zones    int           `json:"zones"`
-	Services int           `json:"services"`
-	Tenants  int           `json:"tenants"` // 0: no requests are counted
-	Fanout   int64         `json:"fanout"`
-	InForce  time.Duration `json:"in_force"` // the bound on configurations, to which most timers are ratios
-	Share    int           `json:"share"`    // proxies in one process
-	Folder   string        `json:"-"`
-	Program  string        `json:"-"` // empty: all in this process
-}
-
-// hollowFleet is one process's share of the fleet, in this process or another.
-type hollowFleet interface {
-	do(request Request) Answer
-	close()
-}
-
-// localFleet runs in this process.
-type localFleet struct{ fleet *HollowFleet }
-
-func (l localFleet) do(request Request) Answer { return l.fleet.Do(request) }
-func (l localFleet) close()                    { l.fleet.Close() }
-
-// remoteFleet runs in a process of its own, which it asks by JSON over pipes.
-type remoteFleet struct {
-	command *exec.Cmd
-	input   io.WriteCloser
-	encoder *json.Encoder
-	decoder *json.Decoder
-	group   *goroutine.Group
-}
-
-func (f *remoteFleet) do(request Request) Answer {
-	answer := Answer{}
-	if err := f.encoder.Encode(request); err != nil {
-		return Answer{Fault: err.Error()}
-	}
-	if err := f.decoder.Decode(&answer); err != nil {
-		return Answer{Fault: err.Error()}
-	}
-	return answer
-}
-
-// close ends the input; a process that does not end by itself is ended.
-func (f *remoteFleet) close() {
-	f.input.Close()
-	done := make(chan struct{})
-	f.group.Go("scaletest.wait", func(context.Context) {
-		_ = f.command.Wait() // how it ended is of no interest
-		close(done)
-	})
-	limit := time.NewTimer(20 * time.Second)
-	defer limit.Stop()
-	select {
-	case <-done:
-	case <-limit.C:
-		_ = f.command.Process.Kill() // it may have ended meanwhile
-		<-done
-	}
-}
-
 // Fleet is a running hollow fleet.
 type Fleet struct {
 	plan       Plan
@@ -94,96 +17,85 @@
 	version    int64
 }
 
-func freeAddress(host string) (string, error) {
-	listener, err := net.Listen("tcp", host+":0")
+// Start starts the processes of a plan, the core first.
+func Start(plan Plan) (*Fleet, error) {
+	f := &Fleet{plan: plan, goroutines: goroutine.New(), processes: map[string][]hollowFleet{}}
+	core, err := newCoreAddresses()
 	if err != nil {
-		return "", errcode.Wrap("scaletest.address", errcode.ConnectionLost, err)
-	}
-	defer listener.Close()
-	return listener.Addr().String(), nil
-}
-
-// Settings returns the settings of one node of the plan.
-func (p Plan) Settings(role, nodeName, voter, zone, address string, seeds []string) settings.Settings {
-	cfg := settings.Default()
-	cfg.Node, cfg.Voter, cfg.Zone, cfg.Address, cfg.Seeds = nodeName, voter, zone, address, seeds
-	cfg.Voters = voterNames
-	cfg.Zones = nil
-	cfg.Active = map[string]string{settings.ConfigLogTag: voterNames[0], settings.UsageTag: voterNames[2]}
-	for number := range p.Zones {
-		name := zoneName(number)
-		cfg.Zones = append(cfg.Zones, name)
-		cfg.Active[name] = voterNames[number%len(voterNames)]
-	}
-	cfg.Limits.Fanout = p.Fanout
-	if p.InForce > 0 {
-		cfg.Bounds.ConfigurationInForce = p.InForce.Milliseconds()
+		return nil, err
 	}
-	if role != message.RoleConfigStore {
-		cfg.Outside = address // told to others, never bound here
+	if err := f.startCore(core); err != nil {
+		f.Stop()
+		return nil, err
 	}
-	if role != message.RoleProxy {
-		cfg.Data = filepath.Join(p.Folder, role+"-"+nodeName)
+	if err := f.startProxies(core.seeds()); err != nil {
+		f.Stop()
+		return nil, err
 	}
-	return cfg
+	return f, nil
 }
 
-var voterNames = []string{"core-1", "core-2", "core-3"}
-
-func zoneName(number int) string { return fmt.Sprintf("zone-%02d", number+1) }
+// coreAddresses are the addresses of the core's processes, by voter in the order of voterNames.
+type coreAddresses struct{ registries, configStores []string }
 
-// Start lays the fleet out and starts it, the core first.
-func Start(plan Plan) (*Fleet, error) {
-	f := &Fleet{plan: plan, goroutines: goroutine.New(), processes: map[string][]hollowFleet{}}
-	addresses, seeds := map[string]string{}, []string{}
-	for index, voter := range voterNames {
-		for _, role := range []string{message.RoleRegistry, message.RoleConfigStore} {
-			address, err := freeAddress(fmt.Sprintf("127.88.1.%d", index+1))
-			if err != nil {
-				return nil, err
-			}
-			addresses[role+voter] = address
-			if role == message.RoleRegistry {
-				seeds = append(seeds, address)
-			}
+func newCoreAddresses() (coreAddresses, error) {
+	core := coreAddresses{}
+	for index := range voterNames {
+		host := fmt.Sprintf("127.88.1.%d", index+1)
+		registryAddress, err := freeAddress(host)
+		if err != nil {
+			return core, err
 		}
+		configStoreAddress, err := freeAddress(host)
+		if err != nil {
+			return core, err
+		}
+		core.registries = append(core.registries, registryAddress)
+		core.configStores = append(core.configStores, configStoreAddress)
 	}
+	return core, nil
+}
+
+// seeds returns the addresses at which nodes join.
+func (c coreAddresses) seeds() []string { return c.registries }
+
+// startCore starts a process for each core voter of each role.
+func (f *Fleet) startCore(core coreAddresses) error {
 	for index, voter := range voterNames {
-		for _, role := range []string{message.RoleConfigStore, message.RoleRegistry} {
-			cfg := plan.Settings(role, voter, voter, zoneName(index%plan.Zones), addresses[role+voter], seeds)
-			if err := f.add(role, []Part{{Role: role, Settings: cfg}}); err != nil {
-				f.Stop()
-				return nil, err
-			}
+		zone := zoneName(index % f.plan.Zones)
+		store := f.plan.Settings(message.RoleConfigStore, voter, voter, zone, core.configStores[index], core.seeds())
+		if err := f.add(message.RoleConfigStore, []Part{{Role: message.RoleConfigStore, Settings: store}}); err != nil {
+			return err
+		}
+		registry := f.plan.Settings(message.RoleRegistry, voter, voter, zone, core.registries[index], core.seeds())
+		if err := f.add(message.RoleRegistry, []Part{{Role: message.RoleRegistry, Settings: registry}}); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+// startProxies starts the proxies, Plan.Share of them in a process.
+func (f *Fleet) startProxies(seeds []string) error {
 	parts := []Part{}
-	for number := range plan.Proxies {
-		address, err := freeAddress(fmt.Sprintf("127.88.%d.%d", 2+number/250, 1+number%250))
+	for number := range f.plan.Proxies {
+		part, err := f.plan.proxyPart(number, seeds)
 		if err != nil {
-			f.Stop()
-			return nil, err
+			return err
 		}
-		cfg := plan.Settings(message.RoleProxy, fmt.Sprintf("edge-%05d", number+1), "", zoneName(number%plan.Zones), address, seeds)
-		parts = append(parts, Part{
-			Role:     message.RoleProxy,
-			Settings: cfg,
-			Service:  serviceName(number % plan.Services),
-			Tenants:  plan.Tenants,
-		})
-		if len(parts) == plan.Share || number == plan.Proxies-1 {
-			if err := f.add(message.RoleProxy, parts); err != nil {
-				f.Stop()
-				return nil, err
-			}
-			parts = nil
+		parts = append(parts, part)
+		if len(parts) < f.plan.Share && number < f.plan.Proxies-1 {
+			continue
 		}
+		if err := f.add(message.RoleProxy, parts); err != nil {
+			return err
+		}
+		parts = nil
 	}
-	return f, nil
+	return nil
 }
 
-func serviceName(number int) string { return fmt.Sprintf("service-%03d", number+1) }
-
+// add starts a process with some nodes of a role, or starts them in this process.
 func (f *Fleet) add(role string, parts []Part) error {
 	if f.plan.Program == "" {
 		hollow, err := NewHollowFleet(parts)
@@ -193,32 +105,12 @@
 		f.processes[role] = append(f.processes[role], localFleet{hollow})
 		return nil
 	}
-	command := exec.Command(f.plan.Program, HollowFleetCommand)
-	command.Stderr = os.Stderr
-	input, err := command.StdinPipe()
-	if err != nil {
-		return errcode.Wrap("scaletest.start", errcode.Internal, err)
-	}
-	output, err := command.StdoutPipe()
+	started, err := startRemote(f.plan.Program, f.goroutines)
 	if err != nil {
-		return errcode.Wrap("scaletest.start", errcode.Internal, err)
-	}
-	if err := command.Start(); err != nil {
-		return errcode.Wrap("scaletest.start", errcode.Internal, err)
+		return err
 	}
-	started := &remoteFleet{command, input, json.NewEncoder(input), json.NewDecoder(output), f.goroutines}
 	f.processes[role] = append(f.processes[role], started)
-	if err := started.encoder.Encode(parts); err != nil {
-		return errcode.Wrap("scaletest.start", errcode.Internal, err)
-	}
-	answer := Answer{}
-	if err := started.decoder.Decode(&answer); err != nil {
-		return errcode.Wrap("scaletest.start", errcode.Internal, err)
-	}
-	if answer.Fault != "" {
-		return errcode.Wrap("scaletest.start", errcode.Internal, fmt.Errorf("%s", answer.Fault))
-	}
-	return nil
+	return started.begin(parts)
 }
 
 // Stop ends all processes that were started.
@@ -298,34 +190,3 @@
 	}
 	return began, nil
 }
-
-// configurationBody returns a configuration of one route for each service.
-func configurationBody(services, tenants int, version int64) []byte {
-	configuration := workload.Configuration{
-		Note:     fmt.Sprintf("version %d", version),
-		Routes:   []workload.Route{},
-		Services: []string{},
-		Tenants:  []workload.Tenant{},
-	}
-	for number := range services {
-		name := serviceName(number)
-		callers := []string{serviceName((number + 1) % services), serviceName((number + 7) % services)}
-		configuration.Services = append(configuration.Services, name)
-		configuration.Routes = append(configuration.Routes, workload.Route{
-			Name:      "route-" + name,
-			Service:   name,
-			Path:      "/" + name,
-			Match:     "prefix",
-			Methods:   []string{http.MethodGet, http.MethodPost},
-			Callers:   slices.Compact(callers),
-			TimeoutMS: 3000,
-		})
-	}
-	for number := range max(tenants, 1) {
-		configuration.Tenants = append(configuration.Tenants, workload.Tenant{
-			Name: fmt.Sprintf("tenant-%d", number),
-			Keys: []string{fmt.Sprintf("key-%d-secret", number)},
-		})
-	}
-	return configuration.JSON()
-}
