--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,62 +1,101 @@
-// Command loadgen is the load generator: an open loop at a set rate by a plan file.
+// Command loadgen is the load generator: it sends requests at a set rate, as a plan file says, and
+// counts the answers.
 package main
 
 import (
 	"encoding/json"
-	"fmt"
+	"errors"
 	"os"
 	"time"
 
 	"github.com/spf13/cobra"
 
+	"beaconvane/internal/checker"
 	"beaconvane/internal/goroutine"
 	"beaconvane/internal/loadgen"
 )
 
+var errIncompletePlan = errors.New("a plan wants proxies, kinds, tenants and a rate above 0")
+
 func main() {
-	path, record := "", ""
-	length, limit := 10*time.Second, 8*time.Second
-	root := &cobra.Command{Use: "loadgen", Short: "send requests to proxies at a set rate and count the answers", SilenceUsage: true,
-		RunE: func(*cobra.Command, []string) error {
-			body, err := os.ReadFile(path)
-			if err != nil {
-				return err
-			}
-			plan := loadgen.Plan{Rate: 10, Seed: 1}
-			if err := json.Unmarshal(body, &plan); err != nil {
-				return err
-			}
-			if len(plan.Proxies) == 0 || len(plan.Kinds) == 0 || len(plan.Tenants) == 0 || plan.Rate <= 0 {
-				return fmt.Errorf("a plan wants proxies, kinds, tenants and a rate above 0")
-			}
-			plan.Length, plan.Limit, plan.Base = length, limit, time.Now()
-			group := goroutine.New()
-			asked := loadgen.Run(group.Context, group, plan)
-			if record != "" {
-				file, err := os.Create(record)
-				if err != nil {
-					return err
-				}
-				defer file.Close()
-				encoder := json.NewEncoder(file)
-				for _, request := range asked {
-					if err := encoder.Encode(request); err != nil {
-						return err
-					}
-				}
-			}
-			encoder := json.NewEncoder(os.Stdout)
-			encoder.SetIndent("", "  ")
-			return encoder.Encode(loadgen.Summarise(asked))
-		}}
-	root.Flags().StringVar(&path, "plan", "", "plan file (JSON): proxies, kinds, tenants, rate")
-	root.Flags().StringVar(&record, "record", "", "file for one JSON line a request")
-	root.Flags().DurationVar(&length, "length", length, "how long to send requests")
-	root.Flags().DurationVar(&limit, "limit", limit, "how long to wait for an answer")
+	if newCommand().Execute() != nil {
+		os.Exit(1)
+	}
+}
+
+// options are the flags.
+type options struct {
+	plan   string
+	record string
+	length time.Duration
+	limit  time.Duration
+}
+
+func newCommand() *cobra.Command {
+	o := &options{length: 10 * time.Second, limit: 8 * time.Second}
+	root := &cobra.Command{
+		Use:          "loadgen",
+		Short:        "send requests to proxies at a set rate and count the answers",
+		SilenceUsage: true,
+		RunE:         func(*cobra.Command, []string) error { return o.run() },
+	}
+	flags := root.Flags()
+	flags.StringVar(&o.plan, "plan", "", "plan file (JSON): proxies, kinds, tenants, rate")
+	flags.StringVar(&o.record, "record", "", "file for one JSON line a request")
+	flags.DurationVar(&o.length, "length", o.length, "how long to send requests")
+	flags.DurationVar(&o.limit, "limit", o.limit, "how long to wait for an answer")
 	if err := root.MarkFlagRequired("plan"); err != nil {
 		panic("loadgen: " + err.Error()) // no such flag: a programming error
 	}
-	if root.Execute() != nil {
-		os.Exit(1)
+	return root
+}
+
+// run sends the requests of the plan, and prints the summary.
+func (o *options) run() error {
+	plan, err := readPlan(o.plan)
+	if err != nil {
+		return err
+	}
+	plan.Length, plan.Limit, plan.Base = o.length, o.limit, time.Now()
+	group := goroutine.New()
+	requests := loadgen.Run(group.Context, group, plan)
+	if o.record != "" {
+		if err := writeRecord(o.record, requests); err != nil {
+			return err
+		}
+	}
+	encoder := json.NewEncoder(os.Stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(loadgen.Summarise(requests))
+}
+
+func readPlan(path string) (loadgen.Plan, error) {
+	plan := loadgen.Plan{Rate: 10, Seed: 1}
+	body, err := os.ReadFile(path)
+	if err != nil {
+		return plan, err
+	}
+	if err := json.Unmarshal(body, &plan); err != nil {
+		return plan, err
+	}
+	if len(plan.Proxies) == 0 || len(plan.Kinds) == 0 || len(plan.Tenants) == 0 || plan.Rate <= 0 {
+		return plan, errIncompletePlan
+	}
+	return plan, nil
+}
+
+// writeRecord writes one JSON line a request.
+func writeRecord(path string, requests []checker.Asked) error {
+	file, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	encoder := json.NewEncoder(file)
+	for _, request := range requests {
+		if err := encoder.Encode(request); err != nil {
+			return err
+		}
 	}
+	return nil
 }
--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -1,5 +1,5 @@
-// Command scaletest runs hollow fleets of several sizes on this machine and prints what
-// each role costs at each size, how that grows, and what it would come to at another.
+// Command scaletest runs hollow fleets of several sizes on this machine, and prints what each role costs
+// at each size, how that grows, and what it would cost at another size.
 package main
 
 import (
