--- a/internal/tools/days/catalog.go
+++ b/internal/tools/days/catalog.go
@@ -3,8 +3,9 @@
 // span is a range of numbers, both ends included.
 type span struct{ low, high float64 }
 
-// trouble is one kind of entry of a day. Spans that are zero are left out of the entry.
-type trouble struct {
+// entryKind is one kind of entry of a day, a fault or a planned action, with what it may be drawn with.
+// Spans that are zero are left out of the entry.
+type entryKind struct {
 	kind     string
 	planned  bool     // stands in the day's plan, not among its faults
 	weight   int      // how often it is drawn, against the others
@@ -18,7 +19,7 @@
 	gap      span // seconds
 }
 
-// Classes of machines an entry may strike.
+// Classes of machines that an entry may affect.
 var (
 	anywhere = []string{"", "core"}
 	coreOnly = []string{"core"}
@@ -27,8 +28,9 @@
 // lossMarks are the marks that a loss of a machine may have.
 var lossMarks = []string{"meet", "race", "race hard", "drain", "meet drain", "race drain", "hard"}
 
-// controlTroubles strike the core machines, the operators and the disks.
-var controlTroubles = []trouble{
+// controlEntries affect the core machines, the operators and the disks. The catalogues have every kind
+// that the bench lists for the deployments in force.
+var controlEntries = []entryKind{
 	{
 		kind: "core_cut", weight: 10,
 		variants: []string{
@@ -97,8 +99,8 @@
 	{kind: "cloud_slow", weight: 1, duration: span{2, 7}, strength: span{10, 60}},
 }
 
-// trafficTroubles strike the proxies, the upstreams and the callers.
-var trafficTroubles = []trouble{
+// trafficEntries affect the proxies, the upstreams and the callers.
+var trafficEntries = []entryKind{
 	{
 		kind: "node_kill", weight: 3,
 		variants: []string{"", "power", "turn"},
--- a/internal/tools/days/days_test.go
+++ b/internal/tools/days/days_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestStartsAreKeptApart(t *testing.T) {
+func TestStartsAreSpaced(t *testing.T) {
 	c := qt.New(t)
 	player := &bench{}
 	player.waitForStart()
--- a/internal/tools/days/draw.go
+++ b/internal/tools/days/draw.go
@@ -4,18 +4,13 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"strings"
 )
 
-// This file draws random days: troubles of every kind at random moments, several at once
-// and the same one more than once. A day is a function of its seed.
-
 // drawnShape is how long a drawn day is and how much happens on it.
 type drawnShape struct {
 	seconds       float64
-	lastTroubleAt float64
+	lastEntryAt   float64
 	fewestControl int
 	mostControl   int
 	mostTraffic   int
@@ -24,16 +19,16 @@
 
 // usualDay is as long as the sites' own days; longDay holds hundreds of changes.
 var (
-	usualDay = drawnShape{seconds: 32, lastTroubleAt: 27, fewestControl: 4, mostControl: 9, mostTraffic: 5}
-	longDay  = drawnShape{seconds: 100, lastTroubleAt: 92, fewestControl: 10, mostControl: 20, mostTraffic: 8, changes: span{100, 300}}
+	usualDay = drawnShape{seconds: 32, lastEntryAt: 27, fewestControl: 4, mostControl: 9, mostTraffic: 5}
+	longDay  = drawnShape{seconds: 100, lastEntryAt: 92, fewestControl: 10, mostControl: 20, mostTraffic: 8, changes: span{100, 300}}
 )
 
 // Bounds of a drawn day.
 const (
-	firstTroubleAt     = 1.5
+	firstEntryAt       = 1.5
 	changesFrom        = 3.0
 	changesUntil       = 85.0
-	clusteredShare     = 0.6 // of the control troubles follow another within clusterSeconds
+	clusteredShare     = 0.6 // of the control entries follow another within clusterSeconds
 	clusterSeconds     = 3.5
 	markShare          = 0.3 // of the entries that may bear a mark
 	drawnFloor         = 0.02
@@ -41,29 +36,21 @@
 	longestDownSecond  = 2.0
 )
 
-// drawnDay is a day made from a seed.
-type drawnDay struct {
-	seed    uint64
-	plan    []string
-	faults  []string
-	closing string
-	shape   drawnShape
-}
-
-// drawer makes the random choices of one day.
+// drawer holds a day that is being drawn, and its random source.
 type drawer struct {
 	random *rand.Rand
 	day    *drawnDay
 }
 
-// drawDay makes the day of a seed from the kinds that a site knows.
+// drawDay draws a day: entries of every kind that the site knows at random moments, several at once and
+// the same kind more than once. The day is a function of its seed.
 func drawDay(seed uint64, known kinds, shape drawnShape) *drawnDay {
 	d := &drawer{random: rand.New(rand.NewPCG(seed, 41)), day: &drawnDay{seed: seed, shape: shape}}
-	d.add(trouble{kind: "config_change", planned: true, variants: []string{"idle"}}, firstTroubleAt)
-	d.addControl(known.among(controlTroubles))
-	traffic := known.among(trafficTroubles)
+	d.add(entryKind{kind: "config_change", planned: true, variants: []string{"idle"}}, firstEntryAt)
+	d.addControl(known.among(controlEntries))
+	traffic := known.among(trafficEntries)
 	for range d.random.IntN(shape.mostTraffic + 1) {
-		d.add(pick(d.random, traffic), d.between(firstTroubleAt, shape.lastTroubleAt))
+		d.add(pick(d.random, traffic), d.between(firstEntryAt, shape.lastEntryAt))
 	}
 	d.addChanges()
 	d.day.closing = d.drawClosing()
@@ -77,25 +64,25 @@
 	}
 	count := math.Round(d.between(d.day.shape.changes.low, d.day.shape.changes.high))
 	gap := (changesUntil - changesFrom) / count
-	d.add(trouble{kind: "config_race", planned: true, count: span{count, count}, gap: span{gap, gap}}, changesFrom)
+	d.add(entryKind{kind: "config_race", planned: true, count: span{count, count}, gap: span{gap, gap}}, changesFrom)
 }
 
-// addControl adds troubles of the control side, most of them close behind another.
-func (d *drawer) addControl(catalogue []trouble) {
+// addControl adds entries of the control side, most of them soon after another.
+func (d *drawer) addControl(catalogue []entryKind) {
 	shape := d.day.shape
-	at := d.between(firstTroubleAt, shape.lastTroubleAt/2)
+	at := d.between(firstEntryAt, shape.lastEntryAt/2)
 	for range shape.fewestControl + d.random.IntN(shape.mostControl-shape.fewestControl+1) {
 		d.add(pick(d.random, catalogue), at)
 		if d.random.Float64() < clusteredShare {
-			at = min(at+d.between(0, clusterSeconds), shape.lastTroubleAt)
+			at = min(at+d.between(0, clusterSeconds), shape.lastEntryAt)
 		} else {
-			at = d.between(firstTroubleAt, shape.lastTroubleAt)
+			at = d.between(firstEntryAt, shape.lastEntryAt)
 		}
 	}
 }
 
 // pick draws from a catalogue by weight.
-func pick(random *rand.Rand, catalogue []trouble) trouble {
+func pick(random *rand.Rand, catalogue []entryKind) entryKind {
 	total := 0
 	for _, entry := range catalogue {
 		total += entry.weight
@@ -110,7 +97,7 @@
 }
 
 // add writes one entry of the day.
-func (d *drawer) add(entry trouble, at float64) {
+func (d *drawer) add(entry entryKind, at float64) {
 	fields := []string{fmt.Sprintf("at = %.2f", at), fmt.Sprintf("kind = %q", entry.kind)}
 	if len(entry.classes) > 0 {
 		if class := entry.classes[d.random.IntN(len(entry.classes))]; class != "" {
@@ -134,7 +121,7 @@
 }
 
 // variant draws the "how" of an entry, with a mark behind it at times.
-func (d *drawer) variant(entry trouble) string {
+func (d *drawer) variant(entry entryKind) string {
 	how := ""
 	if len(entry.variants) > 0 {
 		how = entry.variants[d.random.IntN(len(entry.variants))]
@@ -171,45 +158,3 @@
 	}
 	return fmt.Sprintf("closing = { kind = %q, down_s = %.2f, how = %q }\n", drawn.kind, down, how)
 }
-
-// name is the day's name and that of its file.
-func (d *drawnDay) name() string {
-	if d.shape == longDay {
-		return fmt.Sprintf("drawn-long-%d", d.seed)
-	}
-	return fmt.Sprintf("drawn-%d", d.seed)
-}
-
-// flag is what else the command line has that draws the day.
-func (d *drawnDay) flag() string {
-	if d.shape == longDay {
-		return " --long"
-	}
-	return ""
-}
-
-// text is the day as a file for the bench.
-func (d *drawnDay) text() string {
-	text := strings.Builder{}
-	fmt.Fprintf(&text, "# Drawn by `days --draw-seed %d --draw 1%s`.\n[[day]]\nname = %q\nslot = \"trouble\"\nseed = %d\nlength_s = %.1f\n",
-		d.seed, d.flag(), d.name(), d.seed, d.shape.seconds)
-	text.WriteString(d.closing)
-	fmt.Fprintf(&text, "goal = { floor = %g }\n", drawnFloor)
-	fmt.Fprintf(&text, "plan = [\n  %s,\n]\n", strings.Join(d.plan, ",\n  "))
-	fmt.Fprintf(&text, "faults = [\n  %s,\n]\n", strings.Join(d.faults, ",\n  "))
-	return text.String()
-}
-
-// drawDays writes a site's days of consecutive seeds into a folder and lists the files.
-func drawDays(folder, site string, known kinds, shape drawnShape, firstSeed uint64, count int) ([]string, error) {
-	paths := []string{}
-	for seed := firstSeed; seed < firstSeed+uint64(count); seed++ {
-		day := drawDay(seed, known, shape)
-		path := filepath.Join(folder, baseName(site)+"-"+day.name()+".toml")
-		if err := os.WriteFile(path, []byte(day.text()), 0o644); err != nil {
-			return nil, err
-		}
-		paths = append(paths, path)
-	}
-	return paths, nil
-}
--- a/internal/tools/days/draw_test.go
+++ b/internal/tools/days/draw_test.go
@@ -11,7 +11,7 @@
 // allKinds are the kinds of both catalogues.
 func allKinds() kinds {
 	known := kinds{}
-	for _, catalogue := range [][]trouble{controlTroubles, trafficTroubles} {
+	for _, catalogue := range [][]entryKind{controlEntries, trafficEntries} {
 		for _, entry := range catalogue {
 			known[entry.kind] = true
 		}
@@ -26,7 +26,7 @@
 	c.Assert(drawDay(7, known, usualDay).text(), qt.Not(qt.Equals), drawDay(8, known, usualDay).text())
 }
 
-func TestDrawnDaysHoldNothingThatTheSiteDoesNotKnow(t *testing.T) {
+func TestDrawnDaysHaveOnlyKindsThatTheSiteKnows(t *testing.T) {
 	c := qt.New(t)
 	known := allKinds()
 	delete(known, "core_cut")
@@ -37,9 +37,9 @@
 	}
 }
 
-// Over some hundreds of days every kind of trouble comes, every variant and mark of the
+// Over some hundreds of days every kind of entry comes, every variant and mark of the
 // control side, and some kind more than once on one day.
-func TestDrawnDaysHoldEveryTrouble(t *testing.T) {
+func TestDrawnDaysHaveEveryKind(t *testing.T) {
 	c := qt.New(t)
 	all, repeated, known := strings.Builder{}, false, allKinds()
 	for seed := range uint64(400) {
@@ -47,7 +47,7 @@
 		all.WriteString(text)
 		repeated = repeated || strings.Count(text, `kind = "core_cut"`) > 1
 	}
-	for _, catalogue := range [][]trouble{controlTroubles, trafficTroubles} {
+	for _, catalogue := range [][]entryKind{controlEntries, trafficEntries} {
 		for _, entry := range catalogue {
 			c.Check(strings.Contains(all.String(), `kind = "`+entry.kind+`"`), qt.IsTrue, qt.Commentf("%s", entry.kind))
 			for _, variant := range entry.variants {
@@ -58,7 +58,7 @@
 	c.Check(repeated, qt.IsTrue)
 }
 
-func TestLongDaysHoldHundredsOfChanges(t *testing.T) {
+func TestLongDaysHaveHundredsOfChanges(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(50) {
 		text := drawDay(seed, allKinds(), longDay).text()
--- a/internal/tools/days/kinds.go
+++ b/internal/tools/days/kinds.go
@@ -6,13 +6,13 @@
 	"regexp"
 )
 
-// kinds are the names of the troubles that a site knows.
+// kinds are the names of the entries that a site knows.
 type kinds map[string]bool
 
 // kindLine is a line of the bench's list: a kind and what it means.
 var kindLine = regexp.MustCompile(`(?m)^([a-z_]+): `)
 
-// kindsOf asks the bench which troubles a site knows.
+// kindsOf asks the bench which entries a site knows.
 func kindsOf(bench, site string) (kinds, error) {
 	listed, err := exec.Command(bench, "kinds", site).Output()
 	if err != nil {
@@ -28,9 +28,9 @@
 	return known, nil
 }
 
-// among keeps the troubles of a catalogue that are known.
-func (k kinds) among(catalogue []trouble) []trouble {
-	var kept []trouble
+// among returns the entries of a catalogue that are known.
+func (k kinds) among(catalogue []entryKind) []entryKind {
+	var kept []entryKind
 	for _, entry := range catalogue {
 		if k[entry.kind] {
 			kept = append(kept, entry)
--- a/internal/tools/days/main.go
+++ b/internal/tools/days/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -41,18 +42,7 @@
 		Short:        "play the day files over sites and seeds, and print one table",
 		SilenceUsage: true,
 		RunE: func(command *cobra.Command, _ []string) error {
-			reports, err := chosen.reportFolder()
-			if err != nil {
-				return err
-			}
-			matrix, err := chosen.matrix(reports)
-			if err != nil {
-				return err
-			}
-			player := &bench{path: chosen.bench, why: chosen.why, reports: reports}
-			results := playAll(matrix, chosen.jobs, player.play, command.ErrOrStderr())
-			printTable(command.OutOrStdout(), results)
-			return verdict(results)
+			return chosen.run(command.OutOrStdout(), command.ErrOrStderr())
 		},
 	}
 	flags := command.Flags()
@@ -73,6 +63,22 @@
 	return command
 }
 
+// run plays the matrix, and prints the table and, meanwhile, the progress.
+func (o options) run(out, progress io.Writer) error {
+	reports, err := o.reportFolder()
+	if err != nil {
+		return err
+	}
+	matrix, err := o.matrix(reports)
+	if err != nil {
+		return err
+	}
+	player := &bench{path: o.bench, why: o.why, reports: reports}
+	results := playAll(matrix, o.jobs, player.play, progress)
+	printTable(out, results)
+	return verdict(results)
+}
+
 // matrix lists every play that the options ask for: site by site, day by day. Random days
 // are written beside the reports.
 func (o options) matrix(reports string) ([]play, error) {
@@ -98,8 +104,8 @@
 	return matrix, nil
 }
 
-// drawnMatrix lists the plays of random days: each seed on each site, with a day of the
-// troubles that the site knows.
+// drawnMatrix lists the plays of random days: each seed on each site, with a day of the entries that
+// the site knows.
 func (o options) drawnMatrix(folder string) ([]play, error) {
 	perSite := map[string][]string{}
 	for _, site := range o.sites {
