--- a/internal/golden/counters_test.go
+++ b/internal/golden/counters_test.go
@@ -64,8 +64,8 @@
 	sent := func(until time.Duration, counter string) {
 		_, err := process.Request(process.Group.Context, registry.UsageReport{Window: 1, Until: until})
 		c.Assert(err, qt.IsNil)
-		for deadline := time.Now().Add(settled); process.Counters()[counter] == 0 && time.Now().Before(deadline); {
-			time.Sleep(again)
+		for deadline := time.Now().Add(answerTimeout); process.Counters()[counter] == 0 && time.Now().Before(deadline); {
+			time.Sleep(pollInterval)
 		}
 		c.Check(process.Counters()[counter], qt.Equals, int64(1), qt.Commentf(counter))
 	}
--- a/internal/golden/deployment_test.go
+++ b/internal/golden/deployment_test.go
@@ -34,12 +34,12 @@
 )
 
 const (
-	// settled is how long an answer may take to become what the golden file says.
-	settled = 60 * time.Second
-	// settling is how long to wait before golden files are written anew.
-	settling = 8 * time.Second
-	// again is the pause between two looks.
-	again = 50 * time.Millisecond
+	// answerTimeout is how long an answer may take to become what the golden file says.
+	answerTimeout = 60 * time.Second
+	// settleTime is how long to wait before golden files are written anew.
+	settleTime = 8 * time.Second
+	// pollInterval is the pause between two requests for the same answer.
+	pollInterval = 50 * time.Millisecond
 )
 
 const deploymentConfiguration = `{"version":1,"services":["dispatch"],"tenants":[{"name":"clinic","keys":["secret"]}],
@@ -136,7 +136,7 @@
 	return d
 }
 
-// call makes a request and returns its answer; status 0: none came whole.
+// call makes a request and returns its answer; status 0 means that none came completely.
 func (d *deployment) call(
 	c *qt.C, method, target string, header map[string]string, body string,
 ) (status int, fields http.Header, answer string) {
@@ -160,19 +160,19 @@
 
 // served makes a call until its answer is none of a busy process.
 func (d *deployment) served(c *qt.C, method, target string, header map[string]string, body string) string {
-	deadline := time.Now().Add(settled)
+	deadline := time.Now().Add(answerTimeout)
 	for {
 		status, fields, answer := d.call(c, method, target, header, body)
 		if status != 0 && status != http.StatusServiceUnavailable || time.Now().After(deadline) {
 			return golden.Response(status, fields, answer)
 		}
-		time.Sleep(again)
+		time.Sleep(pollInterval)
 	}
 }
 
 // untilStatus makes a call until it has a status.
 func (d *deployment) untilStatus(c *qt.C, wanted int, method, target string, header map[string]string, body string) string {
-	deadline := time.Now().Add(settled)
+	deadline := time.Now().Add(answerTimeout)
 	for {
 		status, fields, answer := d.call(c, method, target, header, body)
 		if status == wanted {
@@ -181,33 +181,34 @@
 		if time.Now().After(deadline) {
 			c.Fatalf("%s %s: status %d, wanted %d: %s", method, target, status, wanted, answer)
 		}
-		time.Sleep(again)
+		time.Sleep(pollInterval)
 	}
 }
 
-// settles looks again and again until the text is that of the golden file.
-func settles(c *qt.C, name string, look func() string) {
+// checkEventually compares a text with a golden file, and gets it anew until it is the same or
+// answerTimeout is over.
+func checkEventually(c *qt.C, name string, look func() string) {
 	c.Helper()
 	got := look()
 	if !golden.Updating() {
 		wanted := golden.Read(c, name)
-		for deadline := time.Now().Add(settled); got != wanted && time.Now().Before(deadline); got = look() {
-			time.Sleep(again)
+		for deadline := time.Now().Add(answerTimeout); got != wanted && time.Now().Before(deadline); got = look() {
+			time.Sleep(pollInterval)
 		}
 	}
 	golden.Check(c, name, got)
 }
 
-// form replaces each figure and each text that differs from run to run in a JSON value.
-func (d *deployment) form(value any) any {
+// normalize replaces each figure and each text that differs from run to run in a JSON value.
+func (d *deployment) normalize(value any) any {
 	switch it := value.(type) {
 	case map[string]any:
 		for key := range it {
-			it[key] = d.form(it[key])
+			it[key] = d.normalize(it[key])
 		}
 	case []any:
 		for index := range it {
-			it[index] = d.form(it[index])
+			it[index] = d.normalize(it[index])
 		}
 	case float64:
 		return "number"
@@ -220,8 +221,8 @@
 	return value
 }
 
-// answerForm makes a GET call and returns its answer with every figure replaced.
-func (d *deployment) answerForm(c *qt.C, target string) string {
+// normalizedAnswer makes a GET call and returns its answer with every figure replaced.
+func (d *deployment) normalizedAnswer(c *qt.C, target string) string {
 	status, fields, body := d.call(c, http.MethodGet, target, nil, "")
 	fields.Del("Content-Length")
 	var value any
@@ -229,17 +230,17 @@
 		return golden.Response(status, fields, body)
 	}
 	if counters, isObject := value.(map[string]any); isObject {
-		dropChanging(counters["process"])
-		dropChanging(counters["answers"])
+		dropVarying(counters["process"])
+		dropVarying(counters["answers"])
 	}
-	text, err := json.MarshalIndent(d.form(value), "", " ")
+	text, err := json.MarshalIndent(d.normalize(value), "", " ")
 	c.Assert(err, qt.IsNil)
 	return golden.Response(status, fields, string(text))
 }
 
-// dropChanging takes out the counters that only some runs have: of events, of what was lost,
+// dropVarying takes out the counters that only some runs have: of events, of what was lost,
 // and of requests that came too early. TestRareCounters holds the names of those that are lost.
-func dropChanging(counters any) {
+func dropVarying(counters any) {
 	counts, isObject := counters.(map[string]any)
 	if !isObject {
 		return
@@ -304,22 +305,22 @@
 	answered := d.untilStatus(c, http.StatusOK, http.MethodPost, callers+"/messages?a=b", goodHead, "hello")
 
 	if golden.Updating() {
-		time.Sleep(settling)
+		time.Sleep(settleTime)
 	}
 	c.Check(written, qt.Contains, `"configuration":"main"`)
 	golden.Check(c, "deployment-answer.txt", answered)
-	golden.Check(c, "deployment-request.txt", d.requestForm(<-d.requests))
+	golden.Check(c, "deployment-request.txt", d.normalizedRequest(<-d.requests))
 	d.checkOperators(c)
 	d.checkCallers(c, goodHead)
-	settles(c, "deployment-proxy-counters.txt", func() string { return d.answerForm(c, callers+"/beacon/counters") })
-	settles(c, "metrics-registry.txt", func() string { return d.metricNames(c, d.registry.Metrics) })
-	settles(c, "metrics-configstore.txt", func() string { return d.metricNames(c, d.configStore.Metrics) })
-	settles(c, "metrics-proxy.txt", func() string { return d.metricNames(c, d.proxy.Metrics) })
+	checkEventually(c, "deployment-proxy-counters.txt", func() string { return d.normalizedAnswer(c, callers+"/beacon/counters") })
+	checkEventually(c, "metrics-registry.txt", func() string { return d.metricNames(c, d.registry.Metrics) })
+	checkEventually(c, "metrics-configstore.txt", func() string { return d.metricNames(c, d.configStore.Metrics) })
+	checkEventually(c, "metrics-proxy.txt", func() string { return d.metricNames(c, d.proxy.Metrics) })
 	d.checkUsage(c)
 }
 
-// requestForm replaces what differs in a request to an upstream.
-func (d *deployment) requestForm(text string) string {
+// normalizedRequest replaces what differs in a request to an upstream.
+func (d *deployment) normalizedRequest(text string) string {
 	return regexp.MustCompile(`(X-Beacon-Pass|X-Request-Id): [0-9a-f]+`).ReplaceAllString(text, "$1: HEX")
 }
 
@@ -331,11 +332,13 @@
 	c.Assert(window, qt.HasLen, 2)
 	report = regexp.MustCompile(`Content-Length: \d+\n`).ReplaceAllString(report, "")
 	golden.Check(c, "deployment-report.txt", regexp.MustCompile(`":\d+`).ReplaceAllString(report, `":1`))
-	settles(c, "deployment-registry-usage.txt", func() string { return d.answerForm(c, d.registry.Outside+"/v1/usage/"+window[1]) })
+	checkEventually(c, "deployment-registry-usage.txt", func() string {
+		return d.normalizedAnswer(c, d.registry.Outside+"/v1/usage/"+window[1])
+	})
 }
 
 func (d *deployment) usageReport(c *qt.C) string {
-	deadline := time.After(settled)
+	deadline := time.After(answerTimeout)
 	for {
 		select {
 		case report := <-d.reports:
@@ -358,7 +361,7 @@
 		"in-force": "/v1/configurations/main/1/in-force", "lacking": "/v1/configurations/main/9/in-force?wait_ms=1",
 		"no-configuration": "/v1/configurations/other", "no-version": "/v1/configurations/main/9", "no-usage": "/v1/usage/9",
 	} {
-		settles(c, "deployment-registry-"+name+".txt", func() string { return d.answerForm(c, at+path) })
+		checkEventually(c, "deployment-registry-"+name+".txt", func() string { return d.normalizedAnswer(c, at+path) })
 	}
 	text := strings.Builder{}
 	for _, write := range []struct{ path, body string }{
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden is the support of golden tests: it compares what a test got with a file in
+// Package golden supports golden tests: it compares what a test got with a file in
 // the testdata folder of the test's package. The files hold the outward forms of the system
 // (HTTP answers, settings, result codes, metrics, command lines), which a change of the code
 // must leave alone. Run the tests with -update-golden to write the files anew, and read the
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -166,11 +166,11 @@
 	return sum
 }
 
-// size is how many proxies a hollow fleet has.
+// size returns how many proxies a process has.
 func (f *Fleet) size(index int) int { return min(f.plan.Share, f.plan.Proxies-index*f.plan.Share) }
 
-// whole says that every proxy is ready and knows all others and all upstreams.
-func (f *Fleet) whole() bool {
+// complete reports whether every proxy is ready and knows all others and all upstreams.
+func (f *Fleet) complete() bool {
 	state := f.state()
 	return state.Ready == f.plan.Proxies && state.Upstreams >= f.plan.Proxies && state.Proxies >= f.plan.Proxies
 }
--- a/internal/scaletest/hollow_fleet.go
+++ b/internal/scaletest/hollow_fleet.go
@@ -63,10 +63,10 @@
 		return Answer{State: state}, nil
 	case CommandWrite:
 		return Answer{}, chosen.write(request)
-	case CommandEnd:
+	case CommandKill:
 		chosen.kill()
 		return Answer{}, nil
-	case CommandBegin:
+	case CommandStart:
 		return Answer{}, chosen.start()
 	}
 	return Answer{}, errcode.Wrap("scaletest.do", errcode.ConfigBadValue, fmt.Errorf("no command %q", request.Command))
--- a/internal/scaletest/measure.go
+++ b/internal/scaletest/measure.go
@@ -18,26 +18,27 @@
 	Values []float64 `json:"values"`
 }
 
-// Course says how to measure.
+// Course says how each size is measured.
 type Course struct {
 	Sizes    []int             `json:"sizes"`
 	Repeats  int               `json:"repeats"`
 	Window   time.Duration     `json:"window"`
 	Every    time.Duration     `json:"every"`  // between two configuration changes, or two restarts
-	Settle   time.Duration     `json:"settle"` // rest before the first window
+	Settle   time.Duration     `json:"settle"` // pause before the first window
 	Limit    time.Duration     `json:"limit"`  // of any wait
 	Phases   []string          `json:"phases"`
 	Progress func(text string) `json:"-"`
 }
 
-// Phases that a course may have: a steady one, one with configuration changes, one with restarts.
+// Phases of a course: a steady one, one with configuration changes, one with restarts of proxies.
 const (
 	Steady         = "steady"
 	Configurations = "configurations"
 	Restarts       = "restarts"
 )
 
-// partOf is the part of the control work that each message belongs to; all others are voters'.
+// partOf gives the part of the control traffic that each type of message belongs to, by the type's name;
+// all others are the voters'.
 var partOf = map[string]string{
 	"Ping": "membership", "Ack": "membership", "IndirectPing": "membership", "JoinRequest": "membership", "JoinResponse": "membership",
 	"UpdatesRequest": "updates", "UpdatesResponse": "updates", "ConfigurationCommitted": "updates",
@@ -50,6 +51,7 @@
 	"RosterChange": "roster", "RosterCheck": "roster", "RosterDigest": "roster", "RosterPull": "roster", "RosterSnapshot": "roster",
 }
 
+// partName returns the part that a type of message belongs to.
 func partName(kind string) string {
 	if part, known := partOf[kind]; known {
 		return part
@@ -57,6 +59,7 @@
 	return "voters"
 }
 
+// rows collects the rows of one size, a value for each window.
 type rows struct {
 	size int
 	list []Row
@@ -74,8 +77,10 @@
 	r.list[index].Values = append(r.list[index].Values, value)
 }
 
+// roles are the programs, in the order of the table.
 var roles = []string{message.RoleProxy, message.RoleRegistry, message.RoleConfigStore}
 
+// read asks all processes for a reading, by role.
 func (f *Fleet) read(command Command) map[string][]Reading {
 	readings := map[string][]Reading{}
 	for _, role := range roles {
@@ -90,7 +95,7 @@
 	return readings
 }
 
-// rates are the differences of two readings of one hollow fleet, a second.
+// rates returns the differences of two readings of one process, for each second.
 func rates(before, after Reading) map[string]float64 {
 	seconds := (after.At - before.At).Seconds()
 	sums := map[string]float64{}
@@ -132,18 +137,19 @@
 	"processor", "disk_syncs", "disk_bytes", "dropped",
 }
 
-func (f *Fleet) compare(sum *rows, phase string, before, after map[string][]Reading) {
+// addRates adds the rates of one window: the mean of the proxies, the busiest voter of a core role.
+func (f *Fleet) addRates(sum *rows, phase string, before, after map[string][]Reading) {
 	for _, role := range roles {
-		whole, busiest := map[string]float64{}, map[string]float64{}
+		sums, busiest := map[string]float64{}, map[string]float64{}
 		for index := range after[role] {
 			for metric, rate := range rates(before[role][index], after[role][index]) {
-				whole[metric] += rate
+				sums[metric] += rate
 				busiest[metric] = max(busiest[metric], rate)
 			}
 		}
 		for _, metric := range metrics {
 			if role == message.RoleProxy {
-				sum.add(phase, role, metric, whole[metric]/float64(f.plan.Proxies))
+				sum.add(phase, role, metric, sums[metric]/float64(f.plan.Proxies))
 			} else {
 				sum.add(phase, role, metric, busiest[metric])
 			}
@@ -151,6 +157,7 @@
 	}
 }
 
+// pause waits; it returns at once for a length that is not positive.
 func pause(length time.Duration) {
 	if length <= 0 {
 		return
@@ -161,9 +168,9 @@
 }
 
 const (
-	wholeInterval   = 100 * time.Millisecond // between two checks of a starting fleet
-	reachedInterval = 20 * time.Millisecond  // between two checks of a configuration
-	restoreInterval = 50 * time.Millisecond  // between two checks after a restart
+	completeInterval = 100 * time.Millisecond // between two checks of a starting fleet
+	reachedInterval  = 20 * time.Millisecond  // between two checks of a configuration
+	restoreInterval  = 50 * time.Millisecond  // between two checks after a restart
 )
 
 // Measure runs a fleet of one size through the phases of a course and returns its rows.
@@ -175,7 +182,7 @@
 		return nil, err
 	}
 	defer f.Stop()
-	if err := f.becomeWhole(course.Limit); err != nil {
+	if err := f.awaitComplete(course.Limit); err != nil {
 		return nil, err
 	}
 	sum.add(Steady, "fleet", "whole_ms", float64(time.Since(began).Milliseconds()))
@@ -187,24 +194,24 @@
 			}
 		}
 		if phase == Steady {
-			f.weigh(sum, phase)
+			f.measureMemory(sum, phase)
 		}
 	}
 	return sum.list, nil
 }
 
-// becomeWhole writes the first configuration and waits until every proxy knows all.
-func (f *Fleet) becomeWhole(limit time.Duration) error {
+// awaitComplete writes the first configuration and waits until every proxy knows all.
+func (f *Fleet) awaitComplete(limit time.Duration) error {
 	var failure error
-	written := until(limit, wholeInterval, func() bool {
+	written := until(limit, completeInterval, func() bool {
 		_, failure = f.write()
 		return failure == nil
 	})
 	if !written {
 		return failure
 	}
-	if !until(limit, wholeInterval, f.whole) {
-		return errcode.Wrap("scaletest.measure", errcode.BusyNotReady, fmt.Errorf("the fleet did not become whole: %+v", f.state()))
+	if !until(limit, completeInterval, f.complete) {
+		return errcode.Wrap("scaletest.measure", errcode.BusyNotReady, fmt.Errorf("the fleet did not become complete: %+v", f.state()))
 	}
 	return nil
 }
@@ -217,14 +224,14 @@
 	case Steady:
 		pause(course.Window)
 	case Configurations:
-		err = f.changes(sum, course)
+		err = f.changeConfigurations(sum, course)
 	case Restarts:
-		err = f.restarts(sum, course)
+		err = f.restartProxies(sum, course)
 	}
 	if err != nil {
 		return err
 	}
-	f.compare(sum, phase, before, f.read(CommandRead))
+	f.addRates(sum, phase, before, f.read(CommandRead))
 	state := f.state()
 	sum.add(phase, "fleet", "depth", float64(state.Depth))
 	sum.add(phase, "fleet", "mean_depth", state.MeanDepth)
@@ -234,8 +241,8 @@
 	return nil
 }
 
-// weigh measures memory: the mean of the proxies, the largest of a core role.
-func (f *Fleet) weigh(sum *rows, phase string) {
+// measureMemory measures memory: the mean of the proxies, the largest of a core role.
+func (f *Fleet) measureMemory(sum *rows, phase string) {
 	for role, readings := range f.read(CommandWeigh) {
 		live, resident := 0.0, 0.0
 		for _, reading := range readings {
@@ -252,8 +259,8 @@
 	}
 }
 
-// changes writes configurations at a steady interval and waits for each to be in force everywhere.
-func (f *Fleet) changes(sum *rows, course Course) error {
+// changeConfigurations writes configurations at a steady interval and waits for each to be in force everywhere.
+func (f *Fleet) changeConfigurations(sum *rows, course Course) error {
 	for end := time.Now().Add(course.Window); time.Now().Before(end); {
 		began, err := f.write()
 		if err != nil {
@@ -280,20 +287,20 @@
 	return nil
 }
 
-// restarts kills one proxy after the other, starts each again at once, and waits until all are ready
+// restartProxies kills one proxy after the other, starts each again at once, and waits until all are ready
 // and know all.
-func (f *Fleet) restarts(sum *rows, course Course) error {
+func (f *Fleet) restartProxies(sum *rows, course Course) error {
 	for end := time.Now().Add(course.Window); time.Now().Before(end); {
 		began := time.Now()
 		number := int(f.goroutines.Now()/time.Millisecond) % f.plan.Proxies
 		chosen := f.processes[message.RoleProxy][number/f.plan.Share]
-		for _, command := range []Command{CommandEnd, CommandBegin} {
+		for _, command := range []Command{CommandKill, CommandStart} {
 			if answer := chosen.do(Request{Command: command, Index: number % f.plan.Share}); answer.Fault != "" {
 				return errcode.Wrap("scaletest.restarts", errcode.Internal, fmt.Errorf("%s", answer.Fault))
 			}
 		}
-		if !until(course.Limit, restoreInterval, f.whole) {
-			return errcode.Wrap("scaletest.restarts", errcode.BusyNotReady, fmt.Errorf("not whole again: %+v", f.state()))
+		if !until(course.Limit, restoreInterval, f.complete) {
+			return errcode.Wrap("scaletest.restarts", errcode.BusyNotReady, fmt.Errorf("not complete again: %+v", f.state()))
 		}
 		sum.add(Restarts, "fleet", "restored_ms", float64(time.Since(began).Milliseconds()))
 		pause(course.Every - time.Since(began))
--- a/internal/scaletest/protocol.go
+++ b/internal/scaletest/protocol.go
@@ -25,8 +25,8 @@
 	CommandState   Command = "state"   // what the proxies know
 	CommandReached Command = "reached" // where each version is in force
 	CommandWrite   Command = "write"   // write a configuration, at a registry
-	CommandEnd     Command = "end"     // end one node as a kill does
-	CommandBegin   Command = "begin"   // start it again
+	CommandKill    Command = "end"     // end one node as a kill does
+	CommandStart   Command = "begin"   // start it again
 )
 
 // Request is one question to a hollow fleet.
--- a/internal/scaletest/readings.go
+++ b/internal/scaletest/readings.go
@@ -47,7 +47,7 @@
 	return reading
 }
 
-// weigh collects garbage first, so that what is left is in use.
+// weigh reads the memory in use; it collects garbage first.
 func (h *HollowFleet) weigh() *Reading {
 	debug.FreeOSMemory()
 	memory := runtime.MemStats{}
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -1,4 +1,4 @@
-// The reckoning on made-up figures, and the smallest hollow fleet, in this process.
+// The calculations on made-up figures, and the smallest hollow fleet, in this process.
 package scaletest
 
 import (
@@ -140,7 +140,7 @@
 	}
 }
 
-// The smallest fleet in this process: whole, a configuration in force everywhere, a proxy that
+// The smallest fleet in this process: complete, a configuration in force everywhere, a proxy that
 // was ended and is back; every stretch leaves its rows.
 func TestTinyFleet(t *testing.T) {
 	c := qt.New(t)
--- a/internal/scaletest/slopes.go
+++ b/internal/scaletest/slopes.go
@@ -37,8 +37,8 @@
 }
 
 const (
-	enough  = 0.7  // a growing shape must miss by less than this share of a flat one's miss
-	closeBy = 1.25 // a shape that misses by at most this much more is as likely
+	clearlyBetter = 0.7  // a growing shape must miss by less than this share of a flat one's miss
+	asLikely      = 1.25 // a shape that misses by at most this much more is as likely
 )
 
 // fit gives base and rate of one shape; weights are one over the value squared.
@@ -99,7 +99,7 @@
 	flat := all[0]
 	sort.SliceStable(all, func(i, j int) bool { return all[i].miss < all[j].miss })
 	best := all[0]
-	if best.miss > flat.miss*enough || len(sizes) < 3 {
+	if best.miss > flat.miss*clearlyBetter || len(sizes) < 3 {
 		best = flat
 	}
 	slope := Slope{Shape: best.shape.Name, Base: best.base, Rate: best.rate, Miss: best.miss, Exponent: exponent(sizes, means)}
@@ -118,7 +118,7 @@
 		widen(at(best.shape, sizes, values, target))
 	}
 	for _, other := range all {
-		if best.shape.Name != "flat" && other.miss <= best.miss*closeBy+0.01 {
+		if best.shape.Name != "flat" && other.miss <= best.miss*asLikely+0.01 {
 			widen(at(other.shape, sizes, means, target))
 		}
 	}
--- a/internal/scaletest/table.go
+++ b/internal/scaletest/table.go
@@ -18,7 +18,7 @@
 	"beaconvane/internal/errcode"
 )
 
-// Table is what a course has found.
+// Table is what a course found at all sizes.
 type Table struct {
 	Plan   Plan   `json:"plan"`
 	Course Course `json:"course"`
@@ -56,7 +56,7 @@
 	}
 }
 
-// number writes a figure in three digits.
+// number formats a figure with three digits.
 func number(value float64) string {
 	switch magnitude := math.Abs(value); {
 	case magnitude >= 1e9:
@@ -99,6 +99,7 @@
 	}
 }
 
+// empty reports whether all values are zero.
 func (l Line) empty() bool {
 	for _, row := range l.rows {
 		for _, value := range row.Values {
@@ -110,7 +111,7 @@
 	return true
 }
 
-// cell has the mean of one size, and half the distance of the extremes.
+// cell returns the mean at one size, and half the distance of the extremes.
 func (l Line) cell(size int) string {
 	for _, row := range l.rows {
 		if row.Size == size && len(row.Values) > 0 {
