--- a/internal/frontend/tracker_test.go
+++ b/internal/frontend/dispatcher_test.go
@@ -1,4 +1,4 @@
-// The order in which broken connections are told of must not matter.
+// Connections that break, in whatever order the breaks are noticed, and requests that are withdrawn.
 package frontend
 
 import (
@@ -31,7 +31,7 @@
 func (w *fakeConnection) Close()         { w.broken = true }
 
 type fakeEnvironment struct {
-	tracker     *Dispatcher
+	dispatcher  *Dispatcher
 	connections []*fakeConnection
 	judged      []AttemptOutcome
 	random      *rand.Rand
@@ -51,9 +51,9 @@
 func (b *fakeEnvironment) Enqueue(env Stage, item any) bool {
 	switch env {
 	case StageAdmit:
-		b.tracker.Admit(item.(*PendingRequest))
+		b.dispatcher.Admit(item.(*PendingRequest))
 	case StageSelect:
-		b.tracker.SelectUpstream(item.(*PendingRequest))
+		b.dispatcher.SelectUpstream(item.(*PendingRequest))
 	case StageOutcome:
 		b.judged = append(b.judged, item.(AttemptOutcome))
 	}
@@ -72,14 +72,19 @@
 	cfg := settings.Default()
 	cfg.Zone = "here"
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, ProxyCount: 2,
-		Upstreams: map[string][]message.Registration{"pay": {upstream("one", "here")}}})
+	f.UpdateSnapshot(0, &proxy.Snapshot{
+		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())},
+		ConfigurationsKnown: true,
+		RosterKnown:         true,
+		ProxyCount:          2,
+		Upstreams:           map[string][]message.Registration{"pay": {upstream("one", "here")}},
+	})
 	back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
-	back.tracker = NewDispatcher(cfg, f, backend.New(cfg, nil), back, message.Member{Name: "me", Address: "here:1"})
+	back.dispatcher = NewDispatcher(cfg, f, backend.New(cfg, nil), back, message.Member{Name: "me", Address: "here:1"})
 	request := func(id string) {
 		asked := request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")
 		asked.ID = id
-		back.tracker.Submit(asked, func(time.Duration) {}, func(*Response) {})
+		back.dispatcher.Submit(asked, func(time.Duration) {}, func(*Response) {})
 	}
 	request("sent")
 	c.Assert(back.connections, qt.HasLen, 1)
@@ -91,7 +96,7 @@
 	second.broken = true
 	second.closed(second)
 	c.Assert(back.judged, qt.HasLen, 1)
-	c.Assert(back.judged[0].Trip.Request.ID, qt.Equals, "later")
+	c.Assert(back.judged[0].Pending.Request.ID, qt.Equals, "later")
 	c.Assert(back.judged[0].Outcome.Kind, qt.Equals, message.NotStarted)
 	// The first connection's end is asked about at the serving proxy, and unknown when that fails.
 	first.closed(first)
@@ -99,7 +104,7 @@
 	c.Assert(back.connections[2].posted, qt.HasLen, 1)
 	back.connections[2].closed(back.connections[2])
 	c.Assert(back.judged, qt.HasLen, 2)
-	c.Assert(back.judged[1].Trip.Request.ID, qt.Equals, "sent")
+	c.Assert(back.judged[1].Pending.Request.ID, qt.Equals, "sent")
 	c.Assert(errcode.Code(back.judged[1].Outcome.Code), qt.Equals, errcode.UnknownOutcome)
 }
 
@@ -111,11 +116,25 @@
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 	back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
 	serving := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
-	back.tracker = NewDispatcher(cfg, f, serving, back, message.Member{Name: "me", Address: "here:1"})
-	_, _, _ = serving.Announce(time.Second, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "up:1", Zone: "here", Slots: 4})
+	back.dispatcher = NewDispatcher(cfg, f, serving, back, message.Member{Name: "me", Address: "here:1"})
+	_, _, _ = serving.Announce(time.Second, backend.Announcement{
+		Service:     "pay",
+		Instance:    "one",
+		Incarnation: 1,
+		Address:     "up:1",
+		Zone:        "here",
+		Slots:       4,
+	})
 	for _, id := range []string{"once", "repeatable"} {
-		back.tracker.HandleFrame(message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Remaining: int64(time.Second), AtMostOnce: id == "once"}, func(any) error { return nil })
-		back.tracker.HandleFrame(message.Cancel{ID: id}, func(any) error { return nil })
+		back.dispatcher.HandleFrame(message.Forward{
+			ID:          id,
+			Service:     "pay",
+			Instance:    "one",
+			Incarnation: 1,
+			Remaining:   int64(time.Second),
+			AtMostOnce:  id == "once",
+		}, func(any) error { return nil })
+		back.dispatcher.HandleFrame(message.Cancel{ID: id}, func(any) error { return nil })
 	}
 	c.Assert(back.cancelled, qt.DeepEquals, []string{"repeatable"})
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -1,4 +1,4 @@
-// The gate, the scrubbing of keys, the budget, and what outcomes mean.
+// Admission, the removal of keys, the retry budget, and what outcomes mean.
 package frontend
 
 import (
@@ -31,8 +31,14 @@
 	f := New(cfg, func(pass string) (backend.Delegation, bool) {
 		return backend.Delegation{Tenant: "t", Service: "pay"}, pass == "good"
 	})
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
-		ProxyCount: 10, Upstreams: map[string][]message.Registration{"pay": upstreams}})
+	f.UpdateSnapshot(0, &proxy.Snapshot{
+		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())},
+		ConfigurationsKnown: true,
+		RosterKnown:         true,
+		Joined:              true,
+		ProxyCount:          10,
+		Upstreams:           map[string][]message.Registration{"pay": upstreams},
+	})
 	return f
 }
 
@@ -45,11 +51,11 @@
 	return &Request{ID: "q", Method: method, RawPath: raw, RawQuery: params, Header: header, Deadline: 5 * time.Second}
 }
 
-func code(final *Response) errcode.Code {
-	if final == nil {
+func code(response *Response) errcode.Code {
+	if response == nil {
 		return errcode.OK
 	}
-	return final.Code
+	return response.Code
 }
 
 func TestAdmit(t *testing.T) {
@@ -71,11 +77,11 @@
 		{request("POST", "/other", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestNoRoute},
 		{request("POST", "/pay/%2e%2e/x", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestBadPath},
 	} {
-		c.Check(code(f.Admit(time.Second, time.Now(), tried.request)), qt.Equals, tried.code, qt.Commentf("%v", tried.request.Header))
+		c.Check(code(f.admit(time.Second, time.Now(), tried.request)), qt.Equals, tried.code, qt.Commentf("%v", tried.request.Header))
 	}
 	large := request("GET", "/look", APIKeyHeader, "secret", backend.CallerHeader, "shop")
 	large.Body = []byte("12345")
-	c.Assert(code(f.Admit(time.Second, time.Now(), large)), qt.Equals, errcode.RequestTooLarge)
+	c.Assert(code(f.admit(time.Second, time.Now(), large)), qt.Equals, errcode.RequestTooLarge)
 }
 
 // Where key withdrawal is bound, a node that can't know refuses in time by itself.
@@ -84,7 +90,7 @@
 	for withdrawal, wanted := range map[int64]errcode.Code{0: errcode.OK, 5000: errcode.BusyStale} {
 		f := ready(c, withdrawal)
 		asked := func(now time.Duration) errcode.Code {
-			return code(f.Admit(now, time.Now(), request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")))
+			return code(f.admit(now, time.Now(), request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")))
 		}
 		c.Assert(asked(4400*time.Millisecond), qt.Equals, errcode.OK)
 		c.Assert(asked(4600*time.Millisecond), qt.Equals, wanted)
@@ -94,19 +100,63 @@
 func TestKeyAndOwnHeadersAreDropped(t *testing.T) {
 	c := qt.New(t)
 	f := ready(c, 0)
-	asked := request("POST", "/pay?a=1&api_key=secret&b=secret&c=%73ecret&e=%2573ecret&d=2&api_key=extra", APIKeyHeader, "secret", "Authorization", "bearer other", "Cookie", "x=secret",
-		"Cookie", "y=SECRET", "Referer", "/x?k=%53ecret", "X-Note", "an other one", "X-More", "extra", "X-Second", "a=second",
-		"X-Tenant", "other", "X_tenant", "other", backend.CallerHeader, "shop", "X-Request-Id", "mine", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "yes")
-	c.Assert(f.Admit(time.Second, time.Now(), asked), qt.IsNil)
+	asked := request(
+		"POST",
+		"/pay?a=1&api_key=secret&b=secret&c=%73ecret&e=%2573ecret&d=2&api_key=extra",
+		APIKeyHeader,
+		"secret",
+		"Authorization",
+		"bearer other",
+		"Cookie",
+		"x=secret",
+		"Cookie",
+		"y=SECRET",
+		"Referer",
+		"/x?k=%53ecret",
+		"X-Note",
+		"an other one",
+		"X-More",
+		"extra",
+		"X-Second",
+		"a=second",
+		"X-Tenant",
+		"other",
+		"X_tenant",
+		"other",
+		backend.CallerHeader,
+		"shop",
+		"X-Request-Id",
+		"mine",
+		"Connection",
+		"X-Hop",
+		"X-Hop",
+		"1",
+		"X-Kept",
+		"yes",
+	)
+	c.Assert(f.admit(time.Second, time.Now(), asked), qt.IsNil)
 	c.Assert(asked.Header, qt.DeepEquals, http.Header{"X-Kept": {"yes"}})
 	c.Assert(asked.RawQuery, qt.Equals, "a=1&d=2")
 	for _, path := range []string{"/pay/secret", "/pay/%73ecret", "/pay/SECRET/x", "/pay/second"} {
-		c.Assert(code(f.Admit(time.Second, time.Now(), request("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop"))), qt.Equals, errcode.RequestBadPath)
+		c.Assert(
+			code(f.admit(time.Second, time.Now(), request("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop"))),
+			qt.Equals,
+			errcode.RequestBadPath,
+		)
 	}
 }
 
 func upstream(name, zone string) message.Registration {
-	return message.Registration{Service: "pay", Instance: name, Incarnation: 1, Address: name, Zone: zone, Slots: 4, State: message.StateReady, ServingProxyAddress: "serving-" + name}
+	return message.Registration{
+		Service:             "pay",
+		Instance:            name,
+		Incarnation:         1,
+		Address:             name,
+		Zone:                zone,
+		Slots:               4,
+		State:               message.StateReady,
+		ServingProxyAddress: "serving-" + name,
+	}
 }
 
 // Own zone first; the other only when that one is full or clearly worse.
@@ -117,9 +167,9 @@
 	chosen := map[string]int{}
 	for range 6 {
 		asked := request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")
-		c.Assert(f.Admit(10*time.Second, time.Now(), asked), qt.IsNil)
+		c.Assert(f.admit(10*time.Second, time.Now(), asked), qt.IsNil)
 		asked.Deadline = 20 * time.Second
-		c.Assert(f.SelectUpstream(10*time.Second, asked, random), qt.IsNil)
+		c.Assert(f.selectUpstream(10*time.Second, asked, random), qt.IsNil)
 		chosen[asked.Target.Instance]++
 	}
 	c.Assert(chosen["near"] > chosen["far"], qt.IsTrue)
@@ -130,10 +180,10 @@
 func TestOutcomes(t *testing.T) {
 	c := qt.New(t)
 	for _, tried := range []struct {
-		path    string
-		outcome message.Outcome
-		final   errcode.Code
-		again   bool
+		path     string
+		outcome  message.Outcome
+		response errcode.Code
+		again    bool
 	}{
 		{"/pay", message.Outcome{Kind: message.Completed, Status: 200}, errcode.OK, false},
 		{"/pay", message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}, errcode.OK, true},
@@ -145,21 +195,24 @@
 		f := ready(c, 0, upstream("one", "here"), upstream("two", "here"))
 		method := map[string]string{"/pay": "POST", "/look": "GET"}[tried.path]
 		asked := request(method, tried.path, APIKeyHeader, "secret", backend.CallerHeader, "shop")
-		begin := 10 * time.Second // a life as old as the retry window has its allowance
+		begin := 10 * time.Second // a process as old as the retry window has its allowance
 		asked.Deadline += begin
-		c.Assert(f.Admit(begin, time.Now(), asked), qt.IsNil)
-		c.Assert(f.SelectUpstream(begin, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
-		final := f.EvaluateOutcome(begin+time.Millisecond, asked, tried.outcome)
-		c.Check(final == nil, qt.Equals, tried.again, qt.Commentf("%+v", tried))
-		c.Check(code(final), qt.Equals, tried.final, qt.Commentf("%+v", tried))
-		if final != nil {
-			busy := final.Status == http.StatusServiceUnavailable
-			c.Check(final.RetryAfter > 0, qt.Equals, busy)
+		c.Assert(f.admit(begin, time.Now(), asked), qt.IsNil)
+		c.Assert(f.selectUpstream(begin, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
+		response := f.evaluateOutcome(begin+time.Millisecond, asked, tried.outcome)
+		c.Check(response == nil, qt.Equals, tried.again, qt.Commentf("%+v", tried))
+		c.Check(code(response), qt.Equals, tried.response, qt.Commentf("%+v", tried))
+		if response != nil {
+			busy := response.Status == http.StatusServiceUnavailable
+			c.Check(response.RetryAfter > 0, qt.Equals, busy)
 		}
 		// Once something may have run, no later refusal says that nothing did.
-		if final == nil && tried.outcome.Kind == message.OutcomeUnknown {
-			c.Assert(f.SelectUpstream(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
-			last := f.EvaluateOutcome(begin+6*time.Second, asked, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)})
+		if response == nil && tried.outcome.Kind == message.OutcomeUnknown {
+			c.Assert(f.selectUpstream(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
+			last := f.evaluateOutcome(begin+6*time.Second, asked, message.Outcome{
+				Kind: message.NotStarted,
+				Code: int64(errcode.BusySlotsFull),
+			})
 			c.Check(code(last), qt.Equals, errcode.UnknownOutcome)
 		}
 	}
@@ -173,8 +226,8 @@
 	for number := range 1000 {
 		now := time.Duration(number) * 10 * time.Millisecond
 		f.lock.Lock()
-		f.first(now, "pay")
-		if f.mayRetry(now, "pay") {
+		f.countFirstAttempt(now, "pay")
+		if f.spendRetry(now, "pay") {
 			granted++
 		}
 		f.lock.Unlock()
@@ -185,6 +238,6 @@
 	young := ready(c, 0)
 	young.lock.Lock()
 	defer young.lock.Unlock()
-	c.Assert(young.mayRetry(time.Second, "pay"), qt.IsFalse)
-	c.Assert(young.mayRetry(10*time.Second, "pay"), qt.IsTrue)
+	c.Assert(young.spendRetry(time.Second, "pay"), qt.IsFalse)
+	c.Assert(young.spendRetry(10*time.Second, "pay"), qt.IsTrue)
 }
--- a/internal/frontend/target_test.go
+++ b/internal/frontend/hosted_test.go
@@ -1,4 +1,4 @@
-// What a serving proxy's word means where a request names its upstream.
+// What the refusals of a serving proxy mean where a request names its upstream.
 package frontend
 
 import (
@@ -19,7 +19,8 @@
 )
 
 const hosted = `{"services":["pay"],"tenants":[{"name":"t","keys":["secret"],"priority":1},{"name":"plain","keys":["other"]}],"routes":[
-{"name":"pay","host":"shop.example","prefix":"/pay/","service":"pay","kind":"once","timeout_ms":3000,"attempts":2,"aim_ms":500,"priority":4},
+{"name":"pay","host":"shop.example","prefix":"/pay/","service":"pay","kind":"once","timeout_ms":3000,
+"attempts":2,"aim_ms":500,"priority":4},
 {"name":"free","host":"shop.example","prefix":"/free/","service":"pay","kind":"repeatable","timeout_ms":3000,"open":true}]}`
 
 func hostedFrontend(c *qt.C, upstreams ...message.Registration) *Frontend {
@@ -28,8 +29,14 @@
 	faults, _ := routeconfig.Check([]byte(hosted), cfg.ConfigurationLimits())
 	c.Assert(faults, qt.HasLen, 0)
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
-	f.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())}, ConfigurationsKnown: true, RosterKnown: true, Joined: true,
-		ProxyCount: 1, Upstreams: map[string][]message.Registration{"pay": upstreams}})
+	f.UpdateSnapshot(0, &proxy.Snapshot{
+		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())},
+		ConfigurationsKnown: true,
+		RosterKnown:         true,
+		Joined:              true,
+		ProxyCount:          1,
+		Upstreams:           map[string][]message.Registration{"pay": upstreams},
+	})
 	return f
 }
 
@@ -42,37 +49,37 @@
 	return made
 }
 
-const old = 20 * time.Second // a life as old as the retry window has its allowance
+const old = 20 * time.Second // a process as old as the retry window has its allowance
 
 func TestMisdirectedGoesToAnotherUpstream(t *testing.T) {
 	c := qt.New(t)
 	f := hostedFrontend(c, upstream("one", "here"), upstream("two", "here"))
 	random := rand.New(rand.NewPCG(1, 2))
 	going := asked("/pay/x", "secret")
-	c.Assert(f.Admit(old, time.Now(), going), qt.IsNil)
-	c.Assert(f.SelectUpstream(old, going, random), qt.IsNil)
+	c.Assert(f.admit(old, time.Now(), going), qt.IsNil)
+	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
 	first := going.Target.Instance
 	misdirected := message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyUpstreamGone), ReachedUpstream: true}
-	c.Assert(f.EvaluateOutcome(old, going, misdirected), qt.IsNil)
-	c.Assert(f.SelectUpstream(old, going, random), qt.IsNil)
+	c.Assert(f.evaluateOutcome(old, going, misdirected), qt.IsNil)
+	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
 	c.Assert(going.Target.Instance, qt.Not(qt.Equals), first)
 	// The configuration allows two upstreams: then it is refused, and may be asked again.
-	final := f.EvaluateOutcome(old, going, misdirected)
-	c.Assert(code(final), qt.Equals, errcode.BusyUpstreamGone)
-	c.Assert(final.Status, qt.Equals, http.StatusServiceUnavailable)
-	c.Assert(final.RetryAfter > 0, qt.IsTrue)
+	response := f.evaluateOutcome(old, going, misdirected)
+	c.Assert(code(response), qt.Equals, errcode.BusyUpstreamGone)
+	c.Assert(response.Status, qt.Equals, http.StatusServiceUnavailable)
+	c.Assert(response.RetryAfter > 0, qt.IsTrue)
 	// Neither is chosen again for a moment; then both are.
 	later := asked("/pay/x", "secret")
-	c.Assert(f.Admit(old, time.Now(), later), qt.IsNil)
-	c.Assert(code(f.SelectUpstream(old, later, random)), qt.Equals, errcode.BusySlotsFull)
-	c.Assert(f.SelectUpstream(old+f.settings.HeartbeatEvery()*2, later, random), qt.IsNil)
+	c.Assert(f.admit(old, time.Now(), later), qt.IsNil)
+	c.Assert(code(f.selectUpstream(old, later, random)), qt.Equals, errcode.BusySlotsFull)
+	c.Assert(f.selectUpstream(old+f.settings.HeartbeatEvery()*2, later, random), qt.IsNil)
 }
 
 // Homes that turn a request away which no upstream has seen cost no retries, up to a
 // number of looks; what an upstream has seen does.
 func TestLooksCostNothing(t *testing.T) {
 	c := qt.New(t)
-	for sent, wanted := range map[bool]int{false: looks, true: 1} {
+	for sent, wanted := range map[bool]int{false: freeAttempts, true: 1} {
 		list := []message.Registration{}
 		for _, name := range strings.Split("abcdefgh", "") {
 			list = append(list, upstream(name, "here"))
@@ -81,13 +88,17 @@
 		random := rand.New(rand.NewPCG(1, 2))
 		now := time.Second // too young for an allowance
 		going := asked("/free/x", "")
-		c.Assert(f.Admit(now, time.Now(), going), qt.IsNil)
+		c.Assert(f.admit(now, time.Now(), going), qt.IsNil)
 		tries := 0
 		for {
-			c.Assert(f.SelectUpstream(now, going, random), qt.IsNil)
+			c.Assert(f.selectUpstream(now, going, random), qt.IsNil)
 			tries++
-			if final := f.EvaluateOutcome(now, going, message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: sent}); final != nil {
-				c.Assert(final.Code, qt.Equals, errcode.BusyBudget)
+			if response := f.evaluateOutcome(now, going, message.Outcome{
+				Kind:            message.NotStarted,
+				Code:            int64(errcode.BusySlotsFull),
+				ReachedUpstream: sent,
+			}); response != nil {
+				c.Assert(response.Code, qt.Equals, errcode.BusyBudget)
 				break
 			}
 		}
@@ -116,7 +127,7 @@
 	} {
 		going := asked(tried.path, tried.key)
 		going.Header.Set(backend.CallerHeader, tried.caller)
-		c.Check(code(f.Admit(time.Second, time.Now(), going)), qt.Equals, tried.code, qt.Commentf("%+v", tried))
+		c.Check(code(f.admit(time.Second, time.Now(), going)), qt.Equals, tried.code, qt.Commentf("%+v", tried))
 		if tried.code == errcode.OK {
 			c.Check(going.Caller, qt.Equals, "clinic")
 			c.Check(going.Tenant, qt.Equals, tried.tenant)
--- a/internal/golden/registry_api_test.go
+++ b/internal/golden/registry_api_test.go
@@ -46,8 +46,8 @@
 func asked(question any) string {
 	switch it := question.(type) {
 	case registry.WriteConfiguration:
-		return fmt.Sprintf("write %s %d %d bytes, checked %t, %d faults",
-			it.ConfigName, it.Version, len(it.Body), it.Check.Done, len(it.Check.Faults))
+		return fmt.Sprintf("write %s %d %d bytes, checked %t, %d faults", it.ConfigName, it.Version, len(it.Body),
+			it.Check.Done, len(it.Check.Faults))
 	case registry.ReadConfiguration:
 		return fmt.Sprintf("get %s %d list %t", it.ConfigName, it.Version, it.List)
 	case registry.ReadConfigurationStatus:
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -64,12 +64,12 @@
 // The texts of the faults of a file in which nearly all is wrong, and of flags over a file.
 func TestSettingsFaults(t *testing.T) {
 	c := qt.New(t)
-	const wrong = `{"node":"","zone":"x","zones":["y","y"],"address":"host:1","outside":"1","metrics":"2","seeds":["a"],` +
-		`"data":"","configurations":[],"puts":"p",
+	const wrong = `{"node":"","zone":"x","zones":["y","y"],"address":"host:1","outside":"1","metrics":"2",` +
+		`"seeds":["a"],"data":"","configurations":[],"puts":"p",
 		"slices":["z"],"collector":"ftp://","active":{"other":"v"},"proof":"p","fields":"f","counted":"c",` +
 		`"beacon":["b"],"colour":1,"voter_count":2,
-		"bounds":{"drain_ms":-1,"lease_ms":-1,"retry_share":2,"sync_ms":9000,"other":1},` +
-		`"limits":{"queue":0,"linger_ms":-1,"frame_bytes":1}}`
+		"bounds":{"drain_ms":-1,"lease_ms":-1,"retry_share":2,"sync_ms":9000,"other":1},"limits":{"queue":0,` +
+		`"linger_ms":-1,"frame_bytes":1}}`
 	text := strings.Builder{}
 	for _, role := range []string{message.RoleProxy, message.RoleRegistry, message.RoleConfigStore} {
 		_, faults := settings.Read(role, []byte(wrong), nil)
@@ -77,10 +77,9 @@
 	}
 	golden.Check(c, "settings-faults.txt", text.String())
 
-	flags := map[string]string{
-		"node": "n", "voter": "v", "zone": "z", "address": "1.1.1.1:1", "outside": "1.1.1.1:2", "data": "d",
-		"collector": "http://c/", "metrics": "1.1.1.1:3", "found": "true", "seeds": "1.1.1.1:4,1.1.1.1:5",
-	}
+	flags := map[string]string{"node": "n", "voter": "v", "zone": "z", "address": "1.1.1.1:1", "outside": "1.1.1.1:2",
+		"data": "d", "collector": "http://c/",
+		"metrics": "1.1.1.1:3", "found": "true", "seeds": "1.1.1.1:4,1.1.1.1:5"}
 	cfg, _ := settings.Read(message.RoleRegistry, []byte(`{}`), flags)
 	body, err := json.MarshalIndent(cfg, "", " ")
 	c.Assert(err, qt.IsNil)
@@ -92,7 +91,7 @@
 	c := qt.New(t)
 	golden.Check(c, "protocol-names.txt", strings.Join([]string{
 		"code " + frontend.CodeHeader, "key " + frontend.APIKeyHeader, "key parameter " + frontend.KeyParam,
-		"tenant " + backend.TenantHeader, "caller " + backend.CallerHeader, "pass " + backend.DelegationHeader,
-		"request " + backend.RequestHeader,
+		"tenant " + backend.TenantHeader,
+		"caller " + backend.CallerHeader, "pass " + backend.DelegationHeader, "request " + backend.RequestHeader,
 	}, "\n")+"\n")
 }
