--- a/internal/scaletest/slopes.go
+++ b/internal/scaletest/slopes.go
@@ -70,61 +70,93 @@
 	return math.Max(0, base+rate*shape.At(size))
 }
 
-// SlopeOf fits the rows of one measure at several sizes, and extrapolates to a target size.
-func SlopeOf(list []Row, target float64) Slope {
-	sizes, means, repeats := []float64{}, []float64{}, -1
+// samples are the values of one measure at several sizes.
+type samples struct {
+	sizes   []float64
+	means   []float64
+	repeats [][]float64 // for each repeat the value at each size
+}
+
+// samplesOf collects the rows that have values; of repeats it has as many as every size has.
+func samplesOf(list []Row) samples {
+	s, repeats := samples{}, -1
+	rows := []Row{}
 	for _, row := range list {
 		if len(row.Values) == 0 {
 			continue
 		}
-		sizes, means = append(sizes, float64(row.Size)), append(means, mean(row.Values))
+		rows = append(rows, row)
+		s.sizes, s.means = append(s.sizes, float64(row.Size)), append(s.means, mean(row.Values))
 		if repeats < 0 || len(row.Values) < repeats {
 			repeats = len(row.Values)
 		}
 	}
-	if len(sizes) == 0 {
-		return Slope{Shape: "none"}
-	}
-	type tried struct {
-		shape            Shape
-		base, rate, miss float64
+	for repeat := range max(repeats, 0) {
+		values := []float64{}
+		for _, row := range rows {
+			values = append(values, row.Values[repeat])
+		}
+		s.repeats = append(s.repeats, values)
 	}
-	all := []tried{}
+	return s
+}
+
+// fitted is a shape with the parameters that fit best.
+type fitted struct {
+	shape            Shape
+	base, rate, miss float64
+}
+
+// fits returns the shapes that neither fall nor start below zero, the one that misses least first, and
+// the flat one.
+func (s samples) fits() (ranked []fitted, flat fitted) {
 	for _, shape := range Shapes {
-		base, rate, miss := fit(shape, sizes, means)
-		if rate >= 0 && (base+rate*shape.At(sizes[0]) >= 0 || shape.Name == "flat") {
-			all = append(all, tried{shape, base, rate, miss})
+		base, rate, miss := fit(shape, s.sizes, s.means)
+		if rate >= 0 && (base+rate*shape.At(s.sizes[0]) >= 0 || shape.Name == "flat") {
+			ranked = append(ranked, fitted{shape, base, rate, miss})
 		}
 	}
-	flat := all[0]
-	sort.SliceStable(all, func(i, j int) bool { return all[i].miss < all[j].miss })
-	best := all[0]
-	if best.miss > flat.miss*clearlyBetter || len(sizes) < 3 {
+	flat = ranked[0]
+	sort.SliceStable(ranked, func(i, j int) bool { return ranked[i].miss < ranked[j].miss })
+	return ranked, flat
+}
+
+// SlopeOf fits the rows of one measure at several sizes, and extrapolates to a target size.
+func SlopeOf(list []Row, target float64) Slope {
+	s := samplesOf(list)
+	if len(s.sizes) == 0 {
+		return Slope{Shape: "none"}
+	}
+	ranked, flat := s.fits()
+	best := ranked[0]
+	if best.miss > flat.miss*clearlyBetter || len(s.sizes) < 3 {
 		best = flat
 	}
-	slope := Slope{Shape: best.shape.Name, Base: best.base, Rate: best.rate, Miss: best.miss, Exponent: exponent(sizes, means)}
-	slope.Target = at(best.shape, sizes, means, target)
-	slope.Least, slope.Most = slope.Target, slope.Target
-	widen := func(value float64) {
-		slope.Least, slope.Most = math.Min(slope.Least, value), math.Max(slope.Most, value)
+	slope := Slope{
+		Shape:    best.shape.Name,
+		Base:     best.base,
+		Rate:     best.rate,
+		Miss:     best.miss,
+		Exponent: exponent(s.sizes, s.means),
+		Target:   at(best.shape, s.sizes, s.means, target),
 	}
-	for repeat := range repeats {
-		values := []float64{}
-		for _, row := range list {
-			if len(row.Values) > 0 {
-				values = append(values, row.Values[repeat])
-			}
-		}
-		widen(at(best.shape, sizes, values, target))
+	slope.Least, slope.Most = slope.Target, slope.Target
+	for _, values := range s.repeats {
+		slope.widen(at(best.shape, s.sizes, values, target))
 	}
-	for _, other := range all {
+	for _, other := range ranked {
 		if best.shape.Name != "flat" && other.miss <= best.miss*asLikely+0.01 {
-			widen(at(other.shape, sizes, means, target))
+			slope.widen(at(other.shape, s.sizes, s.means, target))
 		}
 	}
 	return slope
 }
 
+// widen makes the range of the extrapolated figure include a value.
+func (s *Slope) widen(value float64) {
+	s.Least, s.Most = math.Min(s.Least, value), math.Max(s.Most, value)
+}
+
 // exponent is the slope of the line through the logarithms.
 func exponent(sizes, values []float64) float64 {
 	var sumX, sumY, sumXX, sumXY, number float64
