--- a/internal/explore/action.go
+++ b/internal/explore/action.go
@@ -38,8 +38,8 @@
 	WriteOrder Kind = "write"       // an operator sends Version with Content to Node
 	ReadOrder  Kind = "read"        // an operator asks Node for the current version
 
-	Deaf         Kind = "deaf"     // Node hears nothing of proxy Peer
-	UpstreamStep Kind = "upstream" // upstream Peer of proxy Node leaves, is gone, or comes back
+	DropFromProxy Kind = "deaf"     // Node hears nothing of proxy Peer
+	UpstreamStep  Kind = "upstream" // upstream Peer of proxy Node leaves, is gone, or comes back
 )
 
 // Action is one departure from the default schedule.
--- a/internal/explore/chain.go
+++ b/internal/explore/chain.go
@@ -161,7 +161,7 @@
 	}
 	for _, follower := range followers {
 		for proxy := range fleetProxies {
-			add(Action{Kind: Deaf, Node: follower, Peer: proxy, Rounds: longestRounds})
+			add(Action{Kind: DropFromProxy, Node: follower, Peer: proxy, Rounds: longestRounds})
 		}
 	}
 	away := followers[:w.plan.Voters/2]
--- a/internal/explore/checks.go
+++ b/internal/explore/checks.go
@@ -15,7 +15,7 @@
 	by   string
 }
 
-// checkContact: a statement of fact comes only from a process that has heard a majority
+// checkContact checks that a statement of fact comes only from a process that has heard a majority
 // since the request came.
 func (w *World) checkContact(p *process, asked request) {
 	heard := 1
@@ -30,7 +30,7 @@
 	}
 }
 
-// checkDecidedList: the member lists of all decisions form one line, so any two majorities
+// checkDecidedList checks that the member lists of all decisions form one line, so any two majorities
 // that decided share a voter whose disk knows both.
 func (w *World) checkDecidedList(p *process) {
 	if w.plan.Named {
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -68,7 +68,7 @@
 			}
 			qt.Assert(t, summary.Epochs > summary.Walks*2, qt.IsTrue,
 				qt.Commentf("%d epochs in %d walks: the leases hardly moved", summary.Epochs, summary.Walks))
-			for _, kind := range []Kind{Crash, CrashDisk, DiskLost, Replace, Cut, Isolate, Freeze, Deaf, UpstreamStep} {
+			for _, kind := range []Kind{Crash, CrashDisk, DiskLost, Replace, Cut, Isolate, Freeze, DropFromProxy, UpstreamStep} {
 				qt.Assert(t, summary.Counts[kind] > 0, qt.IsTrue, qt.Commentf("no %s in %d walks", kind, summary.Walks))
 			}
 		})
--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -53,8 +53,8 @@
 		return w.doLeave(p)
 	case Cut, CutOneWay, Isolate:
 		return w.doCut(p, action)
-	case Deaf:
-		return w.doDeaf(p, action)
+	case DropFromProxy:
+		return w.doDropFromProxy(p, action)
 	case Freeze:
 		return w.doFreeze(p, action)
 	case ClockStep:
@@ -71,12 +71,12 @@
 	return true
 }
 
-// doDeaf has a proxy of the fleet miss all that the process sends it for some rounds.
-func (w *World) doDeaf(p *process, action Action) bool {
+// doDropFromProxy has the process receive nothing from a proxy of the fleet for some rounds.
+func (w *World) doDropFromProxy(p *process, action Action) bool {
 	if w.fleet == nil {
 		return false
 	}
-	w.fleet.deafTo[[2]int{p.index, action.Peer % fleetProxies}] = w.round + action.Rounds
+	w.fleet.dropFromProxyUntil[[2]int{p.index, action.Peer % fleetProxies}] = w.round + action.Rounds
 	return true
 }
 
@@ -94,6 +94,7 @@
 	})
 	return true
 }
+
 func (w *World) doMessage(action Action) bool {
 	if len(w.queue) == 0 || w.inRound == 0 || w.queue[0].datagram || w.queue[0].write != nil || w.queue[0].from == operatorAddress {
 		return false
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -65,19 +65,24 @@
 
 // fleet is the registries' surroundings.
 type fleet struct {
-	proxies  []*fleetProxy
-	windows  map[int64]report
-	newest   int64            // window that was reported
-	fence    int64            // the highest that the collector has seen
-	lives    map[int64]string // by fence: the incarnation that used it
-	acts     []act            // the first of each holder in a row
-	attempts int64
-	deafTo   map[[2]int]int              // by process and proxy: the round until which nothing comes through
-	changes  map[message.Position]string // by position: what was broadcast as the change to it
+	proxies            []*fleetProxy
+	windows            map[int64]report
+	newest             int64            // window that was reported
+	fence              int64            // the highest that the collector has seen
+	incarnations       map[int64]string // by fence: the incarnation that used it
+	acts               []act            // the first of each holder in a row
+	attempts           int64
+	dropFromProxyUntil map[[2]int]int              // by process and proxy: the round until which nothing comes through
+	changes            map[message.Position]string // by position: what was broadcast as the change to it
 }
 
 func newFleet() *fleet {
-	f := &fleet{windows: map[int64]report{}, lives: map[int64]string{}, deafTo: map[[2]int]int{}, changes: map[message.Position]string{}}
+	f := &fleet{
+		windows:            map[int64]report{},
+		incarnations:       map[int64]string{},
+		dropFromProxyUntil: map[[2]int]int{},
+		changes:            map[message.Position]string{},
+	}
 	for number := range fleetProxies {
 		proxy := &fleetProxy{
 			name:    fmt.Sprintf("proxy/p%d", number),
@@ -121,7 +126,7 @@
 		proxy.number++
 		counters := w.counters()
 		for _, p := range w.processes {
-			if !p.up || w.round < w.fleet.deafTo[[2]int{p.index, number}] {
+			if !p.up || w.round < w.fleet.dropFromProxyUntil[[2]int{p.index, number}] {
 				continue
 			}
 			w.tell(p, proxy.address, proxy.heartbeat(w.window()))
@@ -277,7 +282,7 @@
 	f.windows[sent.Window] = report{counts: maps.Clone(sent.Counts), epoch: sent.Epoch, by: p.name()}
 	f.newest = max(f.newest, sent.Window)
 	f.fence = max(f.fence, sent.Epoch)
-	f.lives[sent.Epoch] = lifeOf(p)
+	f.incarnations[sent.Epoch] = incarnationName(p)
 	if len(f.acts) > 0 && f.acts[len(f.acts)-1].node == p.name() {
 		f.acts[len(f.acts)-1].round = round
 		return
@@ -285,9 +290,11 @@
 	f.acts = append(f.acts, act{p.name(), round})
 }
 
-func lifeOf(p *process) string { return fmt.Sprintf("%s in life %d", p.name(), p.incarnation) }
+func incarnationName(p *process) string {
+	return fmt.Sprintf("%s in incarnation %d", p.name(), p.incarnation)
+}
 
-// checkReport: a window has one value, a fence one holder, fences don't fall, and no holder
+// checkReport checks that a window has one value, a fence one holder, fences don't fall, and no holder
 // comes back within the rest.
 func (w *World) checkReport(p *process, sent registry.UsageReport) {
 	f := w.fleet
@@ -298,8 +305,8 @@
 	if sent.Epoch < f.fence {
 		w.violate("fence", "%s reports under %d, and %d was seen", p.name(), sent.Epoch, f.fence)
 	}
-	if incarnation, used := f.lives[sent.Epoch]; used && incarnation != lifeOf(p) {
-		w.violate("one-fence", "%s reports under %d, which is that of %s", lifeOf(p), sent.Epoch, incarnation)
+	if incarnation, used := f.incarnations[sent.Epoch]; used && incarnation != incarnationName(p) {
+		w.violate("one-fence", "%s reports under %d, which is that of %s", incarnationName(p), sent.Epoch, incarnation)
 	}
 	if before, came := f.cameBack(p.name()); came && w.round-before.round < w.restRounds() && w.round-p.thawedAt > thawRounds {
 		w.violate("rest", "%s acts %d rounds after it acted before another", p.name(), w.round-before.round)
@@ -356,7 +363,7 @@
 	return up*2 > w.plan.Voters
 }
 
-// checkCounts: what was counted while all was calm is reported as it was.
+// checkCounts checks that what was counted while there were no faults is reported as it was.
 func (w *World) checkCounts() {
 	settled := w.calmFrom + calmRounds/2
 	first := int64((epoch+time.Duration(settled)*roundTime)/w.fleetSettings().UsageWindow()) + 1
--- a/internal/explore/history.go
+++ b/internal/explore/history.go
@@ -31,7 +31,7 @@
 
 func (o outcome) String() string { return fmt.Sprintf("%s version %d %s", o.code, o.version, o.body) }
 
-// factual: the outcome says something about the configuration, not about the process.
+// factual says that the outcome is about the configuration, not about the process.
 func (o outcome) factual() bool {
 	switch o.code {
 	case errcode.OK, errcode.ConfigurationBad, errcode.ConfigurationConflict, errcode.ConfigurationNotFound, errcode.ConfigurationTooLarge:
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -71,7 +71,7 @@
 func (k *walker) forRegistry(options Options) {
 	k.orders = 0
 	k.upstreams = 0.02 + 0.1*k.random.Float64()
-	k.kinds = append(k.kinds, Deaf, Deaf, Deaf)
+	k.kinds = append(k.kinds, DropFromProxy, DropFromProxy, DropFromProxy)
 	k.rate = max(k.rate, leastRegistryRate)
 	k.endAt = options.Rounds - calmRounds - longestRounds
 }
@@ -83,7 +83,7 @@
 	lossyFaults = 60
 )
 
-// foundingWalks: one walk in so many has faults from the start. A process that restarts
+// foundingWalks is how many walks go to one that has faults from the start. A process that restarts
 // founds no group, so most of these never come to serve.
 const foundingWalks = 8
 
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -355,7 +355,7 @@
 		p.seated = false
 	case "lease-taken":
 		tag, _, _ := strings.Cut(event.Cause, " by ")
-		held, incarnation := fmt.Sprintf("epoch %d of %s", event.Epoch, tag), lifeOf(p)
+		held, incarnation := fmt.Sprintf("epoch %d of %s", event.Epoch, tag), incarnationName(p)
 		if other, taken := w.holders[held]; taken && other != incarnation {
 			w.violate("one-holder-an-epoch", "%s is held by %s and was by %s", held, incarnation, other)
 		}
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -136,7 +136,7 @@
 	return size, nil
 }
 
-// quiet: nothing has come on it that the proxy sees before it sends.
+// quiet says that nothing has arrived on the connection that the proxy sees before it sends.
 func (s *upstreamStream) quiet() bool {
 	return s == nil || !s.ended && (len(s.pieces) == 0 || !safeguard.QuietConnection.On())
 }
@@ -212,7 +212,7 @@
 
 // breakConnections ends some of the connections between proxies, as resets would.
 func (w *World) breakConnections() {
-	for _, node := range w.of(message.RoleProxy) {
+	for _, node := range w.nodesOf(message.RoleProxy) {
 		for _, connection := range node.connections {
 			if !connection.attached || connection.closed || w.random.Float64() >= brokenShare {
 				continue
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -46,7 +46,7 @@
 }
 
 func (w *World) requestWith(id string, kind loadgen.Kind, tenant loadgen.Tenant) {
-	proxies := w.of(message.RoleProxy)
+	proxies := w.nodesOf(message.RoleProxy)
 	header := http.Header{}
 	header.Set(frontend.APIKeyHeader, tenant.Key)
 	header.Set(backend.CallerHeader, kind.Caller)
@@ -108,11 +108,11 @@
 			Body:     []byte{},
 			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestLimit(),
 		}
-		sentLife := incarnation
+		sentIncarnation := incarnation
 		chosenProxy.inFlight++
 		going := chosenProxy.tracker.Submit(request, func(time.Duration) {}, func(final *frontend.Response) {
 			w.after(100*time.Microsecond, func() {
-				if !chosenProxy.up || chosenProxy.incarnation != sentLife {
+				if !chosenProxy.up || chosenProxy.incarnation != sentIncarnation {
 					return
 				}
 				chosenProxy.inFlight--
@@ -127,8 +127,8 @@
 					}
 				}
 				w.refusedAfterReady(chosenProxy, errcode.Code(asked.Code), request.Attempts)
-				if asked.Code == int(errcode.BusyNotReady) && !w.vouched(chosenProxy) {
-					w.unvouched[asked.ID] = true
+				if asked.Code == int(errcode.BusyNotReady) && !w.knownCurrent(chosenProxy) {
+					w.refusedUnknownAge[asked.ID] = true
 				}
 				if asked.Code != 0 && w.able(chosenProxy, kind.Service) {
 					w.couldServe[asked.ID] = true
--- a/internal/simulation/cutoff.go
+++ b/internal/simulation/cutoff.go
@@ -100,14 +100,14 @@
 // connected nodes: the platform's contact-s.
 const settleTime = 3 * time.Second
 
-// unsettled: the core has no majority for some time.
+// unsettled notes that the core has no majority for some time.
 func (w *World) unsettled(length time.Duration) {
-	for _, proxy := range w.of(message.RoleProxy) {
+	for _, proxy := range w.nodesOf(message.RoleProxy) {
 		proxy.closeSpan()
 	}
 	w.after(length+settleTime, func() {
-		for _, proxy := range w.of(message.RoleProxy) {
-			if proxy.up && !proxy.frozen && !proxy.spanOn {
+		for _, proxy := range w.nodesOf(message.RoleProxy) {
+			if proxy.up && !proxy.frozen && !proxy.spanOpen {
 				proxy.openSpan()
 			}
 		}
@@ -167,7 +167,7 @@
 	w.after(cutReadEvery, func() { w.readAtAllSides(until) })
 }
 
-// readViews: who has been cut off for long gives neither roster nor state of configurations
+// readViews checks that a node that has been cut off for long gives neither roster nor state of configurations
 // out as current.
 func (w *World) readViews(registryNode *Node) {
 	since, severed := w.severed[registryNode.machine]
@@ -195,7 +195,7 @@
 			}
 		}
 	}
-	for index, proxy := range w.of(message.RoleProxy) {
+	for index, proxy := range w.nodesOf(message.RoleProxy) {
 		if index%3 == 0 {
 			proxy.settings.Seeds = seeds[:min(len(seeds), 3)]
 			w.restart([]*Node{proxy}, false, down)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -10,8 +10,8 @@
 // cores lists the core machines, replaced ones aside.
 func (w *World) cores() []string {
 	list := []string{}
-	for _, node := range w.of(message.RoleRegistry) {
-		if !node.retired && !strings.HasSuffix(node.machine, heirMark) {
+	for _, node := range w.nodesOf(message.RoleRegistry) {
+		if !node.retired && !strings.HasSuffix(node.machine, replacementSuffix) {
 			list = append(list, node.machine)
 		}
 	}
@@ -20,7 +20,7 @@
 
 func (w *World) machines() []string {
 	list := append([]string{}, w.cores()...)
-	for _, node := range w.of(message.RoleProxy) {
+	for _, node := range w.nodesOf(message.RoleProxy) {
 		list = append(list, node.machine)
 	}
 	return list
--- a/internal/simulation/hundreds.go
+++ b/internal/simulation/hundreds.go
@@ -64,7 +64,7 @@
 
 // measureDisks keeps the largest sum of a store's files.
 func (w *World) measureDisks() {
-	for _, store := range w.of(message.RoleConfigStore) {
+	for _, store := range w.nodesOf(message.RoleConfigStore) {
 		size := 0
 		for _, file := range store.disk.files {
 			size += len(file.current)
@@ -83,7 +83,7 @@
 	return 0
 }
 
-// expectCaughtUp: a store that came back holds, within the bound, what had been
+// expectCaughtUp checks that a store that came back holds, within the bound, what had been
 // acknowledged when it came, as long as no more machines count as lost than may be: one
 // counts as lost while it is away and for the same bound after it is back.
 func (w *World) expectCaughtUp(store *Node) {
@@ -96,7 +96,7 @@
 	w.after(bound, func() {
 		hampered := !store.up || store.frozen || store.incarnation != incarnation || store.wasFrozen(began) ||
 			store.writeDelay > w.options.Deployment.DiskDelay
-		if hampered || w.isSpare(store) || w.cutOff(store.machine) || !w.othersStand(store, began-bound) {
+		if hampered || w.isSpare(store) || w.partitioned(store.machine) || !w.othersStand(store, began-bound) {
 			return
 		}
 		if behind > 0 {
@@ -109,7 +109,7 @@
 	})
 }
 
-// othersStand: without this store a majority has been up and connected since a time.
+// othersStand says that without this store a majority has been up and connected since a time.
 func (w *World) othersStand(store *Node, since time.Duration) bool {
 	voters, standing := len(store.settings.Voters), 0
 	for _, other := range w.alive(message.RoleConfigStore) {
@@ -146,7 +146,7 @@
 	if w.diskMost > diskMost {
 		w.fail("%d bytes on one store's disk, %d are the most", w.diskMost, diskMost)
 	}
-	stores := w.of(message.RoleConfigStore)
+	stores := w.nodesOf(message.RoleConfigStore)
 	if len(stores) == 0 {
 		return
 	}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -41,10 +41,10 @@
 	w.cuts[from+">"+to] += by
 	for _, machine := range []string{from, to} {
 		healed := machine
-		if !w.cutOff(machine) {
+		if !w.partitioned(machine) {
 			// What waited on its connections is through a moment later.
 			w.after(time.Second, func() {
-				if !w.cutOff(healed) {
+				if !w.partitioned(healed) {
 					delete(w.cutSince, healed)
 				}
 			})
@@ -54,8 +54,8 @@
 	}
 }
 
-// cutOff says that some link of the machine is cut.
-func (n *network) cutOff(machine string) bool {
+// partitioned says that some link of the machine is cut.
+func (n *network) partitioned(machine string) bool {
 	for pair, count := range n.cuts {
 		if count > 0 && (strings.HasPrefix(pair, machine+">") || strings.HasSuffix(pair, ">"+machine)) {
 			return true
@@ -112,7 +112,7 @@
 		panic(fmt.Sprintf("simulation: %T: %v", msg, err))
 	}
 	if len(frame) > 1400 {
-		w.broken = append(w.broken, fmt.Sprintf("datagram of %d bytes: %T", len(frame), msg))
+		w.failures = append(w.failures, fmt.Sprintf("datagram of %d bytes: %T", len(frame), msg))
 	}
 	target, found := w.byAddress[to]
 	if !found || !w.linked(from, target) || w.random.Float64() < w.loss || w.crowded(from, target) {
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// breakSpans: a node cut off is not held to the bounds for connected ones.
+// breakSpans begins new spans of service, as a node cut off is not held to the bounds for connected ones.
 func (w *World) breakSpans(left, right []string) {
 	small := left
 	if len(right) < len(left) {
@@ -54,7 +54,7 @@
 // halve cuts the target and every third proxy from all other machines.
 func (w *World) halve(step Step) {
 	left, right := []string{step.Target}, without(w.cores(), step.Target)
-	for index, node := range w.of(message.RoleProxy) {
+	for index, node := range w.nodesOf(message.RoleProxy) {
 		if index%3 == 0 {
 			left = append(left, node.machine)
 		} else {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -44,8 +44,8 @@
 	stopping    bool
 	leaving     bool          // it is once the process has ended
 	retired     bool          // its machine was taken away for good
-	spanAt      time.Duration // begin of the span of service that is open, if spanOn
-	spanOn      bool
+	spanStart   time.Duration // begin of the span of service that is open, if spanOn
+	spanOpen    bool
 }
 
 // disks is the disk of a process of the core, its store, and the writes that wait for the disk.
@@ -97,8 +97,8 @@
 	return node
 }
 
-// place names the voter in the record: the settings' one, or the machine.
-func (n *Node) place() string {
+// voterName names the voter in the record: the settings' one, or the machine.
+func (n *Node) voterName() string {
 	if n.settings.Voter != "" {
 		return n.settings.Voter
 	}
--- a/internal/simulation/node_effects.go
+++ b/internal/simulation/node_effects.go
@@ -55,7 +55,7 @@
 		tag, _, _ := strings.Cut(done.Cause, " ")
 		n.world.record.Keeping = append(n.world.record.Keeping, checker.Keeping{
 			Tag:   tag,
-			Voter: n.place(),
+			Voter: n.voterName(),
 			Epoch: done.Epoch,
 			At:    n.world.now,
 		})
@@ -73,7 +73,12 @@
 		})
 	case "roster-change":
 		tag, _, _ := strings.Cut(done.Cause, " ")
-		n.world.record.Acts = append(n.world.record.Acts, checker.Keeping{Tag: tag, Voter: n.place(), Epoch: done.Epoch, At: n.world.now})
+		n.world.record.Acts = append(n.world.record.Acts, checker.Keeping{
+			Tag:   tag,
+			Voter: n.voterName(),
+			Epoch: done.Epoch,
+			At:    n.world.now,
+		})
 	}
 }
 
--- a/internal/simulation/node_faults.go
+++ b/internal/simulation/node_faults.go
@@ -87,7 +87,7 @@
 }
 
 func (w *World) restartEverySecondProxy(step Step) {
-	for index, node := range w.of(message.RoleProxy) {
+	for index, node := range w.nodesOf(message.RoleProxy) {
 		if index%2 == 0 {
 			w.restart([]*Node{node}, false, step.For)
 		}
--- a/internal/simulation/node_lifecycle.go
+++ b/internal/simulation/node_lifecycle.go
@@ -186,11 +186,11 @@
 	}
 }
 
-func (n *Node) openSpan() { n.spanAt, n.spanOn = n.world.now, !n.world.cutOff(n.machine) }
+func (n *Node) openSpan() { n.spanStart, n.spanOpen = n.world.now, !n.world.partitioned(n.machine) }
 
 func (n *Node) closeSpan() {
-	if n.spanOn && n.role == message.RoleProxy {
-		n.world.record.Up = append(n.world.record.Up, checker.Span{Name: n.machine, From: n.spanAt, To: n.world.now, Born: n.born})
+	if n.spanOpen && n.role == message.RoleProxy {
+		n.world.record.Up = append(n.world.record.Up, checker.Span{Name: n.machine, From: n.spanStart, To: n.world.now, Born: n.born})
 	}
-	n.spanOn = false
+	n.spanOpen = false
 }
--- a/internal/simulation/orders.go
+++ b/internal/simulation/operator_orders.go
@@ -201,7 +201,7 @@
 	})
 }
 
-// judgeRead: a read gives what was acknowledged before it was asked, or newer.
+// judgeRead checks that a read gives what was acknowledged before it was sent, or newer.
 func (w *World) judgeRead(registryNode *Node, answer registry.Answer, newest int64) {
 	version, known := w.contents[checker.Digest(answer.Body)]
 	if !known {
@@ -211,7 +211,7 @@
 	}
 }
 
-// judgeSevered: who is cut off from the others says only that it can't answer.
+// judgeSevered checks that a node that is cut off from the others says only that it can't answer.
 func (w *World) judgeSevered(registryNode *Node, question any, code errcode.Code) {
 	what := "reads"
 	if _, isWrite := question.(registry.WriteConfiguration); isWrite {
--- a/internal/simulation/platform.go
+++ b/internal/simulation/readiness.go
@@ -27,7 +27,7 @@
 	if w.now > until {
 		return
 	}
-	for _, node := range w.of(message.RoleProxy) {
+	for _, node := range w.nodesOf(message.RoleProxy) {
 		held := w.readiness[node.name]
 		if held == nil || held.incarnation != node.incarnation {
 			held = &readiness{incarnation: node.incarnation}
@@ -42,7 +42,7 @@
 			continue
 		}
 		held.said = false
-		if _, cut := w.cutSince[node.machine]; cut || node.stopping || !w.vouched(node) || !w.coreStands(node) {
+		if _, cut := w.cutSince[node.machine]; cut || node.stopping || !w.knownCurrent(node) || !w.coreStands(node) {
 			held.unready = 0
 		} else if held.unready++; held.unready == unreadyMost {
 			w.fail("%s could serve and was unready %d s in a row", node.name, unreadyMost)
@@ -51,22 +51,22 @@
 	w.after(requestReadyEvery, func() { w.requestReady(until) })
 }
 
-// coreStands: more than half of the registries are up, in reach of a node, and have the disk
+// coreStands says that more than half of the registries are up, in reach of a node, and have the disk
 // of their vote, so every tag has a holder. One whose disk was lost is no part of that before
 // it has its vote again: while too few others are up nobody can give it one.
 func (w *World) coreStands(node *Node) bool {
 	count := 0
 	for _, registryNode := range w.alive(message.RoleRegistry) {
 		if w.linked(node, registryNode) && w.linked(registryNode, node) && w.now-registryNode.born > commit &&
-			!w.cutOff(registryNode.machine) &&
+			!w.partitioned(registryNode.machine) &&
 			!w.voteLost(registryNode) {
 			count++
 		}
 	}
-	return count*2 > len(w.of(message.RoleRegistry))
+	return count*2 > len(w.nodesOf(message.RoleRegistry))
 }
 
-// voteLost: the disk of a registry's vote was lost, and it has none again.
+// voteLost says that the disk with a registry's vote was lost and that it has no vote again yet.
 func (w *World) voteLost(registryNode *Node) bool {
 	machine, isRegistry := registryNode.control.(*registry.Machine)
 	return registryNode.diskLost && isRegistry && !machine.VoterState().Voting
--- a/internal/simulation/causes.go
+++ b/internal/simulation/refusal_causes.go
@@ -19,10 +19,10 @@
 // settle is how long a machine or upstream that came up may take to be known.
 const commit = 2 * time.Second
 
-// able: some upstream of the service stood ready with a free slot, beside a serving proxy that
+// able says that some upstream of the service stood ready with a free slot, beside a serving proxy that
 // this proxy could reach, and both had been so for a while.
 func (w *World) able(from *Node, service string) bool {
-	for _, key := range w.upOrder {
+	for _, key := range w.upstreamOrder {
 		u := w.upstreams[key]
 		if u.response.Service != service || !u.up || u.response.Leaving || w.now < u.warmUntil+commit || u.running >= u.slots {
 			continue
@@ -40,9 +40,9 @@
 	return false
 }
 
-// vouched says that some registry that this proxy could reach knew the configuration to be current;
+// knownCurrent says that some registry that this proxy could reach knew the configuration to be current;
 // a proxy may start with no other.
-func (w *World) vouched(from *Node) bool {
+func (w *World) knownCurrent(from *Node) bool {
 	known := false
 	for _, registryNode := range w.alive(message.RoleRegistry) {
 		if w.linked(from, registryNode) && w.linked(registryNode, from) {
@@ -71,7 +71,7 @@
 		return "the request it came from had ended"
 	case checker.Within(w.record.Held, asked.Proxy, recent, done):
 		return "its proxy was frozen or cut off"
-	case asked.Code == int(errcode.BusyStale), asked.Code == int(errcode.BusyNotReady) && w.unvouched[asked.ID]:
+	case asked.Code == int(errcode.BusyStale), asked.Code == int(errcode.BusyNotReady) && w.refusedUnknownAge[asked.ID]:
 		return "nobody could vouch for its updates"
 	case asked.Code == int(errcode.BusyBudget):
 		// The next try would have broken another promise.
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -12,8 +12,8 @@
 	"beaconvane/internal/storage"
 )
 
-// heirMark ends the name of a machine that was put beside the one it replaces.
-const heirMark = "-heir"
+// replacementSuffix ends the name of a machine that was put beside the one it replaces.
+const replacementSuffix = "-heir"
 
 // replaceVoter puts an empty machine in a voter's place, at a new address.
 func (w *World) replaceVoter(machine string, down time.Duration) {
@@ -35,7 +35,7 @@
 		}
 		// The newcomer's settings name the seeds of now; all others keep their old ones.
 		seeds := []string{}
-		for _, registryNode := range w.of(message.RoleRegistry) {
+		for _, registryNode := range w.nodesOf(message.RoleRegistry) {
 			seeds = append(seeds, registryNode.address())
 		}
 		for _, node := range nodes {
@@ -58,7 +58,7 @@
 		replacement.settings.Found = false
 		w.after(down, func() {
 			replacement.settings.Seeds = []string{}
-			for _, registryNode := range w.of(message.RoleRegistry) {
+			for _, registryNode := range w.nodesOf(message.RoleRegistry) {
 				if registryNode != replacement && !registryNode.retired && len(replacement.settings.Seeds) < 3 {
 					replacement.settings.Seeds = append(replacement.settings.Seeds, registryNode.address())
 				}
@@ -73,8 +73,8 @@
 func (w *World) usurp(machine string, frozen time.Duration) {
 	for index, old := range w.machineNodes(machine) {
 		host := fmt.Sprintf("10.1.9.%d:7%d00", len(w.order)+1, 4+index)
-		replacement := w.addNode(old.role, machine+heirMark, old.settings.Voter, old.settings.Zone, host, old.settings.Seeds)
-		replacement.name, replacement.settings.Node = old.role+"/"+machine+heirMark, old.settings.Node
+		replacement := w.addNode(old.role, machine+replacementSuffix, old.settings.Voter, old.settings.Zone, host, old.settings.Seeds)
+		replacement.name, replacement.settings.Node = old.role+"/"+machine+replacementSuffix, old.settings.Node
 		w.after(500*time.Millisecond, replacement.boot)
 	}
 	w.freeze(w.machineNodes(machine), frozen)
--- a/internal/simulation/sameversion.go
+++ b/internal/simulation/same_version.go
@@ -61,7 +61,7 @@
 	w.after(every, func() { w.repeat(every, until, do) })
 }
 
-// rivalOrders: two contents under one version, sent at once to two registries.
+// rivalOrders sends two contents under one version at once to two registries.
 func (w *World) rivalOrders() {
 	registries := w.alive(message.RoleRegistry)
 	if len(registries) == 0 {
@@ -104,7 +104,7 @@
 	w.dangers["eight orders at one time"]++
 }
 
-// resendOrder: an order that was taken comes again, the oldest every third time, or any.
+// resendOrder sends an accepted order again, the oldest every third time, or any.
 func (w *World) resendOrder() {
 	known := []*order{}
 	for _, o := range w.orders {
@@ -129,7 +129,7 @@
 	w.sendOrder(again, registries[w.random.IntN(len(registries))])
 }
 
-// settled: at the end every operator was told yes or no.
+// settled checks that at the end every operator was told yes or no.
 func (w *World) settled() {
 	for _, o := range w.orders {
 		switch {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -48,7 +48,7 @@
 		node := w.nodes[name]
 		w.at(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), node.boot)
 	}
-	for _, key := range w.upOrder {
+	for _, key := range w.upstreamOrder {
 		u := w.upstreams[key]
 		w.at(time.Duration(w.random.Int64N(int64(500*time.Millisecond))), func() { u.start(500 * time.Millisecond) })
 	}
@@ -80,7 +80,7 @@
 	return result
 }
 
-// caughtUp: at the end every store that has a vote holds the newest version acknowledged.
+// caughtUp checks that at the end every store that has a vote holds the newest version acknowledged.
 func (w *World) caughtUp() {
 	for _, store := range w.alive(message.RoleConfigStore) {
 		machine, isStore := store.control.(*configstore.Machine)
@@ -107,7 +107,7 @@
 				registryNode.request(registry.ReadConfiguration{ConfigName: "main", Version: version}, func(answer any) {
 					if got := mustBe[registry.Answer](answer); got.Code == errcode.OK {
 						w.record.Kept = append(w.record.Kept, checker.Kept{
-							Voter:      registryNode.place(),
+							Voter:      registryNode.voterName(),
 							ConfigName: "main",
 							Version:    version,
 							Digest:     checker.Digest(got.Body),
@@ -125,14 +125,18 @@
 						counts[tenant.String()] = count.Int()
 						return true
 					})
-					w.record.Reread = append(w.record.Reread, checker.Reported{Window: window, From: registryNode.place(), Counts: counts})
+					w.record.Reread = append(w.record.Reread, checker.Reported{
+						Window: window,
+						From:   registryNode.voterName(),
+						Counts: counts,
+					})
 				}
 			})
 		}
 	}
 }
 
-// restored: fifteen seconds after the last fault every request is answered.
+// restored checks that fifteen seconds after the last fault every request is answered.
 func (w *World) restored(result *Result) {
 	bound := time.Duration(settings.Default().Bounds.Restore) * time.Millisecond
 	good, count := 0, 0
--- a/internal/simulation/secondloss.go
+++ b/internal/simulation/second_loss.go
@@ -21,8 +21,8 @@
 	programsOfCore  = 2               // a registry and a configstore on each core machine
 )
 
-// heirDies is a planned replacement whose newcomer dies in the middle of it.
-const heirDies = "replace-planned-heir-dies"
+// replacementDies is a planned replacement whose newcomer dies in the middle of it.
+const replacementDies = "replace-planned-heir-dies"
 
 // armedLoss waits for the moment at which a newcomer has its vote.
 type armedLoss struct {
@@ -36,7 +36,7 @@
 func secondLossPlan(d workload.Deployment, random *rand.Rand) []Step {
 	repairs := []string{"kill-disk", "replace-voter"}
 	if d.VoterCount > 0 {
-		repairs = []string{"kill-disk", "replace-core", "replace-planned", "replace-planned-alone", heirDies}
+		repairs = []string{"kill-disk", "replace-core", "replace-planned", "replace-planned-alone", replacementDies}
 	}
 	first, at := core(d, random), span(random, 10, 11)
 	repair := repairs[random.IntN(len(repairs))]
@@ -45,7 +45,7 @@
 		{At: 9 * time.Second, Do: "order-steadily", For: 26 * time.Second},
 		{At: at + 10*time.Millisecond, Do: repair, Target: first, For: span(random, 0.3, 1.5)},
 	}
-	if repair == heirDies {
+	if repair == replacementDies {
 		// The newcomer's end is the loss.
 		return plan
 	}
@@ -61,7 +61,7 @@
 		"order-steadily":        (*World).orderSteadily,
 		"replace-planned":       func(w *World, step Step) { w.replacePlanned(step.Target, step.For, "") },
 		"replace-planned-alone": func(w *World, step Step) { w.replaceAlone(step.Target, step.For) },
-		heirDies:                func(w *World, step Step) { w.replacePlanned(step.Target, step.For, heirDies) },
+		replacementDies:         func(w *World, step Step) { w.replacePlanned(step.Target, step.For, replacementDies) },
 	}
 }
 
@@ -78,7 +78,7 @@
 	w.armed = &armedLoss{kind: kind, away: step.For, spared: step.Target}
 }
 
-// recovered: a newcomer's vote stands; the loss that was armed for it comes at any moment now.
+// recovered handles that a newcomer has its vote: the loss that was armed for it comes at any moment now.
 func (w *World) recovered(newcomer *Node) {
 	armed := w.armed
 	w.voting[newcomer.machine]++
@@ -175,7 +175,7 @@
 		fmt.Sprintf("%s.%d:%s", strings.Join(parts[:3], "."), 100+w.serial, port), old.settings.Seeds)
 	replacement.settings.Found = false
 	replacement.settings.Seeds = []string{}
-	for _, registryNode := range w.of(message.RoleRegistry) {
+	for _, registryNode := range w.nodesOf(message.RoleRegistry) {
 		if registryNode != replacement && !registryNode.retired && len(replacement.settings.Seeds) < 3 {
 			replacement.settings.Seeds = append(replacement.settings.Seeds, registryNode.address())
 		}
--- a/internal/simulation/upstream.go
+++ b/internal/simulation/upstream.go
@@ -33,12 +33,12 @@
 	warmUntil      time.Duration
 	quiet          time.Duration // announces nothing before this time
 	gone           bool
-	vanished       map[int]bool // lives whose machine went without a word
+	vanished       map[int]bool // incarnations whose machine vanished without closing connections
 	serviceSpec    workload.Service
 }
 
 func (w *World) addUpstream(service workload.Service, index, number int) *Upstream {
-	proxies := w.of(message.RoleProxy)
+	proxies := w.nodesOf(message.RoleProxy)
 	key := fmt.Sprintf("%s/%s-%d", service.Name, service.Name, index+1)
 	u := &Upstream{
 		world:       w,
@@ -56,7 +56,7 @@
 	}
 	u.response.Zone = u.servingProxies[0].settings.Zone
 	w.upstreams[key] = u
-	w.upOrder = append(w.upOrder, key)
+	w.upstreamOrder = append(w.upstreamOrder, key)
 	return u
 }
 
--- a/internal/simulation/upstream_connection.go
+++ b/internal/simulation/upstream_connection.go
@@ -18,7 +18,7 @@
 
 func (u upConnection) there() bool { return u.owner.up && u.owner.incarnation == u.incarnation }
 
-// quiet: nothing has come on it, as its serving proxy sees it.
+// quiet says that nothing has arrived on the connection, as its serving proxy sees it.
 func (u upConnection) quiet() bool {
 	return (u.there() || u.owner.vanished[u.incarnation]) && u.stream.quiet()
 }
--- a/internal/simulation/upstream_faults.go
+++ b/internal/simulation/upstream_faults.go
@@ -44,7 +44,7 @@
 		w.after(w.options.Deployment.Vanish()+step.For, func() { w.handOver(u) })
 	case "service-kill":
 		// Every upstream of its service ends, and comes back.
-		for _, key := range w.upOrder {
+		for _, key := range w.upstreamOrder {
 			if other := w.upstreams[key]; other.response.Service == u.response.Service {
 				other.kill()
 				w.after(step.For, func() { other.start(500 * time.Millisecond) })
@@ -71,7 +71,7 @@
 		if service.Name == old.response.Service {
 			continue
 		}
-		key := fmt.Sprintf("%s/%s-heir-%d", service.Name, service.Name, len(w.upOrder))
+		key := fmt.Sprintf("%s/%s-heir-%d", service.Name, service.Name, len(w.upstreamOrder))
 		replacement := &Upstream{
 			world:          w,
 			key:            key,
@@ -89,7 +89,7 @@
 			},
 		}
 		w.upstreams[key] = replacement
-		w.upOrder = append(w.upOrder, key)
+		w.upstreamOrder = append(w.upstreamOrder, key)
 		// It takes connections at once and announces itself only later, to another proxy.
 		replacement.servingProxies = append(append([]*Node{}, old.servingProxies[1:]...), old.servingProxies[0])
 		replacement.quiet = w.now + time.Duration(w.random.Int64N(int64(2*time.Second)))
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -30,10 +30,10 @@
 	network
 	operatorRecord
 	measurements
-	options Options
-	random  *rand.Rand
-	trace   uint64
-	broken  []string
+	options  Options
+	random   *rand.Rand
+	trace    uint64
+	failures []string
 
 	nodes     map[string]*Node
 	order     []string
@@ -41,7 +41,7 @@
 	serial    int // of machines added
 
 	upstreams     map[string]*Upstream
-	upOrder       []string
+	upstreamOrder []string
 	addresses     map[string]*Upstream // who owns an upstream address now
 	strayUntil    time.Duration        // until when upstreams send stray answers
 	record        checker.Record
@@ -69,13 +69,13 @@
 
 // measurements is what a run counts besides the checker's record.
 type measurements struct {
-	sent       map[int64]int // control messages by second
-	frameMax   int
-	diskMost   int            // the most bytes on one store's disk
-	dangers    map[string]int // how often a dangerous moment was reached
-	readiness  map[string]*readiness
-	couldServe map[string]bool // requests refused while some upstream could have run them
-	unvouched  map[string]bool // requests refused while no registry in reach knew the configuration current
+	sent              map[int64]int // control messages by second
+	frameMax          int
+	diskMost          int            // the most bytes on one store's disk
+	dangers           map[string]int // how often a dangerous moment was reached
+	readiness         map[string]*readiness
+	couldServe        map[string]bool // requests refused while some upstream could have run them
+	refusedUnknownAge map[string]bool // requests refused while no registry in reach knew the configuration current
 }
 
 // epoch is the time of day at true time 0, for usage windows.
@@ -90,11 +90,11 @@
 			contents: map[string]int64{},
 		},
 		measurements: measurements{
-			sent:       map[int64]int{},
-			dangers:    map[string]int{},
-			readiness:  map[string]*readiness{},
-			couldServe: map[string]bool{},
-			unvouched:  map[string]bool{},
+			sent:              map[int64]int{},
+			dangers:           map[string]int{},
+			readiness:         map[string]*readiness{},
+			couldServe:        map[string]bool{},
+			refusedUnknownAge: map[string]bool{},
 		},
 		options:   options,
 		random:    rand.New(rand.NewPCG(options.Seed, 99)),
@@ -127,8 +127,8 @@
 // Trace is the hash over all that happened.
 func (w *World) Trace() uint64 { return w.trace }
 
-// Names of nodes by role.
-func (w *World) of(role string) []*Node {
+// Names nodesOf nodes by role.
+func (w *World) nodesOf(role string) []*Node {
 	list := []*Node{}
 	for _, name := range w.order {
 		if w.nodes[name].role == role {
@@ -140,7 +140,7 @@
 
 func (w *World) alive(role string) []*Node {
 	list := []*Node{}
-	for _, node := range w.of(role) {
+	for _, node := range w.nodesOf(role) {
 		if node.up && !node.frozen {
 			list = append(list, node)
 		}
@@ -158,7 +158,7 @@
 	for _, asked := range w.asked {
 		w.record.Asked = append(w.record.Asked, *asked)
 	}
-	for _, key := range w.upOrder {
+	for _, key := range w.upstreamOrder {
 		w.record.Ran = append(w.record.Ran, w.upstreams[key].runs...)
 		w.record.Peaks = append(w.record.Peaks, checker.Peak{Instance: key, Most: w.upstreams[key].most, Slots: w.upstreams[key].slots})
 	}
@@ -187,7 +187,7 @@
 			Detail: fmt.Sprintf("%d puts and reads fit no order", count),
 		})
 	}
-	for _, text := range w.broken {
+	for _, text := range w.failures {
 		review.Violations = append(review.Violations, checker.Violation{Rule: "simulator", Detail: text})
 	}
 	return review
@@ -195,5 +195,5 @@
 
 // Fail adds a finding of the scenario's own.
 func (w *World) fail(format string, values ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, values...))
+	w.failures = append(w.failures, fmt.Sprintf(format, values...))
 }
