--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -1,5 +1,5 @@
-// Command scaletest runs hollow fleets of several sizes on this machine and prints what
-// each role costs at each size, how that grows, and what it would come to at another.
+// Command scaletest runs hollow fleets of several sizes on this machine, and prints what each role costs
+// at each size, how that grows, and what it would cost at another size.
 package main
 
 import (
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, errcode.Wrap("scaletest", errcode.DiskFault, err)
 	}
-	defer os.RemoveAll(folder)
+	defer func() { _ = os.RemoveAll(folder) }() // a folder left in the temporary one does no harm
 	plan := m.plan
 	plan.Proxies, plan.Share, plan.Folder, plan.Program = size, m.share, folder, program
 	if m.share == 0 {
--- a/internal/backend/calling_test.go
+++ b/internal/backend/client_test.go
@@ -98,33 +98,45 @@
 
 // kept is how many proven connections are ready.
 func (b *bench) kept(target Target) int {
-	b.caller.lock.Lock()
-	defer b.caller.lock.Unlock()
-	return len(b.caller.idle[target])
+	b.caller.pool.lock.Lock()
+	defer b.caller.pool.lock.Unlock()
+	return len(b.caller.pool.idle[target])
 }
 
 func (b *bench) announce(c *qt.C, service, instance string, incarnation int64) {
-	response := Announcement{Service: service, Instance: instance, Incarnation: incarnation, Address: b.address, Zone: "d", Slots: 4}
-	accepted, _, _ := b.serving.Announce(b.members.Now(), response)
+	announcement := Announcement{Service: service, Instance: instance, Incarnation: incarnation, Address: b.address, Zone: "d", Slots: 4}
+	accepted, _, _ := b.serving.Announce(b.members.Now(), announcement)
 	c.Assert(accepted, qt.IsTrue)
-	b.caller.Guard(response)
+	b.caller.Guard(announcement)
 	b.guards++
 }
 
 // ask carries one request and gives its outcome, with the backend told of the end.
 func (b *bench) request(c *qt.C, id, method string, headers ...message.HeaderLine) message.Outcome {
-	forward := message.Forward{ID: id, Service: "pay", Instance: "one", Incarnation: 1, Method: method, Path: "/pay", Headers: headers, Body: []byte{},
-		Remaining: int64(2 * time.Second), MaxResponseBytes: 1000, Tenant: "t", Caller: "shop"}
+	forward := message.Forward{
+		ID:               id,
+		Service:          "pay",
+		Instance:         "one",
+		Incarnation:      1,
+		Method:           method,
+		Path:             "/pay",
+		Headers:          headers,
+		Body:             []byte{},
+		Remaining:        int64(2 * time.Second),
+		MaxResponseBytes: 1000,
+		Tenant:           "t",
+		Caller:           "shop",
+	}
 	if method == http.MethodPost {
 		forward.Body = []byte("body")
 	}
-	orders := b.serving.Forwarded(b.members.Now(), forward)
-	c.Assert(orders, qt.HasLen, 1)
-	outcome := message.Outcome{Kind: message.NotStarted, Code: int64(orders[0].Code)}
-	if orders[0].Start {
-		outcome = b.caller.Call(orders[0])
+	decisions := b.serving.HandleForward(b.members.Now(), forward)
+	c.Assert(decisions, qt.HasLen, 1)
+	outcome := message.Outcome{Kind: message.NotStarted, Code: int64(decisions[0].Code)}
+	if decisions[0].Start {
+		outcome = b.caller.Call(decisions[0])
 	}
-	outcome, _ = b.serving.Finish(b.members.Now(), orders[0], outcome)
+	outcome, _ = b.serving.Complete(b.members.Now(), decisions[0], outcome)
 	return outcome
 }
 
@@ -194,12 +206,28 @@
 		method, answer, body string
 		status               int64
 	}{
-		"head":              {http.MethodHead, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n", "", 200},
-		"no content":        {http.MethodPost, "HTTP/1.1 204 No Content\r\n\r\n", "", 204},
-		"not modified":      {http.MethodGet, "HTTP/1.1 304 Not Modified\r\nETag: x\r\nContent-Length: 500\r\n\r\n", "", 304},
-		"interim":           {http.MethodPost, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok", "ok", 201},
-		"chunk extensions":  {http.MethodGet, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;name=value\r\nok\r\n0\r\n\r\n", "ok", 200},
-		"trailers":          {http.MethodGet, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\n\r\n2\r\nok\r\n0\r\nSum: 1\r\n\r\n", "ok", 200},
+		"head":         {http.MethodHead, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n", "", 200},
+		"no content":   {http.MethodPost, "HTTP/1.1 204 No Content\r\n\r\n", "", 204},
+		"not modified": {http.MethodGet, "HTTP/1.1 304 Not Modified\r\nETag: x\r\nContent-Length: 500\r\n\r\n", "", 304},
+		"interim": {
+			http.MethodPost,
+			"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" +
+				"HTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok",
+			"ok",
+			201,
+		},
+		"chunk extensions": {
+			http.MethodGet,
+			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;name=value\r\nok\r\n0\r\n\r\n",
+			"ok",
+			200,
+		},
+		"trailers": {
+			http.MethodGet,
+			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\n\r\n2\r\nok\r\n0\r\nSum: 1\r\n\r\n",
+			"ok",
+			200,
+		},
 		"empty":             {http.MethodGet, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "", 200},
 		"its own 503":       {http.MethodPost, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nfull", "full", 503},
 		"closes afterwards": {http.MethodGet, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", "ok", 200},
@@ -219,9 +247,9 @@
 				c.Assert(string(outcome.Body), qt.Equals, tried.body)
 				c.Assert(upstream.reads.Load(), qt.Equals, number+1)
 				b.announce(c, "pay", "one", 1)
-				b.caller.lock.Lock()
-				delete(b.caller.idle, Target{Key: "pay/one", Address: b.address, Incarnation: 1})
-				b.caller.lock.Unlock()
+				b.caller.pool.lock.Lock()
+				delete(b.caller.pool.idle, Target{Key: "pay/one", Address: b.address, Incarnation: 1})
+				b.caller.pool.lock.Unlock()
 			}
 		})
 	}
@@ -289,16 +317,18 @@
 	c.Assert(b.request(c, "a", http.MethodPost).Kind, qt.Equals, message.Completed)
 	// The old process ends: its listener and every connection of it close.
 	old.listener.Close()
-	b.caller.lock.Lock()
-	for _, list := range b.caller.idle {
+	b.caller.pool.lock.Lock()
+	for _, list := range b.caller.pool.idle {
 		for _, connection := range list {
 			connection.conn.Close()
 		}
 	}
-	for _, guard := range b.caller.guards {
+	b.caller.pool.lock.Unlock()
+	b.caller.guards.lock.Lock()
+	for _, guard := range b.caller.guards.guards {
 		guard.conn.(*net.TCPConn).CloseRead()
 	}
-	b.caller.lock.Unlock()
+	b.caller.guards.lock.Unlock()
 	heir := newScripted(c, members, address, func(int64) string { return good })
 	outcome := b.request(c, "b", http.MethodPost)
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -7,6 +7,8 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
+	"strings"
 	"syscall"
 	"time"
 
@@ -27,7 +29,7 @@
 type Process struct {
 	Role     string
 	Node     string
-	Outside  string
+	Outside  string // address of the HTTP API; "" for a configuration store
 	settings string
 	log      string
 	command  *exec.Cmd
@@ -36,7 +38,7 @@
 	frozenAt time.Duration
 }
 
-// Settings returns the path of its settings file.
+// Settings returns the path of the settings file.
 func (p *Process) Settings() string { return p.settings }
 
 // Start starts a process.
@@ -54,42 +56,43 @@
 	process.ended = ended
 	command := process.command
 	f.Group.Go("fleet.wait", func(context.Context) {
-		command.Wait()
+		_ = command.Wait() // how it ended is not judged: scenarios kill processes
 		log.Close()
 		close(ended)
 	})
 	return nil
 }
 
-// Watch begins to hold the running proxies to the bounds for connected nodes.
+// Watch starts to count the running proxies as connected, which the checker holds to its bounds.
 func (f *Fleet) Watch() {
 	for _, process := range f.Of(message.RoleProxy) {
-		f.watched[process.Node] = f.since()
+		f.connectedSince[process.Node] = f.since()
 	}
 }
 
-// unwatch ends that for a process that is about to be disturbed; it is not resumed.
-func (f *Fleet) unwatch(process *Process) {
+// endConnected stops to count a process as connected that is about to get a signal; it never counts
+// again.
+func (f *Fleet) endConnected(process *Process) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if from, watched := f.watched[process.Node]; watched && process.Role == message.RoleProxy {
-		delete(f.watched, process.Node)
-		f.spans = append(f.spans, checker.Span{Name: process.Node, From: from, To: f.since()})
+	if from, isConnected := f.connectedSince[process.Node]; isConnected && process.Role == message.RoleProxy {
+		delete(f.connectedSince, process.Node)
+		f.connected = append(f.connected, checker.Span{Name: process.Node, From: from, To: f.since()})
 	}
 }
 
 // Signal sends a signal to a process that this fleet started, and records when.
 func (f *Fleet) Signal(process *Process, signal syscall.Signal) {
-	f.unwatch(process)
+	f.endConnected(process)
 	f.lock.Lock()
 	switch signal {
 	case syscall.SIGKILL:
-		f.hurt = append(f.hurt, checker.Span{Name: process.Outside, From: f.since(), To: f.since()})
+		f.killed = append(f.killed, checker.Span{Name: process.Outside, From: f.since(), To: f.since()})
 	case syscall.SIGSTOP:
 		process.frozenAt = f.since()
 	case syscall.SIGCONT:
 		if process.frozenAt > 0 {
-			f.held = append(f.held, checker.Span{Name: process.Outside, From: process.frozenAt, To: f.since()})
+			f.frozen = append(f.frozen, checker.Span{Name: process.Outside, From: process.frozenAt, To: f.since()})
 		}
 		process.frozenAt = 0
 	}
@@ -97,7 +100,7 @@
 	select {
 	case <-process.ended:
 	default:
-		process.command.Process.Signal(signal)
+		_ = process.command.Process.Signal(signal) // it may have ended meanwhile
 	}
 }
 
@@ -147,12 +150,34 @@
 		if err != nil {
 			continue
 		}
-		fields := bytes.Fields(body[bytes.LastIndexByte(body, ')')+2:])
-		var user, system, pages int64
-		fmt.Sscan(string(fields[11]), &user)
-		fmt.Sscan(string(fields[12]), &system)
-		fmt.Sscan(string(fields[21]), &pages)
-		list = append(list, Use{process.Role, process.Node, float64(user+system) / clockTicks, pages * pageKiB})
+		use, err := parseStat(body)
+		if err != nil {
+			continue
+		}
+		use.Role, use.Node = process.Role, process.Node
+		list = append(list, use)
 	}
 	return list
 }
+
+// Fields of /proc/PID/stat, counted from the one behind the name of the program.
+const (
+	statUserTicks   = 11
+	statSystemTicks = 12
+	statPages       = 21
+)
+
+// parseStat reads processor time and memory from a process's line in /proc.
+func parseStat(line []byte) (Use, error) {
+	fields := strings.Fields(string(line[bytes.LastIndexByte(line, ')')+1:]))
+	figures := [3]int64{}
+	for index, field := range []int{statUserTicks, statSystemTicks, statPages} {
+		figure, err := strconv.ParseInt(fields[field], 10, 64)
+		if err != nil {
+			return Use{}, err
+		}
+		figures[index] = figure
+	}
+	user, system, pages := figures[0], figures[1], figures[2]
+	return Use{CPU: float64(user+system) / clockTicks, Memory: pages * pageKiB}, nil
+}
