--- a/cmd/simulate/explore.go
+++ b/cmd/simulate/explore.go
@@ -1,5 +1,3 @@
-// This file is the subcommand explore: it searches the states of the control machines.
-
 package main
 
 import (
--- a/internal/simulation/upstream_connection.go
+++ b/internal/simulation/upstream_connection.go
@@ -24,7 +24,7 @@
 }
 
 // guard opens the guard connection of an announced upstream and some to be kept ready, as
-// calling.go does.
+// backend.UpstreamClient does.
 func (n *Node) guard(response backend.Announcement) {
 	target := backend.Target{Key: response.Service + "/" + response.Instance, Address: response.Address, Incarnation: response.Incarnation}
 	incarnation := n.incarnation
@@ -60,7 +60,8 @@
 	return upConnection{}, false
 }
 
-// call is the serving proxy's exchange with an upstream, as calling.go does it on sockets.
+// call is the serving proxy's exchange with an upstream, as backend.UpstreamClient
+// makes it on sockets.
 func (n *Node) call(incarnation int, order backend.Decision) {
 	w := n.world
 	target := order.Target
