--- a/internal/configstore/catchup.go
+++ b/internal/configstore/catchup.go
@@ -9,36 +9,37 @@
 	"beaconvane/internal/statemachine"
 )
 
-// snapshotBackoff is the pause between requests for another voter's log. A requested log may still be on
-// its way, and asking again would delay it further: the pause doubles while this voter's log stays where
-// it is.
+// snapshotBackoff limits the rate of requests for another voter's log. A requested log may still be in
+// transit, and another request would delay it further, so the interval doubles as long as this voter's
+// log does not change.
 type snapshotBackoff struct {
-	nextAt time.Duration
-	pause  time.Duration
-	at     position // of this voter's log at the last request
+	nextRequestAt time.Duration
+	interval      time.Duration
+	logPosition   position // of this voter's log at the last request
 }
 
-// requestSnapshot asks the holder for its whole log, unless it did so a short while ago.
+// requestSnapshot requests the holder's complete log, unless the interval since the last request has not
+// passed.
 func (m *Machine) requestSnapshot(env *statemachine.Env, holderAddress string) {
-	if env.Now < m.backoff.nextAt {
+	if env.Now < m.backoff.nextRequestAt {
 		return
 	}
-	if m.backoff.at != m.log.position() {
-		m.backoff.at, m.backoff.pause = m.log.position(), m.settings.DigestEvery()/2
+	if m.backoff.logPosition != m.log.position() {
+		m.backoff.logPosition, m.backoff.interval = m.log.position(), m.settings.DigestEvery()/2
 	} else {
-		m.backoff.pause = min(m.backoff.pause*2, m.settings.Lease())
+		m.backoff.interval = min(m.backoff.interval*2, m.settings.Lease())
 	}
-	m.backoff.nextAt = env.Now + m.backoff.pause
+	m.backoff.nextRequestAt = env.Now + m.backoff.interval
 	env.Event(eventSnapshotRequested, 0, m.log.epoch, "behind the holder")
 	env.Send(holderAddress, m.snapshotRequest(m.leases.Epoch(settings.ConfigLogTag)))
 }
 
-// snapshotRequest asks for a whole log.
+// snapshotRequest returns a request for a voter's complete log.
 func (m *Machine) snapshotRequest(epoch int64) message.LogSnapshotRequest {
 	return message.LogSnapshotRequest{Epoch: epoch, Voter: m.quorum.Voter, Identity: m.quorum.Signature()}
 }
 
-// logSnapshot returns the whole log as it travels.
+// logSnapshot returns the complete log, with the versions encoded as differences.
 func (m *Machine) logSnapshot(epoch int64) message.LogSnapshot {
 	return message.LogSnapshot{
 		Epoch:          epoch,
@@ -50,9 +51,9 @@
 	}
 }
 
-// wantsSnapshot reports whether a log that came is the one that was asked for, and newer than this
-// voter's.
-func (m *Machine) wantsSnapshot(snapshot message.LogSnapshot) bool {
+// expectsSnapshot reports whether a received log is of the promised epoch, has a higher position than this
+// voter's log, and was sent by a voter that this phase accepts a log from.
+func (m *Machine) expectsSnapshot(snapshot message.LogSnapshot) bool {
 	if snapshot.Epoch != m.leases.Epoch(settings.ConfigLogTag) {
 		return false
 	}
@@ -69,10 +70,10 @@
 	}
 }
 
-// handleSnapshot takes another voter's whole log in place of this one's. A follower confirms it, and a
-// new holder commits it in its own epoch, once it is on disk.
+// handleSnapshot replaces this voter's log by another voter's. Once the log is on disk, a follower
+// acknowledges it, and a new holder commits it in its own epoch.
 func (m *Machine) handleSnapshot(env *statemachine.Env, from string, snapshot message.LogSnapshot) {
-	if !m.wantsSnapshot(snapshot) {
+	if !m.expectsSnapshot(snapshot) {
 		return
 	}
 	entries, err := decodeDifferences(snapshot.Configurations, snapshot.History, m.settings.Limits.Configuration)
@@ -86,13 +87,13 @@
 		Configurations: entries,
 		History:        snapshot.History,
 	})
-	reached := m.log.position()
+	logEnd := m.log.position()
 	asHolder, term := m.leadership.phase == fetchingSnapshot, m.leadership.term
 	m.WriteSnapshot(env, func(env *statemachine.Env, failure error) {
 		if failure != nil {
 			return
 		}
-		m.log.synced = reached
+		m.log.synced = logEnd
 		if asHolder && m.leadership.phase == fetchingSnapshot && m.leadership.term == term {
 			m.beginRecommit(env)
 		} else if !asHolder {
@@ -101,18 +102,19 @@
 	})
 }
 
-// keepsUp reports whether a voter has confirmed the whole log, with the disk that the quorum knows it by.
-func (m *Machine) keepsUp(voter string) bool {
+// isCaughtUp reports whether a voter has acknowledged the complete log with the disk that is on the
+// member list.
+func (m *Machine) isCaughtUp(voter string) bool {
 	last, known := m.leadership.followers[voter]
-	return known && last.match >= m.log.seq && m.quorum.Accepts(voter, last.identity)
+	return known && last.syncedSeq >= m.log.seq && m.quorum.Accepts(voter, last.identity)
 }
 
-// remindLaggards tells the end of the log to the voters that have not confirmed it. Nothing else would
-// tell them before the next write, and while the newest entry lies on a bare majority, one more loss
-// leaves no majority that has it.
-func (m *Machine) remindLaggards(env *statemachine.Env) {
+// notifyLaggingVoters sends the end of the log to the voters that have not acknowledged it. Otherwise they
+// would not learn of it before the next write. While only a bare majority has the last entry, one more
+// lost disk leaves no majority that has it.
+func (m *Machine) notifyLaggingVoters(env *statemachine.Env) {
 	for _, peer := range m.Peers() {
-		if peer.Voter != "" && peer.Voter != m.quorum.Voter && !m.keepsUp(peer.Voter) {
+		if peer.Voter != "" && peer.Voter != m.quorum.Voter && !m.isCaughtUp(peer.Voter) {
 			env.Send(peer.Address, m.recommitMessage(position{m.leadership.term, m.log.seq, m.log.hash}))
 		}
 	}
--- a/internal/configstore/committed_versions.go
+++ b/internal/configstore/committed_versions.go
@@ -8,32 +8,33 @@
 	"beaconvane/internal/message"
 )
 
-// maxDigests bounds the digests that are remembered over all configurations. Above it the oldest half is
-// dropped, on all voters alike, since all add the same versions in the same order.
+// maxDigests bounds the number of digests over all configurations. When it is exceeded, the oldest half
+// is discarded. All voters discard the same digests, since they add the same versions in the same order.
 const maxDigests = 8192
 
-// pastOutcome is what is known of a write by the number and the content that it carries.
+// pastOutcome is the result of comparing a write's version number and content with the committed versions.
 type pastOutcome int
 
 const (
-	neverCommitted pastOutcome = iota
-	committedSame              // this very content was committed under this number
-	committedOther             // another content was committed under this number
-	forgotten                  // the number is older than what is remembered
+	neverCommitted   pastOutcome = iota
+	committedSame                // the same content was committed under this number
+	committedOther               // different content was committed under this number
+	olderThanHistory             // the number is not above the floor: its digest may have been discarded
 )
 
-// committedVersions remembers the digest of each version that was committed, long after its content was
-// dropped. A client whose response was lost sends the same write again, at times much later: the digest
-// tells such a repeated write, which must be acknowledged again, from another content under a taken
-// number, which must not be confirmed.
+// committedVersions holds the digests of committed versions, also of those whose content was dropped. A
+// client whose response was lost repeats its write, sometimes much later. The digest distinguishes such a
+// repeated write, which must be acknowledged again, from different content under a committed number,
+// which must be refused.
 type committedVersions struct {
 	limit   int
-	entries []message.VersionDigest     // in the order of commitment
+	entries []message.VersionDigest     // in commit order
 	digests map[string]map[int64][]byte // by configuration and version
-	floors  map[string]int64            // by configuration: versions up to here are forgotten
-	chain   [sha256.Size]byte           // hash over all entries, in their order
+	floors  map[string]int64            // by configuration: highest version whose digest was discarded
+	chain   [sha256.Size]byte           // hash chain over all entries in order
 }
 
+// newCommittedVersions returns a history of at most limit digests that contains the given entries.
 func newCommittedVersions(limit int, entries []message.VersionDigest) *committedVersions {
 	v := &committedVersions{limit: limit, digests: map[string]map[int64][]byte{}, floors: map[string]int64{}}
 	for _, entry := range entries {
@@ -42,14 +43,14 @@
 	return v
 }
 
-// contentDigest returns the digest of a content. It is computed once for each version that is stored.
+// contentDigest returns the SHA-256 digest of a content.
 func contentDigest(body []byte) []byte {
 	sum := sha256.Sum256(body)
 	return sum[:]
 }
 
-// append takes an entry as another voter or the disk has it. An entry without a digest says up to which
-// version its configuration is forgotten.
+// append adds an entry of the disk or of another voter. An entry without a digest is a floor: digests of
+// its configuration up to its version were discarded.
 func (v *committedVersions) append(entry message.VersionDigest) {
 	v.entries = append(v.entries, entry)
 	v.extendChain(entry)
@@ -63,7 +64,7 @@
 	v.digests[entry.ConfigName][entry.Version] = entry.Digest
 }
 
-// extendChain folds an entry into the chain.
+// extendChain replaces the chain by the hash of the chain and an entry.
 func (v *committedVersions) extendChain(entry message.VersionDigest) {
 	sum := sha256.New()
 	sum.Write(v.chain[:])
@@ -74,7 +75,8 @@
 	sum.Sum(v.chain[:0])
 }
 
-// add remembers a version that is stored now.
+// add records the digest of a version that is appended to the log, and trims the history if it exceeds
+// the limit.
 func (v *committedVersions) add(configName string, version int64, digest []byte) {
 	v.append(message.VersionDigest{ConfigName: configName, Version: version, Digest: digest})
 	if len(v.entries) > v.limit {
@@ -82,32 +84,32 @@
 	}
 }
 
-// trim drops the older half, and leaves a floor for each configuration that lost versions.
+// trim discards the older half of the entries and adds a floor for each configuration among them.
 func (v *committedVersions) trim() {
 	half := len(v.entries) / 2
-	dropped, kept := v.entries[:half], v.entries[half:]
-	order, floors := []string{}, map[string]int64{}
-	for _, entry := range dropped {
+	discarded, retained := v.entries[:half], v.entries[half:]
+	configNames, floors := []string{}, map[string]int64{}
+	for _, entry := range discarded {
 		if _, known := floors[entry.ConfigName]; !known {
-			order = append(order, entry.ConfigName)
+			configNames = append(configNames, entry.ConfigName)
 		}
 		floors[entry.ConfigName] = max(floors[entry.ConfigName], entry.Version)
 	}
-	remaining := []message.VersionDigest{}
-	for _, configName := range order {
+	entries := []message.VersionDigest{}
+	for _, configName := range configNames {
 		floor := message.VersionDigest{ConfigName: configName, Version: floors[configName], Digest: []byte{}}
-		remaining = append(remaining, floor)
+		entries = append(entries, floor)
 	}
-	*v = *newCommittedVersions(v.limit, append(remaining, kept...))
+	*v = *newCommittedVersions(v.limit, append(entries, retained...))
 }
 
-// digestOf returns the digest that is remembered of a version.
+// digestOf returns the digest of a committed version, if it is in the history.
 func (v *committedVersions) digestOf(configName string, version int64) ([]byte, bool) {
 	digest, known := v.digests[configName][version]
 	return digest, known
 }
 
-// outcome compares a write with what was committed under its number.
+// outcome compares a write with the content that was committed under its version number.
 func (v *committedVersions) outcome(configName string, version int64, body []byte) pastOutcome {
 	digest, known := v.digestOf(configName, version)
 	if guardsOff.versionHistory {
@@ -119,7 +121,7 @@
 	case known:
 		return committedOther
 	case version <= v.floors[configName]:
-		return forgotten
+		return olderThanHistory
 	}
 	return neverCommitted
 }
--- a/internal/configstore/decision.go
+++ b/internal/configstore/decision.go
@@ -12,59 +12,60 @@
 	"beaconvane/internal/settings"
 )
 
-// versionField is the field of a configuration that states its version number.
+// versionField is the optional JSON field of a configuration that contains its version number.
 const versionField = "version"
 
-// statedVersion returns the version number that a content states, if any.
+// statedVersion returns the version field of a content; it may be absent.
 func statedVersion(body []byte) gjson.Result { return gjson.GetBytes(body, versionField) }
 
-// decide returns the response to a write, or that the write is to be committed. It relies on committed
-// versions only. A version that was committed is acknowledged again, by the digest of its content;
-// another content under its number is a conflict, whoever sends it and in either mode of writing.
+// decide returns the response to a write, or reports that the write must be committed. It considers
+// committed versions only. A repeated write of a committed version is recognised by the digest of its
+// content and acknowledged again. Different content under a committed number is a conflict in both write
+// modes.
 func (m *Machine) decide(request message.WriteRequest, stated gjson.Result) (response message.StoreResponse, commits bool) {
 	if request.Version <= 0 || !slices.Contains(m.settings.ConfigNames, request.ConfigName) {
 		faults := []string{"$: want a version above 0 and one of the configurations of the settings"}
 		return refusal(request, errcode.ConfigurationBad, "", faults), false
 	}
 	current, known := m.current(request.ConfigName)
-	overtaken := known && request.Version <= current.Version
-	if response, decided := m.decideByHistory(request, current, overtaken); decided {
+	notNewer := known && request.Version <= current.Version
+	if response, decided := m.decideByHistory(request, current, notNewer); decided {
 		return response, false
 	}
-	if fault, found := m.check(request, stated); found {
-		return fault, false
+	if refused, faulty := m.checkContent(request, stated); faulty {
+		return refused, false
 	}
-	if overtaken {
+	if notNewer {
 		return acknowledgement(current), false
 	}
 	return message.StoreResponse{}, true
 }
 
-// decideByHistory returns the response that follows from what was committed before. In the mode where the
-// highest version wins, a lower number is no fault: it is acknowledged with the version in force.
+// decideByHistory returns the response that the committed versions alone determine, if they do. In the
+// mode settings.WritesHighest a lower number is not refused but acknowledged with the current version.
 func (m *Machine) decideByHistory(
-	request message.WriteRequest, current message.StoredConfiguration, overtaken bool,
+	request message.WriteRequest, current message.StoredConfiguration, notNewer bool,
 ) (response message.StoreResponse, decided bool) {
-	past := m.log.history.outcome(request.ConfigName, request.Version, request.Body)
+	outcome := m.log.history.outcome(request.ConfigName, request.Version, request.Body)
 	highestWins := m.settings.Writes == settings.WritesHighest
 	switch {
-	case past == committedSame && highestWins:
+	case outcome == committedSame && highestWins:
 		return acknowledgement(current), true
-	case past == committedSame:
+	case outcome == committedSame:
 		return refusal(request, errcode.OK, "already committed", nil), true
-	case past == committedOther:
+	case outcome == committedOther:
 		return refusal(request, errcode.ConfigurationConflict, "another content was committed under this number", nil), true
-	case past == forgotten && !highestWins:
+	case outcome == olderThanHistory && !highestWins:
 		return refusal(request, errcode.ConfigurationUnsure, "this number is older than what is remembered", nil), true
-	case overtaken && !highestWins:
+	case notNewer && !highestWins:
 		return refusal(request, errcode.ConfigurationConflict, currentVersionDetail(current), nil), true
 	}
 	return message.StoreResponse{}, false
 }
 
-// check returns a refusal if the content has faults: those that the registry found or, if it did not
-// look, those that are found here.
-func (m *Machine) check(request message.WriteRequest, stated gjson.Result) (response message.StoreResponse, found bool) {
+// checkContent returns a refusal if the content has faults. It uses the result of the registry's check, and
+// checks the content itself only if the registry didn't.
+func (m *Machine) checkContent(request message.WriteRequest, stated gjson.Result) (response message.StoreResponse, faulty bool) {
 	faults, tooLarge := request.Check.Faults, request.Check.TooLarge
 	if !request.Check.Done {
 		faults, tooLarge = routeconfig.Check(request.Body, m.settings.ConfigurationLimits())
@@ -78,17 +79,17 @@
 	return refusal(request, errcode.ConfigurationBad, "", faults), len(faults) > 0
 }
 
-// refusal returns a response with the number that was put.
+// refusal returns a response that carries the version number of the request.
 func refusal(request message.WriteRequest, code errcode.Code, detail string, faults []string) message.StoreResponse {
 	return message.StoreResponse{Code: int64(code), Detail: detail, Faults: faults, Version: request.Version}
 }
 
-// acknowledgement returns the response to a write that changes nothing: it carries what is in force.
+// acknowledgement returns the response to a write that changes nothing: it carries the current version.
 func acknowledgement(current message.StoredConfiguration) message.StoreResponse {
 	return message.StoreResponse{Detail: currentVersionDetail(current), Version: current.Version, Body: current.Body}
 }
 
-// currentVersionDetail is the text that tells a client which version is in force.
+// currentVersionDetail returns the detail text that names the current version.
 func currentVersionDetail(current message.StoredConfiguration) string {
 	return fmt.Sprintf("the current version is %d", current.Version)
 }
--- a/internal/configstore/differences.go
+++ b/internal/configstore/differences.go
@@ -10,36 +10,36 @@
 	"beaconvane/internal/message"
 )
 
-// Versions of one configuration differ little. On its way to another voter each one is the difference
-// from the version before it, and the first one is compressed by itself. A log of sixteen versions of a
-// large configuration is then hardly longer than one of them, and the renewals of leases on the same
-// links don't wait behind it.
+// Successive versions of a configuration usually differ little. Logs are therefore sent with each version
+// encoded as the difference from the version before it, and the first version compressed by itself. A log
+// of sixteen versions of a large configuration is then hardly longer than one version, so it doesn't delay
+// the lease renewals on the same connections.
 
 const (
-	// maxCachedDifferences bounds what an encoder keeps between two logs.
+	// maxCachedDifferences bounds the number of differences that an encoder caches between two logs.
 	maxCachedDifferences = 64
-	// compressAbove is the size in bytes above which a content travels compressed.
-	compressAbove = 1 << 10
+	// compressionThreshold is the size in bytes above which the body of a response is compressed.
+	compressionThreshold = 1 << 10
 )
 
-// errDigest is returned for content that is not what its digest says.
+// errDigest is returned for decoded content whose digest is not the expected one.
 var errDigest = errors.New("configstore: content differs from its digest")
 
-// differenceKey names a difference by the digests of both contents. Version numbers don't name it: one
-// that was lost in flight may be committed with another content later.
+// differenceKey identifies a difference by the digests of both contents. Version numbers would not do: the
+// number of a write that was never committed may be committed later with different content.
 type differenceKey struct {
 	base, content [sha256.Size]byte
 }
 
-// differenceEncoder encodes logs for travel. It caches the differences of the last log, since all but the
-// newest are the same the next time.
+// differenceEncoder encodes logs that are sent to other voters. It caches the differences of the last
+// encoded log, since most of them occur in the next one too.
 type differenceEncoder struct {
 	differences    map[differenceKey][]byte
 	compressedKey  differenceKey
 	compressedBody []byte
 }
 
-// difference returns what turns base into body, and its key in the cache.
+// difference returns the difference from base to body, and its key in the cache.
 func (e *differenceEncoder) difference(base, body []byte) (differenceKey, []byte) {
 	key := differenceKey{sha256.Sum256(base), sha256.Sum256(body)}
 	if cached, known := e.differences[key]; known {
@@ -52,8 +52,8 @@
 	return key, e.differences[key]
 }
 
-// compress returns a body compressed by itself. The last one is cached: all writes that change nothing
-// are answered with the current version.
+// compress returns a body compressed by itself. The last result is cached, since every write that changes
+// nothing is answered with the current version.
 func (e *differenceEncoder) compress(body []byte) []byte {
 	key := differenceKey{content: sha256.Sum256(body)}
 	if e.compressedKey != key || len(e.compressedBody) == 0 {
@@ -62,28 +62,29 @@
 	return e.compressedBody
 }
 
-// encode returns the entries with differences for bodies. Those of one configuration stand together,
-// oldest first.
+// encode returns the entries with their bodies replaced by differences. The entries must be grouped by
+// configuration, oldest first.
 func (e *differenceEncoder) encode(entries []message.StoredConfiguration) []message.StoredConfiguration {
 	encoded := make([]message.StoredConfiguration, 0, len(entries))
-	used := map[differenceKey][]byte{}
+	current := map[differenceKey][]byte{}
 	previous := message.StoredConfiguration{}
 	for _, entry := range entries {
 		if entry.ConfigName != previous.ConfigName {
 			previous = message.StoredConfiguration{}
 		}
 		key, difference := e.difference(previous.Body, entry.Body)
-		used[key] = difference
+		current[key] = difference
 		previous = entry
 		entry.Body = difference
 		encoded = append(encoded, entry)
 	}
-	e.differences = used
+	e.differences = current
 	return encoded
 }
 
-// decodeDifferences rebuilds the bodies of encoded entries and compares them with the digests. A body
-// that has its digest already, as an earlier build sends it, is taken as it is.
+// decodeDifferences decodes the bodies of encoded entries and compares them with the digests. A body that
+// already has the expected digest is used unchanged: earlier builds send bodies unencoded. limit is the
+// maximum size of a body in bytes.
 func decodeDifferences(
 	entries []message.StoredConfiguration, digests []message.VersionDigest, limit int64,
 ) ([]message.StoredConfiguration, error) {
@@ -111,8 +112,8 @@
 	return decoded, nil
 }
 
-// decompressWrite rebuilds the content of a write. One that is above the limit is marked as too large,
-// and is refused like any other that is.
+// decompressWrite decompresses the content of a write. If that fails, as it does for content above the
+// limit, the write is marked as too large and refused later with the fault that is recorded here.
 func decompressWrite(request message.WriteRequest, limit int64) message.WriteRequest {
 	body, err := delta.Apply(nil, request.Body, limit)
 	if err != nil {
@@ -122,16 +123,17 @@
 	return request
 }
 
-// appendBase returns the version that the next append is a difference from. The guard of the order would
-// be covered by the digest of a difference, which shows a wrong base, so without it there is no base.
+// appendBase returns the version that the next append is encoded against. With the guard appendInOrder
+// disabled it is empty: otherwise the digest would detect a wrong base and hide the missing guard.
 func (m *Machine) appendBase(configName string) message.StoredConfiguration {
 	if guardsOff.appendInOrder {
 		return message.StoredConfiguration{}
 	}
-	return m.log.newest(configName)
+	return m.log.newestEntry(configName)
 }
 
-// appendDelta returns the append of an entry as it travels. The identity is set when it is sent.
+// appendDelta returns the message that appends an entry, encoded as a difference. sendProposal sets the
+// identity.
 func (m *Machine) appendDelta(entry message.StoredConfiguration) message.LogAppendDelta {
 	base := m.appendBase(entry.ConfigName)
 	_, difference := m.encoder.difference(base.Body, entry.Body)
@@ -147,9 +149,9 @@
 	}
 }
 
-// decodeAppend rebuilds the append that follows this voter's log. It reports false if the log is not what
-// the difference was made from.
-func (m *Machine) decodeAppend(encoded message.LogAppendDelta) (entry message.LogAppend, fits bool) {
+// decodeAppend decodes an append against the last version in this voter's log. It reports false if that
+// version is not the one that the append was encoded against.
+func (m *Machine) decodeAppend(encoded message.LogAppendDelta) (entry message.LogAppend, baseMatches bool) {
 	base := m.appendBase(encoded.ConfigName)
 	if base.Version != encoded.Base {
 		return message.LogAppend{}, false
--- a/internal/configstore/doc.go
+++ b/internal/configstore/doc.go
@@ -1,30 +1,31 @@
 // Package configstore is the control state machine of a configuration store: a log of configuration
 // versions that is replicated to all voters of the group.
 //
-// One voter holds the lease of the log (package lease); the lease's epoch is the term. The holder orders
-// all writes. It has one write in flight at a time, appends it to its own log and to those of the other
-// voters, and acknowledges it once a majority has it on disk in this epoch.
+// The log has a lease (package lease), which one voter holds; the lease's epoch serves as the term. The
+// holder orders all writes. It replicates one write at a time: it appends the write to its own log and to
+// the logs of the other voters, and acknowledges it once a majority has synced it in this epoch.
 //
-// A new holder reads the log positions of a majority, takes the highest one, fetching that log if it is
-// another voter's, and commits it again in its own epoch. Only then does it serve (takeover.go).
+// A new holder reads the log positions of a majority and selects the log with the highest position. If
+// that log belongs to another voter, the holder fetches it. It then commits the log again in its own epoch
+// before it serves any request (takeover.go).
 //
-// Safety rests on epochs and on synced writes: a voter that promised a higher epoch accepts nothing of a
-// lower one, and a voter confirms only what is on its disk. A response that commits nothing, such as a
-// read, is sent only after a majority has renewed the lease in a round that began after the request came
-// (responses.go). docs/control-safety.md has the argument.
+// Safety rests on epochs and on synced writes: a voter that promised an epoch accepts no message of a
+// lower epoch, and a voter acknowledges only entries that are on its disk. A response that commits
+// nothing, such as a read, is sent only after a majority has renewed the lease in a round that began after
+// the request was received (responses.go). docs/control-safety.md has the argument.
 //
-// Version numbers are the operators'. The order of commitment is the log's own: (epoch, sequence).
+// Operators assign the version numbers. The log orders its commits by (epoch, sequence number).
 //
-// What a voter does for the holder of the lease is in follower.go.
+// follower.go handles the requests that the holder of the lease sends to the other voters.
 //
-// The parts of the state are types of their own:
+// The state consists of these types:
 //
-//   - replicatedLog: the entries, their position, and how far the disk has them (log.go);
-//   - committedVersions: the digest of each version that was ever committed (committed_versions.go);
-//   - leadership: the term, the phase of a takeover, and who acknowledged what (leadership.go);
-//   - followerProgress: how far each voter has confirmed the log (progress.go);
-//   - proposal and pendingWrite: the write in flight and those behind it (proposal.go);
+//   - replicatedLog: the entries, the log's position, and the position that is synced (log.go);
+//   - committedVersions: the digests of committed versions, within a limit (committed_versions.go);
+//   - leadership: the term, the phase of the takeover, and the acknowledgements (leadership.go);
+//   - followerProgress: the last sequence number that each voter acknowledged (progress.go);
+//   - proposal and pendingWrite: the write in flight and the queue behind it (proposal.go);
 //   - pendingResponse: responses that wait for a renewal of the lease (responses.go);
-//   - snapshotBackoff: pauses between requests for another voter's log (catchup.go);
-//   - differenceEncoder: the compressed form in which logs travel (differences.go).
+//   - snapshotBackoff: the interval between requests for another voter's log (catchup.go);
+//   - differenceEncoder: the compressed encoding of logs on the wire (differences.go).
 package configstore
--- a/internal/configstore/events.go
+++ b/internal/configstore/events.go
@@ -1,6 +1,6 @@
 package configstore
 
-// Names of the events in the journal.
+// Names of the events that this package writes to the journal.
 const (
 	eventServing            = "config-log-serving"
 	eventCommitted          = "configuration-committed"
--- a/internal/configstore/export_test.go
+++ b/internal/configstore/export_test.go
@@ -2,5 +2,5 @@
 
 import "beaconvane/internal/safeguard"
 
-// WithoutGuard runs something with one rule switched off.
-func WithoutGuard(name string, do func()) { safeguard.WithoutField(&guardsOff, name, do) }
+// WithoutGuard calls run while the named field of guards is set, which disables that rule.
+func WithoutGuard(name string, run func()) { safeguard.WithoutField(&guardsOff, name, run) }
--- a/internal/configstore/follower.go
+++ b/internal/configstore/follower.go
@@ -6,7 +6,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// handleHolderRequest takes what only the holder of the lease may ask of a voter.
+// handleHolderRequest handles the requests that only the holder of the lease may send to a voter.
 func (m *Machine) handleHolderRequest(env *statemachine.Env, from string, msg any) {
 	switch received := msg.(type) {
 	case message.LogPositionRequest:
@@ -32,21 +32,21 @@
 	}
 }
 
-// acceptsHolder reports whether a message is from the voter to whom this voter granted the lease: the
-// sender is on the member list, and its epoch is the one that was promised, neither lower nor higher.
+// acceptsHolder reports whether a message is from the voter to which this voter granted the lease: the
+// sender must be on the member list, and its epoch must equal the promised one.
 func (m *Machine) acceptsHolder(voter, identity string, epoch int64) bool {
 	inEpoch := epoch == m.leases.Epoch(settings.ConfigLogTag) || guardsOff.promisedEpoch
 	return m.quorum.Voting() && m.quorum.Accepts(voter, identity) && inEpoch && m.Failure() == nil
 }
 
-// handleAppendDelta takes an append as it travels. An entry that is in the log already is confirmed
-// without being rebuilt.
+// handleAppendDelta handles an append that is encoded as a difference. An entry that is already in the log
+// is acknowledged without decoding it.
 func (m *Machine) handleAppendDelta(env *statemachine.Env, from string, delta message.LogAppendDelta) {
 	entry := message.LogAppend{Epoch: delta.Epoch, Seq: delta.Seq}
 	isNew := m.log.epoch == delta.Epoch && m.log.seq < delta.Seq
 	if isNew {
-		decoded, fits := m.decodeAppend(delta)
-		if !fits {
+		decoded, baseMatches := m.decodeAppend(delta)
+		if !baseMatches {
 			m.requestSnapshot(env, from)
 			return
 		}
@@ -55,21 +55,21 @@
 	m.handleAppend(env, from, entry)
 }
 
-// handleAppend writes the holder's next entry, and confirms it once it is on disk.
+// handleAppend appends the holder's next entry and acknowledges it once it is on disk.
 func (m *Machine) handleAppend(env *statemachine.Env, from string, entry message.LogAppend) {
 	switch {
 	case m.log.epoch == entry.Epoch && m.log.seq >= entry.Seq:
 		m.acknowledge(env, from)
 	case m.log.epoch == entry.Epoch && (m.log.seq == entry.Seq-1 || guardsOff.appendInOrder):
 		m.log.append(entry.Epoch, entry.Seq, entry.Configuration)
-		reached := m.log.position()
+		logEnd := m.log.position()
 		if guardsOff.syncedAppend {
-			m.log.synced = reached
+			m.log.synced = logEnd
 			m.acknowledge(env, from)
 		}
 		m.Persist(env, entry, func(env *statemachine.Env, failure error) {
 			if failure == nil {
-				m.log.synced = reached
+				m.log.synced = logEnd
 				m.acknowledge(env, from)
 			}
 		})
@@ -78,7 +78,7 @@
 	}
 }
 
-// acknowledge tells the holder how far this voter's disk has the log, if that is in the promised epoch.
+// acknowledge sends the synced position to the holder if it is of the promised epoch.
 func (m *Machine) acknowledge(env *statemachine.Env, holderAddress string) {
 	synced := m.log.synced
 	if synced.epoch == m.leases.Epoch(settings.ConfigLogTag) {
@@ -91,11 +91,11 @@
 	}
 }
 
-// handleRecommit takes a holder's epoch for this voter's log, if the log is the one that the holder
-// means; otherwise the holder's whole log is requested.
+// handleRecommit moves this voter's log into the holder's epoch if its position is the one that the holder
+// recommits. Otherwise it requests the holder's complete log.
 func (m *Machine) handleRecommit(env *statemachine.Env, from string, recommit message.LogRecommit) {
 	switch {
-	case m.lagsBehind(recommit):
+	case m.isBehindHolder(recommit):
 		m.requestSnapshot(env, from)
 	case m.log.epoch == recommit.Epoch:
 		m.acknowledge(env, from)
@@ -113,7 +113,7 @@
 	}
 }
 
-// lagsBehind reports whether the holder's log of this epoch goes on where this voter's ends.
-func (m *Machine) lagsBehind(recommit message.LogRecommit) bool {
+// isBehindHolder reports whether this voter's log is of the holder's epoch but lacks its last entries.
+func (m *Machine) isBehindHolder(recommit message.LogRecommit) bool {
 	return recommit.AtEpoch == recommit.Epoch && m.log.epoch == recommit.Epoch && m.log.seq < recommit.AtSeq
 }
--- a/internal/configstore/guards_test.go
+++ b/internal/configstore/guards_test.go
@@ -11,55 +11,57 @@
 	"beaconvane/internal/explore"
 )
 
-// lost are the rules that a lost or rewritten acknowledged version may break first.
-const lost = "durable one-content no-false-refusal linearizable"
+// durabilityRules are the rules of which one is broken first if an acknowledged version is lost or replaced.
+const durabilityRules = "durable one-content no-false-refusal linearizable"
 
-// mostWalks is how many walks may pass before a fault is found.
-const mostWalks = 2000
+// maxWalks is the number of random walks within which a violation must be found.
+const maxWalks = 2000
 
 var (
-	three = explore.Options{Voters: 3, Rounds: 200, Faults: 10}
-	five  = explore.Options{Voters: 5, Rounds: 200, Faults: 12}
+	threeVoters = explore.Options{Voters: 3, Rounds: 200, Faults: 10}
+	fiveVoters  = explore.Options{Voters: 5, Rounds: 200, Faults: 12}
 )
 
-// noContact looks behind the rule that is broken first.
-func noContact(options explore.Options) explore.Options {
+// withoutContactRule excludes the rule contact, so that the walks find the violations of other rules that
+// follow its violation.
+func withoutContactRule(options explore.Options) explore.Options {
 	options.Except = []string{"contact"}
 	return options
 }
 
-// without lists the guards that the walks miss when they are off: what is explored, the
+// disabledGuards lists, for each guard whose absence the walks detect, the options of the exploration, the
 // first seed, and the rules of which one must be broken.
-var without = map[string]struct {
+var disabledGuards = map[string]struct {
 	options explore.Options
 	seed    uint64
 	rules   string
 }{
-	// Nothing but contact is broken at once; behind it acknowledged versions are lost.
-	"confirmedAnswers": {three, 1, "contact"},
-	"versionHistory":   {three, 1, "no-false-refusal"},
-	"syncedAppend":     {three, 1, lost},
-	"majorityCommit":   {noContact(three), 1, lost},
-	"majorityRead":     {three, 1, lost},
-	"highestPosition":  {three, 1, lost},
-	"committedReads":   {three, 1297, lost},
-	"recommit":         {three, 1, lost},
-	"appendInOrder":    {five, 701545, lost},
+	// Without confirmedAnswers or majorityCommit the rule contact is broken first. Without majorityCommit
+	// acknowledged versions are lost as well, which the walks find with that rule excluded.
+	"confirmedAnswers": {threeVoters, 1, "contact"},
+	"versionHistory":   {threeVoters, 1, "no-false-refusal"},
+	"syncedAppend":     {threeVoters, 1, durabilityRules},
+	"majorityCommit":   {withoutContactRule(threeVoters), 1, durabilityRules},
+	"majorityRead":     {threeVoters, 1, durabilityRules},
+	"highestPosition":  {threeVoters, 1, durabilityRules},
+	"committedReads":   {threeVoters, 1297, durabilityRules},
+	"recommit":         {threeVoters, 1, durabilityRules},
+	"appendInOrder":    {fiveVoters, 701545, durabilityRules},
 }
 
-// With any of these guards off the exploration finds a broken promise; with all of them
-// on, TestWalksKeepAllPromises of the exploration finds none.
+// The exploration finds a violation if any of these guards is disabled. With all of them enabled,
+// TestWalksKeepAllPromises of package explore finds none.
 func TestExplorationMissesGuards(t *testing.T) {
-	if racing {
-		t.Skip("each walk is one thread; run without -race")
+	if raceEnabled {
+		t.Skip("each walk runs on one goroutine; run without -race")
 	}
-	for name, missed := range without {
+	for name, expected := range disabledGuards {
 		t.Run(name, func(t *testing.T) {
 			configstore.WithoutGuard(name, func() {
-				found, walks, broken := explore.Find(missed.options, missed.seed, mostWalks, runtime.GOMAXPROCS(0))
-				qt.Assert(t, broken, qt.IsTrue, qt.Commentf("nothing found in %d walks", walks))
+				found, walks, violated := explore.Find(expected.options, expected.seed, maxWalks, runtime.GOMAXPROCS(0))
+				qt.Assert(t, violated, qt.IsTrue, qt.Commentf("no violation in %d walks", walks))
 				t.Logf("found after %d walks, %d actions: %s", walks, len(found.Plan.Actions), found.Violation)
-				qt.Assert(t, strings.Fields(missed.rules), qt.Any(qt.Equals), found.Violation.Rule)
+				qt.Assert(t, strings.Fields(expected.rules), qt.Any(qt.Equals), found.Violation.Rule)
 			})
 		})
 	}
--- a/internal/configstore/leadership.go
+++ b/internal/configstore/leadership.go
@@ -9,34 +9,35 @@
 	"beaconvane/internal/statemachine"
 )
 
-// phase is where a voter stands between following another one and serving as the holder of the lease.
+// phase is the state of a voter with respect to the lease: it follows another voter, takes over the log,
+// or serves.
 type phase int
 
 const (
-	following        phase = iota // another voter holds the lease, or none does
-	readingPositions              // asks the voters for the ends of their logs
+	following        phase = iota // doesn't hold the lease
+	readingPositions              // requests the log positions of the voters
 	fetchingSnapshot              // fetches the log of the voter with the highest position
-	recommitting                  // commits that log again in its own epoch
-	serving                       // takes reads and writes
+	recommitting                  // commits the selected log in its own epoch
+	serving                       // handles reads and writes
 )
 
-// leadership is what a voter does as the holder of the lease.
+// leadership is the state of a voter as the holder of the lease.
 type leadership struct {
 	phase     phase
 	term      int64 // epoch of the lease under which the phase runs
 	takeover  takeover
-	acks      map[string]string // identity by voter: who has what is being committed on disk
+	acks      map[string]string // voter to identity, for the voters that have synced the recommitted log or the write in flight
 	followers followerProgress
-	sentAt    time.Duration // of the last round of messages; 0: send at once
+	sentAt    time.Duration // time of the last round of messages; 0: the next step sends at once
 }
 
-// canServe reports whether this voter may answer clients now.
+// canServe reports whether this voter may handle client requests at the given time.
 func (m *Machine) canServe(now time.Duration) bool {
 	return m.leadership.phase == serving && m.leases.Holding(settings.ConfigLogTag, now)
 }
 
-// step sends again what the phase waits for. Messages are repeated until they are answered, since any of
-// them may be lost.
+// step sends the confirmed responses, and the messages of the current phase if the interval since they were
+// last sent has passed. Messages are repeated until they are answered, since any of them may be lost.
 func (m *Machine) step(env *statemachine.Env) {
 	if m.leadership.phase != following && !m.leases.Holding(settings.ConfigLogTag, env.Now) {
 		return
@@ -59,12 +60,13 @@
 		if m.proposal.inFlight() {
 			m.sendProposal(env)
 		} else {
-			m.remindLaggards(env)
+			m.notifyLaggingVoters(env)
 		}
 	}
 }
 
-// handleAppended counts an acknowledgement of a voter, this one included.
+// handleAppended records an acknowledgement of a voter, which may be this one, and completes the takeover
+// or the commit once a majority has acknowledged.
 func (m *Machine) handleAppended(env *statemachine.Env, appended message.LogAppended) {
 	if appended.Epoch != m.leadership.term {
 		return
@@ -84,21 +86,22 @@
 	}
 }
 
-// recommitMessage asks a voter to take the log that ends at a position into this term.
-func (m *Machine) recommitMessage(at position) message.LogRecommit {
+// recommitMessage returns the message that asks a voter to move the log that ends at a position into this
+// term.
+func (m *Machine) recommitMessage(end position) message.LogRecommit {
 	return message.LogRecommit{
 		Epoch:    m.leadership.term,
 		Voter:    m.quorum.Voter,
 		Identity: m.quorum.Signature(),
-		AtEpoch:  at.epoch,
-		AtSeq:    at.seq,
-		Hash:     at.hash,
+		AtEpoch:  end.epoch,
+		AtSeq:    end.seq,
+		Hash:     end.hash,
 	}
 }
 
-// leaseLost is called when the lease has run out or was handed over. The write in flight may yet be
-// committed by the next holder, so its client is told that the result is not known; all others may ask
-// again elsewhere.
+// leaseLost is called when the lease has expired or was transferred. The next holder may still commit the
+// write in flight, so the response to its client says that the outcome is unknown. All other requests are
+// refused with ConfigurationNoHolder, so that the clients can retry them at the next holder.
 func (m *Machine) leaseLost(env *statemachine.Env, _ string, _ int64) {
 	m.leadership.phase = following
 	if m.proposal.inFlight() {
--- a/internal/configstore/log.go
+++ b/internal/configstore/log.go
@@ -11,21 +11,21 @@
 	"beaconvane/internal/settings"
 )
 
-// position is a place in the log: epoch and sequence number of the last entry, and a hash of the content
-// there. Two logs with the same position have the same content.
+// position identifies the end of a log: the epoch and the sequence number of the last entry, and a hash of
+// the log's content. Two logs with the same position have the same content.
 type position struct{ epoch, seq, hash int64 }
 
-// before reports whether p is older than another position.
+// before reports whether p is lower than another position. Hashes don't order positions.
 func (p position) before(other position) bool {
 	return p.epoch < other.epoch || p.epoch == other.epoch && p.seq < other.seq
 }
 
-// frameShare is the part of a frame that the bodies of a log may fill: a snapshot of the whole log
-// travels in one frame.
-const frameShare = 2
+// bodyFrameDivisor limits the bodies in a log to limits.Frame/bodyFrameDivisor bytes, since a snapshot of
+// the log is sent in one frame.
+const bodyFrameDivisor = 2
 
-// replicatedLog is the log as memory holds it. Memory runs ahead of the disk: synced is the position that
-// the disk is known to hold, and the only one that other voters may be told of.
+// replicatedLog is the log in memory. It may be ahead of the disk: synced is the last position that is
+// known to be on disk, and the only one that may be reported to other voters.
 type replicatedLog struct {
 	settings settings.Settings
 	epoch    int64
@@ -33,13 +33,13 @@
 	synced   position
 	versions map[string][]message.StoredConfiguration // by configuration, oldest first
 	history  *committedVersions
-	hash     int64 // over the history and the kept versions
+	hash     int64 // over the history and the versions
 }
 
-// position returns the end of the log.
+// position returns the end of the log in memory.
 func (l *replicatedLog) position() position { return position{l.epoch, l.seq, l.hash} }
 
-// replace takes the whole log as another voter or the disk has it.
+// replace replaces the log by that of a snapshot, which is from the disk or from another voter.
 func (l *replicatedLog) replace(state message.ConfigStoreState) {
 	l.epoch, l.seq = state.Epoch, state.Seq
 	l.versions = map[string][]message.StoredConfiguration{}
@@ -53,10 +53,10 @@
 	l.rehash()
 }
 
-// recommit takes the log, as it stands, into a new epoch.
+// recommit moves the log into a new epoch without changing its content.
 func (l *replicatedLog) recommit(epoch int64) { l.epoch, l.seq = epoch, 0 }
 
-// append adds an entry at a place that the caller has checked.
+// append adds an entry. The caller must have checked that epoch and seq follow the end of the log.
 func (l *replicatedLog) append(epoch, seq int64, entry message.StoredConfiguration) {
 	l.epoch, l.seq = epoch, seq
 	l.history.add(entry.ConfigName, entry.Version, contentDigest(entry.Body))
@@ -65,23 +65,23 @@
 	l.rehash()
 }
 
-// dropOldest drops the oldest versions of a configuration above the limits. All voters drop the same
-// ones, since it depends on nothing but the log.
+// dropOldest drops the oldest versions of a configuration while the log exceeds the limits, but never the
+// last one. All voters drop the same versions, since the result depends only on the log and the limits.
 func (l *replicatedLog) dropOldest(configName string) {
 	total := int64(0)
 	for _, entry := range l.entries() {
 		total += int64(len(entry.Body))
 	}
-	kept := l.versions[configName]
+	retained := l.versions[configName]
 	limits := l.settings.Limits
-	for int64(len(kept)) > limits.KeptConfigurations || total > limits.Frame/frameShare && len(kept) > 1 {
-		total -= int64(len(kept[0].Body))
-		kept = kept[1:]
+	for int64(len(retained)) > limits.KeptConfigurations || total > limits.Frame/bodyFrameDivisor && len(retained) > 1 {
+		total -= int64(len(retained[0].Body))
+		retained = retained[1:]
 	}
-	l.versions[configName] = kept
+	l.versions[configName] = retained
 }
 
-// rehash computes the hash of the content from the digests, without reading any body again.
+// rehash computes the hash of the log from the digests, without hashing the bodies again.
 func (l *replicatedLog) rehash() {
 	sum := sha256.New()
 	sum.Write(l.history.chain[:])
@@ -97,7 +97,7 @@
 	return slices.Sorted(maps.Keys(l.versions))
 }
 
-// entries returns the kept versions, those of one configuration together and oldest first.
+// entries returns all versions, sorted by configuration name and oldest first within a configuration.
 func (l *replicatedLog) entries() []message.StoredConfiguration {
 	list := []message.StoredConfiguration{}
 	for _, configName := range l.configNames() {
@@ -106,8 +106,9 @@
 	return list
 }
 
-// newest returns the newest version of a configuration, committed or not; an empty one for none.
-func (l *replicatedLog) newest(configName string) message.StoredConfiguration {
+// newestEntry returns the last version of a configuration, committed or not, or the zero value if there is
+// none.
+func (l *replicatedLog) newestEntry(configName string) message.StoredConfiguration {
 	list := l.versions[configName]
 	if len(list) == 0 {
 		return message.StoredConfiguration{}
--- a/internal/configstore/log_test.go
+++ b/internal/configstore/log_test.go
@@ -9,7 +9,7 @@
 	"beaconvane/internal/settings"
 )
 
-// The whole log must fit a frame, or a replaced voter could never read it.
+// The complete log must fit in one frame. Otherwise a voter whose disk was replaced could never fetch it.
 func TestTheConfigLogFitsAFrame(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
--- a/internal/configstore/machine.go
+++ b/internal/configstore/machine.go
@@ -35,8 +35,8 @@
 	stopping   bool
 }
 
-// New restores a machine from what its disk held: a snapshot, nil for an empty disk, and the records
-// that were written after it.
+// New restores a machine from the snapshot on its disk, nil for an empty disk, and the records that were
+// written after the snapshot.
 func New(cfg settings.Settings, self message.Member, snapshot []byte, records [][]byte) (*Machine, error) {
 	state, err := quorum.DecodeSnapshot[message.ConfigStoreState](snapshot)
 	if err != nil {
@@ -63,10 +63,10 @@
 	return m, nil
 }
 
-// beginVoting is called when the quorum lets this voter vote; fresh says that its disk is new.
+// beginVoting is called when the quorum allows this voter to vote; fresh reports whether its disk is new.
 func (m *Machine) beginVoting(env *statemachine.Env, fresh bool) { m.leases.BeginVoting(env, fresh) }
 
-// replay takes a record of the log on disk.
+// replay applies a record of the write-ahead log to the replicated log.
 func (m *Machine) replay(record any) {
 	switch entry := record.(type) {
 	case message.LogRecommit:
@@ -76,12 +76,12 @@
 	}
 }
 
-// eligible reports whether this voter may ask for the lease.
+// eligible reports whether this voter may request the lease.
 func (m *Machine) eligible(string) bool {
 	return m.Failure() == nil && !m.stopping && !m.membership.Superseded()
 }
 
-// leaseHolderName returns the member name of the holder of the lease, "" if this voter doesn't know it.
+// leaseHolderName returns the member name of the holder of the lease, or "" if it is unknown.
 func (m *Machine) leaseHolderName() string {
 	voter := m.leases.Holder(settings.ConfigLogTag)
 	for _, peer := range m.Peers() {
@@ -92,7 +92,7 @@
 	return ""
 }
 
-// Tick advances the machine to the time of the environment.
+// Tick runs the timers that are due at env.Now.
 func (m *Machine) Tick(env *statemachine.Env) {
 	m.membership.Tick(env)
 	m.quorum.Tick(env)
@@ -108,7 +108,7 @@
 	}
 }
 
-// Handle takes a message from another process.
+// Handle processes a message from another process; from is the address of the sender.
 func (m *Machine) Handle(env *statemachine.Env, from string, msg any) {
 	if m.membership.Handle(env, from, msg) || m.quorum.Handle(env, from, msg) || m.distribution.Handle(env, from, msg) {
 		return
@@ -133,15 +133,15 @@
 	}
 }
 
-// Stop asks the machine to hand over what it holds and to leave the group; it answers with errcode.OK
-// when the process may end.
+// Stop is the request to transfer the lease and to leave the membership. The machine replies with
+// errcode.OK once the process may exit.
 type Stop struct{}
 
-// Asked takes the process's own questions.
+// Asked processes a request from this machine's own process.
 func (m *Machine) Asked(env *statemachine.Env, requestID int64, question any) {
-	switch asked := question.(type) {
+	switch request := question.(type) {
 	case statemachine.SeedsChanged:
-		m.membership.SetSeeds(asked.Seeds)
+		m.membership.SetSeeds(request.Seeds)
 	case metrics.Read:
 		env.Reply(requestID, m.metrics(env))
 	case Stop:
@@ -151,14 +151,17 @@
 	}
 }
 
-// Serving reports whether this voter holds the lease and has taken over the log.
+// Serving reports whether this voter has completed the takeover of the log and has not lost the lease since.
 func (m *Machine) Serving() bool { return m.leadership.phase == serving }
 
-// VoterState returns what this disk says of its voter.
+// VoterState returns the persistent state of this process's voter.
 func (m *Machine) VoterState() message.VoterState { return m.quorum.State }
 
-// Voting reports whether this process holds a voter.
+// Voting reports whether this process currently acts as a voter.
 func (m *Machine) Voting() bool { return m.quorum.Voting() }
 
-// NewestVersion returns the highest version of a configuration in this disk's log, 0 for none.
-func (m *Machine) NewestVersion(configName string) int64 { return m.log.newest(configName).Version }
+// NewestVersion returns the number of the last version of a configuration in this voter's log, committed
+// or not, or 0 if there is none.
+func (m *Machine) NewestVersion(configName string) int64 {
+	return m.log.newestEntry(configName).Version
+}
--- a/internal/configstore/metrics.go
+++ b/internal/configstore/metrics.go
@@ -5,7 +5,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// metrics returns the control machine's samples for the metrics page.
+// metrics returns the samples of the metrics page, including those of the lease and of the membership.
 func (m *Machine) metrics(env *statemachine.Env) []metrics.Sample {
 	samples := append(m.Metrics(), m.leases.Metrics(env.Now)...)
 	samples = append(samples, m.membership.Metrics()...)
--- a/internal/configstore/persistence.go
+++ b/internal/configstore/persistence.go
@@ -5,14 +5,14 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Snapshot returns the whole state, as a slot of the disk holds it.
+// Snapshot returns the complete state in the form that is written to disk.
 func (m *Machine) Snapshot() []byte { return m.encodeState(m.log.entries()) }
 
-// StateForGrant returns the whole state for a new disk that takes a voter over; versions travel as
-// differences.
+// StateForGrant returns the complete state for a new disk that takes over a voter. Versions are encoded
+// as differences.
 func (m *Machine) StateForGrant() []byte { return m.encodeState(m.encoder.encode(m.log.entries())) }
 
-// encodeState returns the whole state with the given form of the log's entries.
+// encodeState encodes the complete state with the given entries, whose bodies may be differences.
 func (m *Machine) encodeState(entries []message.StoredConfiguration) []byte {
 	state := message.ConfigStoreState{
 		Voter:          m.quorum.State,
@@ -25,13 +25,15 @@
 	}
 	body, err := message.Encode(state)
 	if err != nil {
-		// The type is registered and holds only what has an Avro form: a programming error.
-		panic("configstore: snapshot: " + err.Error())
+		// ConfigStoreState is a registered type whose fields all have an Avro encoding, so a failure here
+		// is a programming error.
+		panic("configstore: encode snapshot: " + err.Error())
 	}
 	return body
 }
 
-// MergeGrantedStates takes the log with the highest position among those that the other voters granted.
+// MergeGrantedStates restores the votes of the states that the other voters granted, and replaces the log
+// by the one with the highest position among them if that is higher than its own.
 func (m *Machine) MergeGrantedStates(_ *statemachine.Env, states [][]byte) {
 	for _, body := range states {
 		decoded, err := message.Decode(body)
@@ -45,8 +47,8 @@
 		}
 		entries, err := decodeDifferences(state.Configurations, state.History, m.settings.Limits.Configuration)
 		if err != nil {
-			// To vote with an older log could lose what was acknowledged, so this voter doesn't go on.
-			panic("configstore: a granted state: " + err.Error())
+			// Voting with an older log could lose an acknowledged write, so the process must stop.
+			panic("configstore: decode the log of a granted state: " + err.Error())
 		}
 		state.Configurations = entries
 		m.log.replace(state)
@@ -54,7 +56,7 @@
 	m.log.synced = m.log.position()
 }
 
-// DiscardState drops what rested on a voter that another disk holds now.
+// DiscardState drops the lease, the votes and the log after another disk has taken over this voter.
 func (m *Machine) DiscardState(env *statemachine.Env) {
 	m.leases.Forget(env)
 	m.leadership.term, m.leadership.phase = 0, following
@@ -63,8 +65,9 @@
 	m.log.synced = m.log.position()
 }
 
-// ForceRecover makes this voter's disk the whole group and returns the snapshot to be written. It is for
-// an operator who lost the disks of all other voters, and runs on the stopped survivor.
+// ForceRecover makes this voter the only member of its group and returns the snapshot to be written to
+// its disk. It is for an operator who lost the disks of all other voters, and runs while the process of
+// the remaining voter is stopped.
 func (m *Machine) ForceRecover() []byte {
 	m.quorum.ForceRecover()
 	m.leases.ForceRecover()
--- a/internal/configstore/progress.go
+++ b/internal/configstore/progress.go
@@ -2,20 +2,20 @@
 
 import "beaconvane/internal/message"
 
-// progress is how far one voter has confirmed the log in the term under way.
+// progress is the last acknowledgement of one voter in the current term.
 type progress struct {
-	identity string // of the disk that confirmed it
-	match    int64  // highest sequence number that is on that disk
+	identity  string // of the disk that acknowledged
+	syncedSeq int64  // highest sequence number that is synced on that disk
 }
 
-// followerProgress is the progress of each voter, by voter name.
+// followerProgress maps each voter name to that voter's progress.
 type followerProgress map[string]progress
 
-// record notes an acknowledgement. One that was overtaken on its way changes nothing.
+// record stores an acknowledgement. It ignores one that arrives after a later one of the same disk.
 func (f followerProgress) record(appended message.LogAppended) {
 	last, known := f[appended.Voter]
-	if known && last.identity == appended.Identity && last.match > appended.Seq {
+	if known && last.identity == appended.Identity && last.syncedSeq > appended.Seq {
 		return
 	}
-	f[appended.Voter] = progress{identity: appended.Identity, match: appended.Seq}
+	f[appended.Voter] = progress{identity: appended.Identity, syncedSeq: appended.Seq}
 }
--- a/internal/configstore/proposal.go
+++ b/internal/configstore/proposal.go
@@ -10,22 +10,22 @@
 	"beaconvane/internal/statemachine"
 )
 
-// pendingWrite is a write that waits for those before it.
+// pendingWrite is a client's write that is queued behind earlier writes.
 type pendingWrite struct {
 	from       string
 	request    message.WriteRequest
 	receivedAt time.Duration
 }
 
-// proposal is the one write in flight: it stands at the end of this voter's log, and is committed once a
-// majority has it on disk.
+// proposal is the write in flight, of which there is at most one. It is the last entry of this voter's log
+// and is committed once a majority has it on disk.
 type proposal struct {
 	entry  *message.StoredConfiguration // nil: no write is in flight
-	append message.LogAppendDelta       // the entry as it travels
+	append message.LogAppendDelta       // the message that appends entry
 	client pendingWrite
 }
 
-// inFlight reports whether a write waits for its majority.
+// inFlight reports whether a write is waiting for a majority.
 func (p proposal) inFlight() bool { return p.entry != nil }
 
 // handleWrite queues a client's write.
@@ -49,7 +49,7 @@
 	m.beginWrites(env)
 }
 
-// beginWrites takes writes from the queue until one is in flight.
+// beginWrites processes queued writes until one is in flight or the queue is empty.
 func (m *Machine) beginWrites(env *statemachine.Env) {
 	for !m.proposal.inFlight() && len(m.writes) > 0 {
 		next := m.writes[0]
@@ -58,8 +58,8 @@
 	}
 }
 
-// beginWrite proposes a write, or answers it at once where nothing is to be committed. A proposal shows
-// by its commit that this voter still holds the lease; every other response waits for a renewal.
+// beginWrite proposes a write, or responds to it if there is nothing to commit. The commit of a proposal
+// proves that this voter still held the lease; any other response must wait for a renewal of the lease.
 func (m *Machine) beginWrite(env *statemachine.Env, next pendingWrite) {
 	stated := statedVersion(next.request.Body)
 	if next.request.Version == 0 {
@@ -79,7 +79,7 @@
 	})
 }
 
-// propose appends a write to this voter's log and sends it to the others.
+// propose appends a write to this voter's log and sends it to the other voters.
 func (m *Machine) propose(env *statemachine.Env, client pendingWrite) {
 	entry := message.StoredConfiguration{
 		ConfigName: client.request.ConfigName,
@@ -91,7 +91,7 @@
 	m.proposal = proposal{entry: &entry, append: m.appendDelta(entry), client: client}
 	m.leadership.acks = map[string]string{}
 	m.log.append(m.log.epoch, entry.Seq, entry)
-	reached, term := m.log.position(), m.leadership.term
+	logEnd, term := m.log.position(), m.leadership.term
 	record := message.LogAppend{
 		Epoch:         term,
 		Seq:           entry.Seq,
@@ -103,9 +103,9 @@
 		if failure != nil {
 			return
 		}
-		m.log.synced = reached
+		m.log.synced = logEnd
 		if m.leadership.term == term {
-			m.handleAppended(env, m.ownAppended(term, entry.Seq))
+			m.handleAppended(env, m.selfAppended(term, entry.Seq))
 		}
 	})
 	m.sendProposal(env)
@@ -122,7 +122,7 @@
 	}
 }
 
-// commitProposal acknowledges the write in flight to its client, publishes it, and begins the next one.
+// commitProposal publishes the committed write, acknowledges it to its client, and begins the next write.
 func (m *Machine) commitProposal(env *statemachine.Env) {
 	committed, client := *m.proposal.entry, m.proposal.client
 	m.proposal.entry = nil
@@ -136,7 +136,7 @@
 	m.beginWrites(env)
 }
 
-// publish passes the current version of a configuration to the distribution tree.
+// publish passes the current version of a configuration to the distribution.
 func (m *Machine) publish(env *statemachine.Env, configName string) {
 	if current, known := m.current(configName); known {
 		m.distribution.WriteConfiguration(env, configName, current.Version, current.Body)
--- a/internal/configstore/race_test.go
+++ b/internal/configstore/race_test.go
@@ -1,7 +1,8 @@
 //go:build race
 
-// A walk is one thread: there is nothing for the race detector to find,
-// and it makes the long runs ten times slower. They are run without it.
 package configstore_test
 
-const racing = true
+// raceEnabled reports whether the race detector is enabled. The tests with random walks are skipped then:
+// each walk runs on one goroutine, so there is nothing to detect, and the detector makes the walks ten
+// times slower.
+const raceEnabled = true
--- a/internal/configstore/responses.go
+++ b/internal/configstore/responses.go
@@ -9,9 +9,9 @@
 	"beaconvane/internal/statemachine"
 )
 
-// pendingResponse waits until a majority has renewed the lease in a round that began after the request
-// came. Before that another voter may have become the holder and committed newer versions, of which this
-// response knows nothing.
+// pendingResponse is a response that waits until a majority has renewed the lease in a round that began
+// after the request was received. Without such a round, another voter may already have become the holder
+// and committed newer versions that the response would miss.
 type pendingResponse struct {
 	from       string
 	requestID  int64
@@ -19,8 +19,8 @@
 	build      func() message.StoreResponse // called when the response is sent
 }
 
-// respondConfirmed sends a response once it is certain that no other voter held the lease when the
-// request came.
+// respondConfirmed queues a response that is sent once a renewal of the lease confirms that no other voter
+// held it when the request was received. It starts a renewal if necessary.
 func (m *Machine) respondConfirmed(env *statemachine.Env, response pendingResponse) {
 	m.responses = append(m.responses, response)
 	if !m.leases.ConfirmedSince(settings.ConfigLogTag, response.receivedAt) {
@@ -45,7 +45,7 @@
 	m.responses = waiting
 }
 
-// respond sends a response; a large body is compressed.
+// respond sends a response. It replaces nil slices by empty ones and compresses a large body.
 func (m *Machine) respond(env *statemachine.Env, to string, response message.StoreResponse) {
 	if response.Faults == nil {
 		response.Faults = []string{}
@@ -53,7 +53,7 @@
 	if response.Body == nil {
 		response.Body = []byte{}
 	}
-	if len(response.Body) > compressAbove {
+	if len(response.Body) > compressionThreshold {
 		response.Body, response.Packed = m.encoder.compress(response.Body), true
 	}
 	if response.Versions == nil {
@@ -65,7 +65,7 @@
 	env.Send(to, response)
 }
 
-// notServingResponse refuses a request and names the holder of the lease, as far as this voter knows it.
+// notServingResponse returns a refusal that names the holder of the lease, if this voter knows it.
 func (m *Machine) notServingResponse(requestID int64) message.StoreResponse {
 	code := errcode.ConfigurationNoHolder
 	if m.leadership.phase != following {
@@ -74,7 +74,7 @@
 	return message.StoreResponse{RequestID: requestID, Code: int64(code), Holder: m.leaseHolderName()}
 }
 
-// handleRead answers a read from the committed versions, as they are when the response is sent.
+// handleRead responds to a read with the versions that are committed when the response is sent.
 func (m *Machine) handleRead(env *statemachine.Env, from string, request message.ReadRequest) {
 	if m.leadership.phase != serving {
 		m.respond(env, from, m.notServingResponse(request.RequestID))
@@ -88,7 +88,8 @@
 	})
 }
 
-// read returns the list of committed versions, and the content of the one that is asked for.
+// read returns the list of committed versions and, unless only the list is requested, the content of the
+// requested version; version 0 requests the current one.
 func (m *Machine) read(request message.ReadRequest) message.StoreResponse {
 	response := message.StoreResponse{
 		RequestID:   request.RequestID,
@@ -112,7 +113,7 @@
 	return response
 }
 
-// committed returns the kept versions of a configuration without the write in flight.
+// committed returns the versions of a configuration in the log, without the write in flight.
 func (m *Machine) committed(configName string) []message.StoredConfiguration {
 	list := m.log.versions[configName]
 	if guardsOff.committedReads || !m.proposal.inFlight() {
@@ -125,7 +126,7 @@
 	return list
 }
 
-// current returns the newest committed version of a configuration.
+// current returns the last committed version of a configuration, if there is one.
 func (m *Machine) current(configName string) (message.StoredConfiguration, bool) {
 	list := m.committed(configName)
 	if len(list) == 0 {
--- a/internal/configstore/takeover.go
+++ b/internal/configstore/takeover.go
@@ -7,13 +7,13 @@
 	"beaconvane/internal/statemachine"
 )
 
-// takeover is the way of a new holder of the lease from the lease to serving: it reads the positions of
-// a majority, fetches the log with the highest one, and commits it again in its own epoch. Whatever an
-// earlier holder acknowledged lies on a majority, so one voter of the majority that is read has it, and
-// no other log can have a higher position without having it too.
+// takeover is the state of a new holder of the lease before it serves: it reads the log positions of a
+// majority, fetches the log with the highest one, and commits it again in its own epoch. A majority has
+// every write that an earlier holder acknowledged, so at least one voter of the majority that is read has
+// it, and a log with a higher position has it too.
 type takeover struct {
 	positions map[string]message.LogPositionResponse // by voter
-	source    message.LogPositionResponse            // of the highest position
+	source    message.LogPositionResponse            // the response with the highest position
 	recommit  message.LogRecommit
 }
 
@@ -28,7 +28,7 @@
 	m.step(env)
 }
 
-// requestPositions asks all voters for the ends of their logs.
+// requestPositions requests the log positions of all voters.
 func (m *Machine) requestPositions(env *statemachine.Env) {
 	for _, peer := range m.Peers() {
 		env.Send(peer.Address, message.LogPositionRequest{
@@ -39,19 +39,19 @@
 	}
 }
 
-// positionResponse tells where this voter's log ends.
-func (m *Machine) positionResponse(epoch int64, at position) message.LogPositionResponse {
+// positionResponse returns the response that reports a position of this voter's log.
+func (m *Machine) positionResponse(epoch int64, end position) message.LogPositionResponse {
 	return message.LogPositionResponse{
 		Epoch:    epoch,
 		Voter:    m.quorum.Voter,
 		Identity: m.quorum.Signature(),
-		AtEpoch:  at.epoch,
-		AtSeq:    at.seq,
-		Hash:     at.hash,
+		AtEpoch:  end.epoch,
+		AtSeq:    end.seq,
+		Hash:     end.hash,
 	}
 }
 
-// handlePosition takes the end of another voter's log.
+// handlePosition records the log position of another voter.
 func (m *Machine) handlePosition(env *statemachine.Env, response message.LogPositionResponse) {
 	if m.leadership.phase == readingPositions && response.Epoch == m.leadership.term {
 		m.leadership.takeover.positions[response.Voter] = response
@@ -59,20 +59,21 @@
 	}
 }
 
-// chooseSource takes the voter with the highest position for the source, once a majority was read.
+// chooseSource selects the log with the highest position once the positions of a majority are known.
 func (m *Machine) chooseSource(env *statemachine.Env) {
 	positions := m.leadership.takeover.positions
-	read := map[string]string{}
+	identities := map[string]string{}
 	for voter, response := range positions {
-		read[voter] = response.Identity
+		identities[voter] = response.Identity
 	}
-	if !m.quorum.Majority(read) && !guardsOff.majorityRead {
+	if !m.quorum.Majority(identities) && !guardsOff.majorityRead {
 		return
 	}
 	source := positions[m.quorum.Voter]
 	for _, voter := range m.quorum.VoterNames() {
 		response, known := positions[voter]
-		if known && !guardsOff.highestPosition && m.quorum.Accepts(voter, response.Identity) && endOf(source).before(endOf(response)) {
+		if known && !guardsOff.highestPosition && m.quorum.Accepts(voter, response.Identity) &&
+			reportedPosition(source).before(reportedPosition(response)) {
 			source = response
 		}
 	}
@@ -86,12 +87,12 @@
 	m.step(env)
 }
 
-// endOf returns the place that a position response tells; hashes don't order positions.
-func endOf(response message.LogPositionResponse) position {
+// reportedPosition returns the position in a response, without the hash, which doesn't order positions.
+func reportedPosition(response message.LogPositionResponse) position {
 	return position{epoch: response.AtEpoch, seq: response.AtSeq}
 }
 
-// fetchFromSource asks the source for its log.
+// fetchFromSource requests the complete log of the source.
 func (m *Machine) fetchFromSource(env *statemachine.Env) {
 	for _, peer := range m.Peers() {
 		if peer.Voter == m.leadership.takeover.source.Voter {
@@ -100,31 +101,31 @@
 	}
 }
 
-// beginRecommit commits the whole log again in this term. The log is written to disk in the new epoch
-// before this voter acknowledges it to itself.
+// beginRecommit starts to commit the complete log again in this term. This voter's own acknowledgement
+// counts once the log is on its disk in the new epoch.
 func (m *Machine) beginRecommit(env *statemachine.Env) {
 	m.leadership.takeover.recommit = m.recommitMessage(m.log.position())
 	m.leadership.phase, m.leadership.acks, m.leadership.sentAt = recommitting, map[string]string{}, 0
 	m.log.recommit(m.leadership.term)
-	term, reached := m.leadership.term, m.log.position()
+	term, logEnd := m.leadership.term, m.log.position()
 	m.WriteSnapshot(env, func(env *statemachine.Env, failure error) {
 		if failure != nil {
 			return
 		}
-		m.log.synced = reached
+		m.log.synced = logEnd
 		if m.leadership.term == term {
-			m.handleAppended(env, m.ownAppended(term, 0))
+			m.handleAppended(env, m.selfAppended(term, 0))
 		}
 	})
 	m.step(env)
 }
 
-// ownAppended acknowledges an entry as this voter, to itself.
-func (m *Machine) ownAppended(epoch, seq int64) message.LogAppended {
+// selfAppended returns this voter's own acknowledgement of an entry.
+func (m *Machine) selfAppended(epoch, seq int64) message.LogAppended {
 	return message.LogAppended{Epoch: epoch, Seq: seq, Voter: m.quorum.Voter, Identity: m.quorum.State.Identity}
 }
 
-// sendRecommit asks all voters to take the log into this term.
+// sendRecommit asks all voters to move the log into this term.
 func (m *Machine) sendRecommit(env *statemachine.Env) {
 	m.leadership.takeover.recommit.Identity = m.quorum.Signature()
 	for _, peer := range m.Peers() {
@@ -132,7 +133,7 @@
 	}
 }
 
-// beginServing ends the takeover: a majority has the log in this epoch.
+// beginServing completes the takeover after a majority has synced the log in this epoch.
 func (m *Machine) beginServing(env *statemachine.Env) {
 	m.leadership.phase = serving
 	source := m.leadership.takeover.source
