--- a/internal/configstore/log.go
+++ b/internal/configstore/log.go
@@ -46,7 +46,7 @@
 	l.history = newCommittedVersions(maxDigests, state.History)
 	for _, entry := range state.Configurations {
 		l.versions[entry.ConfigName] = append(l.versions[entry.ConfigName], entry)
-		if _, remembered := l.history.digestOf(entry.ConfigName, entry.Version); !remembered {
+		if _, recorded := l.history.digestOf(entry.ConfigName, entry.Version); !recorded {
 			l.history.add(entry.ConfigName, entry.Version, contentDigest(entry.Body))
 		}
 	}
--- a/internal/storage/disks_expected_golden_test.go
+++ b/internal/storage/disks_expected_golden_test.go
@@ -7,8 +7,8 @@
 	"beaconvane/internal/message"
 )
 
-// Identities on the disks. Those of discovered voters are edition~random@node, a separator byte
-// and the zone; a voter that was replaced has the next edition.
+// Identities on the disks. The identity of a discovered voter consists of edition~random@node, a separator
+// byte and the zone; a replaced voter has the next edition.
 const (
 	namedFirst       = "ijiyrpbcu7mp194i895tfmvye"
 	namedReplacement = "tu30jwrk8n2f1i2gx2gnstjvx"
@@ -21,16 +21,17 @@
 	discoveredThird       = "00000000~1id9a6adxcw37zal63zbztujy@node-3\x1eeast"
 )
 
-// Digests of the registrations on the disks, as they stand in the position of a slice.
+// Digests of the registrations in the positions of the slices on the disks, and the slots of the upstream
+// in the zone west.
 const (
 	eastHash             = 8114419860276171883
 	westHashWith20Slots  = 329917025111868407
 	westHashWith32Slots  = 5245625817369700400
-	westSlotsAtLoss      = 20
+	westSlotsAtDiskLoss  = 20
 	westSlotsWhenSettled = 32
 )
 
-// versionDigests are the SHA-256 of the versions that stand on the disks.
+// versionDigests contains the SHA-256 digests of the versions on the disks.
 var versionDigests = map[int64]string{
 	1:  "b32e16a43d9dc618cd346a1e0f1948907312c1c0012a5eb97e8195f7e6de93b0",
 	2:  "fceda5d3284ecded25cb6d9f85d20940860d44aca6cb2cb78cc82fe2eff31d53",
@@ -54,7 +55,7 @@
 	21: "b3d676bde060a98ad32ff94b2f3725af320668bae5c18e852eb98cb47c28670a",
 }
 
-// logPosition is where a version stands in the configuration log.
+// logPosition is the position of a version in the configuration log.
 type logPosition struct{ version, epoch, seq int64 }
 
 // entriesOf returns the log's entries of one configuration.
@@ -69,7 +70,7 @@
 	return entries
 }
 
-// digestsOf returns the history of versions; the odd ones are of the configuration "other".
+// digestsOf returns the history of versions; odd versions belong to the configuration "other".
 func digestsOf(versions ...int64) []message.VersionDigest {
 	digests := []message.VersionDigest{}
 	for _, version := range versions {
@@ -83,7 +84,7 @@
 	return digests
 }
 
-// namedVoter is a voter's state where the settings name the voters.
+// namedVoter returns the state of a voter if the settings contain the names of the voters.
 func namedVoter(identity string) message.VoterState {
 	return message.VoterState{
 		Identity:           identity,
@@ -95,7 +96,7 @@
 	}
 }
 
-// discoveredVoter is a voter's state where the settings count the voters.
+// discoveredVoter returns the state of a voter if the settings contain only the number of voters.
 func discoveredVoter(voter, identity string) message.VoterState {
 	return message.VoterState{
 		Identity:           identity,
@@ -110,17 +111,18 @@
 	}
 }
 
-// entriesAtLoss and historyAtLoss are the log when a voter loses its disk.
-func entriesAtLoss() []message.StoredConfiguration {
+// entriesAtDiskLoss returns the entries of the log when a voter loses its disk.
+func entriesAtDiskLoss() []message.StoredConfiguration {
 	return append(
 		entriesOf("main", logPosition{2, 1, 2}, logPosition{4, 1, 4}, logPosition{6, 1, 6}, logPosition{8, 1, 8}),
 		entriesOf("other", logPosition{1, 1, 1}, logPosition{3, 1, 3}, logPosition{5, 1, 5}, logPosition{7, 1, 7})...)
 }
 
-func historyAtLoss() []message.VersionDigest { return digestsOf(1, 2, 3, 4, 5, 6, 7, 8) }
+// historyAtDiskLoss returns the history of the log when a voter loses its disk.
+func historyAtDiskLoss() []message.VersionDigest { return digestsOf(1, 2, 3, 4, 5, 6, 7, 8) }
 
-// upstreamOf returns a registration that the proxy of the golden fleet announced.
-func upstreamOf(zone string, number, incarnation, slots int64, state string) message.Registration {
+// newRegistration returns a registration that the proxy of the golden fleet sent.
+func newRegistration(zone string, number, incarnation, slots int64, state string) message.Registration {
 	return message.Registration{
 		Service:               fmt.Sprintf("service-%d", number),
 		Instance:              fmt.Sprintf("instance-%d", number),
@@ -135,33 +137,35 @@
 	}
 }
 
+// eastSlice returns the roster of the zone east at a position.
 func eastSlice(epoch, seq int64) message.RosterSnapshot {
 	return message.RosterSnapshot{
 		Tag:      "east",
 		Position: message.Position{Topic: "slice:east", Epoch: epoch, Seq: seq, Count: 2, Hash: eastHash},
 		Registrations: []message.Registration{
-			upstreamOf("east", 1, 102, 9, "ready"),
-			upstreamOf("east", 2, 102, 10, "leaving"),
+			newRegistration("east", 1, 102, 9, "ready"),
+			newRegistration("east", 2, 102, 10, "leaving"),
 		},
 	}
 }
 
+// westSlice returns the roster of the zone west at a position.
 func westSlice(epoch, seq, hash, slots int64) message.RosterSnapshot {
 	return message.RosterSnapshot{
 		Tag:           "west",
 		Position:      message.Position{Topic: "slice:west", Epoch: epoch, Seq: seq, Count: 1, Hash: hash},
-		Registrations: []message.Registration{upstreamOf("west", 3, 103, slots, "ready")},
+		Registrations: []message.Registration{newRegistration("west", 3, 103, slots, "ready")},
 	}
 }
 
-// sealedWindow is a window's final counts; the first tenant's count is the window's number.
+// sealedWindow returns the final counts of a window; the first tenant's count is the window's number.
 func sealedWindow(window, epoch, second int64) message.UsageSealed {
 	counts := map[string]int64{"tenant-1": window, "tenant-2": second}
 	return message.UsageSealed{Window: window, Epoch: epoch, Counts: counts}
 }
 
-// usageHeld is what the proxy counted in a window that is not sealed yet.
-func usageHeld(window, number int64) message.UnreportedUsage {
+// unreportedUsage returns the proxy's counts in a window that is not sealed yet.
+func unreportedUsage(window, number int64) message.UnreportedUsage {
 	return message.UnreportedUsage{Proxies: []message.ProxyUsage{{
 		Window:   window,
 		ProxyRun: "proxy/p/qglj",
@@ -171,33 +175,34 @@
 	}}}
 }
 
-func sealedAtLoss() []message.UsageSealed {
+// sealedAtDiskLoss returns the sealed windows when a voter loses its disk.
+func sealedAtDiskLoss() []message.UsageSealed {
 	return []message.UsageSealed{
 		sealedWindow(199_998, 1, 1), sealedWindow(199_999, 1, 2), sealedWindow(200_000, 1, 19), sealedWindow(200_001, 1, 35),
 	}
 }
 
-// expectedConfigStores returns what stands on the golden disks of configstores.
+// expectedConfigStores returns the states on the golden disks of configstores, by disk name.
 func expectedConfigStores() map[string]message.ConfigStoreState {
-	seenTwice := []string{"10.0.0.1:7000", "10.0.0.3:7000", "10.0.0.1:7000", "10.0.0.3:7000"}
+	knownAddresses := []string{"10.0.0.1:7000", "10.0.0.3:7000", "10.0.0.1:7000", "10.0.0.3:7000"}
 	return map[string]message.ConfigStoreState{
 		"configstore-discovered": {
 			Voter:          discoveredVoter("2", discoveredSecond),
 			Votes:          []message.Vote{{Tag: "config-log", Epoch: 1, Holder: "1", Identity: discoveredFirst}},
 			Epoch:          1,
 			Seq:            8,
-			Configurations: entriesAtLoss(),
-			History:        historyAtLoss(),
-			KnownAddresses: seenTwice,
+			Configurations: entriesAtDiskLoss(),
+			History:        historyAtDiskLoss(),
+			KnownAddresses: knownAddresses,
 		},
 		"configstore-named": {
 			Voter:          namedVoter(namedSecond),
 			Votes:          []message.Vote{{Tag: "config-log", Epoch: 1, Holder: "1", Identity: namedFirst}},
 			Epoch:          1,
 			Seq:            8,
-			Configurations: entriesAtLoss(),
-			History:        historyAtLoss(),
-			KnownAddresses: seenTwice,
+			Configurations: entriesAtDiskLoss(),
+			History:        historyAtDiskLoss(),
+			KnownAddresses: knownAddresses,
 		},
 		"configstore-settled": {
 			Voter: namedVoter(namedSecond),
@@ -217,9 +222,9 @@
 	}
 }
 
-// expectedRegistries returns what stands on the golden disks of registries.
+// expectedRegistries returns the states on the golden disks of registries, by disk name.
 func expectedRegistries() map[string]message.RegistryState {
-	seenTwice := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.1:7000", "10.0.0.2:7000"}
+	knownAddresses := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.1:7000", "10.0.0.2:7000"}
 	return map[string]message.RegistryState{
 		"registry-discovered": {
 			Voter: discoveredVoter("3", discoveredThird),
@@ -228,11 +233,11 @@
 				{Tag: "usage", Epoch: 1, Holder: "3", Identity: discoveredThird},
 				{Tag: "west", Epoch: 1, Holder: "2", Identity: discoveredSecond},
 			},
-			Slices:         []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtLoss)},
-			Sealed:         sealedAtLoss(),
+			Slices:         []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtDiskLoss)},
+			Sealed:         sealedAtDiskLoss(),
 			Reported:       200_001,
-			KnownAddresses: seenTwice,
-			Usage:          usageHeld(200_002, 37),
+			KnownAddresses: knownAddresses,
+			Usage:          unreportedUsage(200_002, 37),
 		},
 		"registry-named": {
 			Voter: namedVoter(namedThird),
@@ -241,11 +246,11 @@
 				{Tag: "usage", Epoch: 1, Holder: "3", Identity: namedThird},
 				{Tag: "west", Epoch: 1, Holder: "2", Identity: namedSecond},
 			},
-			Slices:         []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtLoss)},
-			Sealed:         sealedAtLoss(),
+			Slices:         []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtDiskLoss)},
+			Sealed:         sealedAtDiskLoss(),
 			Reported:       200_001,
-			KnownAddresses: seenTwice,
-			Usage:          usageHeld(200_002, 37),
+			KnownAddresses: knownAddresses,
+			Usage:          unreportedUsage(200_002, 37),
 		},
 		"registry-settled": {
 			Voter: discoveredVoter("2", discoveredSecond),
@@ -255,11 +260,11 @@
 				{Tag: "west", Epoch: 1, Holder: "2", Identity: discoveredSecond},
 			},
 			Slices: []message.RosterSnapshot{eastSlice(5, 0), westSlice(1, 24, westHashWith32Slots, westSlotsWhenSettled)},
-			Sealed: append(sealedAtLoss(),
+			Sealed: append(sealedAtDiskLoss(),
 				sealedWindow(200_002, 1, 52), sealedWindow(200_003, 2, 69), sealedWindow(200_004, 2, 85)),
 			Reported:       200_004,
 			KnownAddresses: []string{"10.0.0.1:7000"},
-			Usage:          usageHeld(200_005, 86),
+			Usage:          unreportedUsage(200_005, 86),
 		},
 	}
 }
--- a/internal/storage/disks_generate_golden_test.go
+++ b/internal/storage/disks_generate_golden_test.go
@@ -1,7 +1,8 @@
-// The writing of the golden disks: three machines of a role with real folders, whose network and
-// clock are here. It is done only with -update.
 package storage_test
 
+// This file generates the golden disks, which happens only with -update: it runs three machines of a role
+// with directories of the file system and a simulated network and clock.
+
 import (
 	"fmt"
 	"os"
@@ -21,31 +22,31 @@
 const (
 	clientAddress = "10.0.0.9:9000"
 	proxyAddress  = "10.0.0.8:9000"
-	// roundsInTick is how often frames are delivered and writes synced between two ticks.
-	roundsInTick = 4
-	// startOfDay is the time of day at which a fleet starts.
-	startOfDay = 1_000_000 * time.Second
-	// heartbeatTicks is the interval of what the proxy sends, in ticks.
-	heartbeatTicks = 12
-	// heartbeatsInWrite is how many of these intervals pass between two writes of a client.
-	heartbeatsInWrite = 4
-	// playBeforeLoss and playAfterLoss are how long a fleet is played before a voter loses its disk
-	// and, for a settled disk, after it.
-	playBeforeLoss = 10 * time.Second
-	playAfterLoss  = 12 * time.Second
-	// playAfterStop is how long a fleet is played after a voter was stopped, for a settled disk.
-	playAfterStop = 4 * time.Second
-	// longestPlay bounds how long a fleet is played until a disk holds what is wanted.
-	longestPlay = 20 * time.Second
+	// deliveryRoundsPerTick is the number of times that writes are synced and frames delivered per tick.
+	deliveryRoundsPerTick = 4
+	// initialWallClock is the wall clock time at which a fleet starts.
+	initialWallClock = 1_000_000 * time.Second
+	// trafficIntervalTicks is the interval between two messages of the proxy, in ticks.
+	trafficIntervalTicks = 12
+	// trafficIntervalsPerWrite is the number of these intervals between two writes of a client.
+	trafficIntervalsPerWrite = 4
+	// durationBeforeDiskLoss and durationAfterDiskLoss are the running times of a fleet before a voter loses
+	// its disk and, for a settled disk, after that.
+	durationBeforeDiskLoss = 10 * time.Second
+	durationAfterDiskLoss  = 12 * time.Second
+	// durationAfterStop is the running time of a fleet after a voter was stopped, for a settled disk.
+	durationAfterStop = 4 * time.Second
+	// maxDuration bounds the running time until a log contains every type of record.
+	maxDuration = 20 * time.Second
 )
 
-// frame is a message on its way.
+// frame is a message in transit.
 type frame struct {
 	from, to string
 	message  any
 }
 
-// process is a machine with its disk.
+// process is a machine with its settings, its disk and its writes that are not yet synced.
 type process struct {
 	fleet   *fleet
 	number  int
@@ -55,14 +56,14 @@
 	machine diskMachine
 	store   *storage.Store
 	writes  []statemachine.Write
-	lives   uint64
+	starts  uint64
 }
 
-// fleet is the three processes of one role.
+// fleet consists of the three processes of one role and their simulated network and clock.
 type fleet struct {
 	c         *qt.C
 	role      string
-	root      string // of the processes' folders
+	root      string // parent of the processes' directories
 	processes []*process
 	frames    []frame
 	ticks     int
@@ -75,34 +76,35 @@
 		cfg, self := goldenSettings(number, discovered), goldenMember(role, number, discovered)
 		p := &process{fleet: f, number: number, cfg: cfg, self: self}
 		f.processes = append(f.processes, p)
-		p.boot()
+		p.start()
 	}
 	return f
 }
 
-func (p *process) folder() string { return filepath.Join(p.fleet.root, p.cfg.Node) }
+// directoryPath returns the path of the process's directory.
+func (p *process) directoryPath() string { return filepath.Join(p.fleet.root, p.cfg.Node) }
 
-// boot starts a life of the process from what its disk holds.
-func (p *process) boot() {
+// start starts the process with the state on its disk.
+func (p *process) start() {
 	c := p.fleet.c
-	folder, err := storage.NewOSDirectory(p.folder())
+	directory, err := storage.NewOSDirectory(p.directoryPath())
 	c.Assert(err, qt.IsNil)
-	store, snapshot, records, err := storage.Open(folder)
+	store, snapshot, records, err := storage.Open(directory)
 	c.Assert(err, qt.IsNil)
 	machine, err := newMachine(p.fleet.role, p.cfg, p.self, snapshot, records)
 	c.Assert(err, qt.IsNil)
-	p.lives++
-	p.env = statemachine.NewEnv(p.lives*uint64(len(goldenVoters)) + uint64(p.number))
+	p.starts++
+	p.env = statemachine.NewEnv(p.starts*uint64(len(goldenVoters)) + uint64(p.number))
 	p.machine, p.store, p.writes = machine, store, nil
 }
 
-// wipe starts a life with an empty disk.
-func (p *process) wipe() {
-	p.fleet.c.Assert(os.RemoveAll(p.folder()), qt.IsNil)
-	p.boot()
+// restartWithEmptyDisk restarts the process after removing its disk's content.
+func (p *process) restartWithEmptyDisk() {
+	p.fleet.c.Assert(os.RemoveAll(p.directoryPath()), qt.IsNil)
+	p.start()
 }
 
-// stop asks the machine to hand its leases over and to leave.
+// stop asks the machine to transfer its leases and to leave the membership.
 func (p *process) stop() {
 	question := any(configstore.Stop{})
 	if p.fleet.role == message.RoleRegistry {
@@ -112,27 +114,27 @@
 	p.drain()
 }
 
-// drain takes the effects that the machine left.
+// drain collects the messages and writes that the machine has issued.
 func (p *process) drain() {
 	for _, effect := range p.env.Drain() {
-		switch done := effect.(type) {
+		switch effect := effect.(type) {
 		case statemachine.Send:
-			p.fleet.frames = append(p.fleet.frames, frame{p.self.Address, done.To, done.Message})
+			p.fleet.frames = append(p.fleet.frames, frame{p.self.Address, effect.To, effect.Message})
 		case statemachine.Datagram:
-			p.fleet.frames = append(p.fleet.frames, frame{p.self.Address, done.To, done.Message})
+			p.fleet.frames = append(p.fleet.frames, frame{p.self.Address, effect.To, effect.Message})
 		case statemachine.Write:
-			p.writes = append(p.writes, done)
+			p.writes = append(p.writes, effect)
 		}
 	}
 }
 
-// sync writes what waits, records that stand together in one frame.
+// sync performs the pending writes; consecutive records are written as one frame.
 func (p *process) sync() {
-	waiting := p.writes
+	pending := p.writes
 	p.writes = nil
-	for len(waiting) > 0 {
+	for len(pending) > 0 {
 		records := [][]byte{}
-		for _, write := range waiting {
+		for _, write := range pending {
 			if write.Snapshot != nil {
 				break
 			}
@@ -142,29 +144,29 @@
 		if len(records) > 0 {
 			p.fleet.c.Assert(p.store.Append(records), qt.IsNil)
 		} else {
-			p.fleet.c.Assert(p.store.Compact(waiting[0].Snapshot), qt.IsNil)
+			p.fleet.c.Assert(p.store.Compact(pending[0].Snapshot), qt.IsNil)
 		}
-		for _, write := range waiting[:count] {
+		for _, write := range pending[:count] {
 			p.machine.Synced(p.env, write.RequestID, nil)
 		}
-		waiting = waiting[count:]
+		pending = pending[count:]
 	}
 	p.drain()
 }
 
-// tick plays one tick interval.
+// tick runs the fleet for one tick interval.
 func (f *fleet) tick() {
 	f.ticks++
 	now := time.Duration(f.ticks) * f.processes[0].cfg.TickEvery()
 	for _, p := range f.processes {
-		p.env.Now, p.env.Wall = now, startOfDay+now
+		p.env.Now, p.env.Wall = now, initialWallClock+now
 		p.machine.Tick(p.env)
 		p.drain()
 	}
-	if f.ticks%heartbeatTicks == 0 {
+	if f.ticks%trafficIntervalTicks == 0 {
 		f.sendTraffic()
 	}
-	for range roundsInTick {
+	for range deliveryRoundsPerTick {
 		for _, p := range f.processes {
 			p.sync()
 		}
@@ -172,6 +174,7 @@
 	}
 }
 
+// deliver passes the frames in transit to their receivers.
 func (f *fleet) deliver() {
 	frames := f.frames
 	f.frames = nil
@@ -185,48 +188,51 @@
 	}
 }
 
-func (f *fleet) play(length time.Duration) {
-	for range int(length / f.processes[0].cfg.TickEvery()) {
+// run runs the fleet for a duration of simulated time.
+func (f *fleet) run(duration time.Duration) {
+	for range int(duration / f.processes[0].cfg.TickEvery()) {
 		f.tick()
 	}
 }
 
-// sendTraffic sends what a proxy, or a client of the configstores, sends in steady intervals.
+// sendTraffic sends the periodic messages of a proxy or of a client of the configstores.
 func (f *fleet) sendTraffic() {
-	beat := int64(f.ticks / heartbeatTicks)
+	interval := int64(f.ticks / trafficIntervalTicks)
 	for _, p := range f.processes {
 		if f.role == message.RoleRegistry {
-			for _, msg := range goldenHeartbeats(beat, p.env.Wall, p.cfg.UsageWindow()) {
+			for _, msg := range goldenHeartbeats(interval, p.env.Wall, p.cfg.UsageWindow()) {
 				f.frames = append(f.frames, frame{proxyAddress, p.self.Address, msg})
 			}
 			continue
 		}
-		if beat%heartbeatsInWrite == 0 {
-			f.frames = append(f.frames, frame{clientAddress, p.self.Address, goldenWrite(beat / heartbeatsInWrite)})
+		if interval%trafficIntervalsPerWrite == 0 {
+			f.frames = append(f.frames, frame{clientAddress, p.self.Address, goldenWrite(interval / trafficIntervalsPerWrite)})
 		}
 	}
 }
 
-// goldenHeartbeats are the messages of a proxy with four upstreams. In the course of time one of
-// them is replaced by its next incarnation, one leaves and one signs off; one changes its slots
-// again and again.
-func goldenHeartbeats(beat int64, wall, usageWindow time.Duration) []any {
-	const replaced, left, signedOff, slotsChangeEvery = 15, 20, 35, 4
+// goldenHeartbeats returns the messages of a proxy with four upstreams in an interval. Over time, one
+// upstream is replaced by its next incarnation, one enters the state leaving, one changes its slots
+// repeatedly, and one is deregistered.
+func goldenHeartbeats(interval int64, wall, usageWindow time.Duration) []any {
+	const replaced, leaving, signedOff, slotsChangeEvery = 15, 20, 35, 4
 	window := int64(wall / usageWindow)
 	upstreams := []message.Registration{
 		goldenUpstream("east", 1), goldenUpstream("east", 2), goldenUpstream("west", 3), goldenUpstream("west", 4),
 	}
-	ends := []message.Deregistration{}
-	if beat >= replaced {
+	deregistrations := []message.Deregistration{}
+	if interval >= replaced {
 		upstreams[0].Incarnation++
 	}
-	if beat >= left {
+	if interval >= leaving {
 		upstreams[1].State = message.StateLeaving
 	}
-	upstreams[2].Slots += beat / slotsChangeEvery
-	if beat >= signedOff {
-		gone := upstreams[3]
-		ends = append(ends, message.Deregistration{Service: gone.Service, Instance: gone.Instance, Incarnation: gone.Incarnation})
+	upstreams[2].Slots += interval / slotsChangeEvery
+	if interval >= signedOff {
+		deregistered := upstreams[3]
+		deregistrations = append(deregistrations, message.Deregistration{
+			Service: deregistered.Service, Instance: deregistered.Instance, Incarnation: deregistered.Incarnation,
+		})
 		upstreams = upstreams[:3]
 	}
 	heartbeats := []message.Heartbeat{}
@@ -239,16 +245,18 @@
 		if counted == window {
 			open["tenant-1"] = 2
 		}
-		answered := map[string]int64{"tenant-1": counted, "tenant-2": beat}
+		answered := map[string]int64{"tenant-1": counted, "tenant-2": interval}
 		counts = append(counts, message.UsageCount{Window: counted, Counts: answered, Open: open})
 	}
 	return []any{
-		message.HeartbeatBatch{Proxy: "proxy/p", StartTime: goldenBirth, Ready: true, Heartbeats: heartbeats, Deregistrations: ends,
+		message.HeartbeatBatch{Proxy: "proxy/p", StartTime: goldenProxyStartTime, Ready: true,
+			Heartbeats: heartbeats, Deregistrations: deregistrations,
 			Positions: []message.Position{}, Path: []string{}, Window: window},
-		message.UsageUpdate{Proxy: "proxy/p", StartTime: goldenBirth, Number: beat, Counts: counts, Closed: window},
+		message.UsageUpdate{Proxy: "proxy/p", StartTime: goldenProxyStartTime, Number: interval, Counts: counts, Closed: window},
 	}
 }
 
+// goldenUpstream returns the initial registration of an upstream.
 func goldenUpstream(zone string, number int64) message.Registration {
 	return message.Registration{
 		Service:               fmt.Sprintf("service-%d", number),
@@ -260,19 +268,19 @@
 		State:                 message.StateReady,
 		ServingProxy:          "proxy/p",
 		ServingProxyAddress:   proxyAddress,
-		ServingProxyStartTime: goldenBirth,
+		ServingProxyStartTime: goldenProxyStartTime,
 	}
 }
 
-// goldenWrite asks for a version, of two configurations in turn.
+// goldenWrite returns the write of a version; the versions belong alternately to two configurations.
 func goldenWrite(number int64) message.WriteRequest {
 	configName := goldenConfigNames[number%2]
 	body := fmt.Sprintf(`{"version":%d,"services":["x"],"tenants":[],"routes":[]}`, number)
 	return message.WriteRequest{RequestID: number, ConfigName: configName, Version: number, Body: []byte(body)}
 }
 
-// recordTypes returns which types of records a folder's log holds, in order.
-func recordTypes(c *qt.C, path string) []string {
+// logRecordTypes returns the sorted types of the records in a directory's log.
+func logRecordTypes(c *qt.C, path string) []string {
 	copied := filepath.Join(c.TempDir(), "disk")
 	c.Assert(os.CopyFS(copied, os.DirFS(path)), qt.IsNil)
 	_, _, records, err := storage.Open(storage.OSDirectory{Path: copied})
@@ -280,41 +288,41 @@
 	return typesOf(c, records)
 }
 
-// playUntilEveryRecord plays on until the log of a process holds so many types of records.
-func (f *fleet) playUntilEveryRecord(p *process, want int) {
-	for range int(longestPlay / p.cfg.TickEvery()) {
+// runUntilLogHasRecordTypes runs the fleet until the log of a process contains count types of records.
+func (f *fleet) runUntilLogHasRecordTypes(p *process, count int) {
+	for range int(maxDuration / p.cfg.TickEvery()) {
 		f.tick()
-		if types := recordTypes(f.c, p.folder()); len(types) == want {
+		if types := logRecordTypes(f.c, p.directoryPath()); len(types) == count {
 			return
 		}
 	}
-	f.c.Fatal("the log never holds every type of record")
+	f.c.Fatalf("the log doesn't contain %d types of records after %s", count, maxDuration)
 }
 
-// writeDisk plays a fleet and keeps the disk of one of its processes. On the way the first voter
-// loses its disk and is replaced, so that the others write their voters down anew; for a settled
-// disk the last one stops later on.
-func writeDisk(c *qt.C, golden goldenDisk) {
+// generateDisk runs a fleet and copies the disk of one of its processes to testdata. The first voter loses
+// its disk during the run and is replaced, so that the others write their voter states again. For a settled
+// disk, the last voter stops later.
+func generateDisk(c *qt.C, golden goldenDisk) {
 	f := newFleet(c, golden.role, golden.discovered)
-	f.play(playBeforeLoss)
-	f.processes[0].wipe()
-	kept := f.processes[golden.number]
+	f.run(durationBeforeDiskLoss)
+	f.processes[0].restartWithEmptyDisk()
+	generated := f.processes[golden.number]
 	if golden.settled {
-		f.play(playAfterLoss)
+		f.run(durationAfterDiskLoss)
 		f.processes[2].stop()
-		f.play(playAfterStop)
+		f.run(durationAfterStop)
 	} else {
-		f.playUntilEveryRecord(kept, len(golden.recordTypes()))
+		f.runUntilLogHasRecordTypes(generated, len(golden.recordTypes()))
 	}
 	c.Assert(os.MkdirAll(filepath.Dir(golden.path()), 0o755), qt.IsNil)
-	c.Assert(os.CopyFS(golden.path(), os.DirFS(kept.folder())), qt.IsNil)
+	c.Assert(os.CopyFS(golden.path(), os.DirFS(generated.directoryPath())), qt.IsNil)
 }
 
-// writeMissing writes the disk if there is none. It never writes one anew: disks of earlier builds
-// look like those that are kept.
-func (g goldenDisk) writeMissing(c *qt.C) {
+// generateIfMissing generates the disk if it doesn't exist. It never replaces one, since the disks must
+// remain as an earlier build wrote them.
+func (g goldenDisk) generateIfMissing(c *qt.C) {
 	if _, err := os.Stat(g.path()); err == nil {
 		return
 	}
-	writeDisk(c, g)
+	generateDisk(c, g)
 }
--- a/internal/storage/disks_golden_test.go
+++ b/internal/storage/disks_golden_test.go
@@ -1,7 +1,8 @@
-// Disks of the registry and the configstore, as the build wrote them that these tests came with.
-// Later builds have to open them, and to find the same state in them.
 package storage_test
 
+// The tests in this file open disks of the registry and the configstore that an earlier build wrote, and
+// check that later builds restore the same state from them.
+
 import (
 	"flag"
 	"fmt"
@@ -21,15 +22,15 @@
 	"beaconvane/internal/storage"
 )
 
-// update writes golden disks that are missing. It never changes one.
+// update enables the generation of missing golden disks. Existing ones are never changed.
 var update = flag.Bool("update", false, "write the golden disks that are missing in testdata/disks")
 
 const (
-	// goldenBirth is the start of the proxy's life, in nanoseconds since 1970.
-	goldenBirth = 1_234_567
-	logFile     = "log"
-	// epochsSkipped is how far a forced recovery raises the epochs of all leases.
-	epochsSkipped = 1 << 20
+	// goldenProxyStartTime is the start time of the proxy and of the processes, in nanoseconds since 1970.
+	goldenProxyStartTime = 1_234_567
+	logFile              = "log"
+	// forcedEpochIncrease is the number that a forced recovery adds to the epochs of all leases.
+	forcedEpochIncrease = 1 << 20
 )
 
 var (
@@ -39,7 +40,7 @@
 	diskFiles         = []string{logFile, "slot.0", "slot.1"}
 )
 
-// diskMachine is a machine whose state is on disk.
+// diskMachine is a state machine of either role, which is restored from a disk.
 type diskMachine interface {
 	statemachine.Machine
 	storage.Restorable
@@ -49,11 +50,11 @@
 
 // goldenDisk is the disk of one of three processes of a role.
 type goldenDisk struct {
-	name       string // of its folder
+	name       string // of its directory
 	role       string
-	discovered bool // the settings count the voters, and don't name them
-	number     int  // of the process
-	settled    bool // played until the slots hold much, rather than until the log holds everything
+	discovered bool // the settings contain the number of voters, not their names
+	number     int  // index of the process
+	settled    bool // from a longer run, without a guarantee that the log contains every type of record
 }
 
 // goldenDisks lists the disks in testdata/disks.
@@ -68,7 +69,7 @@
 
 func (g goldenDisk) path() string { return filepath.Join("testdata", "disks", g.name) }
 
-// recordTypes returns the types of records that a program of the disk's role writes.
+// recordTypes returns the sorted types of the records that a process of the disk's role writes.
 func (g goldenDisk) recordTypes() []string {
 	records := []any{message.VoterState{}, message.Vote{}, message.KnownAddresses{}}
 	if g.role == message.RoleRegistry {
@@ -83,21 +84,22 @@
 	return slices.Sorted(maps.Keys(types))
 }
 
-// copyTo copies the disk into a folder of the test, which may be written to.
+// copyTo copies the disk into a temporary directory, which the test may modify.
 func (g goldenDisk) copyTo(c *qt.C) storage.OSDirectory {
 	path := filepath.Join(c.TempDir(), "disk")
 	c.Assert(os.CopyFS(path, os.DirFS(g.path())), qt.IsNil)
-	folder, err := storage.NewOSDirectory(path)
+	directory, err := storage.NewOSDirectory(path)
 	c.Assert(err, qt.IsNil)
-	return folder
+	return directory
 }
 
-// build makes the machine of what the disk held.
+// build returns a machine with the state of the disk.
 func (g goldenDisk) build(snapshot []byte, records [][]byte) (diskMachine, error) {
 	cfg, self := goldenSettings(g.number, g.discovered), goldenMember(g.role, g.number, g.discovered)
 	return newMachine(g.role, cfg, self, snapshot, records)
 }
 
+// newMachine returns a machine of a role.
 func newMachine(
 	role string, cfg settings.Settings, self message.Member, snapshot []byte, records [][]byte,
 ) (diskMachine, error) {
@@ -107,9 +109,10 @@
 	return configstore.New(cfg, self, snapshot, records)
 }
 
+// goldenAddress returns the address of one of the three processes.
 func goldenAddress(number int) string { return fmt.Sprintf("10.0.0.%s:7000", goldenVoters[number]) }
 
-// goldenSettings are the settings of one of the three processes.
+// goldenSettings returns the settings of one of the three processes.
 func goldenSettings(number int, discovered bool) settings.Settings {
 	cfg := settings.Default()
 	cfg.Node = "node-" + goldenVoters[number]
@@ -131,7 +134,7 @@
 	return cfg
 }
 
-// goldenMember is one of the three processes as the others know it.
+// goldenMember returns the member entry of one of the three processes.
 func goldenMember(role string, number int, discovered bool) message.Member {
 	cfg := goldenSettings(number, discovered)
 	return message.Member{
@@ -140,11 +143,11 @@
 		Voter:     cfg.Voter,
 		Zone:      cfg.Zone,
 		Address:   cfg.Address,
-		StartTime: goldenBirth,
+		StartTime: goldenProxyStartTime,
 	}
 }
 
-// typesOf returns the types of encoded records, sorted and each once.
+// typesOf returns the distinct types of encoded records, sorted.
 func typesOf(c *qt.C, records [][]byte) []string {
 	types := map[string]bool{}
 	for _, record := range records {
@@ -153,13 +156,14 @@
 	return slices.Sorted(maps.Keys(types))
 }
 
+// decode returns the message in an encoded record or snapshot.
 func decode(c *qt.C, body []byte) any {
 	decoded, err := message.Decode(body)
 	c.Assert(err, qt.IsNil)
 	return decoded
 }
 
-// expectedState returns what stands on a golden disk.
+// expectedState returns the state on a golden disk.
 func expectedState(c *qt.C, golden goldenDisk) any {
 	if state, found := expectedRegistries()[golden.name]; found {
 		return state
@@ -169,9 +173,9 @@
 	return state
 }
 
-// stateOnDisk opens a folder and returns the whole state of the machine that is built from it.
-func (g goldenDisk) stateOnDisk(c *qt.C, folder storage.Directory) any {
-	_, snapshot, records, err := storage.Open(folder)
+// stateOnDisk opens a directory and returns the complete state of the machine that is built from it.
+func (g goldenDisk) stateOnDisk(c *qt.C, directory storage.Directory) any {
+	_, snapshot, records, err := storage.Open(directory)
 	c.Assert(err, qt.IsNil)
 	machine, err := g.build(snapshot, records)
 	c.Assert(err, qt.IsNil)
@@ -186,11 +190,12 @@
 	}
 }
 
-// The folders hold what they are there for: both slots, a log, and every type of record.
-func TestGoldenDisksHoldEveryTypeOfRecord(t *testing.T) {
+// Each golden disk contains both slots and a log, and each log that is not of a settled disk contains every
+// type of record.
+func TestGoldenDisksContainAllRecordTypes(t *testing.T) {
 	forEachDisk(t, func(c *qt.C, golden goldenDisk) {
 		if *update {
-			golden.writeMissing(c)
+			golden.generateIfMissing(c)
 		}
 		for _, name := range diskFiles {
 			_, err := os.Stat(filepath.Join(golden.path(), name))
@@ -198,54 +203,55 @@
 		}
 		_, snapshot, records, err := storage.Open(golden.copyTo(c))
 		c.Assert(err, qt.IsNil)
-		wantSnapshot := any(message.ConfigStoreState{})
+		expectedSnapshot := any(message.ConfigStoreState{})
 		if golden.role == message.RoleRegistry {
-			wantSnapshot = message.RegistryState{}
+			expectedSnapshot = message.RegistryState{}
 		}
-		c.Check(fmt.Sprintf("%T", decode(c, snapshot)), qt.Equals, fmt.Sprintf("%T", wantSnapshot))
+		c.Check(fmt.Sprintf("%T", decode(c, snapshot)), qt.Equals, fmt.Sprintf("%T", expectedSnapshot))
 		if !golden.settled {
 			c.Check(typesOf(c, records), qt.DeepEquals, golden.recordTypes())
 		}
 	})
 }
 
-func TestGoldenDisksAreRead(t *testing.T) {
+// The state that is restored from a golden disk must not change.
+func TestGoldenDisksRestoreExpectedState(t *testing.T) {
 	forEachDisk(t, func(c *qt.C, golden goldenDisk) {
 		c.Assert(golden.stateOnDisk(c, golden.copyTo(c)), qt.DeepEquals, expectedState(c, golden))
 	})
 }
 
-// Reading changes no file, since nothing is torn.
-func TestReadingLeavesGoldenDisksAsTheyAre(t *testing.T) {
+// Opening a disk without a torn frame changes no file.
+func TestOpenDoesNotModifyGoldenDisks(t *testing.T) {
 	forEachDisk(t, func(c *qt.C, golden goldenDisk) {
-		folder := golden.copyTo(c)
-		golden.stateOnDisk(c, folder)
+		directory := golden.copyTo(c)
+		golden.stateOnDisk(c, directory)
 		for _, name := range diskFiles {
-			want, err := os.ReadFile(filepath.Join(golden.path(), name))
+			original, err := os.ReadFile(filepath.Join(golden.path(), name))
 			c.Assert(err, qt.IsNil)
-			got, err := folder.Read(name)
+			content, err := directory.Read(name)
 			c.Assert(err, qt.IsNil)
-			c.Check(got, qt.DeepEquals, want, qt.Commentf("%s", name))
+			c.Check(content, qt.DeepEquals, original, qt.Commentf("%s", name))
 		}
 	})
 }
 
-// A disk that is written anew from what was read holds the same state.
-func TestGoldenDisksAreWrittenAnew(t *testing.T) {
+// Recover writes the state as a new snapshot and empties the log; the state stays the same.
+func TestRecoverRewritesGoldenDisks(t *testing.T) {
 	forEachDisk(t, func(c *qt.C, golden goldenDisk) {
-		folder := golden.copyTo(c)
-		_, machine, err := storage.Recover(folder, golden.build)
+		directory := golden.copyTo(c)
+		_, machine, err := storage.Recover(directory, golden.build)
 		c.Assert(err, qt.IsNil)
 		c.Check(decode(c, machine.Snapshot()), qt.DeepEquals, expectedState(c, golden))
-		_, _, records, err := storage.Open(folder)
+		_, _, records, err := storage.Open(directory)
 		c.Assert(err, qt.IsNil)
 		c.Check(records, qt.HasLen, 0)
-		c.Check(golden.stateOnDisk(c, folder), qt.DeepEquals, expectedState(c, golden))
+		c.Check(golden.stateOnDisk(c, directory), qt.DeepEquals, expectedState(c, golden))
 	})
 }
 
-// withoutLastFrame returns what stands on a golden disk whose last frame is lost.
-func withoutLastFrame(c *qt.C, golden goldenDisk) any {
+// expectedStateWithoutLastFrame returns the state on a golden disk whose last frame was removed.
+func expectedStateWithoutLastFrame(c *qt.C, golden goldenDisk) any {
 	switch golden.name {
 	case "configstore-discovered":
 		state := expectedConfigStores()[golden.name]
@@ -275,30 +281,30 @@
 		state.Reported = 200_003
 		return state
 	}
-	c.Fatalf("nothing is expected of %s", golden.name)
+	c.Fatalf("no expected state for golden disk %q", golden.name)
 	return nil
 }
 
-// A last frame that a crash has torn is cut off, and all before it is kept.
-func TestGoldenDisksWithATornFrameAreRead(t *testing.T) {
+// If the last frame is torn, Open removes it and returns the records before it.
+func TestGoldenDisksWithTornLastFrame(t *testing.T) {
 	const tornBytes = 3
 	forEachDisk(t, func(c *qt.C, golden goldenDisk) {
-		folder := golden.copyTo(c)
-		body, err := folder.Read(logFile)
+		directory := golden.copyTo(c)
+		body, err := directory.Read(logFile)
 		c.Assert(err, qt.IsNil)
-		c.Assert(folder.Truncate(logFile, int64(len(body)-tornBytes)), qt.IsNil)
-		want := withoutLastFrame(c, golden)
-		c.Check(golden.stateOnDisk(c, folder), qt.DeepEquals, want)
-		kept, err := folder.Read(logFile)
+		c.Assert(directory.Truncate(logFile, int64(len(body)-tornBytes)), qt.IsNil)
+		expected := expectedStateWithoutLastFrame(c, golden)
+		c.Check(golden.stateOnDisk(c, directory), qt.DeepEquals, expected)
+		remaining, err := directory.Read(logFile)
 		c.Assert(err, qt.IsNil)
-		c.Check(len(kept) < len(body)-tornBytes, qt.IsTrue)
-		c.Check(kept, qt.DeepEquals, body[:len(kept)])
-		c.Check(golden.stateOnDisk(c, folder), qt.DeepEquals, want)
+		c.Check(len(remaining) < len(body)-tornBytes, qt.IsTrue)
+		c.Check(remaining, qt.DeepEquals, body[:len(remaining)])
+		c.Check(golden.stateOnDisk(c, directory), qt.DeepEquals, expected)
 	})
 }
 
-// An operator who gives the other voters up finds only this one on the member list, the others
-// among the former ones, and every lease's epoch raised.
+// A forced recovery leaves only the own voter on the member list, adds the identities of the others to the
+// replaced ones, and raises the epochs of all leases.
 func TestForceRecoverOfGoldenDisks(t *testing.T) {
 	forEachDisk(t, func(c *qt.C, golden goldenDisk) {
 		_, snapshot, records, err := storage.Open(golden.copyTo(c))
@@ -306,38 +312,38 @@
 		machine, err := golden.build(snapshot, records)
 		c.Assert(err, qt.IsNil)
 		before := machine.VoterState()
-		voterBefore, votesBefore := voterAndVotes(c, expectedState(c, golden))
-		c.Check(before, qt.DeepEquals, voterBefore)
-		wantMembers, wantFormer := map[string]string{}, slices.Clone(voterBefore.ReplacedIdentities)
-		for voter, identity := range voterBefore.MemberList {
-			wantMembers[voter] = ""
-			if identity == voterBefore.Identity {
-				wantMembers[voter] = identity
+		expectedVoter, expectedVotes := voterAndVotes(c, expectedState(c, golden))
+		c.Check(before, qt.DeepEquals, expectedVoter)
+		expectedMembers, expectedReplaced := map[string]string{}, slices.Clone(expectedVoter.ReplacedIdentities)
+		for voter, identity := range expectedVoter.MemberList {
+			expectedMembers[voter] = ""
+			if identity == expectedVoter.Identity {
+				expectedMembers[voter] = identity
 			} else {
-				wantFormer = append(wantFormer, identity)
+				expectedReplaced = append(expectedReplaced, identity)
 			}
 		}
-		slices.Sort(wantFormer)
+		slices.Sort(expectedReplaced)
 
 		voter, votes := voterAndVotes(c, decode(c, machine.ForceRecover()))
 		slices.Sort(voter.ReplacedIdentities)
-		c.Check(voter.MemberList, qt.DeepEquals, wantMembers)
-		c.Check(voter.ReplacedIdentities, qt.DeepEquals, wantFormer)
-		for index := range votesBefore {
-			votesBefore[index].Epoch += epochsSkipped
+		c.Check(voter.MemberList, qt.DeepEquals, expectedMembers)
+		c.Check(voter.ReplacedIdentities, qt.DeepEquals, expectedReplaced)
+		for index := range expectedVotes {
+			expectedVotes[index].Epoch += forcedEpochIncrease
 		}
-		c.Check(votes, qt.DeepEquals, votesBefore)
+		c.Check(votes, qt.DeepEquals, expectedVotes)
 	})
 }
 
-// voterAndVotes returns what the states of both roles have in common.
+// voterAndVotes returns the fields that the states of both roles have in common.
 func voterAndVotes(c *qt.C, state any) (message.VoterState, []message.Vote) {
-	switch held := state.(type) {
+	switch decoded := state.(type) {
 	case message.RegistryState:
-		return held.Voter, held.Votes
+		return decoded.Voter, decoded.Votes
 	case message.ConfigStoreState:
-		return held.Voter, held.Votes
+		return decoded.Voter, decoded.Votes
 	}
-	c.Fatalf("a disk holds a %T", state)
+	c.Fatalf("expected a RegistryState or a ConfigStoreState, found %T", state)
 	return message.VoterState{}, nil
 }
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -1,37 +1,39 @@
-// Package storage keeps the state of a control machine on disk: a snapshot and, behind it, a write-ahead
-// log of records.
+// Package storage persists the state of a control machine: a snapshot, and a write-ahead log of the records
+// that were written after it.
 //
 // # Files
 //
-// A directory holds two slots, slot.0 and slot.1, and one log. A snapshot is written to the slot that is
-// not the newest, with a generation one higher (slots.go); then the log is emptied and takes that
-// generation (wal.go). The state is the snapshot of the highest generation and the records of the log of
+// A directory contains two slots, slot.0 and slot.1, and one log. A snapshot is written to the slot that
+// doesn't contain the newest snapshot, with a generation one higher (slots.go). The log is then reset to
+// that generation (wal.go). The state is the snapshot of the highest generation and the records of the log of
 // the same generation.
 //
-// # What is on disk when a call returns
+// # Durability
 //
-//   - Store.Append: the records, all of them, behind those of earlier calls. They were synced together.
-//   - Store.Compact: the snapshot, in place of all that was written before.
-//   - Open: a log without a torn tail, so that what is appended next stands behind good frames.
+// When a call returns without an error, the following is on disk:
 //
-// A call that fails promises nothing: its records may or may not be found by the next Open. After one
-// failed write or sync the store stays failed, since a sync that failed once says nothing by succeeding
-// later. Recover opens the directory anew.
+//   - Store.Append: all of its records, synced together, after those of earlier calls.
+//   - Store.Compact: the snapshot, in place of everything that was written before.
+//   - Open: a log without a torn tail, so that the next append follows intact frames.
+//
+// The records of a call that fails may or may not be found by the next Open. After one failed write or
+// sync the store stays failed, since a later successful sync doesn't imply that the data of the failed one
+// is durable. Recover reopens the directory.
 //
 // # Torn and corrupt data
 //
-// A write that was under way when the machine lost power may be on disk in part. It was never reported as
-// durable, so Open drops it. Data that was complete and fails its checksum was durable: Open refuses with
-// errcode.DiskCorrupt rather than guess.
+// A write that was in progress when the machine lost power may be on disk partially. It was never reported
+// as durable, so Open discards it. Data that was written completely and fails its checksum was durable:
+// Open returns an error with the code errcode.DiskCorrupt instead of discarding it.
 //
-// Records that are appended together are one frame. The same header stands at both ends of a frame
-// (length, checksum of the body, checksum of the header), with a byte that is not zero behind the second
-// one. Each append is synced before the next, so only the last frame can be torn: it lacks its end or,
-// where the disk wrote later sectors before earlier ones, the part of it in some sector is all zero. A bad
-// frame with a good one behind it, or one that is not torn, is corrupt.
+// Records that are appended together form one frame. A frame begins and ends with the same header (length,
+// checksum of the body, checksum of the header), and the second header is followed by a non-zero byte.
+// Each append is synced before the next one, so only the last frame can be torn: its end is missing or,
+// if the disk wrote later sectors before earlier ones, its bytes in some sector are all zero. A bad frame
+// is corrupt if it is not torn or if an intact frame follows it.
 //
-// The log is emptied by writing its file anew. A crash may then keep the new header and lose the cut of
-// the length, or keep a part of the header. So the checksums of frames include the generation of their
-// log: frames of the log before are recognised and cut off, and a log without a header is corrupt only if
-// a frame of the newest generation stands in it.
+// The log is reset by rewriting its file. A crash may leave the new header without the truncation of the
+// old content, or only a prefix of the header. Checksums of frames therefore include the generation of the
+// log: frames of the previous log are recognised and removed, and a log without a valid header is corrupt
+// only if it contains a frame of the newest generation.
 package storage
--- a/internal/storage/frame.go
+++ b/internal/storage/frame.go
@@ -5,87 +5,90 @@
 	"hash/crc32"
 )
 
-// A log is a header (magic, format number, generation, checksum) and frames.
+// A log consists of a header (magic number, format version, generation, checksum) and frames.
 const (
-	logMagic        = 0x42564c47
-	logHeaderBytes  = 20
-	logFormatAt     = 4
-	logGenerationAt = 8
-	logChecksumAt   = 16 // the checksum covers the header before it
+	logMagic            = 0x42564c47
+	logHeaderBytes      = 20
+	logFormatOffset     = 4
+	logGenerationOffset = 8
+	logChecksumOffset   = 16 // the checksum covers the preceding bytes of the header
 
-	// currentLogFormat is the format that is written. oldestLogFormat is the oldest one that is read;
-	// its frames are not bound to a generation and have no end marker.
+	// currentLogFormat is the format version that is written. oldestLogFormat is the oldest version that
+	// can be read; its frames are not bound to a generation and have no end marker.
 	currentLogFormat = 3
 	oldestLogFormat  = 2
-	// boundLogFormat is the first format whose frames are bound to their log's generation and end with
+	// generationBoundLogFormat is the first format version whose frames are bound to their log's generation and end with
 	// frameEndMarker.
-	boundLogFormat = 3
+	generationBoundLogFormat = 3
 )
 
-// A frame is a header (length of the body, checksum of the body, checksum of these two), the body, the
-// same header again, and an end marker. The body is the records, each behind its length.
+// A frame consists of a header (length of the body, checksum of the body, checksum of these two), the body,
+// the same header again, and an end marker. The body contains the records, each preceded by its length.
 const (
-	frameHeaderBytes  = 12
-	frameBodySumAt    = 4
-	frameHeaderSumAt  = 8
-	recordLengthBytes = 4
-	// frameEndMarker is the last byte of a frame. No single bit turns it into zero, which is what stands
-	// there when the end of a frame was never written.
+	frameHeaderBytes          = 12
+	frameBodyChecksumOffset   = 4
+	frameHeaderChecksumOffset = 8
+	recordLengthBytes         = 4
+	// frameEndMarker is the last byte of a frame. The byte is zero if the end of a frame was never written;
+	// no single bit flip turns the marker into zero.
 	frameEndMarker = 0xa5
 )
 
-// frameFormat is how the frames of one log are written. Their checksums begin with the log's generation,
-// so that a frame of an earlier generation, which a crash while the log was emptied may have left behind
-// the new header, is not taken for one of this log.
+// frameFormat encodes and decodes the frames of one log. Their checksums include the log's generation. A
+// crash while the log is reset may leave frames of an earlier generation after the new header; these fail
+// the checksum of the new generation.
 type frameFormat struct {
-	number     uint32
+	version    uint32
 	generation uint64
 }
 
+// currentFormat returns the format in which a log of a generation is written.
 func currentFormat(generation uint64) frameFormat {
-	return frameFormat{number: currentLogFormat, generation: generation}
+	return frameFormat{version: currentLogFormat, generation: generation}
 }
 
-// bound reports whether frames are bound to the generation and have an end marker.
-func (f frameFormat) bound() bool { return f.number >= boundLogFormat }
+// generationBound reports whether the checksums of frames include the generation and frames have an end
+// marker.
+func (f frameFormat) generationBound() bool { return f.version >= generationBoundLogFormat }
 
-// checksum returns the checksum of a part of a frame.
+// checksum returns the checksum of a header or a body of a frame.
 func (f frameFormat) checksum(body []byte) uint32 {
-	if !f.bound() {
+	if !f.generationBound() {
 		return crc32.Checksum(body, checksumTable)
 	}
 	seed := crc32.Checksum(binary.BigEndian.AppendUint64(nil, f.generation), checksumTable)
 	return crc32.Update(seed, checksumTable, body)
 }
 
-// overhead returns how many bytes a frame has besides its body.
+// overhead returns the size in bytes of a frame without its body.
 func (f frameFormat) overhead() int {
-	if f.bound() {
+	if f.generationBound() {
 		return 2*frameHeaderBytes + 1
 	}
 	return 2 * frameHeaderBytes
 }
 
-// encodeLogHeader returns an empty log.
+// encodeLogHeader returns the header of a log, which is also an empty log.
 func encodeLogHeader(generation uint64) []byte {
 	body := make([]byte, logHeaderBytes)
 	binary.BigEndian.PutUint32(body, logMagic)
-	binary.BigEndian.PutUint32(body[logFormatAt:], currentLogFormat)
-	binary.BigEndian.PutUint64(body[logGenerationAt:], generation)
-	binary.BigEndian.PutUint32(body[logChecksumAt:], crc32.Checksum(body[:logChecksumAt], checksumTable))
+	binary.BigEndian.PutUint32(body[logFormatOffset:], currentLogFormat)
+	binary.BigEndian.PutUint64(body[logGenerationOffset:], generation)
+	binary.BigEndian.PutUint32(body[logChecksumOffset:], crc32.Checksum(body[:logChecksumOffset], checksumTable))
 	return body
 }
 
-// parseLogHeader returns how the frames of a log are written, and whether its header is intact.
+// parseLogHeader returns the format of a log's frames, and whether the header is intact. body must have at
+// least logHeaderBytes bytes.
 func parseLogHeader(body []byte) (format frameFormat, intact bool) {
-	number := binary.BigEndian.Uint32(body[logFormatAt:])
+	version := binary.BigEndian.Uint32(body[logFormatOffset:])
 	intact = binary.BigEndian.Uint32(body) == logMagic &&
-		number >= oldestLogFormat && number <= currentLogFormat &&
-		binary.BigEndian.Uint32(body[logChecksumAt:]) == crc32.Checksum(body[:logChecksumAt], checksumTable)
-	return frameFormat{number: number, generation: binary.BigEndian.Uint64(body[logGenerationAt:])}, intact
+		version >= oldestLogFormat && version <= currentLogFormat &&
+		binary.BigEndian.Uint32(body[logChecksumOffset:]) == crc32.Checksum(body[:logChecksumOffset], checksumTable)
+	return frameFormat{version: version, generation: binary.BigEndian.Uint64(body[logGenerationOffset:])}, intact
 }
 
-// encodeFrame returns the frame of some records.
+// encodeFrame returns a frame that contains the given records.
 func (f frameFormat) encodeFrame(records [][]byte) []byte {
 	body := []byte{}
 	for _, record := range records {
@@ -94,39 +97,40 @@
 	}
 	header := make([]byte, frameHeaderBytes)
 	binary.BigEndian.PutUint32(header, uint32(len(body)))
-	binary.BigEndian.PutUint32(header[frameBodySumAt:], f.checksum(body))
-	binary.BigEndian.PutUint32(header[frameHeaderSumAt:], f.checksum(header[:frameHeaderSumAt]))
+	binary.BigEndian.PutUint32(header[frameBodyChecksumOffset:], f.checksum(body))
+	binary.BigEndian.PutUint32(header[frameHeaderChecksumOffset:], f.checksum(header[:frameHeaderChecksumOffset]))
 	frame := make([]byte, 0, f.overhead()+len(body))
 	frame = append(frame, header...)
 	frame = append(frame, body...)
 	frame = append(frame, header...)
-	if f.bound() {
+	if f.generationBound() {
 		frame = append(frame, frameEndMarker)
 	}
 	return frame
 }
 
-// parseFrame reads the frame at the beginning of some bytes. The size is 0 if not even the header is
-// intact.
-func (f frameFormat) parseFrame(rest []byte) (records [][]byte, size int, intact bool) {
-	if len(rest) < frameHeaderBytes || binary.BigEndian.Uint32(rest[frameHeaderSumAt:]) != f.checksum(rest[:frameHeaderSumAt]) {
+// parseFrame decodes the frame at the beginning of data. frameBytes is the size of the frame that its
+// header states, or 0 if the header is not intact.
+func (f frameFormat) parseFrame(data []byte) (records [][]byte, frameBytes int, intact bool) {
+	if len(data) < frameHeaderBytes ||
+		binary.BigEndian.Uint32(data[frameHeaderChecksumOffset:]) != f.checksum(data[:frameHeaderChecksumOffset]) {
 		return nil, 0, false
 	}
-	length := int(binary.BigEndian.Uint32(rest))
-	size = f.overhead() + length
-	if len(rest) < size {
-		return nil, size, false
+	length := int(binary.BigEndian.Uint32(data))
+	frameBytes = f.overhead() + length
+	if len(data) < frameBytes {
+		return nil, frameBytes, false
 	}
-	header, body := rest[:frameHeaderBytes], rest[frameHeaderBytes:frameHeaderBytes+length]
-	trailer := rest[frameHeaderBytes+length : 2*frameHeaderBytes+length]
-	if string(header) != string(trailer) || binary.BigEndian.Uint32(header[frameBodySumAt:]) != f.checksum(body) {
-		return nil, size, false
+	header, body := data[:frameHeaderBytes], data[frameHeaderBytes:frameHeaderBytes+length]
+	trailer := data[frameHeaderBytes+length : 2*frameHeaderBytes+length]
+	if string(header) != string(trailer) || binary.BigEndian.Uint32(header[frameBodyChecksumOffset:]) != f.checksum(body) {
+		return nil, frameBytes, false
 	}
-	if f.bound() && rest[size-1] != frameEndMarker {
-		return nil, size, false
+	if f.generationBound() && data[frameBytes-1] != frameEndMarker {
+		return nil, frameBytes, false
 	}
 	records, intact = parseRecords(body)
-	return records, size, intact
+	return records, frameBytes, intact
 }
 
 // parseRecords splits the body of a frame into its records.
@@ -135,19 +139,19 @@
 		if len(body) < recordLengthBytes {
 			return nil, false
 		}
-		next := recordLengthBytes + int(binary.BigEndian.Uint32(body))
-		if len(body) < next {
+		recordEnd := recordLengthBytes + int(binary.BigEndian.Uint32(body))
+		if len(body) < recordEnd {
 			return nil, false
 		}
-		records, body = append(records, body[recordLengthBytes:next]), body[next:]
+		records, body = append(records, body[recordLengthBytes:recordEnd]), body[recordEnd:]
 	}
 	return records, true
 }
 
-// holdsFrame reports whether an intact frame of this format begins anywhere in some bytes.
-func (f frameFormat) holdsFrame(body []byte) bool {
-	for at := range body {
-		if _, _, intact := f.parseFrame(body[at:]); intact {
+// containsFrame reports whether an intact frame of this format begins anywhere in body.
+func (f frameFormat) containsFrame(body []byte) bool {
+	for offset := range body {
+		if _, _, intact := f.parseFrame(body[offset:]); intact {
 			return true
 		}
 	}
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Whatever slots and log hold, Open refuses, or returns a store that takes further records and a state that
-// the next Open returns again together with these records.
+// With any content of the slots and the log, Open either fails or returns a store that accepts records. The
+// next Open then returns the same state followed by these records.
 func FuzzOpen(f *testing.F) {
-	disk := written(qt.New(f))
+	disk := newPopulatedDirectory(qt.New(f))
 	slots := [2][]byte{disk.files[slotNames[0]], disk.files[slotNames[1]]}
 	log := disk.files[logName]
 	f.Add(slots[0], slots[1], log)
@@ -22,7 +22,7 @@
 	frame := currentFormat(highest).encodeFrame([][]byte{{}, []byte("x")})
 	f.Add(encodeSlot(highest, []byte("far")), slots[1], append(encodeLogHeader(highest), frame...))
 	f.Fuzz(func(t *testing.T, first, second, log []byte) {
-		disk := &memory{files: map[string][]byte{}}
+		disk := &memoryDirectory{files: map[string][]byte{}}
 		for name, body := range map[string][]byte{slotNames[0]: first, slotNames[1]: second, logName: log} {
 			if len(body) > 0 {
 				disk.files[name] = append([]byte{}, body...)
@@ -41,13 +41,13 @@
 		if err := store.Append([][]byte{[]byte("more")}); err != nil {
 			t.Fatal(err)
 		}
-		wanted := fmt.Sprintf("%q %q", snapshot, append(records, []byte("more")))
+		expected := fmt.Sprintf("%q %q", snapshot, append(records, []byte("more")))
 		_, snapshot, records, err = Open(disk)
 		if err != nil {
-			t.Fatalf("what was opened and appended to does not open: %v", err)
+			t.Fatalf("reopen after a successful Open and Append: %v", err)
 		}
-		if got := fmt.Sprintf("%q %q", snapshot, records); got != wanted {
-			t.Fatalf("%s became %s", wanted, got)
+		if got := fmt.Sprintf("%q %q", snapshot, records); got != expected {
+			t.Fatalf("reopened state: expected %s, found %s", expected, got)
 		}
 	})
 }
--- a/internal/storage/machines_golden_test.go
+++ b/internal/storage/machines_golden_test.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	askerAddress = "10.0.0.1:7000"
-	// largestBody of a configuration, in bytes.
-	largestBody = 1 << 20
-	// signatureMark stands between the identity and the digest of the member list in what a
-	// discovered voter signs with.
-	signatureMark = "\x1f"
+	senderAddress = "10.0.0.1:7000"
+	// maxBodyBytes is the maximum size of a configuration.
+	maxBodyBytes = 1 << 20
+	// signatureSeparator separates the identity from the digest of the member list in the signature of a
+	// discovered voter.
+	signatureSeparator = "\x1f"
 	// memberListDigest is the digest of the member list on the disks of discovered voters.
 	memberListDigest = "2i9bztu77jz23"
 )
 
-// signedBy is what a voter of a golden disk signs with.
-func signedBy(golden goldenDisk, identity string) string {
+// voterSignature returns the signature of a voter with an identity: a discovered voter's includes the
+// digest of its member list.
+func voterSignature(golden goldenDisk, identity string) string {
 	if golden.discovered {
-		return identity + signatureMark + memberListDigest
+		return identity + signatureSeparator + memberListDigest
 	}
 	return identity
 }
@@ -41,83 +42,83 @@
 	return machine
 }
 
-// onlyEffect returns the only effect that a machine left.
+// onlyEffect returns the only effect that a machine has issued.
 func onlyEffect(c *qt.C, env *statemachine.Env) any {
 	effects := env.Drain()
 	c.Assert(effects, qt.HasLen, 1)
 	return effects[0]
 }
 
-// onlyAnswer returns the only message that a machine sent back, and left no other effect.
-func onlyAnswer(c *qt.C, env *statemachine.Env) any {
+// onlyReply returns the message to the sender that is the only effect that a machine has issued.
+func onlyReply(c *qt.C, env *statemachine.Env) any {
 	sent, isSend := onlyEffect(c, env).(statemachine.Send)
 	c.Assert(isSend, qt.IsTrue)
-	c.Assert(sent.To, qt.Equals, askerAddress)
+	c.Assert(sent.To, qt.Equals, senderAddress)
 	return sent.Message
 }
 
-// answerTo returns the only answer of the machine that is built from a golden disk.
-func answerTo(c *qt.C, golden goldenDisk, request any) any {
+// replyTo returns the only reply to a request of the machine that is built from a golden disk.
+func replyTo(c *qt.C, golden goldenDisk, request any) any {
 	env := statemachine.NewEnv(1)
-	runningMachine(c, golden).Handle(env, askerAddress, request)
-	return onlyAnswer(c, env)
+	runningMachine(c, golden).Handle(env, senderAddress, request)
+	return onlyReply(c, env)
 }
 
-// A voter tells a new holder of the lease the position and the hash of the log on its disk. The
-// other one compares both with its own, so they may not differ between versions.
+// A voter reports the position and the hash of the log on its disk to a new holder of the lease. The holder
+// compares both with its own, so they must not differ between builds.
 func TestPositionsOfGoldenDisks(t *testing.T) {
-	for _, told := range []struct {
+	for _, test := range []struct {
 		disk                      string
 		epoch, atEpoch, seq, hash int64
-		asker, identity           string
+		holder, identity          string
 	}{
 		{"configstore-discovered", 1, 1, 8, -4370439740162938801, "3", discoveredThird},
 		{"configstore-named", 1, 1, 8, -4370439740162938801, "3", namedThird},
 		{"configstore-settled", 5, 5, 2, 2486452281700671920, "1", namedReplacement},
 	} {
-		t.Run(told.disk, func(t *testing.T) {
+		t.Run(test.disk, func(t *testing.T) {
 			c := qt.New(t)
-			golden := diskNamed(c, told.disk)
-			answer := answerTo(c, golden, message.LogPositionRequest{
-				Epoch: told.epoch, Voter: told.asker, Identity: signedBy(golden, told.identity),
+			golden := diskNamed(c, test.disk)
+			reply := replyTo(c, golden, message.LogPositionRequest{
+				Epoch: test.epoch, Voter: test.holder, Identity: voterSignature(golden, test.identity),
 			})
-			c.Assert(answer, qt.DeepEquals, any(message.LogPositionResponse{
-				Epoch:    told.epoch,
+			c.Assert(reply, qt.DeepEquals, any(message.LogPositionResponse{
+				Epoch:    test.epoch,
 				Voter:    "2",
-				Identity: signedBy(golden, expectedConfigStores()[told.disk].Voter.Identity),
-				AtEpoch:  told.atEpoch,
-				AtSeq:    told.seq,
-				Hash:     told.hash,
+				Identity: voterSignature(golden, expectedConfigStores()[test.disk].Voter.Identity),
+				AtEpoch:  test.atEpoch,
+				AtSeq:    test.seq,
+				Hash:     test.hash,
 			}))
 		})
 	}
 }
 
-// The log travels with differences for contents: the first version of a configuration from
-// nothing, each other one from the version before it.
-func TestTravellingLogOfGoldenDisks(t *testing.T) {
+// A log is sent with its versions encoded as differences: the first version of a configuration from an
+// empty body, and each other version from the one before it.
+func TestLogSnapshotOfGoldenDisk(t *testing.T) {
 	c := qt.New(t)
 	golden, state := diskNamed(c, "configstore-named"), expectedConfigStores()["configstore-named"]
-	answer := answerTo(c, golden, message.LogSnapshotRequest{Epoch: 1, Voter: "3", Identity: namedThird})
-	log, isLog := answer.(message.LogSnapshot)
+	reply := replyTo(c, golden, message.LogSnapshotRequest{Epoch: 1, Voter: "3", Identity: namedThird})
+	log, isLog := reply.(message.LogSnapshot)
 	c.Assert(isLog, qt.IsTrue)
-	before := message.StoredConfiguration{}
+	previous := message.StoredConfiguration{}
 	for index, entry := range log.Configurations {
-		if entry.ConfigName != before.ConfigName {
-			before = message.StoredConfiguration{}
+		if entry.ConfigName != previous.ConfigName {
+			previous = message.StoredConfiguration{}
 		}
-		body, err := delta.Apply(before.Body, entry.Body, largestBody)
+		body, err := delta.Apply(previous.Body, entry.Body, maxBodyBytes)
 		c.Assert(err, qt.IsNil)
 		entry.Body = body
-		log.Configurations[index], before = entry, entry
+		log.Configurations[index], previous = entry, entry
 	}
 	c.Assert(log, qt.DeepEquals, message.LogSnapshot{
 		Epoch: 1, Voter: "2", AtEpoch: 1, AtSeq: 8, Configurations: state.Configurations, History: state.History,
 	})
 }
 
-// An append as an earlier build sends it is taken, written as its record, and confirmed.
-func TestTravellingAppendOnAGoldenDisk(t *testing.T) {
+// An append in the encoding of an earlier build is accepted, written as a record, and acknowledged.
+func TestLogAppendDeltaOnGoldenDisk(t *testing.T) {
 	const (
 		version    = 9
 		base       = 8
@@ -128,7 +129,7 @@
 	machine, env := runningMachine(c, diskNamed(c, "configstore-named")), statemachine.NewEnv(1)
 	entry := entriesOf("main", logPosition{version, 1, 9})[0]
 	digest := sha256.Sum256(entry.Body)
-	machine.Handle(env, askerAddress, message.LogAppendDelta{
+	machine.Handle(env, senderAddress, message.LogAppendDelta{
 		Epoch: 1, Seq: 9, Voter: "1", Identity: namedReplacement,
 		ConfigName: "main", Version: version, Base: base, Difference: fromHex(c, difference), Digest: digest[:],
 	})
@@ -138,33 +139,33 @@
 		Epoch: 1, Seq: 9, Voter: "1", Identity: namedReplacement, Configuration: entry,
 	}))
 	machine.Synced(env, write.RequestID, nil)
-	c.Assert(onlyAnswer(c, env), qt.DeepEquals, any(message.LogAppended{
+	c.Assert(onlyReply(c, env), qt.DeepEquals, any(message.LogAppended{
 		Epoch: 1, Seq: 9, Voter: "2", Identity: namedSecond,
 	}))
 }
 
-// A registry tells a new holder of the usage lease what its disk holds of usage.
+// A registry reports the usage on its disk to a new holder of the usage lease.
 func TestUsageOfGoldenDisks(t *testing.T) {
-	for _, told := range []struct {
-		disk            string
-		epoch           int64
-		voter           string
-		asker, identity string
+	for _, test := range []struct {
+		disk             string
+		epoch            int64
+		voter            string
+		holder, identity string
 	}{
 		{"registry-discovered", 1, "3", "2", discoveredSecond},
 		{"registry-named", 1, "3", "2", namedSecond},
 		{"registry-settled", 2, "2", "1", discoveredReplacement},
 	} {
-		t.Run(told.disk, func(t *testing.T) {
+		t.Run(test.disk, func(t *testing.T) {
 			c := qt.New(t)
-			golden, state := diskNamed(c, told.disk), expectedRegistries()[told.disk]
-			answer := answerTo(c, golden, message.UsageRead{
-				Epoch: told.epoch, Voter: told.asker, Identity: signedBy(golden, told.identity),
+			golden, state := diskNamed(c, test.disk), expectedRegistries()[test.disk]
+			reply := replyTo(c, golden, message.UsageRead{
+				Epoch: test.epoch, Voter: test.holder, Identity: voterSignature(golden, test.identity),
 			})
-			c.Assert(answer, qt.DeepEquals, any(message.UsageReadResponse{
-				Epoch:      told.epoch,
-				Voter:      told.voter,
-				Identity:   signedBy(golden, state.Voter.Identity),
+			c.Assert(reply, qt.DeepEquals, any(message.UsageReadResponse{
+				Epoch:      test.epoch,
+				Voter:      test.voter,
+				Identity:   voterSignature(golden, state.Voter.Identity),
 				Sealed:     state.Sealed,
 				Reported:   state.Reported,
 				Unreported: state.Usage,
@@ -173,13 +174,14 @@
 	}
 }
 
+// diskNamed returns the golden disk with a name.
 func diskNamed(c *qt.C, name string) goldenDisk {
 	for _, golden := range goldenDisks {
 		if golden.name == name {
 			return golden
 		}
 	}
-	c.Fatalf("no golden disk %s", name)
+	c.Fatalf("no golden disk %q", name)
 	return goldenDisk{}
 }
 
@@ -189,19 +191,19 @@
 	return body
 }
 
-// New counts of a proxy go on under the name that its life has on the disk.
-func TestCountsOnAGoldenDisk(t *testing.T) {
+// New counts of a proxy are recorded under the same proxy run as those on the disk.
+func TestUsageUpdateOnGoldenDisk(t *testing.T) {
 	c := qt.New(t)
 	machine, env := runningMachine(c, diskNamed(c, "registry-named")), statemachine.NewEnv(1)
-	held := usageHeld(200_002, 38)
+	unreported := unreportedUsage(200_002, 38)
 	machine.Handle(env, proxyAddress, message.UsageUpdate{
-		Proxy: "proxy/p", StartTime: goldenBirth, Number: 38,
-		Counts: []message.UsageCount{{Window: 200_002, Counts: held.Proxies[0].Counts, Open: held.Proxies[0].Open}},
+		Proxy: "proxy/p", StartTime: goldenProxyStartTime, Number: 38,
+		Counts: []message.UsageCount{{Window: 200_002, Counts: unreported.Proxies[0].Counts, Open: unreported.Proxies[0].Open}},
 	})
 	write, isWrite := onlyEffect(c, env).(statemachine.Write)
 	c.Assert(isWrite, qt.IsTrue)
-	c.Assert(decode(c, write.Record), qt.DeepEquals, any(held))
+	c.Assert(decode(c, write.Record), qt.DeepEquals, any(unreported))
 	state, isState := decode(c, machine.Snapshot()).(message.RegistryState)
 	c.Assert(isState, qt.IsTrue)
-	c.Assert(state.Usage, qt.DeepEquals, held)
+	c.Assert(state.Usage, qt.DeepEquals, unreported)
 }
--- a/internal/storage/powerloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -12,43 +12,45 @@
 	"beaconvane/internal/errcode"
 )
 
-// change is one write of a file, or a cut of its length, that was not synced yet.
-type change struct {
-	offset int
-	body   []byte
-	cut    bool // the length is set to offset
+// fileChange is a write to a file, or a truncation, that has not been synced.
+type fileChange struct {
+	offset   int
+	body     []byte
+	truncate bool // the file is truncated to offset
 }
 
-// outcome is what a loss of power makes of a change.
+// outcome is the effect of a power loss on a change.
 type outcome struct {
-	name string
-	kept int  // bytes of the write that reached the disk; -1: all of it
-	zero bool // the rest of the write is zeros
+	name       string
+	keptBytes  int  // bytes of the write that reach the disk; -1: all
+	zeroFilled bool // the rest of the write is replaced by zeros
 }
 
-// unsyncedDisk keeps the changes of each file since it was last synced. After stopAfter
-// operations it does nothing more, as a machine without power.
+// unsyncedDisk is a Directory that records the changes of each file since its last sync. Once
+// remainingOperations is 0, all operations fail as after a power loss; a negative number means no limit.
 type unsyncedDisk struct {
-	durable   map[string][]byte
-	changes   map[string][]change
-	stopAfter int
+	durable             map[string][]byte
+	changes             map[string][]fileChange
+	remainingOperations int
 }
 
-var errNoPower = errcode.Wrap("storage.test", errcode.DiskFault, fmt.Errorf("no power"))
+var errPowerLost = errcode.Wrap("storage.test", errcode.DiskFault, fmt.Errorf("power lost"))
 
-func (d *unsyncedDisk) step() error {
-	if d.stopAfter == 0 {
-		return errNoPower
+// countOperation counts one operation, or fails if the power is lost.
+func (d *unsyncedDisk) countOperation() error {
+	if d.remainingOperations == 0 {
+		return errPowerLost
 	}
-	d.stopAfter--
+	d.remainingOperations--
 	return nil
 }
 
-func applyChanges(body []byte, changes []change) []byte {
+// applyChanges returns a file's content after changes.
+func applyChanges(body []byte, changes []fileChange) []byte {
 	body = append([]byte{}, body...)
 	for _, next := range changes {
 		end := next.offset + len(next.body)
-		if next.cut {
+		if next.truncate {
 			body = append([]byte{}, body[:min(len(body), next.offset)]...)
 			continue
 		}
@@ -68,36 +70,37 @@
 	return applyChanges(body, d.changes[name]), nil
 }
 
-func (d *unsyncedDisk) add(name string, next change) error {
-	if err := d.step(); err != nil {
+// recordChange performs a change that is lost or torn by a power loss before the next sync.
+func (d *unsyncedDisk) recordChange(name string, next fileChange) error {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	d.changes[name] = append(d.changes[name], next)
 	return nil
 }
 
-// Write is two operations, as a file opened with O_TRUNC and then written is.
+// Write consists of two operations, a truncation and a write, as with O_TRUNC.
 func (d *unsyncedDisk) Write(name string, body []byte) error {
-	if err := d.add(name, change{cut: true}); err != nil {
+	if err := d.recordChange(name, fileChange{truncate: true}); err != nil {
 		return err
 	}
-	return d.add(name, change{body: append([]byte{}, body...)})
+	return d.recordChange(name, fileChange{body: append([]byte{}, body...)})
 }
 
 func (d *unsyncedDisk) Append(name string, body []byte) error {
-	whole, err := d.Read(name)
+	content, err := d.Read(name)
 	if err != nil {
 		return err
 	}
-	return d.add(name, change{offset: len(whole), body: append([]byte{}, body...)})
+	return d.recordChange(name, fileChange{offset: len(content), body: append([]byte{}, body...)})
 }
 
 func (d *unsyncedDisk) Truncate(name string, size int64) error {
-	return d.add(name, change{offset: int(size), cut: true})
+	return d.recordChange(name, fileChange{offset: int(size), truncate: true})
 }
 
 func (d *unsyncedDisk) Sync(name string) error {
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	d.durable[name] = applyChanges(d.durable[name], d.changes[name])
@@ -105,23 +108,23 @@
 	return nil
 }
 
-func (d *unsyncedDisk) SyncDirectory() error { return d.step() }
+func (d *unsyncedDisk) SyncDirectory() error { return d.countOperation() }
 
 func (d *unsyncedDisk) copy() *unsyncedDisk {
-	copied := &unsyncedDisk{durable: map[string][]byte{}, changes: map[string][]change{}, stopAfter: d.stopAfter}
+	copied := &unsyncedDisk{durable: map[string][]byte{}, changes: map[string][]fileChange{}, remainingOperations: d.remainingOperations}
 	for name, body := range d.durable {
 		copied.durable[name] = append([]byte{}, body...)
 	}
 	for name, changes := range d.changes {
-		copied.changes[name] = append([]change{}, changes...)
+		copied.changes[name] = append([]fileChange{}, changes...)
 	}
 	return copied
 }
 
-// outcomes lists what may become of a change: present, absent, or torn at any byte.
-func (c change) outcomes() []outcome {
-	list := []outcome{{name: "present", kept: -1}, {name: "absent"}}
-	if c.cut {
+// outcomes lists the possible outcomes of a change: present, absent, or torn at any byte.
+func (c fileChange) outcomes() []outcome {
+	list := []outcome{{name: "present", keptBytes: -1}, {name: "absent"}}
+	if c.truncate {
 		return list
 	}
 	for kept := 1; kept < len(c.body); kept++ {
@@ -132,80 +135,85 @@
 	return list
 }
 
-func (c change) after(done outcome) []change {
+// withOutcome returns the changes that reach the disk under an outcome.
+func (c fileChange) withOutcome(result outcome) []fileChange {
 	switch {
-	case done.kept < 0:
-		return []change{c}
-	case done.kept == 0:
+	case result.keptBytes < 0:
+		return []fileChange{c}
+	case result.keptBytes == 0:
 		return nil
-	case done.zero:
+	case result.zeroFilled:
 		torn := make([]byte, len(c.body))
-		copy(torn, c.body[:done.kept])
-		return []change{{offset: c.offset, body: torn}}
+		copy(torn, c.body[:result.keptBytes])
+		return []fileChange{{offset: c.offset, body: torn}}
 	}
-	return []change{{offset: c.offset, body: c.body[:done.kept]}}
+	return []fileChange{{offset: c.offset, body: c.body[:result.keptBytes]}}
 }
 
-// afterPowerLoss calls then with every disk that a loss of power may leave.
-func (d *unsyncedDisk) afterPowerLoss(then func(left *unsyncedDisk, how string)) {
-	type lost struct {
-		left map[string][]change
-		how  string
+// afterPowerLoss calls check for every state of the disk that a power loss may leave, with a description of
+// the outcomes that lead to it.
+func (d *unsyncedDisk) afterPowerLoss(check func(remaining *unsyncedDisk, description string)) {
+	type powerLossState struct {
+		changes     map[string][]fileChange
+		description string
 	}
-	states := []lost{{map[string][]change{}, ""}}
+	states := []powerLossState{{map[string][]fileChange{}, ""}}
 	for name, changes := range d.changes {
 		for _, next := range changes {
-			grown := []lost{}
+			extended := []powerLossState{}
 			for _, state := range states {
-				for _, done := range next.outcomes() {
-					left := map[string][]change{}
-					for other, kept := range state.left {
-						left[other] = append([]change{}, kept...)
+				for _, result := range next.outcomes() {
+					changesLeft := map[string][]fileChange{}
+					for other, otherChanges := range state.changes {
+						changesLeft[other] = append([]fileChange{}, otherChanges...)
 					}
-					left[name] = append(left[name], next.after(done)...)
-					how := fmt.Sprintf("%s %s@%d cut=%t: %s;", state.how, name, next.offset, next.cut, done.name)
-					grown = append(grown, lost{left, how})
+					changesLeft[name] = append(changesLeft[name], next.withOutcome(result)...)
+					description := fmt.Sprintf("%s %s@%d truncate=%t: %s;",
+						state.description, name, next.offset, next.truncate, result.name)
+					extended = append(extended, powerLossState{changesLeft, description})
 				}
 			}
-			states = grown
+			states = extended
 		}
 	}
 	for _, state := range states {
-		left := d.copy()
-		left.stopAfter = -1
+		remaining := d.copy()
+		remaining.remainingOperations = -1
 		for name := range d.changes {
-			left.durable[name] = applyChanges(d.durable[name], state.left[name])
+			remaining.durable[name] = applyChanges(d.durable[name], state.changes[name])
 		}
-		left.changes = map[string][]change{}
-		then(left, state.how)
+		remaining.changes = map[string][]fileChange{}
+		check(remaining, state.description)
 	}
 }
 
-// storedState is what a store holds, as text.
+// storedState formats the data of a store for comparison.
 func storedState(snapshot []byte, records [][]byte) string {
 	return fmt.Sprintf("%q %q", snapshot, records)
 }
 
-// A store was opened, and one operation of it is under way when the power goes.
-func lossDuring(c *qt.C, disk *unsyncedDisk, before, after string, operate func(store *Store) error) {
-	for steps := 0; ; steps++ {
-		under := disk.copy()
-		store, _, _, err := Open(under)
+// checkPowerLossDuring interrupts an operation on an open store after each number of disk operations. In
+// every state that the power loss may leave, the next Open must return the state before or after the
+// operation, and the store must accept further records.
+func checkPowerLossDuring(c *qt.C, disk *unsyncedDisk, before, after string, operate func(store *Store) error) {
+	for operations := 0; ; operations++ {
+		running := disk.copy()
+		store, _, _, err := Open(running)
 		c.Assert(err, qt.IsNil)
-		under.stopAfter = steps
+		running.remainingOperations = operations
 		finished := operate(store) == nil
-		under.afterPowerLoss(func(left *unsyncedDisk, how string) {
-			where := qt.Commentf("after %d steps:%s", steps, how)
-			again, snapshot, records, err := Open(left)
-			c.Assert(err, qt.IsNil, where)
+		running.afterPowerLoss(func(remaining *unsyncedDisk, description string) {
+			comment := qt.Commentf("after %d operations:%s", operations, description)
+			reopened, snapshot, records, err := Open(remaining)
+			c.Assert(err, qt.IsNil, comment)
 			found := storedState(snapshot, records)
 			if finished || found != before {
-				c.Assert(found, qt.Equals, after, where)
+				c.Assert(found, qt.Equals, after, comment)
 			}
-			c.Assert(again.Append([][]byte{[]byte("later")}), qt.IsNil, where)
-			_, snapshot, more, err := Open(left)
-			c.Assert(err, qt.IsNil, where)
-			c.Assert(storedState(snapshot, more), qt.Equals, storedState(snapshot, append(records, []byte("later"))), where)
+			c.Assert(reopened.Append([][]byte{[]byte("later")}), qt.IsNil, comment)
+			_, snapshot, more, err := Open(remaining)
+			c.Assert(err, qt.IsNil, comment)
+			c.Assert(storedState(snapshot, more), qt.Equals, storedState(snapshot, append(records, []byte("later"))), comment)
 		})
 		if finished {
 			return
@@ -213,10 +221,9 @@
 	}
 }
 
-// filled is a synced disk whose store holds a snapshot and records of an earlier generation's
-// log besides.
-func filled(c *qt.C) *unsyncedDisk {
-	disk := &unsyncedDisk{durable: map[string][]byte{}, changes: map[string][]change{}, stopAfter: -1}
+// newFilledDisk returns a synced disk with a snapshot and a log of two frames.
+func newFilledDisk(c *qt.C) *unsyncedDisk {
+	disk := &unsyncedDisk{durable: map[string][]byte{}, changes: map[string][]fileChange{}, remainingOperations: -1}
 	store, _, _, err := Open(disk)
 	c.Assert(err, qt.IsNil)
 	c.Assert(store.Compact([]byte("one")), qt.IsNil)
@@ -225,33 +232,34 @@
 	return disk
 }
 
-// A snapshot replaces the log: whatever the power takes then, the store holds what it held
-// before, or the snapshot alone, and never the snapshot with the old records behind it.
+// If power is lost while a snapshot replaces the log, the store contains the old state or the new snapshot
+// alone, but never the new snapshot with the old records.
 func TestPowerLossWhileTheLogIsReplaced(t *testing.T) {
 	c := qt.New(t)
 	records := [][]byte{[]byte("first"), []byte("second"), []byte("third")}
-	lossDuring(c, filled(c), storedState([]byte("one"), records), storedState([]byte("two"), nil),
+	checkPowerLossDuring(c, newFilledDisk(c), storedState([]byte("one"), records), storedState([]byte("two"), nil),
 		func(store *Store) error { return store.Compact([]byte("two")) })
 }
 
-// An append may be torn at any byte: what was synced before it is there.
+// If an append is torn at any byte, all records that were synced before it are read.
 func TestPowerLossWhileARecordIsAppended(t *testing.T) {
 	c := qt.New(t)
 	synced := [][]byte{[]byte("first"), []byte("second"), []byte("third")}
-	lossDuring(c, filled(c), storedState([]byte("one"), synced), storedState([]byte("one"), append(synced, []byte("fourth"))),
+	checkPowerLossDuring(c, newFilledDisk(c),
+		storedState([]byte("one"), synced), storedState([]byte("one"), append(synced, []byte("fourth"))),
 		func(store *Store) error { return store.Append([][]byte{[]byte("fourth")}) })
 }
 
-// A log of the format before, whose frames are not bound to a generation, is read and
-// appended to until a snapshot replaces it; a crash in that leaves no old record behind.
-func TestLogOfTheFormatBefore(t *testing.T) {
+// A log of the previous format, whose frames are not bound to a generation, is read and appended to until
+// a snapshot replaces it. A crash during the replacement must not leave old records.
+func TestLogOfPreviousFormat(t *testing.T) {
 	c := qt.New(t)
-	disk := filled(c)
-	older := frameFormat{number: oldestLogFormat, generation: 1}
-	head := encodeLogHeader(1)
-	binary.BigEndian.PutUint32(head[4:], oldestLogFormat)
-	binary.BigEndian.PutUint32(head[logChecksumAt:], crc32.Checksum(head[:logChecksumAt], checksumTable))
-	disk.durable[logName] = append(head, older.encodeFrame([][]byte{[]byte("first")})...)
+	disk := newFilledDisk(c)
+	previousFormat := frameFormat{version: oldestLogFormat, generation: 1}
+	header := encodeLogHeader(1)
+	binary.BigEndian.PutUint32(header[4:], oldestLogFormat)
+	binary.BigEndian.PutUint32(header[logChecksumOffset:], crc32.Checksum(header[:logChecksumOffset], checksumTable))
+	disk.durable[logName] = append(header, previousFormat.encodeFrame([][]byte{[]byte("first")})...)
 	store, snapshot, records, err := Open(disk)
 	c.Assert(err, qt.IsNil)
 	c.Assert(storedState(snapshot, records), qt.Equals, storedState([]byte("one"), [][]byte{[]byte("first")}))
@@ -264,8 +272,8 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(storedState(snapshot, records), qt.Equals, storedState([]byte("two"), nil))
 
-	// The cut of the length is lost.
-	disk.durable[logName] = append(encodeLogHeader(2), older.encodeFrame([][]byte{[]byte("first")})...)
+	// The log is left as by a crash that lost the truncation of the old content.
+	disk.durable[logName] = append(encodeLogHeader(2), previousFormat.encodeFrame([][]byte{[]byte("first")})...)
 	_, snapshot, records, err = Open(disk)
 	c.Assert(err, qt.IsNil)
 	c.Assert(storedState(snapshot, records), qt.Equals, storedState([]byte("two"), nil))
--- a/internal/storage/recover.go
+++ b/internal/storage/recover.go
@@ -1,29 +1,29 @@
 package storage
 
-// Restorable is a state machine that is built from what a directory holds, and returns its whole state.
+// Restorable is a state machine that can be rebuilt from its snapshot.
 type Restorable interface {
-	// Snapshot returns the whole state, from which the machine can be built again.
+	// Snapshot returns the complete state of the machine.
 	Snapshot() []byte
 }
 
-// Recover opens a directory anew after a write has failed. What an earlier sync left open may be readable
-// and yet not durable, so nothing that was read counts until the whole state is in a slot that was written
-// and synced since; only then does Recover return a store. While the disk takes no writes it returns an
-// error, and is to be called again later.
+// Recover reopens a directory after a write has failed. Data whose sync failed may be readable and yet not
+// durable, so Recover writes and syncs a snapshot of the complete state that it has read before it returns
+// the store and the machine. While the disk accepts no writes it returns an error, and the caller should
+// try again later.
 func Recover[M Restorable](
 	directory Directory, build func(snapshot []byte, records [][]byte) (M, error),
 ) (store *Store, machine M, err error) {
-	var none M
+	var zero M
 	store, snapshot, records, err := Open(directory)
 	if err != nil {
-		return nil, none, err
+		return nil, zero, err
 	}
 	machine, err = build(snapshot, records)
 	if err != nil {
-		return nil, none, err
+		return nil, zero, err
 	}
 	if err := store.Compact(machine.Snapshot()); err != nil {
-		return nil, none, err
+		return nil, zero, err
 	}
 	return store, machine, nil
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -12,12 +12,13 @@
 	"beaconvane/internal/errcode"
 )
 
-type memory struct {
-	files map[string][]byte
-	fail  bool
+// memoryDirectory is a Directory in memory whose Sync can be made to fail.
+type memoryDirectory struct {
+	files    map[string][]byte
+	failSync bool
 }
 
-func (m *memory) Read(name string) ([]byte, error) {
+func (m *memoryDirectory) Read(name string) ([]byte, error) {
 	body, found := m.files[name]
 	if !found {
 		return nil, os.ErrNotExist
@@ -25,40 +26,41 @@
 	return append([]byte{}, body...), nil
 }
 
-func (m *memory) Write(name string, body []byte) error {
+func (m *memoryDirectory) Write(name string, body []byte) error {
 	m.files[name] = append([]byte{}, body...)
 	return nil
 }
 
-func (m *memory) Append(name string, body []byte) error {
+func (m *memoryDirectory) Append(name string, body []byte) error {
 	m.files[name] = append(m.files[name], body...)
 	return nil
 }
 
-func (m *memory) Sync(string) error {
-	if m.fail {
-		return errors.New("no")
+func (m *memoryDirectory) Sync(string) error {
+	if m.failSync {
+		return errors.New("sync failed by the test")
 	}
 	return nil
 }
 
-func (m *memory) SyncDirectory() error { return nil }
+func (m *memoryDirectory) SyncDirectory() error { return nil }
 
-func (m *memory) Truncate(name string, size int64) error {
+func (m *memoryDirectory) Truncate(name string, size int64) error {
 	m.files[name] = m.files[name][:size]
 	return nil
 }
 
-func (m *memory) copy() *memory {
-	copied := &memory{files: map[string][]byte{}}
+func (m *memoryDirectory) copy() *memoryDirectory {
+	copied := &memoryDirectory{files: map[string][]byte{}}
 	for name, body := range m.files {
 		copied.files[name] = append([]byte{}, body...)
 	}
 	return copied
 }
 
-func written(c *qt.C) *memory {
-	disk := &memory{files: map[string][]byte{}}
+// newPopulatedDirectory returns a directory with two snapshots and a log of one frame with two records.
+func newPopulatedDirectory(c *qt.C) *memoryDirectory {
+	disk := &memoryDirectory{files: map[string][]byte{}}
 	store, snapshot, _, err := Open(disk)
 	c.Assert(err, qt.IsNil)
 	c.Assert(snapshot, qt.IsNil)
@@ -69,72 +71,73 @@
 	return disk
 }
 
-func TestReopen(t *testing.T) {
+func TestOpenReturnsSnapshotAndRecords(t *testing.T) {
 	c := qt.New(t)
-	_, snapshot, records, err := Open(written(c))
+	_, snapshot, records, err := Open(newPopulatedDirectory(c))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(snapshot), qt.Equals, "two")
 	c.Assert(records, qt.DeepEquals, [][]byte{[]byte("first record"), []byte("second record")})
 }
 
-// A log cut at any byte opens with a prefix of its records, and takes more.
+// A log that is truncated at any byte is opened without its torn frame, and can be appended to.
 func TestTornTailIsCut(t *testing.T) {
 	c := qt.New(t)
-	disk := written(c)
-	whole := disk.files[logName]
-	for size := range len(whole) {
+	disk := newPopulatedDirectory(c)
+	log := disk.files[logName]
+	for size := range len(log) {
 		torn := disk.copy()
-		torn.files[logName] = append([]byte{}, whole[:size]...)
+		torn.files[logName] = append([]byte{}, log[:size]...)
 		store, snapshot, records, err := Open(torn)
-		c.Assert(err, qt.IsNil, qt.Commentf("cut at %d", size))
+		c.Assert(err, qt.IsNil, qt.Commentf("truncated to %d bytes", size))
 		c.Assert(string(snapshot), qt.Equals, "two")
 		c.Assert(len(records) < 2, qt.IsTrue)
 		c.Assert(store.Append([][]byte{[]byte("later")}), qt.IsNil)
-		_, _, again, err := Open(torn)
+		_, _, recordsAfter, err := Open(torn)
 		c.Assert(err, qt.IsNil)
-		c.Assert(string(again[len(again)-1]), qt.Equals, "later")
-		c.Assert(again, qt.HasLen, len(records)+1)
+		c.Assert(string(recordsAfter[len(recordsAfter)-1]), qt.Equals, "later")
+		c.Assert(recordsAfter, qt.HasLen, len(records)+1)
 	}
 }
 
-// Sectors of the last append that reached the disk in any order: opening gives all that
-// was settled before, and takes more; with a settled frame behind them it refuses.
-func TestSectorsOutOfOrder(t *testing.T) {
+// A crash may leave any subset of the sectors of the last append, since a disk may write sectors in any
+// order. Open then returns all earlier records, and the log can be appended to. If an intact frame follows
+// the torn one, Open must fail.
+func TestSectorsWrittenOutOfOrder(t *testing.T) {
 	c := qt.New(t)
-	disk := written(c)
-	committed := len(disk.files[logName])
+	disk := newPopulatedDirectory(c)
+	committedBytes := len(disk.files[logName])
 	store, _, _, err := Open(disk)
 	c.Assert(err, qt.IsNil)
 	c.Assert(store.Append([][]byte{bytes.Repeat([]byte("long "), 300), []byte("x")}), qt.IsNil)
-	whole := len(disk.files[logName])
-	sectors := whole/sectorBytes + 1
-	for missing := 1; missing < 1<<sectors; missing++ {
+	logBytes := len(disk.files[logName])
+	sectors := logBytes/sectorBytes + 1
+	for missingSectors := 1; missingSectors < 1<<sectors; missingSectors++ {
 		crashed := disk.copy()
-		lost := false
+		torn := false
 		for number := range sectors {
-			for index := max(committed, number*sectorBytes); missing>>number&1 == 1 && index < min(whole, (number+1)*sectorBytes); index++ {
-				crashed.files[logName][index], lost = 0, true
+			sectorEnd := min(logBytes, (number+1)*sectorBytes)
+			for index := max(committedBytes, number*sectorBytes); missingSectors>>number&1 == 1 && index < sectorEnd; index++ {
+				crashed.files[logName][index], torn = 0, true
 			}
 		}
-		behind := crashed.copy()
-		behind.files[logName] = append(behind.files[logName], currentFormat(2).encodeFrame([][]byte{[]byte("settled later")})...)
-		again, _, records, err := Open(crashed)
-		c.Assert(err, qt.IsNil, qt.Commentf("sectors %b of %d", missing, sectors))
-		c.Assert(records, qt.HasLen, map[bool]int{true: 2, false: 4}[lost])
-		c.Assert(again.Append([][]byte{[]byte("more")}), qt.IsNil)
+		followed := crashed.copy()
+		followed.files[logName] = append(followed.files[logName], currentFormat(2).encodeFrame([][]byte{[]byte("synced later")})...)
+		reopened, _, records, err := Open(crashed)
+		c.Assert(err, qt.IsNil, qt.Commentf("missing sectors %b of %d", missingSectors, sectors))
+		c.Assert(records, qt.HasLen, map[bool]int{true: 2, false: 4}[torn])
+		c.Assert(reopened.Append([][]byte{[]byte("more")}), qt.IsNil)
 		_, _, records, err = Open(crashed)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(records[len(records)-1]), qt.Equals, "more")
-		_, _, _, err = Open(behind)
-		c.Assert(err != nil, qt.Equals, lost)
+		_, _, _, err = Open(followed)
+		c.Assert(err != nil, qt.Equals, torn)
 	}
 }
 
-// A flipped bit anywhere in settled data never passes for something else: either the
-// store refuses, or all that was settled is there.
+// After a bit flip in durable data, Open either fails with DiskCorrupt or returns all the data unchanged.
 func TestFlippedBitIsRefused(t *testing.T) {
 	c := qt.New(t)
-	disk := written(c)
+	disk := newPopulatedDirectory(c)
 	refused := 0
 	for _, name := range []string{logName, slotNames[0]} {
 		for index := range disk.files[name] {
@@ -153,10 +156,10 @@
 	c.Assert(refused > 50, qt.IsTrue)
 }
 
-// A slot torn while it is written leaves the older slot and its log.
+// If the write of a slot is torn, the older slot and its log are used.
 func TestTornSlot(t *testing.T) {
 	c := qt.New(t)
-	disk := written(c)
+	disk := newPopulatedDirectory(c)
 	before := disk.copy()
 	store, _, _, err := Open(disk)
 	c.Assert(err, qt.IsNil)
@@ -172,15 +175,15 @@
 	}
 }
 
-// One failed sync stops the store for good.
-func TestFailedSyncStays(t *testing.T) {
+// After one failed sync all later calls fail, even if the disk works again.
+func TestStoreStaysFailedAfterFailedSync(t *testing.T) {
 	c := qt.New(t)
-	disk := written(c)
+	disk := newPopulatedDirectory(c)
 	store, _, _, err := Open(disk)
 	c.Assert(err, qt.IsNil)
-	disk.fail = true
+	disk.failSync = true
 	c.Assert(errcode.CodeOf(store.Append([][]byte{[]byte("x")})), qt.Equals, errcode.DiskFault)
-	disk.fail = false
+	disk.failSync = false
 	c.Assert(errcode.CodeOf(store.Append([][]byte{[]byte("y")})), qt.Equals, errcode.DiskFault)
 	c.Assert(errcode.CodeOf(store.Compact([]byte("z"))), qt.Equals, errcode.DiskFault)
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -6,25 +6,26 @@
 	"beaconvane/internal/errcode"
 )
 
-// Causes for which a directory or a store refuses.
+// Errors for data that no crash explains, and for a misuse of Store.Append.
 var (
-	errCorruptFrame         = errors.New("a committed log record fails its checksum")
-	errLogWithoutSlot       = errors.New("a log without a readable slot")
-	errNewestSlotUnreadable = errors.New("the newest slot is unreadable")
+	errCorruptFrame         = errors.New("a durable frame or the header of the log is corrupt")
+	errLogWithoutSlot       = errors.New("the log is intact but no slot contains an intact snapshot")
+	errNewestSlotUnreadable = errors.New("the generation of the log is higher than that of any intact slot")
 	errNoSnapshot           = errors.New("append before the first snapshot")
 )
 
-// Store is an open directory. Once a write or sync has failed, all later ones fail.
+// Store writes the snapshots and the log of a directory. Once a write or sync has failed, all later calls
+// fail.
 type Store struct {
 	slots   snapshotSlots
 	log     writeAheadLog
 	failure error
 }
 
-// Open returns a store and what its directory holds: the newest snapshot and the records behind it. The
-// snapshot is nil if the directory never completed its first one. A torn tail of the log is removed from
-// the disk before Open returns. An error has the code DiskCorrupt if durable data went bad, and DiskFault
-// if the disk failed.
+// Open returns a store, the newest snapshot of its directory, and the records that were written after the
+// snapshot. The snapshot is nil if the first one was never completed. Open durably removes a torn tail of
+// the log before it returns. An error has the code DiskCorrupt if durable data is corrupt, and DiskFault if
+// the disk failed.
 func Open(directory Directory) (store *Store, snapshot []byte, records [][]byte, err error) {
 	slots, snapshot, err := openSlots(directory)
 	if err != nil {
@@ -35,45 +36,46 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	found := parseLog(body, slots.generation)
-	if cause := inconsistency(found, slots.generation, snapshot != nil); cause != nil {
+	parsed := parseLog(body, slots.generation)
+	if cause := inconsistency(parsed, slots.generation, snapshot != nil); cause != nil {
 		return nil, nil, nil, errcode.Wrap("storage.open", errcode.DiskCorrupt, cause)
 	}
 	if snapshot == nil {
 		return store, nil, nil, nil
 	}
-	if found.state == logNotBegun || found.format.generation < slots.generation {
-		// The snapshot includes what an older log holds.
+	if parsed.state == logUninitialized || parsed.format.generation < slots.generation {
+		// The snapshot includes the records of a log of an older generation.
 		if err := store.resetLog(); err != nil {
 			return nil, nil, nil, err
 		}
 		return store, snapshot, nil, nil
 	}
-	store.log.format = found.format
-	if found.intact != len(body) {
-		if err := store.log.truncate(int64(found.intact)); err != nil {
+	store.log.format = parsed.format
+	if parsed.intactBytes != len(body) {
+		if err := store.log.truncate(int64(parsed.intactBytes)); err != nil {
 			return nil, nil, nil, store.fail(err)
 		}
 	}
-	return store, snapshot, found.records, nil
+	return store, snapshot, parsed.records, nil
 }
 
-// inconsistency returns why the files of a directory cannot be what a crash left, nil if they can.
-func inconsistency(log parsedLog, newest uint64, hasSnapshot bool) error {
+// inconsistency returns an error if the files of a directory cannot be the result of a crash, or nil if
+// they can.
+func inconsistency(parsed parsedLog, newestGeneration uint64, hasSnapshot bool) error {
 	switch {
-	case log.state == logCorrupt:
+	case parsed.state == logCorrupt:
 		return errCorruptFrame
-	case log.state != logReadable:
+	case parsed.state != logReadable:
 		return nil
 	case !hasSnapshot:
 		return errLogWithoutSlot
-	case log.format.generation > newest:
+	case parsed.format.generation > newestGeneration:
 		return errNewestSlotUnreadable
 	}
 	return nil
 }
 
-// Append writes records behind the log. They are durable together once it returns without an error.
+// Append appends records to the log. All of them are durable if it returns without an error.
 func (s *Store) Append(records [][]byte) error {
 	if s.failure != nil {
 		return s.failure
@@ -87,8 +89,8 @@
 	return nil
 }
 
-// Compact replaces snapshot and log by a new snapshot, which is durable once it returns without an error.
-// A crash in between leaves either the old state or the new one.
+// Compact replaces the snapshot and the log by a new snapshot, which is durable if it returns without an
+// error. A crash during the call leaves either the old or the new state.
 func (s *Store) Compact(snapshot []byte) error {
 	if s.failure != nil {
 		return s.failure
@@ -99,7 +101,7 @@
 	return s.resetLog()
 }
 
-// resetLog empties the log and binds it to the newest snapshot.
+// resetLog empties the log and sets its generation to that of the newest snapshot.
 func (s *Store) resetLog() error {
 	if err := s.log.reset(s.slots.generation); err != nil {
 		return s.fail(err)
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// fail makes the store fail from now on.
+// fail records the error that all later calls return.
 func (s *Store) fail(cause error) error {
 	s.failure = errcode.Wrap("storage.write", errcode.DiskFault, cause)
 	return s.failure
--- a/internal/storage/wal.go
+++ b/internal/storage/wal.go
@@ -7,15 +7,16 @@
 	"beaconvane/internal/errcode"
 )
 
+// logName is the file name of the write-ahead log.
 const logName = "log"
 
-// writeAheadLog is the file of the records behind the newest snapshot.
+// writeAheadLog is the file with the records that were written after the newest snapshot.
 type writeAheadLog struct {
 	directory Directory
 	format    frameFormat
 }
 
-// read returns the file's content, nil if there is none.
+// read returns the file's content, or nil if the file doesn't exist.
 func (l *writeAheadLog) read() ([]byte, error) {
 	body, err := l.directory.Read(logName)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -24,7 +25,7 @@
 	return body, nil
 }
 
-// append makes records durable as one frame behind the others.
+// append durably appends records as one frame.
 func (l *writeAheadLog) append(records [][]byte) error {
 	if err := l.directory.Append(logName, l.format.encodeFrame(records)); err != nil {
 		return err
@@ -32,7 +33,7 @@
 	return l.directory.Sync(logName)
 }
 
-// truncate removes a torn tail durably, so that later frames don't stand behind it.
+// truncate durably removes a torn tail, so that later frames directly follow intact ones.
 func (l *writeAheadLog) truncate(size int64) error {
 	if err := l.directory.Truncate(logName, size); err != nil {
 		return err
@@ -40,7 +41,7 @@
 	return l.directory.Sync(logName)
 }
 
-// reset makes the log durably empty, for the records behind the snapshot of a generation.
+// reset durably empties the log and sets its generation.
 func (l *writeAheadLog) reset(generation uint64) error {
 	l.format = currentFormat(generation)
 	return replaceDurably(l.directory, logName, encodeLogHeader(generation))
--- a/internal/storage/wal_recovery.go
+++ b/internal/storage/wal_recovery.go
@@ -1,106 +1,109 @@
 package storage
 
-// sectorBytes is what a disk writes at once.
+// sectorBytes is the size of the unit that a disk writes at once.
 const sectorBytes = 512
 
-// logState is what the file of a log is found to be.
+// logState is the condition in which recovery finds the log file.
 type logState int
 
 const (
-	logNotBegun logState = iota // a crash came while the log was emptied or made: it holds nothing
-	logReadable                 // intact, but for a tail that may be torn
-	logCorrupt                  // durable data went bad
+	logUninitialized logState = iota // missing, or left without records by a crash during a reset
+	logReadable                      // intact except for a tail that may be torn
+	logCorrupt                       // durable data is corrupt
 )
 
-// parsedLog is what the file of a log holds.
+// parsedLog is the decoded content of a log file.
 type parsedLog struct {
-	state   logState
-	format  frameFormat
-	records [][]byte
-	intact  int // bytes of the file, from its beginning
+	state       logState
+	format      frameFormat
+	records     [][]byte
+	intactBytes int // length of the header and the intact frames that follow it
 }
 
-// parseLog reads a log, given the generation of the newest slot.
-func parseLog(body []byte, newest uint64) parsedLog {
+// parseLog decodes a log. newestGeneration is the generation of the newest slot.
+func parseLog(body []byte, newestGeneration uint64) parsedLog {
 	if len(body) < logHeaderBytes || allZero(body) {
-		return parsedLog{state: logNotBegun}
+		return parsedLog{state: logUninitialized}
 	}
 	format, intact := parseLogHeader(body)
 	if !intact {
-		return parsedLog{state: stateWithoutHeader(body, newest)}
+		return parsedLog{state: headerlessLogState(body, newestGeneration)}
 	}
-	log := parsedLog{state: logReadable, format: format, records: [][]byte{}, intact: logHeaderBytes}
-	for log.intact < len(body) {
-		records, size, intact := format.parseFrame(body[log.intact:])
+	parsed := parsedLog{state: logReadable, format: format, records: [][]byte{}, intactBytes: logHeaderBytes}
+	for parsed.intactBytes < len(body) {
+		records, size, intact := format.parseFrame(body[parsed.intactBytes:])
 		if !intact {
-			if !format.mayEndAt(body, log.intact, size) {
-				log.state = logCorrupt
+			if !format.isUncommittedTail(body, parsed.intactBytes, size) {
+				parsed.state = logCorrupt
 			}
-			return log
+			return parsed
 		}
-		log.records = append(log.records, records...)
-		log.intact += size
+		parsed.records = append(parsed.records, records...)
+		parsed.intactBytes += size
 	}
-	return log
+	return parsed
 }
 
-// stateWithoutHeader judges a log whose header is bad. A header is written once the slot of its
-// generation is durable, and frames follow once the header is: without a frame of the newest generation
-// there is nothing in the file that the slot lacks.
-func stateWithoutHeader(body []byte, newest uint64) logState {
-	for _, format := range []frameFormat{currentFormat(newest), currentFormat(newest + 1), {number: oldestLogFormat}} {
-		if format.holdsFrame(body) {
+// headerlessLogState returns the state of a log whose header is not intact. A header is written once the
+// slot of its generation is durable, and frames once the header is durable. A file without a frame of the
+// newest generation therefore contains nothing that the slot lacks. A frame of the next generation means
+// that the newest slot is unreadable, and frames of the oldest format carry no generation: both count as
+// corrupt.
+func headerlessLogState(body []byte, newestGeneration uint64) logState {
+	for _, format := range []frameFormat{currentFormat(newestGeneration), currentFormat(newestGeneration + 1), {version: oldestLogFormat}} {
+		if format.containsFrame(body) {
 			return logCorrupt
 		}
 	}
-	return logNotBegun
+	return logUninitialized
 }
 
-// mayEndAt reports whether the log may end before the bad frame at an offset: the frame is the last one
-// and is what a crash leaves, or it is of the log that was replaced by this one.
-func (f frameFormat) mayEndAt(body []byte, at, size int) bool {
-	if f.holdsFrame(body[at+1:]) {
+// isUncommittedTail reports whether the log can be cut before the bad frame at an offset: no intact frame
+// follows, and the frame is torn or belongs to the log that this one replaced.
+func (f frameFormat) isUncommittedTail(body []byte, offset, frameBytes int) bool {
+	if f.containsFrame(body[offset+1:]) {
 		return false
 	}
-	return f.stale(body[at:]) || f.torn(body, at, size)
+	return f.isStale(body[offset:]) || f.isTorn(body, offset, frameBytes)
 }
 
-// stale reports whether the frame at the beginning of some bytes is of the generation before.
-func (f frameFormat) stale(rest []byte) bool {
-	if !f.bound() {
+// isStale reports whether data begins with a frame of the previous generation.
+func (f frameFormat) isStale(data []byte) bool {
+	if !f.generationBound() {
 		return false
 	}
-	for _, earlier := range []frameFormat{currentFormat(f.generation - 1), {number: oldestLogFormat}} {
-		if _, _, intact := earlier.parseFrame(rest); intact {
+	for _, earlier := range []frameFormat{currentFormat(f.generation - 1), {version: oldestLogFormat}} {
+		if _, _, intact := earlier.parseFrame(data); intact {
 			return true
 		}
 	}
 	return false
 }
 
-// torn reports whether a bad frame is what a crash leaves: it lacks its end, or a sector of it, where the
-// disk wrote later ones before earlier ones.
-func (f frameFormat) torn(body []byte, at, size int) bool {
-	end := at + size
-	if size == 0 {
+// isTorn reports whether a crash can have left the bad frame at an offset: its end is missing, or its bytes
+// in some sector are all zero because the disk wrote later sectors before earlier ones.
+func (f frameFormat) isTorn(body []byte, offset, frameBytes int) bool {
+	end := offset + frameBytes
+	if frameBytes == 0 {
 		end = len(body)
 	}
-	if end > len(body) || len(body)-at < frameHeaderBytes {
+	if end > len(body) || len(body)-offset < frameHeaderBytes {
 		return true
 	}
-	if f.bound() && body[end-1] == 0 {
+	if f.generationBound() && body[end-1] == 0 {
 		return true
 	}
-	for from := at; from < end; {
-		to := min(end, (from/sectorBytes+1)*sectorBytes)
-		if allZero(body[from:to]) {
+	for chunkStart := offset; chunkStart < end; {
+		chunkEnd := min(end, (chunkStart/sectorBytes+1)*sectorBytes)
+		if allZero(body[chunkStart:chunkEnd]) {
 			return true
 		}
-		from = to
+		chunkStart = chunkEnd
 	}
 	return false
 }
 
+// allZero reports whether all bytes are zero.
 func allZero(body []byte) bool {
 	for _, value := range body {
 		if value != 0 {
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -6,26 +6,26 @@
 	"beaconvane/internal/statemachine"
 )
 
-// eventDiskFailed is the journal's event for the first write that failed.
+// eventDiskFailed is the journal event for the first failed write.
 const eventDiskFailed = "disk-failed"
 
-// SyncCallback is called when a write is durable, or with the failure that prevented it.
+// SyncCallback is called once a write is durable, with a nil failure, or has failed.
 type SyncCallback func(env *statemachine.Env, failure error)
 
-// Writer orders the writes of a state machine and calls back once each is durable. The machine's state in
-// memory runs ahead of the disk, so whatever other processes may rely on is sent only from a write's
-// callback. After one failed write no later one is reported as durable.
+// Writer issues the writes of a state machine and calls back once each is durable. The machine's state in
+// memory may be ahead of the disk, so messages on which other processes rely must be sent only from a
+// write's callback. After a failed write no later write is reported as durable.
 type Writer struct {
 	snapshot    func() []byte
-	callbacks   map[int64]SyncCallback // by request id of the write
+	callbacks   map[int64]SyncCallback // by request ID of the write
 	failure     error
-	logBytes    int // of the records behind the newest snapshot
+	logBytes    int // size of the records written after the newest snapshot
 	maxLogBytes int
 	hasSnapshot bool
 }
 
-// NewWriter returns a writer. snapshot returns the machine's whole state. It is written in place of a
-// record that would make the log longer than maxLogBytes, and first of all to an empty disk.
+// NewWriter returns a writer. snapshot returns the machine's complete state. A snapshot is written instead
+// of a record that would make the log longer than maxLogBytes, and as the first write to an empty disk.
 func NewWriter(maxLogBytes int, snapshot func() []byte, empty bool) *Writer {
 	return &Writer{
 		snapshot:    snapshot,
@@ -35,11 +35,11 @@
 	}
 }
 
-// Failure returns the error of the first write that failed; nil for none.
+// Failure returns the error of the first failed write, or nil if none has failed.
 func (w *Writer) Failure() error { return w.failure }
 
-// Persist writes a message to disk, as a record or within a snapshot: the machine's state must include it
-// already.
+// Persist writes a message to disk, as a record or as part of a snapshot. The machine's state must already
+// include its effect.
 func (w *Writer) Persist(env *statemachine.Env, record any, synced SyncCallback) {
 	if w.failure != nil {
 		synced(env, w.failure)
@@ -58,7 +58,7 @@
 	w.callbacks[env.Append(body)] = synced
 }
 
-// Compact writes a whole snapshot, which replaces the log.
+// Compact writes a snapshot that replaces the log.
 func (w *Writer) Compact(env *statemachine.Env, synced SyncCallback) {
 	if w.failure != nil {
 		synced(env, w.failure)
@@ -68,7 +68,7 @@
 	w.callbacks[env.Compact(w.snapshot())] = synced
 }
 
-// Synced takes the result of the write with a request id.
+// Synced processes the result of the write with a request ID.
 func (w *Writer) Synced(env *statemachine.Env, requestID int64, failure error) {
 	synced, found := w.callbacks[requestID]
 	if !found {
