--- a/internal/api/announcements.go
+++ b/internal/api/announcements.go
@@ -109,7 +109,7 @@
 	case message.StateReady:
 	case message.StateWarming:
 		announcement.Warming = true
-	case message.StateLeaving:
+	case message.StateDraining:
 		announcement.Leaving = true
 	default:
 		return announcement, errAnnouncedState
--- a/internal/backend/admission.go
+++ b/internal/backend/admission.go
@@ -33,8 +33,8 @@
 		return []Decision{refusal(forward, code)}
 	}
 	item := queuedRequest{forward: forward, deadline: now + time.Duration(forward.Remaining)}
-	if forward.TargetRemaining > 0 {
-		item.latencyTarget = now + time.Duration(forward.TargetRemaining)
+	if forward.LatencyTargetRemaining > 0 {
+		item.latencyTarget = now + time.Duration(forward.LatencyTargetRemaining)
 	}
 	b.record(forward.ID, &attemptRecord{updatedAt: item.deadline})
 	if registered.cannotMeetLatencyTarget(now, item) {
--- a/internal/backend/announcement.go
+++ b/internal/backend/announcement.go
@@ -23,7 +23,7 @@
 func (a Announcement) State() string {
 	switch {
 	case a.Leaving:
-		return message.StateLeaving
+		return message.StateDraining
 	case a.Warming:
 		return message.StateWarming
 	}
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -163,7 +163,7 @@
 	c := qt.New(t)
 	cfg := settings.Default()
 	serving := newServingProxy(c)
-	left := message.Registration{Service: "pay", Instance: "one", Incarnation: 5, State: message.StateLeaving}
+	left := message.Registration{Service: "pay", Instance: "one", Incarnation: 5, State: message.StateDraining}
 	c.Assert(codes(serving.HandleForward(cfg.ServingProxyTimeout(), forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
 	c.Assert(
 		codes(serving.HandleForward(cfg.ServingProxyTimeout()+1, forwardOf("b", "one", 5))),
--- a/internal/backend/cancel_test.go
+++ b/internal/backend/cancel_test.go
@@ -63,7 +63,7 @@
 }
 
 func repeatableOrNot(id string, once bool) message.Forward {
-	return message.Forward{ID: id, Name: id, Service: "pay", Instance: "one", Incarnation: 1, Method: http.MethodGet, Path: "/pay",
+	return message.Forward{ID: id, AttemptName: id, Service: "pay", Instance: "one", Incarnation: 1, Method: http.MethodGet, Path: "/pay",
 		Headers: []message.HeaderLine{}, Body: []byte{}, Remaining: int64(time.Hour), MaxResponseBytes: 1000, AtMostOnce: once}
 }
 
--- a/internal/backend/matcher.go
+++ b/internal/backend/matcher.go
@@ -92,7 +92,7 @@
 // lacksName reports whether an answer names no request although every answer of this protocol does.
 func (m ResponseMatcher) lacksName(response *http.Response) bool {
 	namer, names := m.Protocol.(RequestNamer)
-	return names && m.Forward.Name != "" && namer.RequestName(response) == ""
+	return names && m.Forward.AttemptName != "" && namer.RequestName(response) == ""
 }
 
 // answeredOutcome is the upstream's whole answer, without the headers that end at this hop.
--- a/internal/backend/registration.go
+++ b/internal/backend/registration.go
@@ -156,6 +156,6 @@
 func (u *upstream) isNewlyLeaving(key string, registration message.Registration) bool {
 	return registration.Key() == key &&
 		registration.Incarnation == u.announcement.Incarnation &&
-		registration.State == message.StateLeaving &&
+		registration.State == message.StateDraining &&
 		!u.announcement.Leaving
 }
--- a/internal/backend/target_test.go
+++ b/internal/backend/target_test.go
@@ -32,7 +32,7 @@
 func (named) Interpret(answer *http.Response, forward message.Forward, _ Target) ResponseMetadata {
 	received := ResponseMetadata{}
 	switch name := answer.Header.Get("Name"); {
-	case name != "" && name != forward.Name:
+	case name != "" && name != forward.AttemptName:
 		received.OtherRequest = true
 	case answer.StatusCode == http.StatusMisdirectedRequest:
 		received.Refusal = errcode.BusyUpstreamGone
@@ -116,7 +116,7 @@
 	b.forwarded++
 	forward := message.Forward{
 		ID:               fmt.Sprint(name, b.forwarded),
-		Name:             name,
+		AttemptName:      name,
 		Service:          "pay",
 		Instance:         "one",
 		Incarnation:      1,
--- a/internal/configstore/catchup.go
+++ b/internal/configstore/catchup.go
@@ -43,8 +43,8 @@
 	return message.LogSnapshot{
 		Epoch:          epoch,
 		Voter:          m.quorum.Voter,
-		AtEpoch:        m.log.epoch,
-		AtSeq:          m.log.seq,
+		PositionEpoch:  m.log.epoch,
+		PositionSeq:    m.log.seq,
 		Configurations: m.encoder.encode(m.log.entries()),
 		History:        m.log.history.entries,
 	}
@@ -56,7 +56,7 @@
 	if snapshot.Epoch != m.leases.Epoch(settings.ConfigLogTag) {
 		return false
 	}
-	if !m.log.position().before(position{epoch: snapshot.AtEpoch, seq: snapshot.AtSeq}) {
+	if !m.log.position().before(position{epoch: snapshot.PositionEpoch, seq: snapshot.PositionSeq}) {
 		return false
 	}
 	switch m.leadership.phase {
@@ -81,8 +81,8 @@
 		return
 	}
 	m.log.replace(message.ConfigStoreState{
-		Epoch:          snapshot.AtEpoch,
-		Seq:            snapshot.AtSeq,
+		Epoch:          snapshot.PositionEpoch,
+		Seq:            snapshot.PositionSeq,
 		Configurations: entries,
 		History:        snapshot.History,
 	})
--- a/internal/configstore/differences.go
+++ b/internal/configstore/differences.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		request.Check = message.ContentCheck{Done: true, TooLarge: true, Faults: []string{"$: " + err.Error()}}
 	}
-	request.Body, request.Packed = body, false
+	request.Body, request.Compressed = body, false
 	return request
 }
 
@@ -136,14 +136,14 @@
 	base := m.appendBase(entry.ConfigName)
 	_, difference := m.encoder.difference(base.Body, entry.Body)
 	return message.LogAppendDelta{
-		Epoch:      entry.Epoch,
-		Seq:        entry.Seq,
-		Voter:      m.quorum.Voter,
-		ConfigName: entry.ConfigName,
-		Version:    entry.Version,
-		Base:       base.Version,
-		Difference: difference,
-		Digest:     contentDigest(entry.Body),
+		Epoch:       entry.Epoch,
+		Seq:         entry.Seq,
+		Voter:       m.quorum.Voter,
+		ConfigName:  entry.ConfigName,
+		Version:     entry.Version,
+		BaseVersion: base.Version,
+		Difference:  difference,
+		Digest:      contentDigest(entry.Body),
 	}
 }
 
@@ -151,7 +151,7 @@
 // the difference was made from.
 func (m *Machine) decodeAppend(encoded message.LogAppendDelta) (entry message.LogAppend, fits bool) {
 	base := m.appendBase(encoded.ConfigName)
-	if base.Version != encoded.Base {
+	if base.Version != encoded.BaseVersion {
 		return message.LogAppend{}, false
 	}
 	body, err := delta.Apply(base.Body, encoded.Difference, m.settings.Limits.Configuration)
--- a/internal/configstore/follower.go
+++ b/internal/configstore/follower.go
@@ -99,7 +99,7 @@
 		m.requestSnapshot(env, from)
 	case m.log.epoch == recommit.Epoch:
 		m.acknowledge(env, from)
-	case m.log.position() == position{recommit.AtEpoch, recommit.AtSeq, recommit.Hash}:
+	case m.log.position() == position{recommit.PositionEpoch, recommit.PositionSeq, recommit.Hash}:
 		m.log.recommit(recommit.Epoch)
 		reached := m.log.position()
 		m.Persist(env, recommit, func(env *statemachine.Env, failure error) {
@@ -115,5 +115,5 @@
 
 // lagsBehind reports whether the holder's log of this epoch goes on where this voter's ends.
 func (m *Machine) lagsBehind(recommit message.LogRecommit) bool {
-	return recommit.AtEpoch == recommit.Epoch && m.log.epoch == recommit.Epoch && m.log.seq < recommit.AtSeq
+	return recommit.PositionEpoch == recommit.Epoch && m.log.epoch == recommit.Epoch && m.log.seq < recommit.PositionSeq
 }
--- a/internal/configstore/leadership.go
+++ b/internal/configstore/leadership.go
@@ -87,12 +87,12 @@
 // recommitMessage asks a voter to take the log that ends at a position into this term.
 func (m *Machine) recommitMessage(at position) message.LogRecommit {
 	return message.LogRecommit{
-		Epoch:    m.leadership.term,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		AtEpoch:  at.epoch,
-		AtSeq:    at.seq,
-		Hash:     at.hash,
+		Epoch:         m.leadership.term,
+		Voter:         m.quorum.Voter,
+		Identity:      m.quorum.Signature(),
+		PositionEpoch: at.epoch,
+		PositionSeq:   at.seq,
+		Hash:          at.hash,
 	}
 }
 
--- a/internal/configstore/proposal.go
+++ b/internal/configstore/proposal.go
@@ -42,7 +42,7 @@
 		})
 		return
 	}
-	if request.Packed {
+	if request.Compressed {
 		request = decompressWrite(request, m.settings.Limits.Configuration)
 	}
 	m.writes = append(m.writes, pendingWrite{from, request, env.Now})
--- a/internal/configstore/responses.go
+++ b/internal/configstore/responses.go
@@ -54,7 +54,7 @@
 		response.Body = []byte{}
 	}
 	if len(response.Body) > compressAbove {
-		response.Body, response.Packed = m.encoder.compress(response.Body), true
+		response.Body, response.Compressed = m.encoder.compress(response.Body), true
 	}
 	if response.Versions == nil {
 		response.Versions = []int64{}
--- a/internal/configstore/takeover.go
+++ b/internal/configstore/takeover.go
@@ -42,12 +42,12 @@
 // positionResponse tells where this voter's log ends.
 func (m *Machine) positionResponse(epoch int64, at position) message.LogPositionResponse {
 	return message.LogPositionResponse{
-		Epoch:    epoch,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		AtEpoch:  at.epoch,
-		AtSeq:    at.seq,
-		Hash:     at.hash,
+		Epoch:         epoch,
+		Voter:         m.quorum.Voter,
+		Identity:      m.quorum.Signature(),
+		PositionEpoch: at.epoch,
+		PositionSeq:   at.seq,
+		Hash:          at.hash,
 	}
 }
 
@@ -88,7 +88,7 @@
 
 // endOf returns the place that a position response tells; hashes don't order positions.
 func endOf(response message.LogPositionResponse) position {
-	return position{epoch: response.AtEpoch, seq: response.AtSeq}
+	return position{epoch: response.PositionEpoch, seq: response.PositionSeq}
 }
 
 // fetchFromSource asks the source for its log.
@@ -136,7 +136,7 @@
 func (m *Machine) beginServing(env *statemachine.Env) {
 	m.leadership.phase = serving
 	source := m.leadership.takeover.source
-	cause := fmt.Sprintf("after (%d,%d) of %s", source.AtEpoch, source.AtSeq, source.Voter)
+	cause := fmt.Sprintf("after (%d,%d) of %s", source.PositionEpoch, source.PositionSeq, source.Voter)
 	env.Event(eventServing, 0, m.leadership.term, cause)
 	for _, configName := range m.log.configNames() {
 		m.publish(env, configName)
--- a/internal/distribution/download.go
+++ b/internal/distribution/download.go
@@ -45,13 +45,13 @@
 func (d *Distribution) downloadFor(item message.UpdateItem) *download {
 	topic := item.Position.Topic
 	current, running := d.downloads[topic]
-	if running && current.position.Same(item.Position) {
+	if running && current.position.SameContent(item.Position) {
 		return current
 	}
 	if item.Offset != 0 {
 		return nil
 	}
-	d.downloads[topic] = &download{position: item.Position, total: item.Total}
+	d.downloads[topic] = &download{position: item.Position, total: item.SnapshotBytes}
 	return d.downloads[topic]
 }
 
@@ -70,11 +70,11 @@
 func (d *Distribution) requestPart(env *statemachine.Env, topic string, current *download) {
 	self := d.membership.Self()
 	env.Send(d.parent.address, message.UpdatesRequest{
-		Round:     partRound,
-		Child:     self.Name,
-		Role:      self.Role,
-		Positions: []message.Position{current.position},
-		PartOf:    topic,
-		Part:      int64(len(current.received)),
+		Round:          partRound,
+		Child:          self.Name,
+		Role:           self.Role,
+		Positions:      []message.Position{current.position},
+		SnapshotTopic:  topic,
+		SnapshotOffset: int64(len(current.received)),
 	})
 }
--- a/internal/distribution/history.go
+++ b/internal/distribution/history.go
@@ -34,7 +34,7 @@
 // history does not reach back to that version.
 func (h *versionHistory) since(from message.Position) ([]message.ConfigurationPatch, bool) {
 	for index, patch := range h.patches {
-		if patch.From.Same(from) {
+		if patch.From.SameContent(from) {
 			return h.patches[index:len(h.patches):len(h.patches)], true
 		}
 	}
--- a/internal/distribution/response.go
+++ b/internal/distribution/response.go
@@ -22,7 +22,7 @@
 		}
 		return
 	}
-	if slices.Contains(response.Path, d.membership.Self().Name) {
+	if slices.Contains(response.RelayPath, d.membership.Self().Name) {
 		d.leaveParent(env, leftForLoop, d.settings.Reparent())
 		d.nextRequestAt = env.Now
 		return
@@ -94,7 +94,7 @@
 	backOff := d.settings.Reparent() * backOffReparents
 	// A member that was full, or can't be reached from here, is a good way to others; a stale one
 	// makes every way from it stale.
-	if slices.ContainsFunc(response.Path, d.selection.isStale) {
+	if slices.ContainsFunc(response.RelayPath, d.selection.isStale) {
 		d.dropParent(env.Now, backOff)
 		d.nextRequestAt = env.Now
 		return true
@@ -121,7 +121,7 @@
 		if !found || !state.known || !IsConfiguration(item.Position.Topic) {
 			continue
 		}
-		if !item.Known || item.Position.Before(state.position()) {
+		if !item.HasContent || item.Position.Before(state.position()) {
 			return true
 		}
 	}
@@ -159,20 +159,20 @@
 	d.selection.unanswered = 0
 	d.requests.acknowledge(response.Round)
 	if !d.parent.answered() {
-		env.Event("relay-joined", 0, 0, strings.Join(response.Path, ">"))
+		env.Event("relay-joined", 0, 0, strings.Join(response.RelayPath, ">"))
 		d.selection.leftStale = false
 	}
-	d.parent.path = response.Path
+	d.parent.path = response.RelayPath
 }
 
 // apply takes what a response says of a topic. Answers to requests tell the age; what is pushed, or
 // comes in parts, does not.
 func (d *Distribution) apply(env *statemachine.Env, item message.UpdateItem, sentAt time.Duration, isAnswer bool) {
 	state := d.topic(item.Position.Topic)
-	if !item.Known {
+	if !item.HasContent {
 		return
 	}
-	if item.Snapshot && state.position().Same(item.Position) {
+	if item.Snapshot && state.position().SameContent(item.Position) {
 		state.mismatched = false
 	}
 	moved := d.applyContent(env, state, item)
@@ -213,7 +213,7 @@
 	if !t.known || t.position().Before(position) {
 		return true
 	}
-	return t.slice != nil && !position.Before(t.position()) && !position.Same(t.position())
+	return t.slice != nil && !position.Before(t.position()) && !position.SameContent(t.position())
 }
 
 // isInitial reports whether a position is that of a slice without any change.
--- a/internal/distribution/roster_slice.go
+++ b/internal/distribution/roster_slice.go
@@ -51,7 +51,7 @@
 	s.set(change.Registration, change.Removed)
 	s.Position.Seq++
 	s.keep(change)
-	return s.Position.Same(change.Position)
+	return s.Position.SameContent(change.Position)
 }
 
 // Replace replaces the content by a snapshot's.
--- a/internal/distribution/serve.go
+++ b/internal/distribution/serve.go
@@ -31,7 +31,7 @@
 		env.Send(from, message.UpdatesResponse{
 			Round:        request.Round,
 			Parent:       d.membership.Self().Name,
-			Path:         []string{},
+			RelayPath:    []string{},
 			Refused:      true,
 			Reason:       refused.reason,
 			Alternatives: refused.alternatives,
@@ -39,7 +39,7 @@
 		})
 		return
 	}
-	if request.PartOf != "" {
+	if request.SnapshotTopic != "" {
 		d.sendPart(env, from, request)
 		return
 	}
@@ -89,12 +89,12 @@
 // sendPart sends the part of a snapshot that a child asks for; its first part where the content has
 // changed since.
 func (d *Distribution) sendPart(env *statemachine.Env, from string, request message.UpdatesRequest) {
-	state, found := d.topics[request.PartOf]
+	state, found := d.topics[request.SnapshotTopic]
 	if !found || !state.known || len(request.Positions) != 1 {
 		return
 	}
-	offset := request.Part
-	if !state.position().Same(request.Positions[0]) {
+	offset := request.SnapshotOffset
+	if !state.position().SameContent(request.Positions[0]) {
 		offset = 0
 	}
 	d.send(env, from, partRound, d.answerPath(), []message.UpdateItem{d.snapshotItem(state, offset)})
@@ -126,7 +126,7 @@
 	env.Send(to, message.UpdatesResponse{
 		Round:        round,
 		Parent:       d.membership.Self().Name,
-		Path:         path,
+		RelayPath:    path,
 		Alternatives: []string{},
 		Items:        items,
 	})
--- a/internal/distribution/subscribers.go
+++ b/internal/distribution/subscribers.go
@@ -38,7 +38,7 @@
 		return true
 	}
 	last, sent := s.deliveries[item.Position.Topic]
-	if sent && last.position.Same(item.Position) && now-last.at < resendAfter {
+	if sent && last.position.SameContent(item.Position) && now-last.at < resendAfter {
 		return false
 	}
 	s.deliveries[item.Position.Topic] = delivery{item.Position, now}
--- a/internal/distribution/topic.go
+++ b/internal/distribution/topic.go
@@ -87,11 +87,11 @@
 func (t *topicState) applyPatches(patches []message.ConfigurationPatch, sizeLimit int64) bool {
 	moved := false
 	for _, patch := range patches {
-		if !patch.From.Same(t.current) {
+		if !patch.From.SameContent(t.current) {
 			continue
 		}
 		body, err := delta.Apply(t.body, patch.Difference, sizeLimit)
-		if err != nil || !configurationPosition(patch.To.Topic, patch.To.Seq, body).Same(patch.To) {
+		if err != nil || !configurationPosition(patch.To.Topic, patch.To.Seq, body).SameContent(patch.To) {
 			t.mismatched = true
 			return moved
 		}
@@ -118,7 +118,7 @@
 func (t *topicState) applySnapshot(position message.Position, encoded []byte, sizeLimit int64) bool {
 	if t.slice == nil {
 		body, err := delta.Apply(nil, encoded, sizeLimit)
-		if err != nil || !configurationPosition(position.Topic, position.Seq, body).Same(position) {
+		if err != nil || !configurationPosition(position.Topic, position.Seq, body).SameContent(position) {
 			return false
 		}
 		t.setConfiguration(position, body)
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -100,7 +100,7 @@
 func (tree *testTree) answer(parent string, request message.UpdatesRequest) {
 	if tree.full[parent] && !request.LastResort {
 		tree.distribution.Handle(tree.env, parent, message.UpdatesResponse{
-			Round: request.Round, Parent: parent, Path: []string{}, Refused: true, Reason: message.RefusedFull, Alternatives: []string{},
+			Round: request.Round, Parent: parent, RelayPath: []string{}, Refused: true, Reason: message.RefusedFull, Alternatives: []string{},
 		})
 		return
 	}
@@ -111,7 +111,7 @@
 
 // testResponse is an answer of the last member of a path.
 func testResponse(round int64, path []string, items ...message.UpdateItem) message.UpdatesResponse {
-	return message.UpdatesResponse{Round: round, Parent: path[len(path)-1], Path: path, Alternatives: []string{}, Items: items}
+	return message.UpdatesResponse{Round: round, Parent: path[len(path)-1], RelayPath: path, Alternatives: []string{}, Items: items}
 }
 
 // configurationItem is a version of the configuration as a snapshot that is known current.
@@ -119,8 +119,8 @@
 	body := []byte(testBody)
 	packed := delta.Encode(nil, body)
 	return message.UpdateItem{
-		Position: configurationPosition(ConfigurationTopic("main"), version, body),
-		Known:    true, Snapshot: true, Body: packed, Total: int64(len(packed)),
+		Position:   configurationPosition(ConfigurationTopic("main"), version, body),
+		HasContent: true, Snapshot: true, Body: packed, SnapshotBytes: int64(len(packed)),
 	}
 }
 
--- a/internal/distribution/update_item.go
+++ b/internal/distribution/update_item.go
@@ -23,11 +23,11 @@
 	if !state.known {
 		return item
 	}
-	item.Known, item.Position = true, state.position()
+	item.HasContent, item.Position = true, state.position()
 	if state.fresh() {
 		item.Age = int64(now - state.freshAt)
 	}
-	if item.Position.Same(position) || item.Position.Before(position) || state.addDifference(&item, position) {
+	if item.Position.SameContent(position) || item.Position.Before(position) || state.addDifference(&item, position) {
 		return item
 	}
 	snapshot := d.snapshotItem(state, 0)
@@ -61,19 +61,19 @@
 	body := state.snapshot()
 	end := min(int64(len(body)), offset+int64(d.partBytes))
 	return message.UpdateItem{
-		Position: state.position(),
-		Age:      unknownAge,
-		Known:    true,
-		Snapshot: true,
-		Body:     body[min(offset, end):end],
-		Total:    int64(len(body)),
-		Offset:   offset,
-		Changes:  []message.RosterChange{},
-		Patches:  []message.ConfigurationPatch{},
+		Position:      state.position(),
+		Age:           unknownAge,
+		HasContent:    true,
+		Snapshot:      true,
+		Body:          body[min(offset, end):end],
+		SnapshotBytes: int64(len(body)),
+		Offset:        offset,
+		Changes:       []message.RosterChange{},
+		Patches:       []message.ConfigurationPatch{},
 	}
 }
 
 // isComplete reports whether an item holds the whole body of a snapshot, not a part.
 func isComplete(item message.UpdateItem) bool {
-	return item.Offset == 0 && item.Total == int64(len(item.Body))
+	return item.Offset == 0 && item.SnapshotBytes == int64(len(item.Body))
 }
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -159,11 +159,11 @@
 		Proxy:           x.name,
 		StartTime:       1,
 		Ready:           true,
-		Window:          window,
+		CurrentWindow:   window,
 		Heartbeats:      []message.Heartbeat{},
 		Deregistrations: []message.Deregistration{},
 		Positions:       []message.Position{},
-		Path:            []string{},
+		RelayPath:       []string{},
 	}
 	for _, upstream := range x.upstreams {
 		if upstream.there {
@@ -179,18 +179,18 @@
 // usage tells the counts of the windows that are not sealed; like a real proxy it names the
 // closed ones only in updates that hold them.
 func (x *fleetProxy) usage(current int64) message.UsageUpdate {
-	update := message.UsageUpdate{Proxy: x.name, StartTime: 1, Number: x.number, Counts: []message.UsageCount{}, Closed: current}
+	update := message.UsageUpdate{Proxy: x.name, StartTime: 1, Sequence: x.number, Counts: []message.UsageCount{}, ClosedBelow: current}
 	if x.number%wholeUpdates != 0 {
-		update.Closed = 0
+		update.ClosedBelow = 0
 	}
 	for _, window := range slices.Sorted(maps.Keys(x.counts)) {
-		if window < x.sealed || update.Closed == 0 && window < current {
+		if window < x.sealed || update.ClosedBelow == 0 && window < current {
 			continue
 		}
 		update.Counts = append(update.Counts, message.UsageCount{
-			Window: window,
-			Counts: map[string]int64{fleetTenant: x.counts[window]},
-			Open:   map[string]int64{},
+			Window:   window,
+			Counts:   map[string]int64{fleetTenant: x.counts[window]},
+			InFlight: map[string]int64{},
 		})
 	}
 	return update
@@ -209,7 +209,7 @@
 		case message.ProbeRequest:
 			proxy.probe(received)
 		case message.HeartbeatResponse:
-			proxy.sealed = max(proxy.sealed, received.Sealed)
+			proxy.sealed = max(proxy.sealed, received.SealedBelow)
 		}
 		return true
 	}
@@ -237,7 +237,7 @@
 		upstream.registration.Incarnation++
 		upstream.registration.State = message.StateReady
 	case upstream.registration.State == message.StateReady:
-		upstream.registration.State = message.StateLeaving
+		upstream.registration.State = message.StateDraining
 	default:
 		upstream.there = false
 	}
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -38,14 +38,14 @@
 		Body:                  request.Body,
 		MaxResponseBytes:      f.settings.Limits.Answer,
 		Host:                  request.Host,
-		Name:                  request.AttemptName,
+		AttemptName:           request.AttemptName,
 		Priority:              request.Priority,
 		AtMostOnce:            request.Route.AtMostOnce,
 		Retried:               request.UpstreamAttempts > 0,
 		Remaining:             int64(remaining - reserve),
 	}
 	if request.Route.LatencyTarget > 0 && !request.nested() {
-		forward.TargetRemaining = max(int64(request.ArrivedAt+request.Route.LatencyTarget-now), 1)
+		forward.LatencyTargetRemaining = max(int64(request.ArrivedAt+request.Route.LatencyTarget-now), 1)
 	}
 	if forward.Body == nil {
 		forward.Body = []byte{}
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -194,7 +194,7 @@
 type modelNamer struct{}
 
 func (modelNamer) SetHeaders(header http.Header, forward message.Forward, _ backend.Target, _ time.Duration) {
-	header.Set("Name", forward.Name)
+	header.Set("Name", forward.AttemptName)
 	header.Set("For", forward.Instance)
 }
 
@@ -203,7 +203,7 @@
 func (m modelNamer) Interpret(answer *http.Response, forward message.Forward, _ backend.Target) backend.ResponseMetadata {
 	received := backend.ResponseMetadata{}
 	switch name := m.RequestName(answer); {
-	case name != "" && name != forward.Name:
+	case name != "" && name != forward.AttemptName:
 		received.OtherRequest = true
 	case answer.StatusCode == http.StatusMisdirectedRequest:
 		received.Refusal = errcode.BusyUpstreamGone
--- a/internal/frontend/registration_test.go
+++ b/internal/frontend/registration_test.go
@@ -132,7 +132,7 @@
 		wanted   []string
 	}{
 		"an earlier life's": {settings.ProofTarget, 0, beside("old", "up:1", message.StateReady, 6), []string{"old ready"}},
-		"one that leaves":   {settings.ProofTarget, 0, beside("old", "up:1", message.StateLeaving, 6), []string{"old leaving"}},
+		"one that leaves":   {settings.ProofTarget, 0, beside("old", "up:1", message.StateDraining, 6), []string{"old leaving"}},
 		"this life's":       {settings.ProofTarget, 0, beside("old", "up:1", message.StateReady, 7), []string{}},
 		"another home's":    {settings.ProofTarget, 0, other, []string{}},
 		"late": {
--- a/internal/frontend/saturation_test.go
+++ b/internal/frontend/saturation_test.go
@@ -116,6 +116,6 @@
 		c.Assert(f.admit(old, time.Now(), request), qt.IsNil)
 		c.Assert(f.selectUpstream(old, request, random), qt.IsNil)
 	}
-	c.Assert(f.forwardFrame(old, nested, "proxy/me", "1").TargetRemaining, qt.Equals, int64(0))
-	c.Assert(f.forwardFrame(old, own, "proxy/me", "1").TargetRemaining > 0, qt.IsTrue)
+	c.Assert(f.forwardFrame(old, nested, "proxy/me", "1").LatencyTargetRemaining, qt.Equals, int64(0))
+	c.Assert(f.forwardFrame(old, own, "proxy/me", "1").LatencyTargetRemaining > 0, qt.IsTrue)
 }
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -95,9 +95,9 @@
 			delete(f.usage, window)
 			continue
 		}
-		report := message.UsageCount{Window: window, Counts: maps.Clone(counts), Open: map[string]int64{}}
+		report := message.UsageCount{Window: window, Counts: maps.Clone(counts), InFlight: map[string]int64{}}
 		if window == closed {
-			report.Open = maps.Clone(f.openRequests)
+			report.InFlight = maps.Clone(f.openRequests)
 		}
 		usage = append(usage, report)
 	}
--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -24,7 +24,7 @@
 
 func newAcceptorState(tagName string) acceptorState {
 	return acceptorState{
-		vote:       message.Vote{Tag: tagName},
+		vote:       message.Vote{LeaseName: tagName},
 		voteSynced: true,
 		heldUntil:  map[string]time.Duration{},
 	}
@@ -80,7 +80,7 @@
 
 // handleRequest answers a candidate or a holder; from is empty when the request is this voter's own.
 func (m *Manager) handleRequest(env *statemachine.Env, from string, request message.LeaseRequest) {
-	tag, known := m.tags[request.Tag]
+	tag, known := m.tags[request.LeaseName]
 	if !known {
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 	answer := message.LeaseVote{
 		Group:        request.Group,
-		Tag:          request.Tag,
+		LeaseName:    request.LeaseName,
 		Epoch:        request.Epoch,
 		Round:        request.Round,
 		Voter:        m.quorum.Voter,
@@ -100,7 +100,7 @@
 	decided := decide(tag, request, decisionInputs{
 		now:      env.Now,
 		accepted: m.quorum.Accepts(request.Voter, request.Identity),
-		precedes: m.precedes(request.Tag, request.Voter),
+		precedes: m.precedes(request.LeaseName, request.Voter),
 		coolDown: m.settings.HolderRest(),
 	})
 	switch decided.action {
--- a/internal/lease/decision_test.go
+++ b/internal/lease/decision_test.go
@@ -20,7 +20,7 @@
 // votedTag is a tag whose acceptor has voted for voter 1 in epoch 7, with no promise left.
 func votedTag(name string) *tagState {
 	tag := newTagState(name)
-	tag.acceptor.vote = message.Vote{Tag: name, Epoch: 7, Holder: "1", Identity: "disk of 1"}
+	tag.acceptor.vote = message.Vote{LeaseName: name, Epoch: 7, Holder: "1", Identity: "disk of 1"}
 	return tag
 }
 
@@ -162,7 +162,7 @@
 			if example.tag != "" {
 				tagName = example.tag
 			}
-			request := message.LeaseRequest{Tag: tagName, Epoch: 8, Voter: "2", Identity: "disk of 2"}
+			request := message.LeaseRequest{LeaseName: tagName, Epoch: 8, Voter: "2", Identity: "disk of 2"}
 			inputs := decisionInputs{now: testNow, accepted: true, coolDown: testCoolDown}
 			tag, untouched := votedTag(tagName), votedTag(tagName)
 			if example.change != nil {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -89,7 +89,7 @@
 // one with the higher epoch counts.
 func (m *Manager) Restore(votes []message.Vote) {
 	for _, vote := range votes {
-		tag, known := m.tags[vote.Tag]
+		tag, known := m.tags[vote.LeaseName]
 		if known && tag.acceptor.restore(vote) {
 			tag.candidate.heldBefore = vote.Holder == m.quorum.Voter
 		}
--- a/internal/lease/refusals_golden_test.go
+++ b/internal/lease/refusals_golden_test.go
@@ -32,7 +32,7 @@
 // requestOf is a request of one of the voters.
 func requestOf(asking *voter, leaseTag string, epoch int64) message.LeaseRequest {
 	return message.LeaseRequest{
-		Group: "config-log", Tag: leaseTag, Epoch: epoch, Voter: asking.name, Identity: asking.quorum.Signature(),
+		Group: "config-log", LeaseName: leaseTag, Epoch: epoch, Voter: asking.name, Identity: asking.quorum.Signature(),
 	}
 }
 
@@ -82,8 +82,8 @@
 		{"handed over to another", configTag, func(c *qt.C, g *group) string {
 			asked, holder := g.others()[0], g.at("a"+g.holder())
 			asked.leases.Handle(asked.env, holder.address, message.LeaseYield{
-				Group: "config-log", Tag: configTag, Epoch: asked.leases.Epoch(configTag),
-				Voter: holder.name, Identity: holder.quorum.Signature(), To: asked.name,
+				Group: "config-log", LeaseName: configTag, Epoch: asked.leases.Epoch(configTag),
+				Voter: holder.name, Identity: holder.quorum.Signature(), Successor: asked.name,
 			})
 			return refusalOf(c, asked, requestOf(g.others()[1], configTag, epoch))
 		}},
@@ -100,7 +100,7 @@
 				asked = g.others()[1]
 			}
 			asked.leases.Handle(asked.env, second.address, message.LeaseYield{
-				Group: "config-log", Tag: settings.UsageTag, Epoch: asked.leases.Epoch(settings.UsageTag),
+				Group: "config-log", LeaseName: settings.UsageTag, Epoch: asked.leases.Epoch(settings.UsageTag),
 				Voter: second.name, Identity: second.quorum.Signature(),
 			})
 			return refusalOf(c, asked, requestOf(first, settings.UsageTag, epoch))
@@ -142,7 +142,7 @@
 			holder, other := g.at("a"+g.holder()), g.others()[0]
 			epoch := holder.leases.Epoch(configTag)
 			holder.leases.Handle(holder.env, other.address, message.LeaseVote{
-				Group: "config-log", Tag: configTag, Epoch: epoch, Voter: other.name, Identity: other.quorum.Signature(),
+				Group: "config-log", LeaseName: configTag, Epoch: epoch, Voter: other.name, Identity: other.quorum.Signature(),
 				HighestEpoch: epoch, Reason: reason,
 			})
 			c.Assert(holder.leases.Holding(configTag, holder.env.Now), qt.Equals, !raises)
@@ -171,7 +171,7 @@
 
 	asked := g.at("a3")
 	asked.votes = []message.Vote{{
-		Tag: settings.UsageTag, Epoch: 50, Holder: "3", Identity: asked.state.Identity, PreviousHolder: "2", RecentHolders: "1,2",
+		LeaseName: settings.UsageTag, Epoch: 50, Holder: "3", Identity: asked.state.Identity, PreviousHolder: "2", RecentHolders: "1,2",
 	}}
 	asked.boot()
 	g.at("a1").up, g.at("a2").up = false, false
--- a/internal/lease/round.go
+++ b/internal/lease/round.go
@@ -28,13 +28,13 @@
 	}
 	tag.holder.renewAt = env.Now + m.settings.RenewEvery()
 	request := message.LeaseRequest{
-		Group:    m.quorum.Group,
-		Tag:      tag.name,
-		Epoch:    tag.candidate.epoch,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		Round:    m.lastRound,
-		PreVote:  tag.candidate.preVote,
+		Group:     m.quorum.Group,
+		LeaseName: tag.name,
+		Epoch:     tag.candidate.epoch,
+		Voter:     m.quorum.Voter,
+		Identity:  m.quorum.Signature(),
+		Round:     m.lastRound,
+		PreVote:   tag.candidate.preVote,
 	}
 	m.sendToPeers(env, request)
 	m.handleRequest(env, "", request)
@@ -51,7 +51,7 @@
 
 // handleVote counts a voter's answer to this voter's own requests.
 func (m *Manager) handleVote(env *statemachine.Env, vote message.LeaseVote) {
-	tag, known := m.tags[vote.Tag]
+	tag, known := m.tags[vote.LeaseName]
 	if !known {
 		return
 	}
--- a/internal/lease/transfer.go
+++ b/internal/lease/transfer.go
@@ -93,12 +93,12 @@
 // open.
 func (m *Manager) transferTo(env *statemachine.Env, tag *tagState, successor string) {
 	transfer := message.LeaseYield{
-		Group:    m.quorum.Group,
-		Tag:      tag.name,
-		Epoch:    tag.candidate.epoch,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		To:       successor,
+		Group:     m.quorum.Group,
+		LeaseName: tag.name,
+		Epoch:     tag.candidate.epoch,
+		Voter:     m.quorum.Voter,
+		Identity:  m.quorum.Signature(),
+		Successor: successor,
 	}
 	m.loseLease(env, tag, "transferred to "+successor)
 	tag.candidate.nextAttemptAt = env.Now + m.settings.Lease()*2
@@ -109,7 +109,7 @@
 // handleTransfer releases this voter from its promise to the holder, which has stopped acting, and
 // reserves the tag for the successor.
 func (m *Manager) handleTransfer(env *statemachine.Env, transfer message.LeaseYield) {
-	tag, known := m.tags[transfer.Tag]
+	tag, known := m.tags[transfer.LeaseName]
 	if !known || transfer.Epoch != tag.acceptor.vote.Epoch || transfer.Voter != tag.acceptor.vote.Holder {
 		return
 	}
@@ -117,14 +117,14 @@
 		return
 	}
 	tag.acceptor.promisedUntil = 0
-	tag.acceptor.reservedFor = transfer.To
+	tag.acceptor.reservedFor = transfer.Successor
 	tag.acceptor.reservedUntil = env.Now + m.settings.Lease()/2
-	if transfer.To != "" {
+	if transfer.Successor != "" {
 		// The holder itself limits how often it transfers a tag, so no cool-down stands against it.
 		tag.acceptor.coolDownFrom = env.Now - m.settings.HolderRest()
 	}
 	switch {
-	case transfer.To == m.quorum.Voter:
+	case transfer.Successor == m.quorum.Voter:
 		tag.candidate.nextAttemptAt = env.Now
 	case transfer.Voter != m.quorum.Voter:
 		tag.candidate.nextAttemptAt = env.Now + m.settings.Lease()/2
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -52,7 +52,7 @@
 // answerJoin sends the members of those parts of the digest in which the asker knows something else,
 // in as many responses as that takes; a single empty one where nothing differs.
 func (m *Membership) answerJoin(env *statemachine.Env, request message.JoinRequest) {
-	differing := m.differingMembers(request.Known)
+	differing := m.differingMembers(request.MemberListDigest)
 	if len(differing) == 0 {
 		env.Datagram(request.From.Address, message.JoinResponse{From: m.self, Members: differing})
 	}
--- a/internal/membership/digest_golden_test.go
+++ b/internal/membership/digest_golden_test.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		if request, isRequest := sent.Message.(message.JoinRequest); isRequest {
-			return request.Known
+			return request.MemberListDigest
 		}
 	}
 	c.Fatal("the node does not ask to join")
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		sent[target] = true
-		env.Datagram(target, message.JoinRequest{From: m.self, Known: m.digest()})
+		env.Datagram(target, message.JoinRequest{From: m.self, MemberListDigest: m.digest()})
 	}
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -134,7 +134,7 @@
 	m.self.State = message.Left
 	for _, member := range m.Alive("") {
 		m.lastSequence++
-		env.Datagram(member.Address, message.Ping{Number: m.lastSequence, Target: member.Name, From: m.self})
+		env.Datagram(member.Address, message.Ping{Sequence: m.lastSequence, Target: member.Name, From: m.self})
 	}
 }
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -68,7 +68,7 @@
 
 // joinAnswer returns the members that a node is told when it asks another, and how many bytes that takes.
 func joinAnswer(c *qt.C, env *statemachine.Env, asker, asked *Membership) (members []message.Member, bytes int) {
-	asked.Handle(env, "", message.JoinRequest{From: asker.Self(), Known: asker.digest()})
+	asked.Handle(env, "", message.JoinRequest{From: asker.Self(), MemberListDigest: asker.digest()})
 	for _, effect := range env.Drain() {
 		sent, isDatagram := effect.(statemachine.Datagram)
 		response, isResponse := sent.Message.(message.JoinResponse)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -80,10 +80,10 @@
 	m.lastSequence++
 	m.probe = &probe{target: target.Name, sequence: m.lastSequence, sentAt: env.Now}
 	env.Datagram(target.Address, message.Ping{
-		Number: m.lastSequence,
-		Target: target.Name,
-		From:   m.self,
-		Gossip: m.piggybackFor(target.Name),
+		Sequence: m.lastSequence,
+		Target:   target.Name,
+		From:     m.self,
+		Gossip:   m.piggybackFor(target.Name),
 	})
 }
 
@@ -106,11 +106,11 @@
 		}
 		asked++
 		env.Datagram(prober.Address, message.IndirectPing{
-			Number:  m.probe.sequence,
-			Target:  m.probe.target,
-			Address: target.member.Address,
-			From:    m.self,
-			Gossip:  m.piggyback(),
+			Sequence: m.probe.sequence,
+			Target:   m.probe.target,
+			Address:  target.member.Address,
+			From:     m.self,
+			Gossip:   m.piggyback(),
 		})
 	}
 }
@@ -123,9 +123,9 @@
 		return
 	}
 	env.Datagram(ping.From.Address, message.Ack{
-		Number: ping.Number,
-		From:   m.self,
-		Gossip: m.piggybackFor(ping.From.Name),
+		Sequence: ping.Sequence,
+		From:     m.self,
+		Gossip:   m.piggybackFor(ping.From.Name),
 	})
 }
 
@@ -133,12 +133,12 @@
 func (m *Membership) handleAck(env *statemachine.Env, ack message.Ack) {
 	m.mergeSender(env, ack.From)
 	m.mergeAll(env, ack.Gossip)
-	if request, found := m.pingRequests[ack.Number]; found {
-		delete(m.pingRequests, ack.Number)
-		env.Datagram(request.requester, message.Ack{Number: request.sequence, From: ack.From})
+	if request, found := m.pingRequests[ack.Sequence]; found {
+		delete(m.pingRequests, ack.Sequence)
+		env.Datagram(request.requester, message.Ack{Sequence: request.sequence, From: ack.From})
 		return
 	}
-	if m.probe != nil && ack.Number == m.probe.sequence && ack.From.Name == m.probe.target {
+	if m.probe != nil && ack.Sequence == m.probe.sequence && ack.From.Name == m.probe.target {
 		m.probe = nil
 	}
 }
@@ -150,10 +150,10 @@
 	m.lastSequence++
 	m.pingRequests[m.lastSequence] = pingRequest{
 		requester:  request.From.Address,
-		sequence:   request.Number,
+		sequence:   request.Sequence,
 		receivedAt: env.Now,
 	}
-	env.Datagram(request.Address, message.Ping{Number: m.lastSequence, Target: request.Target, From: m.self})
+	env.Datagram(request.Address, message.Ping{Sequence: m.lastSequence, Target: request.Target, From: m.self})
 }
 
 // expirePingRequests forgets the requests of others whose target has not answered.
--- a/internal/message/configuration.go
+++ b/internal/message/configuration.go
@@ -31,7 +31,7 @@
 	ConfigName string
 	Version    int64
 	Body       []byte
-	Packed     bool // the body is compressed by package delta
+	Compressed bool // the body is compressed by package delta
 	Check      ContentCheck
 }
 
@@ -52,7 +52,7 @@
 	ConfigName  string
 	Version     int64
 	Body        []byte
-	Packed      bool // the body is compressed by package delta
+	Compressed  bool // the body is compressed by package delta
 	Versions    []int64
 	ConfigNames []string
 	Holder      string // voter that holds the log's lease, as far as the sender knows
@@ -74,12 +74,12 @@
 
 // LogPositionResponse answers a LogPositionRequest.
 type LogPositionResponse struct {
-	Epoch    int64
-	Voter    string
-	Identity string
-	AtEpoch  int64
-	AtSeq    int64
-	Hash     int64
+	Epoch         int64
+	Voter         string
+	Identity      string
+	PositionEpoch int64
+	PositionSeq   int64
+	Hash          int64
 }
 
 // LogSnapshotRequest asks a voter for its whole log.
@@ -95,8 +95,8 @@
 type LogSnapshot struct {
 	Epoch          int64
 	Voter          string
-	AtEpoch        int64
-	AtSeq          int64
+	PositionEpoch  int64
+	PositionSeq    int64
 	Configurations []StoredConfiguration
 	History        []VersionDigest
 }
@@ -105,12 +105,12 @@
 // sends it with the last position of the epochs before; later the holder sends it, with a position of its
 // own epoch, to a voter that lags behind.
 type LogRecommit struct {
-	Epoch    int64
-	Voter    string
-	Identity string
-	AtEpoch  int64
-	AtSeq    int64
-	Hash     int64
+	Epoch         int64
+	Voter         string
+	Identity      string
+	PositionEpoch int64
+	PositionSeq   int64
+	Hash          int64
 }
 
 // LogAppend is one entry as a voter writes it to disk; it travels as a LogAppendDelta.
@@ -125,15 +125,15 @@
 // LogAppendDelta asks a voter to append one entry. The content is the difference from the newest version
 // of the same configuration in the log before it.
 type LogAppendDelta struct {
-	Epoch      int64
-	Seq        int64
-	Voter      string
-	Identity   string
-	ConfigName string
-	Version    int64
-	Base       int64  // the version that the difference is from; 0: from nothing
-	Difference []byte // as package delta encodes it
-	Digest     []byte // SHA-256 of the content
+	Epoch       int64
+	Seq         int64
+	Voter       string
+	Identity    string
+	ConfigName  string
+	Version     int64
+	BaseVersion int64  // the version that the difference is from; 0: from nothing
+	Difference  []byte // as package delta encodes it
+	Digest      []byte // SHA-256 of the content
 }
 
 // LogAppended acknowledges that the log is on the voter's disk up to (Epoch, Seq).
--- a/internal/message/frames_golden_test.go
+++ b/internal/message/frames_golden_test.go
@@ -214,7 +214,7 @@
 		{message.StateCreated, "created"},
 		{message.StateWarming, "warming"},
 		{message.StateReady, "ready"},
-		{message.StateLeaving, "leaving"},
+		{message.StateDraining, "leaving"},
 		{message.NotProbed, int64(0)},
 		{message.ProbeAnswered, int64(1)},
 		{message.ProbeRefused, int64(2)},
--- a/internal/message/member.go
+++ b/internal/message/member.go
@@ -41,32 +41,32 @@
 // Ping asks a member to show that it is alive. Ping, Ack, IndirectPing, JoinRequest and JoinResponse
 // travel over UDP.
 type Ping struct {
-	Number int64
-	Target string // the name that must be at this address, or the ping isn't answered
-	From   Member
-	Gossip []Member
+	Sequence int64
+	Target   string // the name that must be at this address, or the ping isn't answered
+	From     Member
+	Gossip   []Member
 }
 
 // Ack answers a Ping.
 type Ack struct {
-	Number int64
-	From   Member
-	Gossip []Member
+	Sequence int64
+	From     Member
+	Gossip   []Member
 }
 
 // IndirectPing asks a third member to ping Target on the sender's behalf.
 type IndirectPing struct {
-	Number  int64
-	Target  string
-	Address string // of the target
-	From    Member
-	Gossip  []Member
+	Sequence int64
+	Target   string
+	Address  string // of the target
+	From     Member
+	Gossip   []Member
 }
 
 // JoinRequest introduces the sender and asks for the member list.
 type JoinRequest struct {
-	From  Member
-	Known []int64 // digest of what the sender knows, in parts: only the parts that differ are answered
+	From             Member
+	MemberListDigest []int64 // digest of what the sender knows, in parts: only the parts that differ are answered
 }
 
 // JoinResponse carries a part of the member list; it is empty when the lists are the same.
--- a/internal/message/quorum.go
+++ b/internal/message/quorum.go
@@ -29,7 +29,7 @@
 	Group      string
 	Voter      string // of the sender
 	Identity   string // of the sender
-	To         string // identity that claimed
+	Claimant   string // identity that claimed
 	Refused    bool
 	MemberList map[string]string
 	State      []byte // what the claimant has to know before it may vote
--- a/internal/message/request.go
+++ b/internal/message/request.go
@@ -9,30 +9,30 @@
 // Forward carries a caller's request from its proxy to the serving proxy, the one beside the upstream.
 // Each attempt of a request is a Forward of its own.
 type Forward struct {
-	ID                    string // of this attempt
-	Proxy                 string
-	ServingProxyStartTime int64 // names the run of the serving proxy that is meant
-	ConfigName            string
-	Version               int64
-	Route                 string
-	Service               string
-	Instance              string
-	Incarnation           int64
-	Tenant                string
-	Caller                string
-	Method                string
-	Path                  string
-	RawQuery              string
-	Headers               []HeaderLine
-	Body                  []byte
-	Remaining             int64 // nanoseconds until the deadline
-	MaxResponseBytes      int64 // of the response's body
-	Host                  string
-	Name                  string // the caller's own name of this attempt
-	Priority              int64  // 0 goes first
-	TargetRemaining       int64  // nanoseconds left of the route's latency target; 0: not told
-	AtMostOnce            bool   // must not run twice
-	Retried               bool   // an upstream was offered the request before
+	ID                     string // of this attempt
+	Proxy                  string
+	ServingProxyStartTime  int64 // names the run of the serving proxy that is meant
+	ConfigName             string
+	Version                int64
+	Route                  string
+	Service                string
+	Instance               string
+	Incarnation            int64
+	Tenant                 string
+	Caller                 string
+	Method                 string
+	Path                   string
+	RawQuery               string
+	Headers                []HeaderLine
+	Body                   []byte
+	Remaining              int64 // nanoseconds until the deadline
+	MaxResponseBytes       int64 // of the response's body
+	Host                   string
+	AttemptName            string // the caller's own name of this attempt
+	Priority               int64  // 0 goes first
+	LatencyTargetRemaining int64  // nanoseconds left of the route's latency target; 0: not told
+	AtMostOnce             bool   // must not run twice
+	Retried                bool   // an upstream was offered the request before
 }
 
 // Outcome answers a Forward or an OutcomeRequest.
--- a/internal/message/roster.go
+++ b/internal/message/roster.go
@@ -2,10 +2,10 @@
 
 // States of a registration. The texts travel in Registration.State and are compared by the receiver.
 const (
-	StateCreated = "created" // announced, and not probed yet
-	StateWarming = "warming" // takes no requests yet
-	StateReady   = "ready"
-	StateLeaving = "leaving" // takes no new requests
+	StateCreated  = "created" // announced, and not probed yet
+	StateWarming  = "warming" // takes no requests yet
+	StateReady    = "ready"
+	StateDraining = "leaving" // takes no new requests
 )
 
 // Registration is one upstream instance in the roster.
@@ -40,8 +40,8 @@
 	return p.Epoch < other.Epoch || p.Epoch == other.Epoch && p.Seq < other.Seq
 }
 
-// Same reports whether two positions name the same content.
-func (p Position) Same(other Position) bool {
+// SameContent reports whether two positions name the same content.
+func (p Position) SameContent(other Position) bool {
 	return p.Epoch == other.Epoch && p.Seq == other.Seq && p.Hash == other.Hash && p.Count == other.Count
 }
 
@@ -75,15 +75,15 @@
 	Heartbeats      []Heartbeat
 	Deregistrations []Deregistration
 	Positions       []Position // what configurations and slices the proxy has in force
-	Path            []string   // the relays between the source and this proxy
-	Window          int64      // usage window under way, by the proxy's time of day
+	RelayPath       []string   // the relays between the source and this proxy
+	CurrentWindow   int64      // usage window under way, by the proxy's time of day
 }
 
 // HeartbeatResponse answers a HeartbeatBatch.
 type HeartbeatResponse struct {
-	Registry string
-	Sealed   int64      // all usage windows below this number are sealed
-	Newer    []Position // configurations of which the registry has a newer version than the proxy
+	Registry       string
+	SealedBelow    int64      // all usage windows below this number are sealed
+	NewerPositions []Position // configurations of which the registry has a newer version than the proxy
 }
 
 // RosterChange is one change of a slice, sent by the slice's lease holder.
@@ -96,7 +96,7 @@
 
 // RosterCheck asks the other registries for their position in a slice.
 type RosterCheck struct {
-	Tag      string
+	Zone     string
 	Round    int64
 	Voter    string
 	Position Position
@@ -104,7 +104,7 @@
 
 // RosterDigest answers a RosterCheck.
 type RosterDigest struct {
-	Tag      string
+	Zone     string
 	Round    int64
 	Voter    string
 	Position Position
@@ -112,13 +112,13 @@
 
 // RosterPull asks for a whole slice.
 type RosterPull struct {
-	Tag   string
+	Zone  string
 	Voter string
 }
 
 // RosterSnapshot is a whole slice of the roster.
 type RosterSnapshot struct {
-	Tag           string
+	Zone          string
 	Voter         string
 	Complete      bool // the sender's slice is complete
 	HoldsLease    bool // the sender holds the slice's lease
@@ -133,7 +133,7 @@
 
 // ProbeRequest asks the serving proxy to probe an upstream.
 type ProbeRequest struct {
-	Tag         string
+	Zone        string
 	Epoch       int64
 	Service     string
 	Instance    string
--- a/internal/message/storage.go
+++ b/internal/message/storage.go
@@ -2,13 +2,13 @@
 
 // RegistryState is the snapshot of a registry on its disk.
 type RegistryState struct {
-	Voter          VoterState
-	Votes          []Vote
-	Slices         []RosterSnapshot
-	Sealed         []UsageSealed
-	Reported       int64
-	KnownAddresses []string
-	Usage          UnreportedUsage
+	Voter              VoterState
+	Votes              []Vote
+	Slices             []RosterSnapshot
+	Sealed             []UsageSealed
+	LastReportedWindow int64
+	KnownAddresses     []string
+	Usage              UnreportedUsage
 }
 
 // ConfigStoreState is the snapshot of a configuration store on its disk.
--- a/internal/message/usage.go
+++ b/internal/message/usage.go
@@ -2,18 +2,18 @@
 
 // UsageCount is what one proxy counted in one window, by tenant.
 type UsageCount struct {
-	Window int64
-	Counts map[string]int64
-	Open   map[string]int64 // started and not answered yet, in the current window
+	Window   int64
+	Counts   map[string]int64
+	InFlight map[string]int64 // started and not answered yet, in the current window
 }
 
 // UsageUpdate carries a proxy's counts to the registries.
 type UsageUpdate struct {
-	Proxy     string
-	StartTime int64
-	Number    int64        // of the update, in this run of the proxy
-	Counts    []UsageCount // cumulative, of the windows that are not sealed yet
-	Closed    int64        // counts of windows below this number won't change any more
+	Proxy       string
+	StartTime   int64
+	Sequence    int64        // of the update, in this run of the proxy
+	Counts      []UsageCount // cumulative, of the windows that are not sealed yet
+	ClosedBelow int64        // counts of windows below this number won't change any more
 }
 
 // UsageSealed is a sealed window: its counts are final.
@@ -32,20 +32,20 @@
 
 // UsageReadResponse answers a UsageRead.
 type UsageReadResponse struct {
-	Epoch      int64
-	Voter      string
-	Identity   string
-	Sealed     []UsageSealed
-	Reported   int64           // newest window that the collector took
-	Unreported UnreportedUsage // counts of windows that are not reported yet, as this voter knows them
+	Epoch              int64
+	Voter              string
+	Identity           string
+	Sealed             []UsageSealed
+	LastReportedWindow int64           // newest window that the collector took
+	Unreported         UnreportedUsage // counts of windows that are not reported yet, as this voter knows them
 }
 
 // UsageSeal asks a voter to write a sealed window to disk.
 type UsageSeal struct {
-	Voter    string
-	Identity string
-	Sealed   UsageSealed
-	Reported int64
+	Voter              string
+	Identity           string
+	Sealed             UsageSealed
+	LastReportedWindow int64
 }
 
 // UsageSealResponse says that a sealed window is on the voter's disk.
@@ -65,7 +65,7 @@
 type ProxyUsage struct {
 	Window   int64
 	ProxyRun string
-	Number   int64 // of the newest update taken
+	Sequence int64 // of the newest update taken
 	Counts   map[string]int64
-	Open     map[string]int64
+	InFlight map[string]int64
 }
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -14,11 +14,11 @@
 		Heartbeats:      m.upstreams.heartbeats(env.Now),
 		Deregistrations: m.upstreams.recentDeregistrations(env.Now),
 		Positions:       m.distribution.Positions(),
-		Path:            []string{},
-		Window:          int64(env.Wall / m.settings.UsageWindow()),
+		RelayPath:       []string{},
+		CurrentWindow:   int64(env.Wall / m.settings.UsageWindow()),
 	}
 	if _, path, _ := m.distribution.Parent(); path != nil {
-		batch.Path = path
+		batch.RelayPath = path
 	}
 	for _, registry := range m.membership.RecentlyAlive(message.RoleRegistry, env.Now) {
 		env.Send(registry.Address, batch)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -73,8 +73,8 @@
 		case message.ProbeRequest:
 			m.upstreams.probe(env, received)
 		case message.HeartbeatResponse:
-			m.sealed[received.Registry] = received.Sealed
-			m.distribution.HandleNewerPositions(env, received.Registry, received.Newer)
+			m.sealed[received.Registry] = received.SealedBelow
+			m.distribution.HandleNewerPositions(env, received.Registry, received.NewerPositions)
 		}
 	}
 	m.sendDue(env)
--- a/internal/proxy/usage.go
+++ b/internal/proxy/usage.go
@@ -35,11 +35,11 @@
 	}
 	sent.number++
 	sent.running = running
-	update := message.UsageUpdate{Proxy: m.membership.Self().Name, StartTime: m.startTime, Number: sent.number, Counts: running}
+	update := message.UsageUpdate{Proxy: m.membership.Self().Name, StartTime: m.startTime, Sequence: sent.number, Counts: running}
 	if full {
 		// Only what holds a window's last counts may say that the window is closed.
 		update.Counts = append(append([]message.UsageCount{}, closed...), running...)
-		update.Closed = counted.Closed
+		update.ClosedBelow = counted.Closed
 		sent.closed, sent.closedBelow = closed, counted.Closed
 		sent.nextFullUpdate = env.Now + fullUpdateHeartbeats*m.settings.HeartbeatEvery()
 	}
--- a/internal/proxy/usage_test.go
+++ b/internal/proxy/usage_test.go
@@ -49,7 +49,7 @@
 }
 
 func window(number, requests int64) message.UsageCount {
-	return message.UsageCount{Window: number, Counts: map[string]int64{"tenant": requests}, Open: map[string]int64{}}
+	return message.UsageCount{Window: number, Counts: map[string]int64{"tenant": requests}, InFlight: map[string]int64{}}
 }
 
 // Between full updates only the running window is sent, and nothing where that has not changed. Closed
@@ -60,14 +60,14 @@
 	updates := p.count(4, window(3, 10), window(4, 1))
 	c.Assert(len(updates), qt.Equals, 1)
 	c.Assert(len(updates[0].Counts), qt.Equals, 2)
-	c.Assert(updates[0].Closed, qt.Equals, int64(4))
+	c.Assert(updates[0].ClosedBelow, qt.Equals, int64(4))
 
 	p.env.Now += 125 * time.Millisecond
 	updates = p.count(4, window(3, 10), window(4, 2))
 	c.Assert(len(updates), qt.Equals, 1)
 	c.Assert(updates[0].Counts, qt.DeepEquals, []message.UsageCount{window(4, 2)})
-	c.Assert(updates[0].Closed, qt.Equals, int64(0), qt.Commentf("it does not hold what window 3 ended with"))
-	c.Assert(updates[0].Number, qt.Equals, int64(2))
+	c.Assert(updates[0].ClosedBelow, qt.Equals, int64(0), qt.Commentf("it does not hold what window 3 ended with"))
+	c.Assert(updates[0].Sequence, qt.Equals, int64(2))
 
 	p.env.Now += 125 * time.Millisecond
 	c.Assert(len(p.count(4, window(3, 10), window(4, 2))), qt.Equals, 0)
@@ -81,7 +81,7 @@
 	updates = p.count(5, window(3, 9), window(4, 3), window(5, 1))
 	c.Assert(len(updates), qt.Equals, 1)
 	c.Assert(len(updates[0].Counts), qt.Equals, 3)
-	c.Assert(updates[0].Closed, qt.Equals, int64(5))
+	c.Assert(updates[0].ClosedBelow, qt.Equals, int64(5))
 
 	p.env.Now += fullUpdateHeartbeats * p.machine.settings.HeartbeatEvery()
 	updates = p.count(5, window(3, 9), window(4, 3), window(5, 1))
@@ -102,11 +102,11 @@
 	for step := range 40 {
 		running[fmt.Sprintf("tenant%03d", step*7%81)]++
 		usage := []message.UsageCount{
-			{Window: 3, Counts: closed, Open: map[string]int64{}},
-			{Window: 4, Counts: closed, Open: map[string]int64{}},
-			{Window: 5, Counts: maps.Clone(running), Open: map[string]int64{}},
+			{Window: 3, Counts: closed, InFlight: map[string]int64{}},
+			{Window: 4, Counts: closed, InFlight: map[string]int64{}},
+			{Window: 5, Counts: maps.Clone(running), InFlight: map[string]int64{}},
 		}
-		frame, err := message.Encode(message.UsageUpdate{Proxy: "proxy/me", Counts: usage, Closed: 5})
+		frame, err := message.Encode(message.UsageUpdate{Proxy: "proxy/me", Counts: usage, ClosedBelow: 5})
 		c.Assert(err, qt.IsNil)
 		everything += len(frame)
 		for _, update := range p.count(5, usage...) {
--- a/internal/quorum/claim_test.go
+++ b/internal/quorum/claim_test.go
@@ -173,7 +173,7 @@
 			Group:      "config-log",
 			Voter:      voter,
 			Identity:   memberList[voter],
-			To:         newcomer.State.Identity,
+			Claimant:   newcomer.State.Identity,
 			MemberList: memberList,
 			State:      []byte{},
 		})
--- a/internal/quorum/discovered.go
+++ b/internal/quorum/discovered.go
@@ -184,7 +184,7 @@
 	case message.VoterClaim:
 		d.handleClaim(env, from, received)
 	case message.VoterGrant:
-		if received.To == d.State.Identity && !d.State.Formed && !d.writing {
+		if received.Claimant == d.State.Identity && !d.State.Formed && !d.writing {
 			d.handleGrant(env, received)
 		}
 	}
--- a/internal/quorum/discovered_grant.go
+++ b/internal/quorum/discovered_grant.go
@@ -65,7 +65,7 @@
 		Group:      d.Group,
 		Voter:      d.Voter,
 		Identity:   d.State.Identity,
-		To:         claim.Identity,
+		Claimant:   claim.Identity,
 		Refused:    true,
 		MemberList: maps.Clone(d.State.MemberList),
 		State:      []byte{},
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -78,7 +78,7 @@
 // written before the grant is sent, and the process never signs again.
 func (d *discoveredVoters) releaseVoter(env *statemachine.Env, to string, claim message.VoterClaim) {
 	if released := d.handover.released; released != nil {
-		if released.To == claim.Identity {
+		if released.Claimant == claim.Identity {
 			env.Send(to, *released)
 		}
 		return
@@ -91,7 +91,7 @@
 		Group:      d.Group,
 		Voter:      d.Voter,
 		Identity:   d.State.Identity,
-		To:         claim.Identity,
+		Claimant:   claim.Identity,
 		MemberList: maps.Clone(list),
 		State:      d.transfer.StateForGrant(),
 	}
--- a/internal/quorum/replica.go
+++ b/internal/quorum/replica.go
@@ -145,7 +145,7 @@
 		Group:      r.Group,
 		Voter:      r.Voter,
 		Identity:   r.State.Identity,
-		To:         claim.Identity,
+		Claimant:   claim.Identity,
 		MemberList: maps.Clone(r.State.MemberList),
 		State:      r.transfer.StateForGrant(),
 	})
--- a/internal/quorum/static.go
+++ b/internal/quorum/static.go
@@ -70,7 +70,7 @@
 			v.handleClaim(env, from, received)
 		}
 	case message.VoterGrant:
-		if received.To == v.State.Identity {
+		if received.Claimant == v.State.Identity {
 			v.handleGrant(env, received)
 		}
 	}
--- a/internal/quorum/static_replacement.go
+++ b/internal/quorum/static_replacement.go
@@ -55,7 +55,7 @@
 		Group:      v.Group,
 		Voter:      v.Voter,
 		Identity:   v.State.Identity,
-		To:         claim.Identity,
+		Claimant:   claim.Identity,
 		Refused:    true,
 		MemberList: map[string]string{},
 	})
--- a/internal/registry/changes.go
+++ b/internal/registry/changes.go
@@ -29,7 +29,7 @@
 		return causeCreated
 	case current.Incarnation != wanted.Incarnation:
 		return causeNewIncarnation
-	case current.State != wanted.State && wanted.State == message.StateLeaving:
+	case current.State != wanted.State && wanted.State == message.StateDraining:
 		return causeDrain
 	case current.State != wanted.State:
 		return wanted.State
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -82,9 +82,9 @@
 		return
 	}
 	env.Send(from, message.HeartbeatResponse{
-		Registry: m.membership.Self().Name,
-		Sealed:   m.usage.sealed.lowestOpen(),
-		Newer:    m.distribution.NewerThan(batch.Positions),
+		Registry:       m.membership.Self().Name,
+		SealedBelow:    m.usage.sealed.lowestOpen(),
+		NewerPositions: m.distribution.NewerThan(batch.Positions),
 	})
 	for _, end := range batch.Deregistrations {
 		m.heartbeats.recordDeregistration(end.Service+"/"+end.Instance, end.Incarnation, env.Now)
--- a/internal/registry/operator_requests.go
+++ b/internal/registry/operator_requests.go
@@ -70,7 +70,7 @@
 			ConfigName: asked.ConfigName,
 			Version:    asked.Version,
 			Body:       packed,
-			Packed:     true,
+			Compressed: true,
 			Check:      asked.Check,
 		},
 	}
@@ -221,7 +221,7 @@
 }
 
 func (r *operatorRequests) unpack(response message.StoreResponse) ([]byte, error) {
-	if !response.Packed {
+	if !response.Compressed {
 		return response.Body, nil
 	}
 	return delta.Apply(nil, response.Body, r.settings.Limits.Configuration)
@@ -247,7 +247,7 @@
 	body, packed := request.body, request.write.Body
 	if len(responseBody) > 0 {
 		body, packed = responseBody, response.Body
-		if !response.Packed {
+		if !response.Compressed {
 			packed = delta.Encode(nil, body)
 		}
 	}
--- a/internal/registry/persistence.go
+++ b/internal/registry/persistence.go
@@ -8,7 +8,7 @@
 // restoreRoster takes the roster of the snapshot.
 func (m *Machine) restoreRoster(saved []message.RosterSnapshot) {
 	for _, snapshot := range saved {
-		if replica, known := m.zones[snapshot.Tag]; known {
+		if replica, known := m.zones[snapshot.Zone]; known {
 			replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 		}
 	}
@@ -35,17 +35,17 @@
 
 func (m *Machine) snapshot() []byte {
 	state := message.RegistryState{
-		Voter:          m.quorum.State,
-		Votes:          m.leases.Votes(),
-		Slices:         []message.RosterSnapshot{},
-		Sealed:         m.usage.sealed.list(),
-		Reported:       m.usage.sealed.reported,
-		KnownAddresses: m.membership.KnownAddresses(),
-		Usage:          m.usage.counts.unsealed(),
+		Voter:              m.quorum.State,
+		Votes:              m.leases.Votes(),
+		Slices:             []message.RosterSnapshot{},
+		Sealed:             m.usage.sealed.list(),
+		LastReportedWindow: m.usage.sealed.reported,
+		KnownAddresses:     m.membership.KnownAddresses(),
+		Usage:              m.usage.counts.unsealed(),
 	}
 	for _, zone := range m.settings.Zones {
 		slice := m.zones[zone].slice
-		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Position: slice.Position, Registrations: slice.List()})
+		state.Slices = append(state.Slices, message.RosterSnapshot{Zone: zone, Position: slice.Position, Registrations: slice.List()})
 	}
 	body, err := message.Encode(state)
 	if err != nil {
@@ -71,9 +71,9 @@
 		for _, sealed := range state.Sealed {
 			m.usage.sealed.learn(sealed)
 		}
-		m.usage.sealed.learnReported(state.Reported)
+		m.usage.sealed.learnReported(state.LastReportedWindow)
 		for _, snapshot := range state.Slices {
-			if replica, known := m.zones[snapshot.Tag]; known && replica.slice.Position.Before(snapshot.Position) {
+			if replica, known := m.zones[snapshot.Zone]; known && replica.slice.Position.Before(snapshot.Position) {
 				replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 			}
 		}
--- a/internal/registry/proxies.go
+++ b/internal/registry/proxies.go
@@ -40,7 +40,7 @@
 	windows := []int64{}
 	for _, name := range p.names() {
 		if report := p[name]; report.at >= since {
-			windows = append(windows, report.batch.Window)
+			windows = append(windows, report.batch.CurrentWindow)
 		}
 	}
 	return windows
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -56,7 +56,7 @@
 		return
 	}
 	env.Send(registration.ServingProxyAddress, message.ProbeRequest{
-		Tag:         zone,
+		Zone:        zone,
 		Epoch:       m.zones[zone].slice.Position.Epoch,
 		Service:     registration.Service,
 		Instance:    registration.Instance,
@@ -132,9 +132,9 @@
 	wanted := heartbeat.Registration
 	newIncarnation := !registered || current.Incarnation < wanted.Incarnation
 	switch {
-	case !newIncarnation && current.State == message.StateLeaving:
-		wanted.State = message.StateLeaving
-	case wanted.State == message.StateLeaving:
+	case !newIncarnation && current.State == message.StateDraining:
+		wanted.State = message.StateDraining
+	case wanted.State == message.StateDraining:
 		// It drains, probed or not.
 	case heartbeat.ProbeResult != message.ProbeAnswered && (newIncarnation || current.State == message.StateCreated):
 		wanted.State = message.StateCreated
--- a/internal/registry/reconcile_test.go
+++ b/internal/registry/reconcile_test.go
@@ -21,13 +21,13 @@
 		{message.StateReady, message.NotProbed, 1, "", message.StateCreated},
 		{message.StateReady, message.ProbeRefused, 1, "", message.StateCreated},
 		{message.StateReady, message.ProbeAnswered, 1, "", message.StateReady},
-		{message.StateLeaving, message.NotProbed, 1, "", message.StateLeaving},
+		{message.StateDraining, message.NotProbed, 1, "", message.StateDraining},
 		{message.StateReady, message.NotProbed, 1, message.StateCreated, message.StateCreated},
 		{message.StateReady, message.ProbeAnswered, 1, message.StateCreated, message.StateReady},
 		{message.StateReady, message.NotProbed, 1, message.StateReady, message.StateReady},
-		{message.StateReady, message.ProbeAnswered, 1, message.StateLeaving, message.StateLeaving},
-		{message.StateReady, message.NotProbed, 2, message.StateLeaving, message.StateCreated},
-		{message.StateReady, message.ProbeAnswered, 2, message.StateLeaving, message.StateReady},
+		{message.StateReady, message.ProbeAnswered, 1, message.StateDraining, message.StateDraining},
+		{message.StateReady, message.NotProbed, 2, message.StateDraining, message.StateCreated},
+		{message.StateReady, message.ProbeAnswered, 2, message.StateDraining, message.StateReady},
 	} {
 		announced := message.Registration{Service: "dispatch", Instance: "dispatch-1", Incarnation: step.incarnation, State: step.announced}
 		current := message.Registration{Service: "dispatch", Instance: "dispatch-1", Incarnation: 1, State: step.current}
--- a/internal/registry/replication.go
+++ b/internal/registry/replication.go
@@ -44,7 +44,7 @@
 			if replica.complete {
 				env.Send(peer.Address, m.rosterCheck(zone))
 			} else {
-				env.Send(peer.Address, message.RosterPull{Tag: zone, Voter: m.quorum.Voter})
+				env.Send(peer.Address, message.RosterPull{Zone: zone, Voter: m.quorum.Voter})
 			}
 		}
 		if m.nobodyIsComplete(env, replica) {
@@ -55,7 +55,7 @@
 
 func (m *Machine) rosterCheck(zone string) message.RosterCheck {
 	return message.RosterCheck{
-		Tag:      zone,
+		Zone:     zone,
 		Round:    m.replication.round,
 		Voter:    m.quorum.Voter,
 		Position: m.zones[zone].slice.Position,
@@ -86,19 +86,19 @@
 	}
 	current = replica.slice.Position
 	samePosition := current.Epoch == change.Position.Epoch && current.Seq == change.Position.Seq
-	if current.Before(change.Position) || samePosition && !current.Same(change.Position) {
+	if current.Before(change.Position) || samePosition && !current.SameContent(change.Position) {
 		m.pullZone(env, zone, "gap in broadcasts")
 	}
 }
 
 // handleRosterCheck answers a digest request, as the holder alone may.
 func (m *Machine) handleRosterCheck(env *statemachine.Env, from string, check message.RosterCheck) {
-	replica, known := m.zones[check.Tag]
-	if !known || !m.holdsZone(env, check.Tag) {
+	replica, known := m.zones[check.Zone]
+	if !known || !m.holdsZone(env, check.Zone) {
 		return
 	}
 	env.Send(from, message.RosterDigest{
-		Tag:      check.Tag,
+		Zone:     check.Zone,
 		Round:    check.Round,
 		Voter:    m.quorum.Voter,
 		Position: replica.slice.Position,
@@ -108,19 +108,19 @@
 // handleRosterDigest compares the holder's digest with that of the copy. The same one says that
 // the copy was current when this registry asked.
 func (m *Machine) handleRosterDigest(env *statemachine.Env, digest message.RosterDigest) {
-	replica, known := m.zones[digest.Tag]
+	replica, known := m.zones[digest.Zone]
 	askedAt, asked := m.replication.askedAt[digest.Round]
-	if !known || !asked || digest.Position.Epoch < m.leases.Epoch(digest.Tag) || m.holdsZone(env, digest.Tag) {
+	if !known || !asked || digest.Position.Epoch < m.leases.Epoch(digest.Zone) || m.holdsZone(env, digest.Zone) {
 		return
 	}
-	if replica.slice.Position.Same(digest.Position) {
-		m.distribution.SetFreshAt(distribution.SliceTopic(digest.Tag), askedAt)
+	if replica.slice.Position.SameContent(digest.Position) {
+		m.distribution.SetFreshAt(distribution.SliceTopic(digest.Zone), askedAt)
 		return
 	}
 	if guardsOff.driftDetection {
 		return
 	}
-	m.pullZone(env, digest.Tag, "digest differs")
+	m.pullZone(env, digest.Zone, "digest differs")
 }
 
 // pullZone asks the peers for a whole copy of a zone. Pulls are paced, with jitter, so that a busy
@@ -135,21 +135,21 @@
 	replica.nextPullAt = env.Now + half + jitter
 	env.Event("roster-pull", 0, replica.slice.Position.Epoch, zone+": "+cause)
 	for _, peer := range m.Peers() {
-		env.Send(peer.Address, message.RosterPull{Tag: zone, Voter: m.quorum.Voter})
+		env.Send(peer.Address, message.RosterPull{Zone: zone, Voter: m.quorum.Voter})
 	}
 }
 
 // handleRosterPull answers with the whole copy of a zone, and with what it is worth.
 func (m *Machine) handleRosterPull(env *statemachine.Env, from string, pull message.RosterPull) {
-	replica, known := m.zones[pull.Tag]
+	replica, known := m.zones[pull.Zone]
 	if !known {
 		return
 	}
 	env.Send(from, message.RosterSnapshot{
-		Tag:           pull.Tag,
+		Zone:          pull.Zone,
 		Voter:         m.quorum.Voter,
 		Complete:      replica.complete,
-		HoldsLease:    m.holdsZone(env, pull.Tag),
+		HoldsLease:    m.holdsZone(env, pull.Zone),
 		Position:      replica.slice.Position,
 		Registrations: replica.slice.List(),
 	})
@@ -158,8 +158,8 @@
 // handleRosterSnapshot takes a whole copy where it is newer than the one here, or is the holder's
 // and differs.
 func (m *Machine) handleRosterSnapshot(env *statemachine.Env, snapshot message.RosterSnapshot) {
-	replica, known := m.zones[snapshot.Tag]
-	if !known || m.holdsZone(env, snapshot.Tag) {
+	replica, known := m.zones[snapshot.Zone]
+	if !known || m.holdsZone(env, snapshot.Zone) {
 		return
 	}
 	if !snapshot.Complete && !snapshot.HoldsLease {
@@ -169,7 +169,7 @@
 		return
 	}
 	current := replica.slice.Position
-	holderDiffers := snapshot.HoldsLease && snapshot.Position.Epoch >= m.leases.Epoch(snapshot.Tag) && !current.Same(snapshot.Position)
+	holderDiffers := snapshot.HoldsLease && snapshot.Position.Epoch >= m.leases.Epoch(snapshot.Zone) && !current.SameContent(snapshot.Position)
 	if current.Before(snapshot.Position) || holderDiffers {
 		replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 		m.replication.snapshotDue = true
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -87,7 +87,7 @@
 	relays := map[string]relayAnswer{}
 	for name, report := range m.proxies {
 		relays[name] = relayAnswer{
-			Path:    report.batch.Path,
+			Path:    report.batch.RelayPath,
 			Ready:   report.batch.Ready,
 			HeardMS: (env.Now - report.at).Milliseconds(),
 		}
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -36,7 +36,7 @@
 // newUsage restores the usage reports from a snapshot. The quorum and the leases are set later,
 // since they begin from what the log on disk says as well.
 func newUsage(m *Machine, saved message.RegistryState) *usage {
-	sealed := newSealedWindows(saved.Sealed, saved.Reported)
+	sealed := newSealedWindows(saved.Sealed, saved.LastReportedWindow)
 	u := &usage{
 		settings: m.settings,
 		core:     m.Core,
--- a/internal/registry/usage_clock.go
+++ b/internal/registry/usage_clock.go
@@ -52,13 +52,13 @@
 // recordClosed takes the newest word of a proxy, whose clock may have been set back since. An update
 // of the running window alone says nothing of those that are over.
 func (c *windowClock) recordClosed(update message.UsageUpdate) {
-	if update.Closed == 0 {
+	if update.ClosedBelow == 0 {
 		return
 	}
 	last, known := c.closed[update.Proxy]
-	newer := update.StartTime > last.startTime || update.StartTime == last.startTime && update.Number > last.number
+	newer := update.StartTime > last.startTime || update.StartTime == last.startTime && update.Sequence > last.number
 	if !known || newer {
-		c.closed[update.Proxy] = closedReport{update.StartTime, update.Number, update.Closed}
+		c.closed[update.Proxy] = closedReport{update.StartTime, update.Sequence, update.ClosedBelow}
 	}
 }
 
--- a/internal/registry/usage_counts.go
+++ b/internal/registry/usage_counts.go
@@ -39,17 +39,17 @@
 	run := proxyRunOf(update)
 	for _, window := range update.Counts {
 		last, known := c.byWindow[window.Window][run]
-		if c.sealed.hasValue(window.Window) || known && update.Number <= last.Number {
+		if c.sealed.hasValue(window.Window) || known && update.Sequence <= last.Sequence {
 			continue
 		}
 		c.put(message.ProxyUsage{
 			Window:   window.Window,
 			ProxyRun: run,
-			Number:   update.Number,
+			Sequence: update.Sequence,
 			Counts:   window.Counts,
-			Open:     window.Open,
+			InFlight: window.InFlight,
 		})
-		if !known || !maps.Equal(last.Counts, window.Counts) || !maps.Equal(last.Open, window.Open) {
+		if !known || !maps.Equal(last.Counts, window.Counts) || !maps.Equal(last.InFlight, window.InFlight) {
 			c.markUnsaved(window.Window, run)
 		}
 	}
@@ -72,7 +72,7 @@
 // restore takes counts from this disk.
 func (c *usageCounts) restore(saved message.UnreportedUsage) {
 	for _, counts := range saved.Proxies {
-		if counts.Number >= c.byWindow[counts.Window][counts.ProxyRun].Number {
+		if counts.Sequence >= c.byWindow[counts.Window][counts.ProxyRun].Sequence {
 			c.put(counts)
 		}
 	}
@@ -81,7 +81,7 @@
 // merge takes the counts of another registry, of windows that aren't reported yet.
 func (c *usageCounts) merge(others message.UnreportedUsage) {
 	for _, counts := range others.Proxies {
-		if counts.Window > c.sealed.reported && counts.Number > c.byWindow[counts.Window][counts.ProxyRun].Number {
+		if counts.Window > c.sealed.reported && counts.Sequence > c.byWindow[counts.Window][counts.ProxyRun].Sequence {
 			c.put(counts)
 		}
 	}
@@ -136,7 +136,7 @@
 		}
 		// Requests that a run had open when it last reported have most likely been answered
 		// before its end: they take as long to run as a report takes to be safe.
-		for tenant, count := range counts.Open {
+		for tenant, count := range counts.InFlight {
 			sums[tenant] += count
 		}
 	}
--- a/internal/registry/usage_sealing.go
+++ b/internal/registry/usage_sealing.go
@@ -144,10 +144,10 @@
 	u.sealer.sentAt = env.Now
 	for _, peer := range u.core.Peers() {
 		env.Send(peer.Address, message.UsageSeal{
-			Voter:    u.quorum.Voter,
-			Identity: u.quorum.Signature(),
-			Sealed:   *u.sealer.proposal,
-			Reported: u.sealed.reported,
+			Voter:              u.quorum.Voter,
+			Identity:           u.quorum.Signature(),
+			Sealed:             *u.sealer.proposal,
+			LastReportedWindow: u.sealed.reported,
 		})
 	}
 }
@@ -176,12 +176,12 @@
 		return
 	}
 	env.Send(from, message.UsageReadResponse{
-		Epoch:      read.Epoch,
-		Voter:      u.quorum.Voter,
-		Identity:   u.quorum.Signature(),
-		Sealed:     u.sealed.latest(),
-		Reported:   u.sealed.reported,
-		Unreported: u.counts.unsealed(),
+		Epoch:              read.Epoch,
+		Voter:              u.quorum.Voter,
+		Identity:           u.quorum.Signature(),
+		Sealed:             u.sealed.latest(),
+		LastReportedWindow: u.sealed.reported,
+		Unreported:         u.counts.unsealed(),
 	})
 }
 
@@ -192,7 +192,7 @@
 	for _, value := range response.Sealed {
 		u.sealed.learn(value)
 	}
-	u.sealed.learnReported(response.Reported)
+	u.sealed.learnReported(response.LastReportedWindow)
 	u.counts.merge(response.Unreported)
 	u.sealer.readAnswers[response.Voter] = response.Identity
 	u.finishRead()
@@ -203,7 +203,7 @@
 	if seal.Sealed.Epoch < u.leases.Epoch(settings.UsageTag) || !u.mayAnswer(seal.Voter, seal.Identity) {
 		return
 	}
-	u.sealed.learnReported(seal.Reported)
+	u.sealed.learnReported(seal.LastReportedWindow)
 	u.sealed.learn(seal.Sealed)
 	confirmation := message.UsageSealResponse{
 		Voter:    u.quorum.Voter,
--- a/internal/scaletest/activity.go
+++ b/internal/scaletest/activity.go
@@ -87,9 +87,9 @@
 	for window := current - openWindows; window <= current; window++ {
 		if counts, known := u[window]; known {
 			list = append(list, message.UsageCount{
-				Window: window,
-				Counts: maps.Clone(counts),
-				Open:   map[string]int64{"tenant-0": 1},
+				Window:   window,
+				Counts:   maps.Clone(counts),
+				InFlight: map[string]int64{"tenant-0": 1},
 			})
 		}
 	}
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -112,7 +112,7 @@
 
 // Interpret reads whose answer it is.
 func (u namedUpstreams) Interpret(answer *http.Response, forward message.Forward, _ backend.Target) backend.ResponseMetadata {
-	return backend.ResponseMetadata{OtherRequest: u.RequestName(answer) != "" && u.RequestName(answer) != forward.Name}
+	return backend.ResponseMetadata{OtherRequest: u.RequestName(answer) != "" && u.RequestName(answer) != forward.AttemptName}
 }
 
 // upstreamStream is what an upstream has put on one connection and nobody has read.
@@ -166,7 +166,7 @@
 // say puts a run's whole answer on the connection and has the serving proxy read it. It
 // gives the outcome as the proxy has it, and whether the answer went out whole.
 func (s *upstreamStream) say(w *World, strays bool, order backend.Decision, outcome message.Outcome) (read message.Outcome, whole bool) {
-	name := order.Forward.Name
+	name := order.Forward.AttemptName
 	own := answerBytes(name, outcome)
 	stray := answerBytes(name, message.Outcome{Status: http.StatusOK, Body: []byte("a stray answer of " + name)})
 	whole = true
--- a/internal/storage/disks_expected_golden_test.go
+++ b/internal/storage/disks_expected_golden_test.go
@@ -137,7 +137,7 @@
 
 func eastSlice(epoch, seq int64) message.RosterSnapshot {
 	return message.RosterSnapshot{
-		Tag:      "east",
+		Zone:     "east",
 		Position: message.Position{Topic: "slice:east", Epoch: epoch, Seq: seq, Count: 2, Hash: eastHash},
 		Registrations: []message.Registration{
 			upstreamOf("east", 1, 102, 9, "ready"),
@@ -148,7 +148,7 @@
 
 func westSlice(epoch, seq, hash, slots int64) message.RosterSnapshot {
 	return message.RosterSnapshot{
-		Tag:           "west",
+		Zone:          "west",
 		Position:      message.Position{Topic: "slice:west", Epoch: epoch, Seq: seq, Count: 1, Hash: hash},
 		Registrations: []message.Registration{upstreamOf("west", 3, 103, slots, "ready")},
 	}
@@ -165,9 +165,9 @@
 	return message.UnreportedUsage{Proxies: []message.ProxyUsage{{
 		Window:   window,
 		ProxyRun: "proxy/p/qglj",
-		Number:   number,
+		Sequence: number,
 		Counts:   map[string]int64{"tenant-1": window, "tenant-2": number},
-		Open:     map[string]int64{"tenant-1": 2},
+		InFlight: map[string]int64{"tenant-1": 2},
 	}}}
 }
 
@@ -183,7 +183,7 @@
 	return map[string]message.ConfigStoreState{
 		"configstore-discovered": {
 			Voter:          discoveredVoter("2", discoveredSecond),
-			Votes:          []message.Vote{{Tag: "config-log", Epoch: 1, Holder: "1", Identity: discoveredFirst}},
+			Votes:          []message.Vote{{LeaseName: "config-log", Epoch: 1, Holder: "1", Identity: discoveredFirst}},
 			Epoch:          1,
 			Seq:            8,
 			Configurations: entriesAtLoss(),
@@ -192,7 +192,7 @@
 		},
 		"configstore-named": {
 			Voter:          namedVoter(namedSecond),
-			Votes:          []message.Vote{{Tag: "config-log", Epoch: 1, Holder: "1", Identity: namedFirst}},
+			Votes:          []message.Vote{{LeaseName: "config-log", Epoch: 1, Holder: "1", Identity: namedFirst}},
 			Epoch:          1,
 			Seq:            8,
 			Configurations: entriesAtLoss(),
@@ -201,7 +201,7 @@
 		},
 		"configstore-settled": {
 			Voter: namedVoter(namedSecond),
-			Votes: []message.Vote{{Tag: "config-log", Epoch: 5, Holder: "1", Identity: namedReplacement, PreviousHolder: "2"}},
+			Votes: []message.Vote{{LeaseName: "config-log", Epoch: 5, Holder: "1", Identity: namedReplacement, PreviousHolder: "2"}},
 			Epoch: 5,
 			Seq:   2,
 			Configurations: append(
@@ -224,42 +224,42 @@
 		"registry-discovered": {
 			Voter: discoveredVoter("3", discoveredThird),
 			Votes: []message.Vote{
-				{Tag: "east", Epoch: 2, Holder: "2", Identity: discoveredSecond, PreviousHolder: "1"},
-				{Tag: "usage", Epoch: 1, Holder: "3", Identity: discoveredThird},
-				{Tag: "west", Epoch: 1, Holder: "2", Identity: discoveredSecond},
+				{LeaseName: "east", Epoch: 2, Holder: "2", Identity: discoveredSecond, PreviousHolder: "1"},
+				{LeaseName: "usage", Epoch: 1, Holder: "3", Identity: discoveredThird},
+				{LeaseName: "west", Epoch: 1, Holder: "2", Identity: discoveredSecond},
 			},
-			Slices:         []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtLoss)},
-			Sealed:         sealedAtLoss(),
-			Reported:       200_001,
-			KnownAddresses: seenTwice,
-			Usage:          usageHeld(200_002, 37),
+			Slices:             []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtLoss)},
+			Sealed:             sealedAtLoss(),
+			LastReportedWindow: 200_001,
+			KnownAddresses:     seenTwice,
+			Usage:              usageHeld(200_002, 37),
 		},
 		"registry-named": {
 			Voter: namedVoter(namedThird),
 			Votes: []message.Vote{
-				{Tag: "east", Epoch: 2, Holder: "2", Identity: namedSecond, PreviousHolder: "1"},
-				{Tag: "usage", Epoch: 1, Holder: "3", Identity: namedThird},
-				{Tag: "west", Epoch: 1, Holder: "2", Identity: namedSecond},
+				{LeaseName: "east", Epoch: 2, Holder: "2", Identity: namedSecond, PreviousHolder: "1"},
+				{LeaseName: "usage", Epoch: 1, Holder: "3", Identity: namedThird},
+				{LeaseName: "west", Epoch: 1, Holder: "2", Identity: namedSecond},
 			},
-			Slices:         []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtLoss)},
-			Sealed:         sealedAtLoss(),
-			Reported:       200_001,
-			KnownAddresses: seenTwice,
-			Usage:          usageHeld(200_002, 37),
+			Slices:             []message.RosterSnapshot{eastSlice(1, 4), westSlice(1, 12, westHashWith20Slots, westSlotsAtLoss)},
+			Sealed:             sealedAtLoss(),
+			LastReportedWindow: 200_001,
+			KnownAddresses:     seenTwice,
+			Usage:              usageHeld(200_002, 37),
 		},
 		"registry-settled": {
 			Voter: discoveredVoter("2", discoveredSecond),
 			Votes: []message.Vote{
-				{Tag: "east", Epoch: 5, Holder: "1", Identity: discoveredReplacement, PreviousHolder: "2"},
-				{Tag: "usage", Epoch: 2, Holder: "2", Identity: discoveredSecond, PreviousHolder: "3", RecentHolders: "3"},
-				{Tag: "west", Epoch: 1, Holder: "2", Identity: discoveredSecond},
+				{LeaseName: "east", Epoch: 5, Holder: "1", Identity: discoveredReplacement, PreviousHolder: "2"},
+				{LeaseName: "usage", Epoch: 2, Holder: "2", Identity: discoveredSecond, PreviousHolder: "3", RecentHolders: "3"},
+				{LeaseName: "west", Epoch: 1, Holder: "2", Identity: discoveredSecond},
 			},
 			Slices: []message.RosterSnapshot{eastSlice(5, 0), westSlice(1, 24, westHashWith32Slots, westSlotsWhenSettled)},
 			Sealed: append(sealedAtLoss(),
 				sealedWindow(200_002, 1, 52), sealedWindow(200_003, 2, 69), sealedWindow(200_004, 2, 85)),
-			Reported:       200_004,
-			KnownAddresses: []string{"10.0.0.1:7000"},
-			Usage:          usageHeld(200_005, 86),
+			LastReportedWindow: 200_004,
+			KnownAddresses:     []string{"10.0.0.1:7000"},
+			Usage:              usageHeld(200_005, 86),
 		},
 	}
 }
--- a/internal/storage/disks_generate_golden_test.go
+++ b/internal/storage/disks_generate_golden_test.go
@@ -221,7 +221,7 @@
 		upstreams[0].Incarnation++
 	}
 	if beat >= left {
-		upstreams[1].State = message.StateLeaving
+		upstreams[1].State = message.StateDraining
 	}
 	upstreams[2].Slots += beat / slotsChangeEvery
 	if beat >= signedOff {
@@ -240,12 +240,12 @@
 			open["tenant-1"] = 2
 		}
 		answered := map[string]int64{"tenant-1": counted, "tenant-2": beat}
-		counts = append(counts, message.UsageCount{Window: counted, Counts: answered, Open: open})
+		counts = append(counts, message.UsageCount{Window: counted, Counts: answered, InFlight: open})
 	}
 	return []any{
 		message.HeartbeatBatch{Proxy: "proxy/p", StartTime: goldenBirth, Ready: true, Heartbeats: heartbeats, Deregistrations: ends,
-			Positions: []message.Position{}, Path: []string{}, Window: window},
-		message.UsageUpdate{Proxy: "proxy/p", StartTime: goldenBirth, Number: beat, Counts: counts, Closed: window},
+			Positions: []message.Position{}, RelayPath: []string{}, CurrentWindow: window},
+		message.UsageUpdate{Proxy: "proxy/p", StartTime: goldenBirth, Sequence: beat, Counts: counts, ClosedBelow: window},
 	}
 }
 
--- a/internal/storage/disks_golden_test.go
+++ b/internal/storage/disks_golden_test.go
@@ -264,15 +264,15 @@
 		return state
 	case "registry-discovered":
 		state := expectedRegistries()[golden.name]
-		state.Votes[0] = message.Vote{Tag: "east", Epoch: 1, Holder: "1", Identity: discoveredFirst}
+		state.Votes[0] = message.Vote{LeaseName: "east", Epoch: 1, Holder: "1", Identity: discoveredFirst}
 		return state
 	case "registry-named":
 		state := expectedRegistries()[golden.name]
-		state.Votes[0] = message.Vote{Tag: "east", Epoch: 1, Holder: "1", Identity: namedFirst}
+		state.Votes[0] = message.Vote{LeaseName: "east", Epoch: 1, Holder: "1", Identity: namedFirst}
 		return state
 	case "registry-settled":
 		state := expectedRegistries()[golden.name]
-		state.Reported = 200_003
+		state.LastReportedWindow = 200_003
 		return state
 	}
 	c.Fatalf("nothing is expected of %s", golden.name)
--- a/internal/storage/machines_golden_test.go
+++ b/internal/storage/machines_golden_test.go
@@ -82,12 +82,12 @@
 				Epoch: told.epoch, Voter: told.asker, Identity: signedBy(golden, told.identity),
 			})
 			c.Assert(answer, qt.DeepEquals, any(message.LogPositionResponse{
-				Epoch:    told.epoch,
-				Voter:    "2",
-				Identity: signedBy(golden, expectedConfigStores()[told.disk].Voter.Identity),
-				AtEpoch:  told.atEpoch,
-				AtSeq:    told.seq,
-				Hash:     told.hash,
+				Epoch:         told.epoch,
+				Voter:         "2",
+				Identity:      signedBy(golden, expectedConfigStores()[told.disk].Voter.Identity),
+				PositionEpoch: told.atEpoch,
+				PositionSeq:   told.seq,
+				Hash:          told.hash,
 			}))
 		})
 	}
@@ -112,7 +112,7 @@
 		log.Configurations[index], before = entry, entry
 	}
 	c.Assert(log, qt.DeepEquals, message.LogSnapshot{
-		Epoch: 1, Voter: "2", AtEpoch: 1, AtSeq: 8, Configurations: state.Configurations, History: state.History,
+		Epoch: 1, Voter: "2", PositionEpoch: 1, PositionSeq: 8, Configurations: state.Configurations, History: state.History,
 	})
 }
 
@@ -130,7 +130,7 @@
 	digest := sha256.Sum256(entry.Body)
 	machine.Handle(env, askerAddress, message.LogAppendDelta{
 		Epoch: 1, Seq: 9, Voter: "1", Identity: namedReplacement,
-		ConfigName: "main", Version: version, Base: base, Difference: fromHex(c, difference), Digest: digest[:],
+		ConfigName: "main", Version: version, BaseVersion: base, Difference: fromHex(c, difference), Digest: digest[:],
 	})
 	write, isWrite := onlyEffect(c, env).(statemachine.Write)
 	c.Assert(isWrite, qt.IsTrue)
@@ -162,12 +162,12 @@
 				Epoch: told.epoch, Voter: told.asker, Identity: signedBy(golden, told.identity),
 			})
 			c.Assert(answer, qt.DeepEquals, any(message.UsageReadResponse{
-				Epoch:      told.epoch,
-				Voter:      told.voter,
-				Identity:   signedBy(golden, state.Voter.Identity),
-				Sealed:     state.Sealed,
-				Reported:   state.Reported,
-				Unreported: state.Usage,
+				Epoch:              told.epoch,
+				Voter:              told.voter,
+				Identity:           signedBy(golden, state.Voter.Identity),
+				Sealed:             state.Sealed,
+				LastReportedWindow: state.LastReportedWindow,
+				Unreported:         state.Usage,
 			}))
 		})
 	}
@@ -195,8 +195,8 @@
 	machine, env := runningMachine(c, diskNamed(c, "registry-named")), statemachine.NewEnv(1)
 	held := usageHeld(200_002, 38)
 	machine.Handle(env, proxyAddress, message.UsageUpdate{
-		Proxy: "proxy/p", StartTime: goldenBirth, Number: 38,
-		Counts: []message.UsageCount{{Window: 200_002, Counts: held.Proxies[0].Counts, Open: held.Proxies[0].Open}},
+		Proxy: "proxy/p", StartTime: goldenBirth, Sequence: 38,
+		Counts: []message.UsageCount{{Window: 200_002, Counts: held.Proxies[0].Counts, InFlight: held.Proxies[0].InFlight}},
 	})
 	write, isWrite := onlyEffect(c, env).(statemachine.Write)
 	c.Assert(isWrite, qt.IsTrue)
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -61,7 +61,7 @@
 	defer to.Close()
 
 	c.Assert(from.Send(to.address, message.UpdatesRequest{Positions: []message.Position{}}), qt.IsNil)
-	c.Assert(from.Datagram(to.address, message.Ping{Number: 1, Gossip: []message.Member{}}), qt.IsNil)
+	c.Assert(from.Datagram(to.address, message.Ping{Sequence: 1, Gossip: []message.Member{}}), qt.IsNil)
 	for range 2 {
 		select {
 		case <-received:
