--- a/internal/api/registry_handler.go
+++ b/internal/api/registry_handler.go
@@ -83,7 +83,7 @@
 func (h *registryHandler) serve(out http.ResponseWriter, in *http.Request, request any) {
 	write, isWrite := request.(registry.WriteConfiguration)
 	_, isRead := request.(registry.ReadConfiguration)
-	limited, cancel := context.WithTimeout(in.Context(), h.settings.AnswerLimit(len(write.Body))+controlSlack)
+	limited, cancel := context.WithTimeout(in.Context(), h.settings.OperatorTimeout(len(write.Body))+controlSlack)
 	defer cancel()
 	answer, err := node.RequestAs[registry.Answer](limited, h.process, request)
 	switch {
--- a/internal/backend/admission.go
+++ b/internal/backend/admission.go
@@ -86,13 +86,13 @@
 // mayRedial reports whether a broken upstream may be tried again without a heartbeat, which is
 // safe only where upstreams prove themselves.
 func (b *Backend) mayRedial(now time.Duration, registered *upstream) bool {
-	return b.settings.ByTarget() && now-registered.brokenAt > b.settings.DialFresh()
+	return b.settings.ProofByTarget() && now-registered.brokenAt > b.settings.AddressProofTTL()
 }
 
 // stalled reports whether this process stood still for so long that its upstreams may have found
 // another serving proxy meanwhile. Their slots are then no longer this one's to give.
 func (b *Backend) stalled(now time.Duration) bool {
-	return !b.settings.ByTarget() && b.lastExpireAt > 0 && now-b.lastExpireAt > b.settings.HeartbeatTimeout()/stallDivisor
+	return !b.settings.ProofByTarget() && b.lastExpireAt > 0 && now-b.lastExpireAt > b.settings.HeartbeatTimeout()/stallDivisor
 }
 
 // Expire refuses requests that have waited past their deadlines, starts those that now can, and
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -86,8 +86,8 @@
 	c := qt.New(t)
 	serving := newServingProxy(c)
 	target := Target{Key: "pay/one", Address: "a:1", Incarnation: 5}
-	c.Assert(serving.Dialable(settings.Default().DialFresh(), target), qt.IsTrue)
-	c.Assert(serving.Dialable(settings.Default().DialFresh()+1, target), qt.IsFalse)
+	c.Assert(serving.Dialable(settings.Default().AddressProofTTL(), target), qt.IsTrue)
+	c.Assert(serving.Dialable(settings.Default().AddressProofTTL()+1, target), qt.IsFalse)
 	serving.MarkAlive(time.Second, target)
 	c.Assert(serving.Dialable(time.Second, target), qt.IsTrue)
 	serving.MarkBroken(2*time.Second, target)
@@ -150,7 +150,7 @@
 	b.caller.pool.lock.Lock()
 	delete(b.caller.pool.idle, target)
 	b.caller.pool.lock.Unlock()
-	b.serving.upstreams["pay/one"].lastSeenAt -= settings.Default().DialFresh() + 1
+	b.serving.upstreams["pay/one"].lastSeenAt -= settings.Default().AddressProofTTL() + 1
 	outcome := b.request(c, "b", http.MethodPost)
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.BusyUnproven)
@@ -193,7 +193,7 @@
 	c.Assert(decisions, qt.HasLen, 1)
 	serving.Complete(time.Second, decisions[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("answer")})
 	c.Check(string(serving.Outcome(time.Second, "q").Body), qt.Equals, "answer")
-	later := time.Second + cfg.AnswerRetention() + time.Millisecond
+	later := time.Second + cfg.ResponseRetention() + time.Millisecond
 	serving.Announce(later, announcement)
 	serving.Expire(later)
 	late := serving.Outcome(later, "q")
--- a/internal/backend/cancel_test.go
+++ b/internal/backend/cancel_test.go
@@ -110,7 +110,7 @@
 func TestWithdrawTellsWhatMayBeBrokenOff(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
-	cfg.Proof = settings.ProofTarget
+	cfg.TargetProof = settings.ProofTarget
 	serving := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	_, _, _ = serving.Announce(0, Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "a:1", Zone: "d", Slots: 2})
 	c.Assert(serving.HandleForward(0, repeatableOrNot("repeatable", false)), qt.HasLen, 1)
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -94,7 +94,7 @@
 		return outcome
 	}
 	connection.close()
-	if !c.settings.ByTarget() {
+	if !c.settings.ProofByTarget() {
 		c.goroutines.Go("backend.refill", func(context.Context) { c.warmUp(poolKey(decision.Target)) })
 	}
 	return outcome
@@ -129,7 +129,7 @@
 	if connection := c.pool.acquire(target); connection != nil {
 		return connection, errcode.OK
 	}
-	if c.settings.ByTarget() {
+	if c.settings.ProofByTarget() {
 		return c.connectUnproven(target, deadline)
 	}
 	if !c.serving.ConnectionsUsable(c.goroutines.Now(), target) || !c.guards.stands(target) {
@@ -156,7 +156,7 @@
 // connections kept ready for it.
 func (c *UpstreamClient) Guard(announcement Announcement) {
 	target := announcement.target()
-	connection, err := c.dial(target, time.Now().Add(c.settings.ConnectionDial()))
+	connection, err := c.dial(target, time.Now().Add(c.settings.DialTimeout()))
 	if err != nil {
 		c.serving.MarkBroken(c.goroutines.Now(), target)
 		return
@@ -172,7 +172,7 @@
 		if c.pool.size(target) >= wanted {
 			return
 		}
-		connection, code := c.dialProven(target, time.Now().Add(c.settings.DialFresh()))
+		connection, code := c.dialProven(target, time.Now().Add(c.settings.AddressProofTTL()))
 		if code != errcode.OK {
 			return
 		}
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -63,7 +63,7 @@
 
 // dialTCP is the Dialer of a real process.
 func (c *UpstreamClient) dialTCP(address string, deadline time.Time) (net.Conn, error) {
-	dialer := net.Dialer{Deadline: deadline, Timeout: c.settings.ConnectionDial()}
+	dialer := net.Dialer{Deadline: deadline, Timeout: c.settings.DialTimeout()}
 	return dialer.DialContext(c.goroutines.Context, "tcp", address)
 }
 
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -41,7 +41,7 @@
 		Protocol:       c.protocol,
 		Forward:        decision.Forward,
 		Target:         decision.Target,
-		NamedResponses: c.settings.ByTarget(),
+		NamedResponses: c.settings.ProofByTarget(),
 		request:        request,
 	}
 	matched, err := matcher.Read(connection.responses)
@@ -89,7 +89,7 @@
 	if forward.Host != "" {
 		request.Host = forward.Host
 	}
-	if c.settings.ByTarget() && len(forward.Path) > 1 && forward.Path[1] != '/' {
+	if c.settings.ProofByTarget() && len(forward.Path) > 1 && forward.Path[1] != '/' {
 		// The path as it came, to the byte.
 		request.URL.Opaque = forward.Path
 	}
--- a/internal/backend/heartbeats_test.go
+++ b/internal/backend/heartbeats_test.go
@@ -66,7 +66,7 @@
 	c.Assert(decisions, qt.HasLen, 0)
 	registered, _ := serving.Lookup("pay", "one")
 	c.Assert(registered, qt.DeepEquals, numbered(7, nil))
-	c.Assert(serving.Dialable(settings.Default().DialFresh()+1, Target{Key: "pay/one", Address: "a:1", Incarnation: 5}), qt.IsFalse)
+	c.Assert(serving.Dialable(settings.Default().AddressProofTTL()+1, Target{Key: "pay/one", Address: "a:1", Incarnation: 5}), qt.IsFalse)
 	c.Assert(codes(serving.HandleForward(time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
 	// A later life counts anew; what numbers nothing is taken as it comes.
 	serving.Announce(time.Second, numbered(1, func(announcement *Announcement) { announcement.Incarnation = 6 }))
--- a/internal/backend/liveness.go
+++ b/internal/backend/liveness.go
@@ -40,7 +40,7 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	registered, same := b.lookupTarget(target)
-	return same && !registered.broken && now-registered.lastSeenAt <= b.settings.DialFresh()
+	return same && !registered.broken && now-registered.lastSeenAt <= b.settings.AddressProofTTL()
 }
 
 // MarkAlive notes bytes that came on a proven connection to the target.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -56,7 +56,7 @@
 	defer p.lock.Unlock()
 	connection.idleSince = p.goroutines.Now()
 	key := poolKey(target)
-	if len(p.idle[key]) >= maxIdleConnections || !p.serving.ConnectionsUsable(connection.idleSince, target) && !p.settings.ByTarget() {
+	if len(p.idle[key]) >= maxIdleConnections || !p.serving.ConnectionsUsable(connection.idleSince, target) && !p.settings.ProofByTarget() {
 		connection.close()
 		return
 	}
@@ -101,5 +101,5 @@
 // isUsable reports whether connections to a target may be kept. Where upstreams prove themselves,
 // it is enough that the target is registered.
 func (p *connectionPool) isUsable(now time.Duration, target Target) bool {
-	return p.serving.ConnectionsUsable(now, target) || p.settings.ByTarget() && p.serving.IsRegistered(target)
+	return p.serving.ConnectionsUsable(now, target) || p.settings.ProofByTarget() && p.serving.IsRegistered(target)
 }
--- a/internal/backend/records.go
+++ b/internal/backend/records.go
@@ -77,19 +77,19 @@
 	}
 	if outcome.Kind == message.NotStarted && outcome.ReachedUpstream && code == errcode.BusySlotsFull {
 		// It has work that this serving proxy does not know of.
-		registered.lingering = append(registered.lingering, now+b.settings.DialFresh())
+		registered.lingering = append(registered.lingering, now+b.settings.AddressProofTTL())
 	}
 }
 
 // lingerTime is how long a request that ended without an answer may run on.
 func (b *Backend) lingerTime(code errcode.Code) time.Duration {
 	switch {
-	case b.settings.ByTarget():
-		return b.settings.DialFresh() / targetLingerDivisor
+	case b.settings.ProofByTarget():
+		return b.settings.AddressProofTTL() / targetLingerDivisor
 	case code == errcode.UnknownOutcome:
-		return b.settings.RequestLimit() / lingerDivisor
+		return b.settings.RequestTimeout() / lingerDivisor
 	}
-	return b.settings.RequestLimit()
+	return b.settings.RequestTimeout()
 }
 
 // report tells with an outcome how loaded the upstream is.
@@ -147,7 +147,7 @@
 func (b *Backend) expireBodies(now time.Duration) {
 	for len(b.recordsWithBody) > 0 {
 		record, known := b.records[b.recordsWithBody[0]]
-		if known && now-record.updatedAt < b.settings.AnswerRetention() {
+		if known && now-record.updatedAt < b.settings.ResponseRetention() {
 			return
 		}
 		if known {
--- a/internal/backend/target_test.go
+++ b/internal/backend/target_test.go
@@ -96,7 +96,7 @@
 
 func targetBench(c *qt.C, members *goroutine.Group, address string) *bench {
 	cfg := settings.Default()
-	cfg.Proof = settings.ProofTarget
+	cfg.TargetProof = settings.ProofTarget
 	serving := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	b := &bench{serving: serving, caller: NewUpstreamClient(cfg, serving, members), members: members, address: address}
 	b.caller.UseProtocol(named{})
@@ -295,7 +295,7 @@
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
 	c.Assert(outcome.ReachedUpstream, qt.IsFalse)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.BusyUpstreamGone)
-	now, fresh := members.Now(), b.caller.settings.DialFresh()
+	now, fresh := members.Now(), b.caller.settings.AddressProofTTL()
 	c.Assert(codes(b.serving.HandleForward(now, forwardOf("x", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	c.Assert(codes(b.serving.HandleForward(now+fresh+1, forwardOf("y", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.OK})
 }
--- a/internal/cli/core_programs.go
+++ b/internal/cli/core_programs.go
@@ -32,7 +32,7 @@
 				return err
 			}
 			serveMetrics(cfg, group, process, nil)
-			return server.Serve(group, cfg.Outside)
+			return server.Serve(group, cfg.HTTPAddress)
 		},
 		OnStop: func(ctx context.Context) error {
 			return stopCore(ctx, cfg, group, process, registry.Stop{}, server)
--- a/internal/cli/force_recover.go
+++ b/internal/cli/force_recover.go
@@ -47,7 +47,7 @@
 		return errcode.Wrap("operator.force-recover", errcode.Internal, fmt.Errorf("stop the program first: %w", err))
 	}
 	defer listener.Close()
-	directory, err := storage.NewOSDirectory(cfg.Data)
+	directory, err := storage.NewOSDirectory(cfg.DataDirectory)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/proxy_program.go
+++ b/internal/cli/proxy_program.go
@@ -102,7 +102,7 @@
 func (l limitsInForce) HeadTime() time.Duration { return l.frontend.HeadTime() }
 
 // hasCallersAddress reports whether callers have an address of their own, where every path is theirs.
-func (p *proxyProgram) hasCallersAddress() bool { return len(p.settings.Beacon) > 0 }
+func (p *proxyProgram) hasCallersAddress() bool { return len(p.settings.BeaconAddresses) > 0 }
 
 func (p *proxyProgram) start() error {
 	if err := p.process.Run(p.machine, func(network *transport.Transport) { p.pipeline.Start(network) }); err != nil {
@@ -112,12 +112,12 @@
 	p.goroutines.Go("proxy.log-answers", p.logAnswers)
 	serveMetrics(p.settings, p.goroutines, p.process, p.api.Metrics)
 	if !p.hasCallersAddress() {
-		return p.server.Serve(p.goroutines, p.settings.Outside)
+		return p.server.Serve(p.goroutines, p.settings.HTTPAddress)
 	}
-	if err := p.callersServer.Serve(p.goroutines, p.settings.Outside); err != nil {
+	if err := p.callersServer.Serve(p.goroutines, p.settings.HTTPAddress); err != nil {
 		return err
 	}
-	return p.server.Serve(p.goroutines, p.settings.Beacon...)
+	return p.server.Serve(p.goroutines, p.settings.BeaconAddresses...)
 }
 
 // stop reports that the proxy is not ready, tells its peers, accepts requests for the linger time of
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -44,7 +44,7 @@
 	for _, warning := range cfg.Warnings {
 		process.Log.Info("warning: a bound can't be kept", "bound", warning.Path, "cause", warning.Text)
 	}
-	process.Log.Info("started", "address", cfg.Address, "outside", cfg.Outside, "version", Version)
+	process.Log.Info("started", "address", cfg.Address, "outside", cfg.HTTPAddress, "version", Version)
 	<-signals
 	process.Log.Info("stopping")
 	group.Go("cli.second-signal", func(context.Context) {
--- a/internal/configstore/catchup.go
+++ b/internal/configstore/catchup.go
@@ -30,7 +30,7 @@
 	}
 	m.backoff.nextAt = env.Now + m.backoff.pause
 	env.Event(eventSnapshotRequested, 0, m.log.epoch, "behind the holder")
-	env.Send(holderAddress, m.snapshotRequest(m.leases.Epoch(settings.ConfigLogTag)))
+	env.Send(holderAddress, m.snapshotRequest(m.leases.Epoch(settings.ConfigLogLease)))
 }
 
 // snapshotRequest asks for a whole log.
@@ -53,7 +53,7 @@
 // wantsSnapshot reports whether a log that came is the one that was asked for, and newer than this
 // voter's.
 func (m *Machine) wantsSnapshot(snapshot message.LogSnapshot) bool {
-	if snapshot.Epoch != m.leases.Epoch(settings.ConfigLogTag) {
+	if snapshot.Epoch != m.leases.Epoch(settings.ConfigLogLease) {
 		return false
 	}
 	if !m.log.position().before(position{epoch: snapshot.PositionEpoch, seq: snapshot.PositionSeq}) {
--- a/internal/configstore/committed_versions_test.go
+++ b/internal/configstore/committed_versions_test.go
@@ -22,7 +22,7 @@
 		t.Run(writes, func(t *testing.T) {
 			c := qt.New(t)
 			b := newConfigLog(c, writes)
-			last := settings.Default().Limits.KeptConfigurations * 3
+			last := settings.Default().Limits.RetainedVersions * 3
 			for version := int64(1); version <= last; version++ {
 				c.Assert(b.code(c, version, numberedDocument(version)), qt.Equals, errcode.OK)
 			}
--- a/internal/configstore/decision.go
+++ b/internal/configstore/decision.go
@@ -46,7 +46,7 @@
 	request message.WriteRequest, current message.StoredConfiguration, overtaken bool,
 ) (response message.StoreResponse, decided bool) {
 	past := m.log.history.outcome(request.ConfigName, request.Version, request.Body)
-	highestWins := m.settings.Writes == settings.WritesHighest
+	highestWins := m.settings.WritePolicy == settings.WritesHighest
 	switch {
 	case past == committedSame && highestWins:
 		return acknowledgement(current), true
--- a/internal/configstore/decision_test.go
+++ b/internal/configstore/decision_test.go
@@ -22,7 +22,7 @@
 
 func newConfigLog(c *qt.C, writes string) *configLog {
 	cfg := settings.Default()
-	cfg.Node, cfg.VoterCount, cfg.Voters, cfg.Found, cfg.Writes = "one", 1, settings.VoterNames(1), true, writes
+	cfg.Node, cfg.VoterCount, cfg.Voters, cfg.Bootstrap, cfg.WritePolicy = "one", 1, settings.VoterNames(1), true, writes
 	cfg.Seeds = []string{"10.0.0.1:1"}
 	m, err := New(cfg, message.Member{Name: "configstore/one", Address: "10.0.0.1:2"}, nil, nil)
 	c.Assert(err, qt.IsNil)
--- a/internal/configstore/follower.go
+++ b/internal/configstore/follower.go
@@ -35,7 +35,7 @@
 // acceptsHolder reports whether a message is from the voter to whom this voter granted the lease: the
 // sender is on the member list, and its epoch is the one that was promised, neither lower nor higher.
 func (m *Machine) acceptsHolder(voter, identity string, epoch int64) bool {
-	inEpoch := epoch == m.leases.Epoch(settings.ConfigLogTag) || guardsOff.promisedEpoch
+	inEpoch := epoch == m.leases.Epoch(settings.ConfigLogLease) || guardsOff.promisedEpoch
 	return m.quorum.Voting() && m.quorum.Accepts(voter, identity) && inEpoch && m.Failure() == nil
 }
 
@@ -81,7 +81,7 @@
 // acknowledge tells the holder how far this voter's disk has the log, if that is in the promised epoch.
 func (m *Machine) acknowledge(env *statemachine.Env, holderAddress string) {
 	synced := m.log.synced
-	if synced.epoch == m.leases.Epoch(settings.ConfigLogTag) {
+	if synced.epoch == m.leases.Epoch(settings.ConfigLogLease) {
 		env.Send(holderAddress, message.LogAppended{
 			Epoch:    synced.epoch,
 			Seq:      synced.seq,
--- a/internal/configstore/log.go
+++ b/internal/configstore/log.go
@@ -74,7 +74,7 @@
 	}
 	kept := l.versions[configName]
 	limits := l.settings.Limits
-	for int64(len(kept)) > limits.KeptConfigurations || total > limits.Frame/frameShare && len(kept) > 1 {
+	for int64(len(kept)) > limits.RetainedVersions || total > limits.Frame/frameShare && len(kept) > 1 {
 		total -= int64(len(kept[0].Body))
 		kept = kept[1:]
 	}
--- a/internal/configstore/log_test.go
+++ b/internal/configstore/log_test.go
@@ -17,7 +17,7 @@
 	m, err := New(cfg, message.Member{Name: "a"}, nil, nil)
 	c.Assert(err, qt.IsNil)
 	body := make([]byte, cfg.Limits.Configuration)
-	for version := int64(1); version <= cfg.Limits.KeptConfigurations*2; version++ {
+	for version := int64(1); version <= cfg.Limits.RetainedVersions*2; version++ {
 		for _, configName := range cfg.ConfigNames {
 			m.log.append(0, 0, message.StoredConfiguration{ConfigName: configName, Version: version, Body: body})
 		}
@@ -33,5 +33,5 @@
 	for version := int64(100); version <= 200; version++ {
 		m.log.append(0, 0, message.StoredConfiguration{ConfigName: "main", Version: version, Body: []byte("small")})
 	}
-	c.Assert(int64(len(m.log.versions["main"])), qt.Equals, cfg.Limits.KeptConfigurations)
+	c.Assert(int64(len(m.log.versions["main"])), qt.Equals, cfg.Limits.RetainedVersions)
 }
--- a/internal/configstore/machine.go
+++ b/internal/configstore/machine.go
@@ -57,7 +57,7 @@
 	m.Core = quorum.NewCore(cfg, message.RoleConfigStore, m.membership, m.Snapshot, snapshot == nil)
 	m.quorum = quorum.New(Group, cfg, m, restored.Voter, m.beginVoting)
 	m.UseVoters(m.quorum)
-	m.leases = lease.New(cfg, m, m.quorum, []string{settings.ConfigLogTag}, restored.Votes,
+	m.leases = lease.New(cfg, m, m.quorum, []string{settings.ConfigLogLease}, restored.Votes,
 		lease.Callbacks{Eligible: m.eligible, OnAcquired: m.leaseAcquired, OnLost: m.leaseLost})
 	m.distribution.ServeWhen(m.canServe, func() []string { return []string{m.leaseHolderName()} })
 	return m, nil
@@ -83,7 +83,7 @@
 
 // leaseHolderName returns the member name of the holder of the lease, "" if this voter doesn't know it.
 func (m *Machine) leaseHolderName() string {
-	voter := m.leases.Holder(settings.ConfigLogTag)
+	voter := m.leases.Holder(settings.ConfigLogLease)
 	for _, peer := range m.Peers() {
 		if peer.Voter == voter && peer.Address == m.quorum.AddressOf(voter) {
 			return peer.Name
--- a/internal/configstore/responses.go
+++ b/internal/configstore/responses.go
@@ -23,8 +23,8 @@
 // request came.
 func (m *Machine) respondConfirmed(env *statemachine.Env, response pendingResponse) {
 	m.responses = append(m.responses, response)
-	if !m.leases.ConfirmedSince(settings.ConfigLogTag, response.receivedAt) {
-		m.leases.RenewNow(settings.ConfigLogTag, env)
+	if !m.leases.ConfirmedSince(settings.ConfigLogLease, response.receivedAt) {
+		m.leases.RenewNow(settings.ConfigLogLease, env)
 	}
 	m.sendConfirmedResponses(env)
 }
@@ -36,7 +36,7 @@
 	}
 	waiting := []pendingResponse{}
 	for _, response := range m.responses {
-		if !m.leases.ConfirmedSince(settings.ConfigLogTag, response.receivedAt) && !guardsOff.confirmedAnswers {
+		if !m.leases.ConfirmedSince(settings.ConfigLogLease, response.receivedAt) && !guardsOff.confirmedAnswers {
 			waiting = append(waiting, response)
 			continue
 		}
--- a/internal/distribution/antientropy.go
+++ b/internal/distribution/antientropy.go
@@ -96,7 +96,7 @@
 		return
 	}
 	if d.parent.exists() {
-		d.leaveParent(env, "lacks what "+reporter+" has", d.settings.Reparent()*backOffReparents)
+		d.leaveParent(env, "lacks what "+reporter+" has", d.settings.ReparentAfter()*backOffReparents)
 	}
 	d.joinParent(env.Now, member, true)
 	d.nextRequestAt = env.Now
--- a/internal/distribution/antientropy_test.go
+++ b/internal/distribution/antientropy_test.go
@@ -25,7 +25,7 @@
 		tree.version["far"] = 2
 		told := tree.env.Now
 		tree.reportNewer("far", 2)
-		moved := tree.play(tree.settings.Reparent()/2, func() bool { return tree.configurationVersion() == 2 })
+		moved := tree.play(tree.settings.ReparentAfter()/2, func() bool { return tree.configurationVersion() == 2 })
 		c.Assert(moved, qt.IsTrue, qt.Commentf("seed %d: asked %v", seed, tree.asked))
 		c.Assert(tree.env.Now-told <= tree.distribution.missingLimit()+tree.settings.TickEvery(), qt.IsTrue)
 		c.Assert(tree.parent(), qt.Equals, "far")
@@ -71,7 +71,7 @@
 	tree.reportNewer("far", 2)
 	tree.reportNewer("other", 2)
 	tree.reportNewer("far", 2)
-	c.Assert(tree.play(tree.settings.Reparent()/2, func() bool { return tree.configurationVersion() == 2 }), qt.IsTrue)
+	c.Assert(tree.play(tree.settings.ReparentAfter()/2, func() bool { return tree.configurationVersion() == 2 }), qt.IsTrue)
 	c.Assert(tree.parent(), qt.Equals, "other")
 }
 
@@ -84,6 +84,6 @@
 	tree.distribution.selection.ejectStale("far", tree.env.Now+time.Hour)
 	tree.version["far"] = 2
 	tree.reportNewer("far", 2)
-	c.Assert(tree.play(tree.settings.Reparent()/2, func() bool { return tree.configurationVersion() == 2 }), qt.IsTrue)
+	c.Assert(tree.play(tree.settings.ReparentAfter()/2, func() bool { return tree.configurationVersion() == 2 }), qt.IsTrue)
 	c.Assert(tree.parent(), qt.Equals, "far")
 }
--- a/internal/distribution/parent.go
+++ b/internal/distribution/parent.go
@@ -138,7 +138,7 @@
 		d.selection.unanswered++
 	}
 	if health.silent || health.gone || health.stale {
-		d.leaveParent(env, health.cause(), d.settings.Reparent()*backOffReparents)
+		d.leaveParent(env, health.cause(), d.settings.ReparentAfter()*backOffReparents)
 	}
 }
 
@@ -163,9 +163,9 @@
 // For what was never known current the time since the parent was joined counts.
 func (d *Distribution) behind(now time.Duration) bool {
 	for _, topic := range d.wanted() {
-		limit := d.settings.Reparent()
+		limit := d.settings.ReparentAfter()
 		if !IsConfiguration(topic) {
-			limit += d.settings.TakeOver()
+			limit += d.settings.LeaseTakeover()
 		}
 		since := d.topics[topic].freshAt
 		if since == never {
@@ -190,7 +190,7 @@
 	d.parent.name, d.parent.address = member.Name, member.Address
 	d.parent.lastResort = lastResort
 	d.parent.joinedAt, d.parent.answeredAt = now, now
-	d.requests.restart(now, d.settings.Reparent()*backOffReparents)
+	d.requests.restart(now, d.settings.ReparentAfter()*backOffReparents)
 }
 
 // leaveParent leaves a parent that failed, which counts as a change of the parent.
--- a/internal/distribution/parent_selection.go
+++ b/internal/distribution/parent_selection.go
@@ -178,7 +178,7 @@
 func (p *parentSelection) firstAnswerLimit() time.Duration {
 	limit := p.settings.UpdatesEvery()
 	for range max(p.unanswered-constantAnswerLimits, 0) {
-		limit = min(limit*2, p.settings.Reparent())
+		limit = min(limit*2, p.settings.ReparentAfter())
 	}
 	return limit
 }
@@ -202,9 +202,9 @@
 // next move for staleness slower.
 func (p *parentSelection) ejectStalePath(now time.Duration, path []string) {
 	for _, name := range path {
-		p.ejectStale(name, now+p.settings.Reparent()*backOffReparents)
+		p.ejectStale(name, now+p.settings.ReparentAfter()*backOffReparents)
 	}
-	p.staleGrace = min(p.staleGrace*2, p.settings.Reparent()*maxStaleGrace)
+	p.staleGrace = min(p.staleGrace*2, p.settings.ReparentAfter()*maxStaleGrace)
 	p.leftStale = true
 }
 
@@ -217,7 +217,7 @@
 
 // markSilent records that a member does not answer requests.
 func (p *parentSelection) markSilent(now time.Duration, name string) {
-	p.silent[name] = now + p.settings.Reparent()*backOffReparents
+	p.silent[name] = now + p.settings.ReparentAfter()*backOffReparents
 }
 
 // isStale reports whether a member was ejected as stale.
--- a/internal/distribution/parent_selection_test.go
+++ b/internal/distribution/parent_selection_test.go
@@ -33,9 +33,9 @@
 				return 0
 			}
 		}
-		c.Assert(tree.play(tree.settings.Reparent()*4, func() bool { return first != "" }), qt.IsTrue)
+		c.Assert(tree.play(tree.settings.ReparentAfter()*4, func() bool { return first != "" }), qt.IsTrue)
 		left := tree.env.Now
-		c.Assert(tree.play(tree.settings.Reparent(), func() bool { return tree.parent() != "" && tree.parent() != first }), qt.IsTrue)
+		c.Assert(tree.play(tree.settings.ReparentAfter(), func() bool { return tree.parent() != "" && tree.parent() != first }), qt.IsTrue)
 		c.Assert(tree.parent(), qt.Not(qt.Equals), "near")
 		c.Assert(tree.env.Now-left <= tree.settings.TickEvery(), qt.IsTrue, qt.Commentf("%v, asked %v", tree.env.Now-left, tree.asked))
 		age, _ := tree.distribution.Age(ConfigurationTopic("main"), tree.env.Now)
@@ -52,7 +52,7 @@
 		tree.settle("near")
 		tree.makeStale("near", "far")
 		tree.full["other"], tree.full["fourth"] = true, true
-		c.Assert(tree.play(tree.settings.Reparent()*3, func() bool { return len(tree.lastResorts) > 0 && tree.parent() != "" }), qt.IsTrue)
+		c.Assert(tree.play(tree.settings.ReparentAfter()*3, func() bool { return len(tree.lastResorts) > 0 && tree.parent() != "" }), qt.IsTrue)
 		for _, root := range tree.lastResorts {
 			c.Assert(root == "other" || root == "fourth", qt.IsTrue,
 				qt.Commentf("seed %d: %v after %v", seed, tree.lastResorts, tree.asked))
@@ -66,7 +66,7 @@
 	tree := newTestTree(c, 1, "near", "far")
 	tree.settle("near")
 	tree.makeStale("near", "far")
-	c.Assert(tree.play(tree.settings.Reparent()*3, func() bool { return len(tree.lastResorts) > 0 && tree.parent() != "" }), qt.IsTrue)
+	c.Assert(tree.play(tree.settings.ReparentAfter()*3, func() bool { return len(tree.lastResorts) > 0 && tree.parent() != "" }), qt.IsTrue)
 }
 
 // A parent is not left for a slice whose source has just died: no other can be fresher before another
@@ -78,10 +78,10 @@
 		state := tree.distribution.topic(topic)
 		tree.distribution.subscribed = map[string]bool{topic: true}
 		state.known, state.freshAt = true, 0
-		limit := tree.settings.Reparent()
+		limit := tree.settings.ReparentAfter()
 		c.Assert(tree.distribution.behind(limit), qt.IsFalse)
 		c.Assert(tree.distribution.behind(limit+1), qt.Equals, wanted)
-		c.Assert(tree.distribution.behind(limit+tree.settings.TakeOver()+1), qt.IsTrue)
+		c.Assert(tree.distribution.behind(limit+tree.settings.LeaseTakeover()+1), qt.IsTrue)
 	}
 }
 
@@ -101,7 +101,7 @@
 			tree.version[root] = 2
 		}
 		newer := func() bool { return tree.configurationVersion() == 2 }
-		c.Assert(tree.play(tree.settings.Reparent()*2, newer), qt.IsTrue, qt.Commentf("seed %d: asked %v", seed, tree.asked))
+		c.Assert(tree.play(tree.settings.ReparentAfter()*2, newer), qt.IsTrue, qt.Commentf("seed %d: asked %v", seed, tree.asked))
 	}
 }
 
@@ -117,7 +117,7 @@
 		}
 		tree.settle("near")
 		tree.makeStale("near")
-		left := tree.play(tree.settings.Reparent()*2, func() bool { return tree.parent() == "far" })
+		left := tree.play(tree.settings.ReparentAfter()*2, func() bool { return tree.parent() == "far" })
 		c.Assert(left, qt.IsTrue, qt.Commentf("seed %d: asked %v", seed, tree.asked))
 		c.Assert(tree.asked, qt.DeepEquals, []string{"near", "far"}, qt.Commentf("seed %d", seed))
 	}
@@ -132,7 +132,7 @@
 		tree.settle("near")
 		cutAt := tree.env.Now
 		leaseEnd := cutAt + tree.settings.Lease()*9/10
-		servedAt := cutAt + tree.settings.Reparent() + tree.settings.UpdatesEvery()
+		servedAt := cutAt + tree.settings.ReparentAfter() + tree.settings.UpdatesEvery()
 		tree.ages["cut-off"] = func() time.Duration { return max(0, tree.env.Now-leaseEnd) }
 		for _, root := range []string{"near", "far"} {
 			tree.ages[root] = func() time.Duration {
@@ -147,7 +147,7 @@
 		// The new holder's first configuration is known to the two that are not cut off.
 		tree.version["near"], tree.version["far"] = 2, 2
 		committedAt := tree.env.Now
-		tree.play(tree.settings.TakeOver()*4, func() bool { return tree.configurationVersion() == 2 })
+		tree.play(tree.settings.LeaseTakeover()*4, func() bool { return tree.configurationVersion() == 2 })
 		took := tree.env.Now - committedAt
 		bound := time.Duration(tree.settings.Bounds.ConfigurationInForce) * time.Millisecond
 		c.Check(took < bound, qt.IsTrue, qt.Commentf("seed %d: %v, asked %v", seed, took, tree.asked))
@@ -164,7 +164,7 @@
 		tree.addMember("proxy/other", message.RoleProxy, "e")
 		cutAt := tree.env.Now
 		joined := false
-		for end := tree.env.Now + tree.settings.Reparent()*4; tree.env.Now < end && !joined; tree.env.Now += tree.settings.TickEvery() {
+		for end := tree.env.Now + tree.settings.ReparentAfter()*4; tree.env.Now < end && !joined; tree.env.Now += tree.settings.TickEvery() {
 			tree.distribution.Tick(tree.env)
 			for _, effect := range tree.env.Drain() {
 				sent, _ := effect.(statemachine.Send)
@@ -193,7 +193,7 @@
 			_, fresh := tree.distribution.FreshAt(ConfigurationTopic("main"))
 			return fresh
 		}
-		c.Assert(tree.play(tree.settings.Reparent()*2, current), qt.IsTrue,
+		c.Assert(tree.play(tree.settings.ReparentAfter()*2, current), qt.IsTrue,
 			qt.Commentf("seed %d: no current configuration %v after its start", seed, tree.env.Now-began))
 	}
 }
--- a/internal/distribution/requests_test.go
+++ b/internal/distribution/requests_test.go
@@ -60,7 +60,7 @@
 	tree.distribution.selection.unanswered = constantAnswerLimits + 2
 	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, first*4)
 	tree.distribution.selection.unanswered = 100
-	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, tree.settings.Reparent())
+	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, tree.settings.ReparentAfter())
 }
 
 // A node that was held up itself, right after it asked a new parent, does not leave that one: the
--- a/internal/distribution/response.go
+++ b/internal/distribution/response.go
@@ -23,7 +23,7 @@
 		return
 	}
 	if slices.Contains(response.RelayPath, d.membership.Self().Name) {
-		d.leaveParent(env, leftForLoop, d.settings.Reparent())
+		d.leaveParent(env, leftForLoop, d.settings.ReparentAfter())
 		d.nextRequestAt = env.Now
 		return
 	}
@@ -67,7 +67,7 @@
 	case message.RefusedNoPath:
 		d.dropParent(env.Now, d.settings.UpdatesEvery()*refusedIntervals)
 	default:
-		d.dropParent(env.Now, d.settings.Reparent()*backOffReparents)
+		d.dropParent(env.Now, d.settings.ReparentAfter()*backOffReparents)
 	}
 	d.nextRequestAt = env.Now
 }
@@ -91,7 +91,7 @@
 	if d.parent.lastResort {
 		return false
 	}
-	backOff := d.settings.Reparent() * backOffReparents
+	backOff := d.settings.ReparentAfter() * backOffReparents
 	// A member that was full, or can't be reached from here, is a good way to others; a stale one
 	// makes every way from it stale.
 	if slices.ContainsFunc(response.RelayPath, d.selection.isStale) {
@@ -138,7 +138,7 @@
 			return false
 		}
 	}
-	limit := d.settings.Reparent()
+	limit := d.settings.ReparentAfter()
 	for _, item := range items {
 		state, found := d.topics[item.Position.Topic]
 		if !found || !IsConfiguration(item.Position.Topic) {
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -326,7 +326,7 @@
 	return act{}, false
 }
 
-func (w *World) restRounds() int { return int(w.fleetSettings().HolderRest() / roundTime) }
+func (w *World) restRounds() int { return int(w.fleetSettings().HolderCooldown() / roundTime) }
 
 // checkFleet holds the roster and the reports against the truth, at the end of a run that
 // was calm for long enough.
--- a/internal/explore/process.go
+++ b/internal/explore/process.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if p.incarnation++; p.incarnation > 1 {
-		p.settings.Found = false
+		p.settings.Bootstrap = false
 	}
 	p.up, p.frozen, p.bootAt, p.inbox = true, false, w.now, nil
 	p.requests, p.contacts = map[int64]request{}, map[string]int64{}
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -115,23 +115,23 @@
 	for seed := range w.plan.Voters {
 		cfg.Seeds = append(cfg.Seeds, addressOf(seed))
 	}
-	cfg.Writes = settings.WritesRising
+	cfg.WritePolicy = settings.WritesRising
 	if w.plan.Highest {
-		cfg.Writes = settings.WritesHighest
+		cfg.WritePolicy = settings.WritesHighest
 	}
 	if w.plan.Named {
 		cfg.Voters = settings.VoterNames(int64(w.plan.Voters))
 		cfg.Voter = cfg.Voters[index%w.plan.Voters]
 	} else {
-		cfg.VoterCount, cfg.Voters, cfg.Found = int64(w.plan.Voters), settings.VoterNames(int64(w.plan.Voters)), found
+		cfg.VoterCount, cfg.Voters, cfg.Bootstrap = int64(w.plan.Voters), settings.VoterNames(int64(w.plan.Voters)), found
 	}
 	cfg.Bounds.ConfigurationInForce = 500
-	cfg.Bounds.HolderRest = 1000
+	cfg.Bounds.HolderCooldown = 1000
 	cfg.Bounds.Restore = 3600
-	cfg.Limits.KeptConfigurations = keptVersions
+	cfg.Limits.RetainedVersions = keptVersions
 	if w.plan.Role == message.RoleRegistry {
 		cfg.Bounds.Heartbeat = 1000
-		cfg.Bounds.UsageWindow, cfg.Bounds.UsageLate = windowRounds*roundTime.Milliseconds(), 1000
+		cfg.Bounds.UsageWindow, cfg.Bounds.UsageReportDelay = windowRounds*roundTime.Milliseconds(), 1000
 		cfg.Collector = "collector"
 	}
 	return cfg
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -71,7 +71,7 @@
 
 // readBack reads from each registry every version that is kept and every window that was reported.
 func (f *Fleet) readBack(record *checker.Record) {
-	record.KeptMost = int(settings.Default().Limits.KeptConfigurations)
+	record.KeptMost = int(settings.Default().Limits.RetainedVersions)
 	for _, process := range f.Of(message.RoleRegistry) {
 		listed := struct {
 			Versions []int64 `json:"versions"`
--- a/internal/frontend/authorize.go
+++ b/internal/frontend/authorize.go
@@ -23,7 +23,7 @@
 
 // permits reports whether a configuration lets a forwarded request reach its upstream.
 func (f *Frontend) permits(configuration *routeconfig.Configuration, forward message.Forward) bool {
-	if f.settings.ByTarget() && configuration.Version <= forward.Version {
+	if f.settings.ProofByTarget() && configuration.Version <= forward.Version {
 		// The configuration by which it was admitted is no older than this one.
 		return true
 	}
--- a/internal/frontend/dispatcher.go
+++ b/internal/frontend/dispatcher.go
@@ -109,7 +109,7 @@
 // proxy has only just started and its first snapshot is due.
 func (d *Dispatcher) awaitsSnapshot(pending *PendingRequest) bool {
 	now := d.environment.Now()
-	return now-d.startedAt < d.settings.Reparent() &&
+	return now-d.startedAt < d.settings.ReparentAfter() &&
 		now-pending.submittedAt < d.frontend.startupGrace(pending.Request) &&
 		!d.frontend.synced()
 }
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -36,7 +36,7 @@
 		RawQuery:              request.RawQuery,
 		Headers:               headerLines(request),
 		Body:                  request.Body,
-		MaxResponseBytes:      f.settings.Limits.Answer,
+		MaxResponseBytes:      f.settings.Limits.Response,
 		Host:                  request.Host,
 		AttemptName:           request.AttemptName,
 		Priority:              request.Priority,
--- a/internal/frontend/hosted_test.go
+++ b/internal/frontend/hosted_test.go
@@ -25,7 +25,7 @@
 
 func hostedFrontend(c *qt.C, upstreams ...message.Registration) *Frontend {
 	cfg := settings.Default()
-	cfg.Zone, cfg.Proof, cfg.Service = "here", settings.ProofTarget, "clinic"
+	cfg.Zone, cfg.TargetProof, cfg.Service = "here", settings.ProofTarget, "clinic"
 	faults, _ := routeconfig.Check([]byte(hosted), cfg.ConfigurationLimits())
 	c.Assert(faults, qt.HasLen, 0)
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
--- a/internal/frontend/http.go
+++ b/internal/frontend/http.go
@@ -62,7 +62,7 @@
 		Header:    in.Header,
 		Host:      in.Host,
 		ArrivedAt: arrivedAt,
-		Deadline:  arrivedAt + p.settings.RequestLimit(),
+		Deadline:  arrivedAt + p.settings.RequestTimeout(),
 	}
 }
 
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -179,7 +179,7 @@
 	cfg.Zone, cfg.Service = "here", "clinic"
 	cfg.Bounds.RetryAllowance = 1000
 	if named {
-		cfg.Proof = settings.ProofTarget
+		cfg.TargetProof = settings.ProofTarget
 	}
 	return cfg
 }
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -147,7 +147,7 @@
 	if !p.Dispatcher.Announce(announcement) {
 		return false
 	}
-	if p.settings.ByTarget() {
+	if p.settings.ProofByTarget() {
 		return true
 	}
 	p.goroutines.Go("stage.guard", func(context.Context) { p.client.Guard(announcement) })
--- a/internal/frontend/registration.go
+++ b/internal/frontend/registration.go
@@ -33,7 +33,7 @@
 // mayAdoptUpstreams reports whether this proxy has started so recently that its upstreams have
 // not announced themselves to it yet.
 func (d *Dispatcher) mayAdoptUpstreams() bool {
-	return d.settings.ByTarget() &&
+	return d.settings.ProofByTarget() &&
 		d.environment.Now()-d.startedAt < d.settings.HeartbeatTimeout() &&
 		!d.heardAnnouncement.Load()
 }
--- a/internal/frontend/registration_test.go
+++ b/internal/frontend/registration_test.go
@@ -62,7 +62,7 @@
 
 func newServingDispatcher(proof string) (*recordingEnvironment, *backend.Backend, settings.Settings) {
 	cfg := settings.Default()
-	cfg.Zone, cfg.Proof, cfg.Counted = "here", proof, settings.CountBegun
+	cfg.Zone, cfg.TargetProof, cfg.CountedRequests = "here", proof, settings.CountBegun
 	serving := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	p := &recordingEnvironment{}
 	p.dispatcher = NewDispatcher(cfg, New(cfg, serving.LookupDelegation), serving, p, message.Member{
@@ -218,7 +218,7 @@
 	p.dispatcher.Complete(p.starts[1], message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
 	c.Assert(outcomes, qt.HasLen, 2)
-	p.now += cfg.DialFresh()
+	p.now += cfg.AddressProofTTL()
 	p.dispatcher.Expire()
 	c.Assert(p.starts, qt.HasLen, 3)
 	c.Assert(counts(window+1), qt.DeepEquals, map[string]int64{"u": 1})
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -56,7 +56,7 @@
 
 // callerTimeout is how long a caller waits at most, before its route's own deadline is known.
 func (f *Frontend) callerTimeout(request *Request) time.Duration {
-	limit := f.settings.RequestLimit()
+	limit := f.settings.RequestTimeout()
 	if timeout := f.protocol.Metadata(request).Timeout; timeout > 0 {
 		limit = min(limit, timeout)
 	}
@@ -66,7 +66,7 @@
 // startupGrace is how long a request may wait for the first snapshot of a proxy that has only
 // just started.
 func (f *Frontend) startupGrace(request *Request) time.Duration {
-	if f.settings.ByTarget() {
+	if f.settings.ProofByTarget() {
 		return min(f.settings.UpdatesEvery()*4, f.callerTimeout(request)/2)
 	}
 	return f.settings.UpdatesEvery() * 2
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -49,7 +49,7 @@
 // state is a few update intervals away, and a slot is free after a part of a request's time.
 func (f *Frontend) setRetryAfter(response *Response) *Response {
 	switch {
-	case response.RetryAfter == 0 || !f.settings.ByTarget() || response.Code == errcode.RequestRouteClosed:
+	case response.RetryAfter == 0 || !f.settings.ProofByTarget() || response.Code == errcode.RequestRouteClosed:
 	case response.Code == errcode.BusyNotReady || response.Code == errcode.BusyStale:
 		response.RetryAfter = f.settings.UpdatesEvery() * 2
 	default:
--- a/internal/frontend/retry.go
+++ b/internal/frontend/retry.go
@@ -89,7 +89,7 @@
 	switch {
 	case request.upstreamLimitReached():
 		return request.refuse(code)
-	case f.settings.ByTarget() && request.UpstreamAttempts == 0 && request.Attempts < freeAttempts:
+	case f.settings.ProofByTarget() && request.UpstreamAttempts == 0 && request.Attempts < freeAttempts:
 		// No upstream has seen it, so nothing is spent.
 		return nil
 	case !f.spendRetry(now, request.Service):
--- a/internal/frontend/saturation_test.go
+++ b/internal/frontend/saturation_test.go
@@ -25,7 +25,7 @@
 // crowded is a frontend among so many proxies, with eight upstreams.
 func crowded(proxies int) *Frontend {
 	cfg := settings.Default()
-	cfg.Zone, cfg.Proof, cfg.Service = "here", settings.ProofTarget, "clinic"
+	cfg.Zone, cfg.TargetProof, cfg.Service = "here", settings.ProofTarget, "clinic"
 	list := []message.Registration{}
 	for _, name := range strings.Split("abcdefgh", "") {
 		list = append(list, upstream(name, "here"))
--- a/internal/golden/deployment_test.go
+++ b/internal/golden/deployment_test.go
@@ -114,22 +114,22 @@
 	registryAddress, configStoreAddress := base.Seeds[0], base.Seeds[1]
 	core := func(name, address string) settings.Settings {
 		cfg := base
-		cfg.Node, cfg.Address, cfg.Data, cfg.VoterCount, cfg.Found = name, address, c.TempDir(), 1, true
+		cfg.Node, cfg.Address, cfg.DataDirectory, cfg.VoterCount, cfg.Bootstrap = name, address, c.TempDir(), 1, true
 		cfg.Anchors = []string{address}
-		cfg.Collector, cfg.Metrics = collector+"/reports", freeAddress(c)
+		cfg.Collector, cfg.MetricsAddress = collector+"/reports", freeAddress(c)
 		return cfg
 	}
 	d.configStore = core("store-1", configStoreAddress)
 	d.registry = core("registry-1", registryAddress)
-	d.registry.Outside = freeAddress(c)
+	d.registry.HTTPAddress = freeAddress(c)
 	d.proxy = base
-	d.proxy.Node, d.proxy.Address, d.proxy.Outside, d.proxy.Metrics = "proxy-1", base.Seeds[2], freeAddress(c), freeAddress(c)
+	d.proxy.Node, d.proxy.Address, d.proxy.HTTPAddress, d.proxy.MetricsAddress = "proxy-1", base.Seeds[2], freeAddress(c), freeAddress(c)
 	start(c, message.RoleConfigStore, d.configStore, cli.ConfigStoreModule)
 	start(c, message.RoleRegistry, d.registry, cli.RegistryModule)
 	start(c, message.RoleProxy, d.proxy, cli.ProxyModule)
 	for name, address := range map[string]string{"STORE": configStoreAddress, "REGISTRY": registryAddress,
-		"REGISTRY-HTTP": d.registry.Outside,
-		"PROXY":         d.proxy.Address, "PROXY-HTTP": d.proxy.Outside} {
+		"REGISTRY-HTTP": d.registry.HTTPAddress,
+		"PROXY":         d.proxy.Address, "PROXY-HTTP": d.proxy.HTTPAddress} {
 		d.names[address] = name
 	}
 	return d
@@ -283,7 +283,7 @@
 	c.Cleanup(func() { group.Stop(time.Second) })
 	group.Go("announce", func(ctx context.Context) {
 		for ctx.Err() == nil {
-			d.call(c, http.MethodPost, d.proxy.Outside+"/beacon/announce", nil, body)
+			d.call(c, http.MethodPost, d.proxy.HTTPAddress+"/beacon/announce", nil, body)
 			select {
 			case <-ctx.Done():
 			case <-time.After(d.proxy.HeartbeatEvery()):
@@ -295,7 +295,7 @@
 func TestDeployment(t *testing.T) {
 	c := qt.New(t)
 	d := startDeployment(c)
-	operators, callers := d.registry.Outside, d.proxy.Outside
+	operators, callers := d.registry.HTTPAddress, d.proxy.HTTPAddress
 	d.untilStatus(c, http.StatusNotFound, http.MethodGet, operators+"/v1/configurations/main", nil, "")
 	written := d.untilStatus(c, http.StatusOK, http.MethodPut, operators+"/v1/configurations/main/1", nil, deploymentConfiguration)
 	d.announce(c, recordRequests(c, d.requests, "done\n"))
@@ -312,9 +312,9 @@
 	d.checkOperators(c)
 	d.checkCallers(c, goodHead)
 	checkEventually(c, "deployment-proxy-counters.txt", func() string { return d.normalizedAnswer(c, callers+"/beacon/counters") })
-	checkEventually(c, "metrics-registry.txt", func() string { return d.metricNames(c, d.registry.Metrics) })
-	checkEventually(c, "metrics-configstore.txt", func() string { return d.metricNames(c, d.configStore.Metrics) })
-	checkEventually(c, "metrics-proxy.txt", func() string { return d.metricNames(c, d.proxy.Metrics) })
+	checkEventually(c, "metrics-registry.txt", func() string { return d.metricNames(c, d.registry.MetricsAddress) })
+	checkEventually(c, "metrics-configstore.txt", func() string { return d.metricNames(c, d.configStore.MetricsAddress) })
+	checkEventually(c, "metrics-proxy.txt", func() string { return d.metricNames(c, d.proxy.MetricsAddress) })
 	d.checkUsage(c)
 }
 
@@ -332,7 +332,7 @@
 	report = regexp.MustCompile(`Content-Length: \d+\n`).ReplaceAllString(report, "")
 	golden.Check(c, "deployment-report.txt", regexp.MustCompile(`":\d+`).ReplaceAllString(report, `":1`))
 	checkEventually(c, "deployment-registry-usage.txt", func() string {
-		return d.normalizedAnswer(c, d.registry.Outside+"/v1/usage/"+window[1])
+		return d.normalizedAnswer(c, d.registry.HTTPAddress+"/v1/usage/"+window[1])
 	})
 }
 
@@ -352,7 +352,7 @@
 
 // checkOperators looks at every answer that a registry gives.
 func (d *deployment) checkOperators(c *qt.C) {
-	at := d.registry.Outside
+	at := d.registry.HTTPAddress
 	for name, path := range map[string]string{
 		"ready": "/ready", "status": "/v1/status", "roster": "/v1/roster", "configuration": "/v1/configurations/main",
 		"version":  "/v1/configurations/main/1",
@@ -398,7 +398,7 @@
 				delete(head, name)
 			}
 		}
-		text.WriteString("=== " + tried.name + "\n" + d.served(c, tried.method, d.proxy.Outside+tried.path, head, tried.body))
+		text.WriteString("=== " + tried.name + "\n" + d.served(c, tried.method, d.proxy.HTTPAddress+tried.path, head, tried.body))
 	}
 	golden.Check(c, "deployment-refusals.txt", text.String())
 }
--- a/internal/golden/proxy_api_test.go
+++ b/internal/golden/proxy_api_test.go
@@ -56,7 +56,7 @@
 func TestProxyPaths(t *testing.T) {
 	c := qt.New(t)
 	cfg := standInSettings()
-	cfg.Proof = settings.ProofTarget // no guard connection to the upstream
+	cfg.TargetProof = settings.ProofTarget // no guard connection to the upstream
 	paths, _ := proxyAPI(c, cfg)
 	handler := paths.Handler()
 	text := strings.Builder{}
--- a/internal/golden/registry_api_test.go
+++ b/internal/golden/registry_api_test.go
@@ -82,7 +82,7 @@
 	cfg.Limits.Configuration = 200
 	// Without ticks no event of a late control thread gets into the journal.
 	const hour = 3_600_000
-	cfg.Bounds.ConfigurationInForce, cfg.Bounds.HolderRest, cfg.Bounds.CatchUp, cfg.Bounds.Restore = hour, hour*2, hour*2, hour*10
+	cfg.Bounds.ConfigurationInForce, cfg.Bounds.HolderCooldown, cfg.Bounds.CatchUp, cfg.Bounds.Restore = hour, hour*2, hour*2, hour*10
 	return cfg
 }
 
--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -101,7 +101,7 @@
 		now:      env.Now,
 		accepted: m.quorum.Accepts(request.Voter, request.Identity),
 		precedes: m.precedes(request.LeaseName, request.Voter),
-		coolDown: m.settings.HolderRest(),
+		coolDown: m.settings.HolderCooldown(),
 	})
 	switch decided.action {
 	case ignore:
@@ -142,7 +142,7 @@
 func (m *Manager) castVote(env *statemachine.Env, from string, tag *tagState, request message.LeaseRequest,
 	answer message.LeaseVote) {
 	acceptor := &tag.acceptor
-	acceptor.changeVote(request, env.Now, m.settings.Lease(), m.settings.HolderRest())
+	acceptor.changeVote(request, env.Now, m.settings.Lease(), m.settings.HolderCooldown())
 	answer.Granted = true
 	if guardsOff.syncedVote {
 		m.answer(env, from, answer)
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -77,12 +77,12 @@
 // coolsDown reports whether this voter held the tag too recently, by its own knowledge, to ask for it
 // again. The other voters may have forgotten.
 func (m *Manager) coolsDown(now time.Duration, tag *tagState) bool {
-	if tag.name == settings.UsageTag && tag.acceptor.inCoolDown(m.quorum.Voter, now, m.settings.HolderRest()) {
+	if tag.name == settings.UsageLease && tag.acceptor.inCoolDown(m.quorum.Voter, now, m.settings.HolderCooldown()) {
 		return true
 	}
 	candidate := &tag.candidate
 	return candidate.heldBefore && candidate.otherHolder != "" && tag.acceptor.reservedFor != m.quorum.Voter &&
-		now-candidate.otherHolderSince < m.settings.HolderRest()
+		now-candidate.otherHolderSince < m.settings.HolderCooldown()
 }
 
 // postponesForReserved postpones the campaign, once, when the last holder has transferred the tag to
@@ -106,18 +106,20 @@
 	}
 	part := m.settings.Lease() / 3
 	candidate.backOff(env, part)
-	if m.quorum.Discovered() && m.settings.Active[tag.name] == "" {
+	if m.quorum.Discovered() && m.settings.PreferredHolders[tag.name] == "" {
 		candidate.nextAttemptAt -= part
 	}
 	return true
 }
 
 // preferred reports whether the settings prefer this voter for a tag.
-func (m *Manager) preferred(tagName string) bool { return m.settings.Active[tagName] == m.quorum.Voter }
+func (m *Manager) preferred(tagName string) bool {
+	return m.settings.PreferredHolders[tagName] == m.quorum.Voter
+}
 
 // precedes reports whether this voter goes before another when both are candidates at one time.
 func (m *Manager) precedes(tagName, other string) bool {
-	if wanted := m.settings.Active[tagName]; wanted == other || wanted == m.quorum.Voter {
+	if wanted := m.settings.PreferredHolders[tagName]; wanted == other || wanted == m.quorum.Voter {
 		return wanted == m.quorum.Voter
 	}
 	return m.quorum.Voter < other
--- a/internal/lease/cooldown.go
+++ b/internal/lease/cooldown.go
@@ -28,7 +28,7 @@
 }
 
 // keepsAllHolders reports whether all holders of the last cool-down are kept, not only the former.
-func (a *acceptorState) keepsAllHolders() bool { return a.vote.LeaseName == settings.UsageTag }
+func (a *acceptorState) keepsAllHolders() bool { return a.vote.LeaseName == settings.UsageLease }
 
 // startCoolDown writes down that the holder voted for so far holds the tag no longer.
 func (a *acceptorState) startCoolDown(now, coolDown time.Duration) {
--- a/internal/lease/cooldown_test.go
+++ b/internal/lease/cooldown_test.go
@@ -14,9 +14,9 @@
 func TestNoHolderComesBackWithinItsCoolDown(t *testing.T) {
 	c := qt.New(t)
 	for round := range 10 {
-		g := newGroupFor(settings.UsageTag, true)
+		g := newGroupFor(settings.UsageLease, true)
 		for _, v := range g.voters {
-			v.settings.Bounds.HolderRest = 10000
+			v.settings.Bounds.HolderCooldown = 10000
 			v.settings.Bounds.Lease = 1500
 			v.boot()
 		}
--- a/internal/lease/decision_test.go
+++ b/internal/lease/decision_test.go
@@ -119,7 +119,7 @@
 		want: decision{action: castVote},
 	},
 	"earlier holder of the usage tag in its cool-down": {
-		tag: settings.UsageTag,
+		tag: settings.UsageLease,
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
 			tag.acceptor.heldUntil["2"] = testNow - testCoolDown + 1
 		},
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -60,7 +60,7 @@
 // voter didn't hold it.
 func (m *Manager) completeRound(env *statemachine.Env, tag *tagState) {
 	granted := &tag.candidate.round
-	tag.holder.expiresAt = max(tag.holder.expiresAt, granted.startedAt+m.settings.LeaseHeld())
+	tag.holder.expiresAt = max(tag.holder.expiresAt, granted.startedAt+m.settings.HolderLease())
 	if !tag.holder.holding && env.Now < tag.holder.expiresAt {
 		m.acquireLease(env, tag)
 	}
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -147,7 +147,7 @@
 // since. A linearizable read waits for it; it compares times of the holder's clock only.
 func (m *Manager) ConfirmedSince(tagName string, since time.Duration) bool {
 	holder := &m.tags[tagName].holder
-	return holder.holding && holder.expiresAt-m.settings.LeaseHeld() >= since
+	return holder.holding && holder.expiresAt-m.settings.HolderLease() >= since
 }
 
 // Tick renews the leases that this voter holds, gives up those that have expired and campaigns for
--- a/internal/lease/refusals_golden_test.go
+++ b/internal/lease/refusals_golden_test.go
@@ -87,7 +87,7 @@
 			})
 			return refusalOf(c, asked, requestOf(g.others()[1], configTag, epoch))
 		}},
-		{"holder rest", settings.UsageTag, func(c *qt.C, g *group) string {
+		{"holder rest", settings.UsageLease, func(c *qt.C, g *group) string {
 			first := g.at("a" + g.holder())
 			g.run(time.Second, false)
 			first.leases.TransferAll(first.env)
@@ -100,10 +100,10 @@
 				asked = g.others()[1]
 			}
 			asked.leases.Handle(asked.env, second.address, message.LeaseYield{
-				Group: "config-log", LeaseName: settings.UsageTag, Epoch: asked.leases.Epoch(settings.UsageTag),
+				Group: "config-log", LeaseName: settings.UsageLease, Epoch: asked.leases.Epoch(settings.UsageLease),
 				Voter: second.name, Identity: second.quorum.Signature(),
 			})
-			return refusalOf(c, asked, requestOf(first, settings.UsageTag, epoch))
+			return refusalOf(c, asked, requestOf(first, settings.UsageLease, epoch))
 		}},
 		{"goes first here", configTag, func(c *qt.C, g *group) string {
 			holder := g.at("a" + g.holder())
@@ -154,7 +154,7 @@
 // that a vote on disk names are refused.
 func TestRestingVotersStayAsTheyAre(t *testing.T) {
 	c := qt.New(t)
-	g := newGroupFor(settings.UsageTag, false)
+	g := newGroupFor(settings.UsageLease, false)
 	renewed := settings.Default().RenewEvery() + 100*time.Millisecond
 	for range 2 {
 		g.run(10*time.Second, true)
@@ -171,12 +171,12 @@
 
 	asked := g.at("a3")
 	asked.votes = []message.Vote{{
-		LeaseName: settings.UsageTag, Epoch: 50, Holder: "3", Identity: asked.state.Identity, PreviousHolder: "2", RecentHolders: "1,2",
+		LeaseName: settings.UsageLease, Epoch: 50, Holder: "3", Identity: asked.state.Identity, PreviousHolder: "2", RecentHolders: "1,2",
 	}}
 	asked.boot()
 	g.at("a1").up, g.at("a2").up = false, false
 	g.run(asked.settings.Lease()+100*time.Millisecond, false)
 	for _, address := range []string{"a1", "a2"} {
-		c.Check(refusalOf(c, asked, requestOf(g.at(address), settings.UsageTag, 100)), qt.Equals, "holder rest")
+		c.Check(refusalOf(c, asked, requestOf(g.at(address), settings.UsageLease, 100)), qt.Equals, "holder rest")
 	}
 }
--- a/internal/lease/transfer.go
+++ b/internal/lease/transfer.go
@@ -63,7 +63,7 @@
 	if peer.Voter == "" || peer.Voter == m.quorum.Voter || peer.State != message.Alive {
 		return false
 	}
-	if tag.acceptor.inCoolDown(peer.Voter, now, m.settings.HolderRest()) {
+	if tag.acceptor.inCoolDown(peer.Voter, now, m.settings.HolderCooldown()) {
 		return false
 	}
 	status, _, known := m.quorum.LastStatus(peer.Voter)
@@ -73,7 +73,7 @@
 // returnToPreferred transfers a tag to the voter that the settings prefer, once this voter has held it
 // for a while and the preferred one votes again.
 func (m *Manager) returnToPreferred(env *statemachine.Env, tag *tagState) {
-	preferred := m.settings.Active[tag.name]
+	preferred := m.settings.PreferredHolders[tag.name]
 	if preferred == "" || preferred == m.quorum.Voter || env.Now-tag.holder.acquiredAt < m.settings.FailbackAfter() {
 		return
 	}
@@ -121,7 +121,7 @@
 	tag.acceptor.reservedUntil = env.Now + m.settings.Lease()/2
 	if transfer.Successor != "" {
 		// The holder itself limits how often it transfers a tag, so no cool-down stands against it.
-		tag.acceptor.coolDownFrom = env.Now - m.settings.HolderRest()
+		tag.acceptor.coolDownFrom = env.Now - m.settings.HolderCooldown()
 	}
 	switch {
 	case transfer.Successor == m.quorum.Voter:
--- a/internal/lease/transfer_test.go
+++ b/internal/lease/transfer_test.go
@@ -40,7 +40,7 @@
 		g.run(time.Second, false)
 		second.leases.TransferAll(second.env)
 		c.Assert(g.holder(), qt.Equals, "")
-		elapsed := g.run(settings.Default().HolderRest()-time.Second*3/2, true)
+		elapsed := g.run(settings.Default().HolderCooldown()-time.Second*3/2, true)
 		if g.holder() != "" {
 			c.Assert(g.holder(), qt.Not(qt.Equals), first.name, qt.Commentf("after %v", elapsed))
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -92,7 +92,7 @@
 // while ago: a node that was only cut off gets what it missed as soon as the link is mended.
 func (m *Membership) RecentlyAlive(role string, now time.Duration) []message.Member {
 	list := m.Alive(role)
-	limit := m.settings.SuspectFor() * recentSuspicions
+	limit := m.settings.SuspicionTimeout() * recentSuspicions
 	for _, name := range m.names() {
 		known := m.members[name]
 		if known.member.Role == role && known.member.State == message.Dead && now-known.changedAt < limit {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -32,7 +32,7 @@
 // tickProbe asks others for help with a probe that stays unanswered, and begins the next one when it
 // is time. A member that hasn't answered by then is suspected.
 func (m *Membership) tickProbe(env *statemachine.Env) {
-	if m.probe != nil && !m.probe.indirect && env.Now-m.probe.sentAt > m.settings.ProbeLimit() {
+	if m.probe != nil && !m.probe.indirect && env.Now-m.probe.sentAt > m.settings.ProbeTimeout() {
 		m.probeIndirectly(env)
 	}
 	if env.Now < m.nextProbeAt {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -43,7 +43,7 @@
 		age := env.Now - known.changedAt
 		switch known.member.State {
 		case message.Suspect:
-			if age > m.settings.SuspectFor() {
+			if age > m.settings.SuspicionTimeout() {
 				m.declareDead(env, known.member)
 			}
 		case message.Dead, message.Left:
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -42,7 +42,7 @@
 
 // probe tries whether an address accepts connections, and tells the machine.
 func (n *Node) probe(ctx context.Context, probe statemachine.Probe) {
-	dialer := net.Dialer{Timeout: n.Settings.ConnectionDial()}
+	dialer := net.Dialer{Timeout: n.Settings.DialTimeout()}
 	conn, err := dialer.DialContext(ctx, "tcp", probe.Address)
 	if err == nil {
 		conn.Close()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -79,7 +79,7 @@
 		Voter:       voter,
 		Zone:        cfg.Zone,
 		Address:     cfg.Address,
-		HTTPAddress: cfg.Outside,
+		HTTPAddress: cfg.HTTPAddress,
 		StartTime:   time.Now().UnixNano(),
 	}
 }
@@ -120,7 +120,7 @@
 		Address:     n.Settings.Address,
 		FrameLimit:  n.Settings.Limits.Frame,
 		QueueLength: int(n.Settings.Limits.Queue),
-		DialTimeout: n.Settings.ConnectionDial(),
+		DialTimeout: n.Settings.DialTimeout(),
 	}, n.receive)
 	if err != nil {
 		return err
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -36,7 +36,7 @@
 // machine stops voting; as soon as the disk takes writes again the machine is restored from what the
 // disk holds, as after a restart of the process.
 func (n *Node) RunFromDisk(build Build) error {
-	directory, err := storage.NewOSDirectory(n.Settings.Data)
+	directory, err := storage.NewOSDirectory(n.Settings.DataDirectory)
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -67,7 +67,7 @@
 func (m *Machine) addConfiguration(env *statemachine.Env, snapshot *Snapshot, configName string) {
 	state, received := m.configurations[configName]
 	freshAt, fresh := m.distribution.FreshAt(distribution.ConfigurationTopic(configName))
-	if received && fresh && env.Now-freshAt <= m.settings.Reparent() {
+	if received && fresh && env.Now-freshAt <= m.settings.ReparentAfter() {
 		state.confirmed = true
 	}
 	if !received || !state.confirmed {
@@ -86,7 +86,7 @@
 func (m *Machine) addSlice(snapshot *Snapshot, zone string) {
 	registrations, known := m.distribution.Registrations(zone)
 	freshAt, fresh := m.distribution.FreshAt(distribution.SliceTopic(zone))
-	if !known || !fresh && !m.settings.ByTarget() {
+	if !known || !fresh && !m.settings.ProofByTarget() {
 		snapshot.RosterKnown = false
 		return
 	}
--- a/internal/proxy/usage_test.go
+++ b/internal/proxy/usage_test.go
@@ -22,7 +22,7 @@
 
 func newCountingProxy(c *qt.C) *countingProxy {
 	cfg := settings.Default()
-	cfg.Zone, cfg.Zones, cfg.Seeds, cfg.Counted = "z", []string{"z"}, []string{"10.0.0.1:1"}, settings.CountBegun
+	cfg.Zone, cfg.Zones, cfg.Seeds, cfg.CountedRequests = "z", []string{"z"}, []string{"10.0.0.1:1"}, settings.CountBegun
 	cfg.Voters = settings.VoterNames(5)
 	self := message.Member{Name: "proxy/me", Role: message.RoleProxy, Zone: "z", Address: "me", StartTime: 7}
 	p := &countingProxy{c: c, machine: New(cfg, self), env: statemachine.NewEnv(1)}
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -103,7 +103,7 @@
 		return member.State >= message.Dead
 	}
 	upFor := env.Now - c.startedAt
-	return c.started && upFor > c.settings.SuspectFor()*unknownGoneFactor && c.membership.Joined()
+	return c.started && upFor > c.settings.SuspicionTimeout()*unknownGoneFactor && c.membership.Joined()
 }
 
 // Maintain does the regular work of a tick: it goes on with a departure, saves the addresses of the members, and
@@ -120,7 +120,7 @@
 	if env.Now < c.nextSaveAt || removed || c.writer.Failure() != nil {
 		return
 	}
-	c.nextSaveAt = env.Now + c.settings.HolderRest()
+	c.nextSaveAt = env.Now + c.settings.HolderCooldown()
 	c.saveAddresses(env)
 }
 
--- a/internal/quorum/departure.go
+++ b/internal/quorum/departure.go
@@ -18,7 +18,7 @@
 func (c *Core) Depart(env *statemachine.Env, requestID int64, answer any) {
 	c.departure = &departure{requestID: requestID, answer: answer, deadline: env.Now}
 	if c.quorum.handOver(env) {
-		c.departure.deadline = env.Now + c.settings.HandOverLimit()
+		c.departure.deadline = env.Now + c.settings.HandoverTimeout()
 	}
 	c.advanceDeparture(env)
 }
--- a/internal/quorum/discovered.go
+++ b/internal/quorum/discovered.go
@@ -73,7 +73,7 @@
 			d.discardOnStart = false
 			d.transfer.DiscardState(env)
 		}
-		d.startAnew(env, d.settings.Found && !d.settings.NonVoter)
+		d.startAnew(env, d.settings.Bootstrap && !d.settings.NonVoter)
 		return
 	}
 	if d.retired() {
--- a/internal/quorum/discovered_bootstrap.go
+++ b/internal/quorum/discovered_bootstrap.go
@@ -86,7 +86,7 @@
 	if !slices.Contains(chosen, d.State.Identity) {
 		return nil, false
 	}
-	if !d.placement().survivesWorstLoss(chosen) && unchangedFor < d.settings.TakeOver() {
+	if !d.placement().survivesWorstLoss(chosen) && unchangedFor < d.settings.LeaseTakeover() {
 		// Processes in other zones may still come.
 		return nil, false
 	}
--- a/internal/quorum/fleet_test.go
+++ b/internal/quorum/fleet_test.go
@@ -68,7 +68,7 @@
 
 func (p *process) boot(found bool) {
 	cfg := settings.Default()
-	cfg.Node, cfg.VoterCount, cfg.Voters, cfg.Found = p.node, p.fleet.count, settings.VoterNames(p.fleet.count), found
+	cfg.Node, cfg.VoterCount, cfg.Voters, cfg.Bootstrap = p.node, p.fleet.count, settings.VoterNames(p.fleet.count), found
 	cfg.Address = p.address
 	if p.configure != nil {
 		p.configure(&cfg)
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -92,7 +92,7 @@
 
 // leaseNames lists the leases that registries hold: one of each zone, and that of the usage reports.
 func leaseNames(cfg settings.Settings) []string {
-	return append(append([]string{}, cfg.Zones...), settings.UsageTag)
+	return append(append([]string{}, cfg.Zones...), settings.UsageLease)
 }
 
 // eligible says whether this registry may become a candidate for a lease. A zone without a
@@ -101,11 +101,11 @@
 	if m.Failure() != nil || m.stopping || m.membership.Superseded() {
 		return false
 	}
-	return leaseName == settings.UsageTag || m.zones[leaseName].complete
+	return leaseName == settings.UsageLease || m.zones[leaseName].complete
 }
 
 func (m *Machine) onLeaseAcquired(env *statemachine.Env, leaseName string, epoch int64) {
-	if leaseName == settings.UsageTag {
+	if leaseName == settings.UsageLease {
 		m.usage.onLeaseAcquired(epoch)
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 func (m *Machine) onLeaseLost(_ *statemachine.Env, leaseName string, _ int64) {
-	if leaseName == settings.UsageTag {
+	if leaseName == settings.UsageLease {
 		m.usage.onLeaseLost()
 	}
 }
@@ -190,7 +190,7 @@
 // Serving is for tests and status: whether it holds the lease of the usage reports or acts
 // for some zone, as of its last tick.
 func (m *Machine) Serving() bool {
-	if m.leases.Holding(settings.UsageTag, m.lastTickAt) {
+	if m.leases.Holding(settings.UsageLease, m.lastTickAt) {
 		return true
 	}
 	return slices.ContainsFunc(m.settings.Zones, func(zone string) bool {
--- a/internal/registry/operator_requests.go
+++ b/internal/registry/operator_requests.go
@@ -63,7 +63,7 @@
 	}
 	r.pending[r.lastRequestID] = &pendingRequest{
 		replyTo:  replyTo,
-		deadline: env.Now + r.settings.AnswerLimit(len(asked.Body)),
+		deadline: env.Now + r.settings.OperatorTimeout(len(asked.Body)),
 		body:     asked.Body,
 		write: &message.WriteRequest{
 			RequestID:  r.lastRequestID,
@@ -82,7 +82,7 @@
 	r.lastRequestID++
 	r.pending[r.lastRequestID] = &pendingRequest{
 		replyTo:  replyTo,
-		deadline: env.Now + r.settings.AnswerLimit(0),
+		deadline: env.Now + r.settings.OperatorTimeout(0),
 		read: &message.ReadRequest{
 			RequestID:  r.lastRequestID,
 			ConfigName: asked.ConfigName,
--- a/internal/registry/persistence.go
+++ b/internal/registry/persistence.go
@@ -102,6 +102,6 @@
 		return
 	}
 	m.replication.snapshotDue = false
-	m.replication.nextSnapshotAt = env.Now + m.settings.HolderRest()
+	m.replication.nextSnapshotAt = env.Now + m.settings.HolderCooldown()
 	m.WriteSnapshot(env, func(*statemachine.Env, error) {})
 }
--- a/internal/registry/replication.go
+++ b/internal/registry/replication.go
@@ -65,7 +65,7 @@
 // nobodyIsComplete says that all other voters have answered that their copy isn't complete, as when
 // all registries start, or that the time for an answer is up.
 func (m *Machine) nobodyIsComplete(env *statemachine.Env, replica *zoneReplica) bool {
-	return len(replica.incompletePeers) >= m.quorum.Size()-1 || env.Now-m.startedAt > m.settings.TakeOver()
+	return len(replica.incompletePeers) >= m.quorum.Size()-1 || env.Now-m.startedAt > m.settings.LeaseTakeover()
 }
 
 // handleRosterChange follows the broadcast of a holder.
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -66,7 +66,7 @@
 	u.counts.dropSealed()
 	u.clock.recordEnds(env, u.sealed.reported)
 	u.saveCounts(env)
-	if !u.leases.Holding(settings.UsageTag, env.Now) {
+	if !u.leases.Holding(settings.UsageLease, env.Now) {
 		return
 	}
 	u.advanceSealing(env)
--- a/internal/registry/usage_sealing.go
+++ b/internal/registry/usage_sealing.go
@@ -172,7 +172,7 @@
 
 // handleRead answers a holder, as a voter, with the values and counts that are known here.
 func (u *usage) handleRead(env *statemachine.Env, from string, read message.UsageRead) {
-	if read.Epoch != u.leases.Epoch(settings.UsageTag) || !u.mayAnswer(read.Voter, read.Identity) {
+	if read.Epoch != u.leases.Epoch(settings.UsageLease) || !u.mayAnswer(read.Voter, read.Identity) {
 		return
 	}
 	env.Send(from, message.UsageReadResponse{
@@ -200,7 +200,7 @@
 
 // handleSeal takes a holder's proposal, as a voter, and confirms it once it is on disk.
 func (u *usage) handleSeal(env *statemachine.Env, from string, seal message.UsageSeal) {
-	if seal.Sealed.Epoch < u.leases.Epoch(settings.UsageTag) || !u.mayAnswer(seal.Voter, seal.Identity) {
+	if seal.Sealed.Epoch < u.leases.Epoch(settings.UsageLease) || !u.mayAnswer(seal.Voter, seal.Identity) {
 		return
 	}
 	u.sealed.learnReported(seal.LastReportedWindow)
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -90,7 +90,7 @@
 		addCount(n.pastCounts, passed)
 	}
 	n.process.Transport.Close()
-	n.goroutines.Stop(n.part.Settings.HolderRest())
+	n.goroutines.Stop(n.part.Settings.HolderCooldown())
 	n.lock.Lock()
 	n.snapshot, n.process = nil, nil
 	n.lock.Unlock()
--- a/internal/scaletest/plan.go
+++ b/internal/scaletest/plan.go
@@ -33,21 +33,21 @@
 	cfg.Node, cfg.Voter, cfg.Zone, cfg.Address, cfg.Seeds = nodeName, voter, zone, address, seeds
 	cfg.Voters = voterNames
 	cfg.Zones = nil
-	cfg.Active = map[string]string{settings.ConfigLogTag: voterNames[0], settings.UsageTag: voterNames[2]}
+	cfg.PreferredHolders = map[string]string{settings.ConfigLogLease: voterNames[0], settings.UsageLease: voterNames[2]}
 	for number := range p.Zones {
 		name := zoneName(number)
 		cfg.Zones = append(cfg.Zones, name)
-		cfg.Active[name] = voterNames[number%len(voterNames)]
+		cfg.PreferredHolders[name] = voterNames[number%len(voterNames)]
 	}
 	cfg.Limits.Fanout = p.Fanout
 	if p.InForce > 0 {
 		cfg.Bounds.ConfigurationInForce = p.InForce.Milliseconds()
 	}
 	if role != message.RoleConfigStore {
-		cfg.Outside = address // told to others, never bound here
+		cfg.HTTPAddress = address // told to others, never bound here
 	}
 	if role != message.RoleProxy {
-		cfg.Data = filepath.Join(p.Folder, role+"-"+nodeName)
+		cfg.DataDirectory = filepath.Join(p.Folder, role+"-"+nodeName)
 	}
 	return cfg
 }
--- a/internal/scaletest/readings.go
+++ b/internal/scaletest/readings.go
@@ -139,7 +139,7 @@
 	if n.process == nil {
 		return proxy.Status{}, errNodeDown
 	}
-	limited, cancel := context.WithTimeout(n.goroutines.Context, n.part.Settings.HolderRest())
+	limited, cancel := context.WithTimeout(n.goroutines.Context, n.part.Settings.HolderCooldown())
 	defer cancel()
 	return ask[proxy.Status](limited, n.process, proxy.ReadStatus{})
 }
--- a/internal/settings/adjust.go
+++ b/internal/settings/adjust.go
@@ -51,7 +51,7 @@
 	c.raiseFloors()
 	c.Bounds.Sync = min(c.Bounds.Sync, c.Bounds.ConfigurationInForce/syncsInForce)
 	// A longer rest between two holders keeps the shorter bound as well.
-	c.Bounds.HolderRest = max(c.Bounds.HolderRest, shortestLease*2)
+	c.Bounds.HolderCooldown = max(c.Bounds.HolderCooldown, shortestLease*2)
 	c.adjustLease(expected)
 	return c
 }
@@ -70,12 +70,12 @@
 		{"bounds.usage_window_ms", &b.UsageWindow, shortestWindow},
 		{"bounds.heartbeat_ms", &b.Heartbeat, shortestHeartbeat},
 		{"bounds.drain_ms", &b.Drain, shortestOther},
-		{"bounds.slip_back_ms", &b.SlipBack, shortestOther},
-		{"bounds.answer_hold_ms", &b.AnswerHold, shortestOther},
-		{"bounds.usage_late_ms", &b.UsageLate, shortestOther},
+		{"bounds.slip_back_ms", &b.RollbackWindow, shortestOther},
+		{"bounds.answer_hold_ms", &b.ResponseDelay, shortestOther},
+		{"bounds.usage_late_ms", &b.UsageReportDelay, shortestOther},
 		{"bounds.retry_window_ms", &b.RetryWindow, shortestOther},
 		{"bounds.sync_ms", &b.Sync, shortestOther},
-		{"bounds.holder_rest_ms", &b.HolderRest, shortestOther},
+		{"bounds.holder_rest_ms", &b.HolderCooldown, shortestOther},
 		{"bounds.retry_allowance", &b.RetryAllowance, 0},
 		{"bounds.key_withdrawal_ms", &b.KeyWithdrawal, 0},
 	} {
@@ -118,8 +118,8 @@
 		b.Lease = longest.Milliseconds()
 	}
 	for _, limit := range limits {
-		if c.TakeOver() >= limit.room {
-			c.warn(limit.path, fmt.Sprintf("a takeover takes up to %v and leaves it no room: %s", c.TakeOver(), limit.cost))
+		if c.LeaseTakeover() >= limit.room {
+			c.warn(limit.path, fmt.Sprintf("a takeover takes up to %v and leaves it no room: %s", c.LeaseTakeover(), limit.cost))
 		}
 	}
 }
@@ -128,7 +128,7 @@
 func (c *Settings) takeOverLimits(expected Expected) []takeOverLimit {
 	b := c.Bounds
 	limits := []takeOverLimit{
-		{"bounds.usage_late_ms", ms(b.UsageLate) - c.SealAfter(), "usage reports may be late after one"},
+		{"bounds.usage_late_ms", ms(b.UsageReportDelay) - c.SealAfter(), "usage reports may be late after one"},
 		{"bounds.restore_ms", ms(b.Restore) / 2, "service may come back late after the loss of all machines"},
 	}
 	if b.KeyWithdrawal > 0 {
--- a/internal/settings/adjust_test.go
+++ b/internal/settings/adjust_test.go
@@ -34,9 +34,9 @@
 		room    time.Duration // that a takeover has to stay within; 0: the shortest lease stands
 		warning string
 	}{
-		{"usage", func(b *Bounds, _ *Expected) { b.HolderRest, b.UsageLate = 4300, 6000 }, 2400 * time.Millisecond, ""},
-		{"usage, no room", func(b *Bounds, _ *Expected) { b.UsageLate = 2000 }, 0, "bounds.usage_late_ms"},
-		{"keys", func(b *Bounds, _ *Expected) { b.HolderRest, b.KeyWithdrawal = 4300, 2000 }, 1800 * time.Millisecond, ""},
+		{"usage", func(b *Bounds, _ *Expected) { b.HolderCooldown, b.UsageReportDelay = 4300, 6000 }, 2400 * time.Millisecond, ""},
+		{"usage, no room", func(b *Bounds, _ *Expected) { b.UsageReportDelay = 2000 }, 0, "bounds.usage_late_ms"},
+		{"keys", func(b *Bounds, _ *Expected) { b.HolderCooldown, b.KeyWithdrawal = 4300, 2000 }, 1800 * time.Millisecond, ""},
 		{"keys, no room", func(b *Bounds, _ *Expected) { b.KeyWithdrawal = 1000 }, 0, "bounds.key_withdrawal_ms"},
 		{"restore", func(b *Bounds, _ *Expected) { b.Restore = 5000 }, 2500 * time.Millisecond, ""},
 		{"writes", func(_ *Bounds, e *Expected) { e.Contact, e.WriteAcks = time.Second, 2*time.Second }, 1800 * time.Millisecond, ""},
@@ -44,13 +44,13 @@
 	} {
 		cfg, expected := Default(), Expected{}
 		tried.alter(&cfg.Bounds, &expected)
-		rest := cfg.Bounds.HolderRest
+		rest := cfg.Bounds.HolderCooldown
 		fitted := cfg.AdjustBounds(expected)
-		comment := qt.Commentf("%s: lease %v, takeover %v, %s", tried.name, fitted.Lease(), fitted.TakeOver(), warningsOf(fitted))
-		c.Check(fitted.Bounds.HolderRest, qt.Equals, rest, comment)
+		comment := qt.Commentf("%s: lease %v, takeover %v, %s", tried.name, fitted.Lease(), fitted.LeaseTakeover(), warningsOf(fitted))
+		c.Check(fitted.Bounds.HolderCooldown, qt.Equals, rest, comment)
 		c.Check(fitted.Lease() >= ms(shortestLease), qt.IsTrue, comment)
 		if tried.room > 0 {
-			c.Check(fitted.TakeOver() < tried.room, qt.IsTrue, comment)
+			c.Check(fitted.LeaseTakeover() < tried.room, qt.IsTrue, comment)
 			c.Check(fitted.Warnings, qt.HasLen, 0, comment)
 			continue
 		}
@@ -63,11 +63,11 @@
 func TestFloorsAreSaid(t *testing.T) {
 	c := qt.New(t)
 	cfg := Default()
-	cfg.Bounds.ConfigurationInForce, cfg.Bounds.AnswerHold, cfg.Bounds.HolderRest, cfg.Bounds.RetryShare = 10, 0, 0, 3
+	cfg.Bounds.ConfigurationInForce, cfg.Bounds.ResponseDelay, cfg.Bounds.HolderCooldown, cfg.Bounds.RetryShare = 10, 0, 0, 3
 	fitted := cfg.AdjustBounds(Expected{})
 	c.Assert(fitted.Bounds.ConfigurationInForce, qt.Equals, int64(shortestInForce))
-	c.Assert(fitted.Bounds.AnswerHold, qt.Equals, int64(shortestOther))
-	c.Assert(fitted.Bounds.HolderRest, qt.Equals, int64(shortestLease*2))
+	c.Assert(fitted.Bounds.ResponseDelay, qt.Equals, int64(shortestOther))
+	c.Assert(fitted.Bounds.HolderCooldown, qt.Equals, int64(shortestLease*2))
 	c.Assert(fitted.Bounds.RetryShare, qt.Equals, mostRetryShare)
 	c.Assert(warningsOf(fitted), qt.Contains, "bounds.configuration_in_force_ms: 10 is below what can be kept")
 	faults := Faults{}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -78,6 +78,6 @@
 	cfg, faults := Read("registry", []byte(counted), map[string]string{"found": "true"})
 	c.Assert(faults, qt.HasLen, 0)
 	c.Assert(cfg.Voters, qt.DeepEquals, []string{"1", "2", "3", "4", "5"})
-	c.Assert(cfg.Found, qt.IsTrue)
-	c.Assert(Default().Writes, qt.Equals, WritesRising)
+	c.Assert(cfg.Bootstrap, qt.IsTrue)
+	c.Assert(Default().WritePolicy, qt.Equals, WritesRising)
 }
--- a/internal/settings/timers.go
+++ b/internal/settings/timers.go
@@ -38,8 +38,8 @@
 // ParentTimeout is the silence after which a relay's parent counts as lost.
 func (c Settings) ParentTimeout() time.Duration { return c.BaseInterval() / 4 }
 
-// Reparent is how long a relay tries a parent before it asks for another.
-func (c Settings) Reparent() time.Duration { return c.BaseInterval() * 3 / 4 }
+// ReparentAfter is how long a relay tries a parent before it asks for another.
+func (c Settings) ReparentAfter() time.Duration { return c.BaseInterval() * 3 / 4 }
 
 // MaxAgeReady is the age of configuration or roster past which a proxy is unready.
 func (c Settings) MaxAgeReady() time.Duration {
@@ -59,24 +59,24 @@
 	if c.Bounds.Lease > 0 {
 		return ms(c.Bounds.Lease)
 	}
-	return ms(c.Bounds.HolderRest) / 2
+	return ms(c.Bounds.HolderCooldown) / 2
 }
 
-// LeaseHeld is how long the holder acts on a lease. It stops before the lease that the voters granted
+// HolderLease is how long the holder acts on a lease. It stops before the lease that the voters granted
 // ends, so that two holders never overlap.
-func (c Settings) LeaseHeld() time.Duration { return c.Lease() * 9 / 10 }
+func (c Settings) HolderLease() time.Duration { return c.Lease() * 9 / 10 }
 
 // RenewEvery is the interval of renewals.
 func (c Settings) RenewEvery() time.Duration { return c.Lease() / renewalsInLease }
 
-// HolderRest is how long a former holder of a lease isn't granted it again.
-func (c Settings) HolderRest() time.Duration { return ms(c.Bounds.HolderRest) }
+// HolderCooldown is how long a former holder of a lease isn't granted it again.
+func (c Settings) HolderCooldown() time.Duration { return ms(c.Bounds.HolderCooldown) }
 
 // FailbackAfter is how long a holder keeps a lease for which the settings prefer another voter.
-func (c Settings) FailbackAfter() time.Duration { return c.HolderRest() * 4 }
+func (c Settings) FailbackAfter() time.Duration { return c.HolderCooldown() * 4 }
 
-// TakeOver is how long a lease is without a holder at most after its holder was lost.
-func (c Settings) TakeOver() time.Duration {
+// LeaseTakeover is how long a lease is without a holder at most after its holder was lost.
+func (c Settings) LeaseTakeover() time.Duration {
 	return c.Lease()*2 + ms(c.Bounds.Sync)*syncsInLease
 }
 
@@ -89,15 +89,15 @@
 // ServingProxyTimeout is how long a serving proxy gives an upstream work without hearing from it: the
 // upstream may have told another proxy that it leaves.
 func (c Settings) ServingProxyTimeout() time.Duration {
-	if c.ByTarget() {
+	if c.ProofByTarget() {
 		// Heartbeats come to the serving proxy alone, and a target proves itself.
 		return c.HeartbeatTimeout()
 	}
 	return min(c.HeartbeatTimeout(), ms(c.Bounds.Drain)*4/5)
 }
 
-// DialFresh is how long an announcement or an answer proves which upstream is at an address.
-func (c Settings) DialFresh() time.Duration { return c.HeartbeatTimeout() / 30 }
+// AddressProofTTL is how long an announcement or an answer proves which upstream is at an address.
+func (c Settings) AddressProofTTL() time.Duration { return c.HeartbeatTimeout() / 30 }
 
 // ConnectionIdle is how long a connection to an upstream stays open without a request.
 func (c Settings) ConnectionIdle() time.Duration { return c.HeartbeatTimeout() * 2 / 3 }
@@ -111,11 +111,11 @@
 	return min(ms(c.Bounds.Restore)/60, ms(c.Bounds.CatchUp)/16)
 }
 
-// ProbeLimit is how long an answer to a probe may take.
-func (c Settings) ProbeLimit() time.Duration { return c.ProbeEvery() * 2 / 5 }
+// ProbeTimeout is how long an answer to a probe may take.
+func (c Settings) ProbeTimeout() time.Duration { return c.ProbeEvery() * 2 / 5 }
 
-// SuspectFor is how long a member is suspected before it counts as dead.
-func (c Settings) SuspectFor() time.Duration { return c.ProbeEvery() * 5 }
+// SuspicionTimeout is how long a member is suspected before it counts as dead.
+func (c Settings) SuspicionTimeout() time.Duration { return c.ProbeEvery() * 5 }
 
 // DiskRetryEvery is the interval at which a disk that refused a write is tried again.
 func (c Settings) DiskRetryEvery() time.Duration { return ms(c.Bounds.CatchUp) / 16 }
@@ -123,8 +123,8 @@
 // ClaimAfter is how long a voter has to be without a machine before a new machine claims it.
 func (c Settings) ClaimAfter() time.Duration { return ms(c.Bounds.CatchUp) / 10 }
 
-// HandOverLimit is how long a leaving voter waits for its successor.
-func (c Settings) HandOverLimit() time.Duration { return c.Grace() / 4 }
+// HandoverTimeout is how long a leaving voter waits for its successor.
+func (c Settings) HandoverTimeout() time.Duration { return c.Grace() / 4 }
 
 // ForgetAfter is how long a dead member is remembered.
 func (c Settings) ForgetAfter() time.Duration { return ms(c.Bounds.Restore) * 4 }
@@ -133,10 +133,10 @@
 func (c Settings) JoinEvery() time.Duration { return ms(c.Bounds.Restore) / 30 }
 
 // SealAfter is how long after its end a usage window is sealed.
-func (c Settings) SealAfter() time.Duration { return ms(c.Bounds.UsageLate) * 6 / 10 }
+func (c Settings) SealAfter() time.Duration { return ms(c.Bounds.UsageReportDelay) * 6 / 10 }
 
-// UsageLate is how long after its end a usage window's report falls due.
-func (c Settings) UsageLate() time.Duration { return ms(c.Bounds.UsageLate) }
+// UsageReportDelay is how long after its end a usage window's report falls due.
+func (c Settings) UsageReportDelay() time.Duration { return ms(c.Bounds.UsageReportDelay) }
 
 // UsageWindow is the length of a window of usage.
 func (c Settings) UsageWindow() time.Duration { return ms(c.Bounds.UsageWindow) }
@@ -158,7 +158,7 @@
 }
 
 // ReportEvery is the interval at which a usage report is tried again.
-func (c Settings) ReportEvery() time.Duration { return ms(c.Bounds.UsageLate) / 20 }
+func (c Settings) ReportEvery() time.Duration { return ms(c.Bounds.UsageReportDelay) / 20 }
 
 // DigestEvery is the interval at which voters send their status to each other.
 func (c Settings) DigestEvery() time.Duration { return c.UpdatesEvery() }
@@ -173,28 +173,28 @@
 	answerBytesPerSec = 8 << 20
 )
 
-// AnswerLimit is how long an operator's call may wait for a reply before it is told that none is to
+// OperatorTimeout is how long an operator's call may wait for a reply before it is told that none is to
 // be had here now.
-func (c Settings) AnswerLimit(bodyBytes int) time.Duration {
+func (c Settings) OperatorTimeout(bodyBytes int) time.Duration {
 	return answerLimit + time.Duration(bodyBytes)*time.Second/answerBytesPerSec
 }
 
-// ConnectionDial is the timeout for opening a connection.
-func (c Settings) ConnectionDial() time.Duration { return ms(c.Bounds.Restore) / 60 }
+// DialTimeout is the timeout for opening a connection.
+func (c Settings) DialTimeout() time.Duration { return ms(c.Bounds.Restore) / 60 }
 
 // OutcomeRetention is how long a serving proxy remembers the outcome of a request.
 func (c Settings) OutcomeRetention() time.Duration {
-	return min(ms(c.Limits.Request)*2, ms(c.Bounds.Restore)*8)
+	return min(ms(c.Limits.RequestTimeout)*2, ms(c.Bounds.Restore)*8)
 }
 
-// AnswerRetention is how long a serving proxy keeps complete answers for proxies that lost their
+// ResponseRetention is how long a serving proxy keeps complete answers for proxies that lost their
 // connection and ask again.
-func (c Settings) AnswerRetention() time.Duration {
+func (c Settings) ResponseRetention() time.Duration {
 	return min(c.OutcomeRetention(), c.UpdatesEvery()*10)
 }
 
-// RequestLimit is the longest time that a request may take.
-func (c Settings) RequestLimit() time.Duration { return ms(c.Limits.Request) }
+// RequestTimeout is the longest time that a request may take.
+func (c Settings) RequestTimeout() time.Duration { return ms(c.Limits.RequestTimeout) }
 
 // WarmUpTime is how long a new upstream counts as warming up.
 func (c Settings) WarmUpTime() time.Duration { return ms(c.Bounds.Heartbeat) * 2 / 3 }
@@ -210,7 +210,7 @@
 
 // TrafficRate is how many bytes a second the traffic side may send, so that the link has capacity for
 // control messages at any moment; 0: no limit.
-func (c Settings) TrafficRate() int64 { return c.Limits.Link * 17 / 20 }
+func (c Settings) TrafficRate() int64 { return c.Limits.LinkBandwidth * 17 / 20 }
 
 // LinkWait is how long a request may wait in the queue of the link; one that would wait longer is
 // refused at once.
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -106,7 +106,7 @@
 			RawPath:  kind.Path,
 			Header:   header,
 			Body:     []byte{},
-			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestLimit(),
+			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestTimeout(),
 		}
 		sentIncarnation := incarnation
 		chosenProxy.inFlight++
@@ -136,7 +136,7 @@
 				then()
 			})
 		})
-		w.after(chosenProxy.trueWait(chosenProxy.settings.RequestLimit()), func() {
+		w.after(chosenProxy.trueWait(chosenProxy.settings.RequestTimeout()), func() {
 			chosenProxy.run(incarnation, func() { chosenProxy.tracker.Abandon(going) })
 		})
 	})
--- a/internal/simulation/cutoff.go
+++ b/internal/simulation/cutoff.go
@@ -81,7 +81,7 @@
 func (w *World) sever(step Step) {
 	machine := step.Target
 	if machine == holderTarget {
-		machine = w.holder(settings.ConfigLogTag)
+		machine = w.holder(settings.ConfigLogLease)
 	}
 	others := without(w.cores(), machine)
 	switch step.Do {
--- a/internal/simulation/disk_full.go
+++ b/internal/simulation/disk_full.go
@@ -69,7 +69,7 @@
 // self is this incarnation of the node as the others see it.
 func (n *Node) self() message.Member {
 	return message.Member{Name: n.name, Role: n.role, Voter: n.settings.Voter, Zone: n.settings.Zone, Address: n.settings.Address,
-		HTTPAddress: n.settings.Outside, StartTime: int64(n.clock.wall(n.world.now))}
+		HTTPAddress: n.settings.HTTPAddress, StartTime: int64(n.clock.wall(n.world.now))}
 }
 
 // disksFullInTurn fills the disk of each core machine for some seconds, one after the
--- a/internal/simulation/hundreds.go
+++ b/internal/simulation/hundreds.go
@@ -29,10 +29,10 @@
 		{At: 9 * time.Second, Do: "hundreds", For: changesFor},
 		{At: span(random, 11, 13), Do: "kill", Target: names[chosen[0]], For: span(random, 6, 9)},
 		{At: span(random, 26, 28), Do: "cut-core", Target: names[chosen[1]], For: span(random, 5, 8)},
-		{At: span(random, 40, 42), Do: "kill-holder", Target: settings.ConfigLogTag, For: span(random, 0.3, 2)},
+		{At: span(random, 40, 42), Do: "kill-holder", Target: settings.ConfigLogLease, For: span(random, 0.3, 2)},
 		{At: span(random, 48, 50), Do: "kill-disk", Target: names[chosen[2]], For: span(random, 0.3, 2)},
 		{At: span(random, 58, 60), Do: "kill", Target: names[chosen[1]], For: span(random, 3, 6)},
-		{At: span(random, 70, 71), Do: "kill-holder", Target: settings.ConfigLogTag, For: span(random, 0.3, 2)},
+		{At: span(random, 70, 71), Do: "kill-holder", Target: settings.ConfigLogLease, For: span(random, 0.3, 2)},
 	}
 }
 
--- a/internal/simulation/never_test.go
+++ b/internal/simulation/never_test.go
@@ -234,7 +234,7 @@
 		behind := false
 		holders := map[string]bool{}
 		for _, keeping := range result.Record.Keeping {
-			if keeping.Tag != settings.ConfigLogTag {
+			if keeping.Tag != settings.ConfigLogLease {
 				continue
 			}
 			holders[keeping.Voter] = true
--- a/internal/simulation/node_lifecycle.go
+++ b/internal/simulation/node_lifecycle.go
@@ -22,7 +22,7 @@
 		return
 	}
 	if n.incarnation++; n.incarnation > 1 {
-		n.settings.Found = false
+		n.settings.Bootstrap = false
 	}
 	n.up, n.frozen, n.inbox = true, false, nil
 	n.clock.bootAt = n.world.now
--- a/internal/simulation/operator_orders.go
+++ b/internal/simulation/operator_orders.go
@@ -89,7 +89,7 @@
 			w.after(min(orderPause*time.Duration(o.tries), orderPauseMax), func() { w.persist(o) })
 		}
 	})
-	w.after(registryNode.settings.AnswerLimit(len(o.body))+orderSilence/5, func() {
+	w.after(registryNode.settings.OperatorTimeout(len(o.body))+orderSilence/5, func() {
 		if !told {
 			w.persist(o)
 		}
@@ -193,7 +193,7 @@
 	if write, isWrite := question.(registry.WriteConfiguration); isWrite {
 		body = len(write.Body)
 	}
-	w.after(registryNode.settings.AnswerLimit(body)+orderSilence/5, func() {
+	w.after(registryNode.settings.OperatorTimeout(body)+orderSilence/5, func() {
 		if !answered && registryNode.up && !registryNode.frozen && registryNode.incarnation == incarnation &&
 			!registryNode.wasFrozen(began) {
 			w.fail("%s said nothing within %s", registryNode.name, w.now-began)
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -109,7 +109,7 @@
 		lose := step.Do == "put-and-kill-disk"
 		w.write(version, tenants[:w.tenants], body, func(code errcode.Code) {
 			if code == errcode.OK {
-				if machine := w.holder(settings.ConfigLogTag); machine != "" {
+				if machine := w.holder(settings.ConfigLogLease); machine != "" {
 					w.restart(w.machineNodes(machine), lose, step.For)
 				}
 			}
--- a/internal/simulation/proxy_connection.go
+++ b/internal/simulation/proxy_connection.go
@@ -37,7 +37,7 @@
 			s.attach(target)
 			return
 		}
-		w.after(s.from.settings.ConnectionDial(), s.drop)
+		w.after(s.from.settings.DialTimeout(), s.drop)
 	default:
 		s.attach(target)
 	}
--- a/internal/simulation/refusal_causes.go
+++ b/internal/simulation/refusal_causes.go
@@ -48,7 +48,7 @@
 		if w.linked(from, registryNode) && w.linked(registryNode, from) {
 			registryNode.request(registry.ReadConfigurationStatus{ConfigName: "main"}, func(answer any) {
 				age := gjson.GetBytes(mustBe[registry.Answer](answer).Body, "age_ms")
-				known = known || age.Exists() && age.Int() <= from.settings.Reparent().Milliseconds()
+				known = known || age.Exists() && age.Int() <= from.settings.ReparentAfter().Milliseconds()
 			})
 		}
 	}
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -30,7 +30,7 @@
 				fresh = parts[0] + "8:" + parts[1]
 			}
 			delete(w.byAddress, old)
-			node.settings.Address, node.settings.Outside = fresh, fresh
+			node.settings.Address, node.settings.HTTPAddress = fresh, fresh
 			w.byAddress[fresh] = node
 		}
 		// The newcomer's settings name the seeds of now; all others keep their old ones.
@@ -55,7 +55,7 @@
 		host, port, _ := strings.Cut(old.settings.Address, ":")
 		replacement := w.addNode(old.role, fmt.Sprintf("%s-after", machine), "", old.settings.Zone,
 			fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.serial), port), old.settings.Seeds)
-		replacement.settings.Found = false
+		replacement.settings.Bootstrap = false
 		w.after(down, func() {
 			replacement.settings.Seeds = []string{}
 			for _, registryNode := range w.nodesOf(message.RoleRegistry) {
--- a/internal/simulation/same_version.go
+++ b/internal/simulation/same_version.go
@@ -32,7 +32,7 @@
 	}
 	for _, trouble := range []string{"kill-holder", "freeze-holder", "cut-core"} {
 		if random.IntN(2) == 0 {
-			target := settings.ConfigLogTag
+			target := settings.ConfigLogLease
 			if trouble == "cut-core" {
 				target = voter(random)
 			}
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -72,7 +72,7 @@
 		return []Step{
 			{At: span(random, 10, 12), Do: "usurp", Target: voter(random), For: span(random, 1, 9)},
 			{At: span(random, 12.5, 14), Do: "put"},
-			{At: span(random, 14, 17), Do: "kill-holder", Target: settings.ConfigLogTag, For: span(random, 0.5, 2)},
+			{At: span(random, 14, 17), Do: "kill-holder", Target: settings.ConfigLogLease, For: span(random, 0.5, 2)},
 			{At: span(random, 22, 24), Do: "put"},
 		}
 	},
@@ -261,7 +261,7 @@
 	"collector-down": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
 			{At: span(random, 10, 12), Do: "collector-down", For: span(random, 4, 6)},
-			{At: span(random, 12, 15), Do: "kill-holder", Target: settings.UsageTag, For: span(random, 0.5, 2)},
+			{At: span(random, 12, 15), Do: "kill-holder", Target: settings.UsageLease, For: span(random, 0.5, 2)},
 		}
 	},
 	"two-core-down": func(_ workload.Deployment, random *rand.Rand) []Step {
@@ -278,8 +278,8 @@
 	"collector-odd": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
 			{At: span(random, 9, 10), Do: "collector-odd", For: span(random, 12, 16)},
-			{At: span(random, 12, 15), Do: "kill-holder", Target: settings.UsageTag, For: span(random, 0.5, 2)},
-			{At: span(random, 17, 19), Do: "kill-holder", Target: settings.UsageTag, For: span(random, 0.5, 2)},
+			{At: span(random, 12, 15), Do: "kill-holder", Target: settings.UsageLease, For: span(random, 0.5, 2)},
+			{At: span(random, 17, 19), Do: "kill-holder", Target: settings.UsageLease, For: span(random, 0.5, 2)},
 		}
 	},
 	"last-fault": func(d workload.Deployment, random *rand.Rand) []Step {
@@ -314,7 +314,7 @@
 			{At: span(random, 9, 10), Do: "slow-disk", Target: voter(random), For: 12 * time.Second},
 			{At: span(random, 11, 12), Do: "put"},
 			{At: span(random, 13, 14), Do: "put-huge"},
-			{At: span(random, 15, 16), Do: "kill-holder", Target: settings.ConfigLogTag, For: 2 * time.Second},
+			{At: span(random, 15, 16), Do: "kill-holder", Target: settings.ConfigLogLease, For: 2 * time.Second},
 		}
 	},
 	"configurations": func(_ workload.Deployment, random *rand.Rand) []Step {
@@ -402,7 +402,7 @@
 
 // allTags lists the tags of both groups.
 func allTags(d workload.Deployment) []string {
-	return append(append([]string{}, d.Zones...), settings.UsageTag, settings.ConfigLogTag)
+	return append(append([]string{}, d.Zones...), settings.UsageLease, settings.ConfigLogLease)
 }
 
 // anyFleetPlan draws steps that are not about the operators' side; the fixed seeds are of it.
--- a/internal/simulation/second_loss.go
+++ b/internal/simulation/second_loss.go
@@ -161,7 +161,7 @@
 	if holders*2 <= len(w.cores())+1 {
 		w.dangers["leaving voters with the newest change on a bare majority"]++
 	}
-	if machine == w.holder(settings.ConfigLogTag) {
+	if machine == w.holder(settings.ConfigLogLease) {
 		w.dangers["leaving lease holders"]++
 	}
 }
@@ -173,7 +173,7 @@
 	parts := strings.Split(host, ".")
 	replacement := w.addNode(old.role, machine, "", old.settings.Zone,
 		fmt.Sprintf("%s.%d:%s", strings.Join(parts[:3], "."), 100+w.serial, port), old.settings.Seeds)
-	replacement.settings.Found = false
+	replacement.settings.Bootstrap = false
 	replacement.settings.Seeds = []string{}
 	for _, registryNode := range w.nodesOf(message.RoleRegistry) {
 		if registryNode != replacement && !registryNode.retired && len(replacement.settings.Seeds) < 3 {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -107,7 +107,7 @@
 	}
 	w.record.Bounds = checker.BriefBounds(options.Deployment.Withdrawal)
 	w.record.Window, w.record.Epoch = time.Duration(settings.Default().Bounds.UsageWindow)*time.Millisecond, epoch
-	w.record.KeptMost = int(settings.Default().Limits.KeptConfigurations)
+	w.record.KeptMost = int(settings.Default().Limits.RetainedVersions)
 	w.tenants = len(options.Deployment.Tenants())
 	w.build()
 	return w
--- a/internal/storage/disks_golden_test.go
+++ b/internal/storage/disks_golden_test.go
@@ -118,13 +118,13 @@
 	cfg.Address = goldenAddress(number)
 	cfg.Voters = goldenVoters
 	cfg.ConfigNames = goldenConfigNames
-	cfg.Active = map[string]string{"east": "1", "west": "2", settings.UsageTag: "3", settings.ConfigLogTag: "1"}
+	cfg.PreferredHolders = map[string]string{"east": "1", "west": "2", settings.UsageLease: "3", settings.ConfigLogLease: "1"}
 	for other := range goldenVoters {
 		cfg.Seeds = append(cfg.Seeds, goldenAddress(other))
 	}
 	if discovered {
 		cfg.VoterCount = int64(len(goldenVoters))
-		cfg.Found = true
+		cfg.Bootstrap = true
 	} else {
 		cfg.Voter = goldenVoters[number]
 	}
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -113,24 +113,24 @@
 func (d Deployment) Settings(role, nodeName, voter, zone, address, outside string, seeds []string, data string) settings.Settings {
 	cfg := settings.Default()
 	cfg.Node, cfg.Voter, cfg.Voters, cfg.Zone, cfg.Zones = nodeName, voter, Voters, zone, d.Zones
-	cfg.Address, cfg.Outside, cfg.Seeds, cfg.Data = address, outside, seeds, data
-	cfg.Active = map[string]string{settings.ConfigLogTag: Voters[0], settings.UsageTag: Voters[2]}
+	cfg.Address, cfg.HTTPAddress, cfg.Seeds, cfg.DataDirectory = address, outside, seeds, data
+	cfg.PreferredHolders = map[string]string{settings.ConfigLogLease: Voters[0], settings.UsageLease: Voters[2]}
 	for index, name := range d.Zones {
-		cfg.Active[name] = Voters[index%len(Voters)]
+		cfg.PreferredHolders[name] = Voters[index%len(Voters)]
 	}
 	if d.VoterCount > 0 {
 		cfg.Voter, cfg.Voters, cfg.VoterCount = "", settings.VoterNames(d.VoterCount), d.VoterCount
-		cfg.Active, cfg.Found = map[string]string{}, true
+		cfg.PreferredHolders, cfg.Bootstrap = map[string]string{}, true
 	}
 	if d.Writes != "" {
-		cfg.Writes = d.Writes
+		cfg.WritePolicy = d.Writes
 	}
 	cfg.Tolerated = d.Tolerated
 	if d.Withdrawal {
 		cfg.Bounds.KeyWithdrawal = 5000
 	}
 	if role == message.RoleProxy {
-		cfg.Voter, cfg.Data = "", ""
+		cfg.Voter, cfg.DataDirectory = "", ""
 	}
 	return cfg
 }
