--- a/internal/configstore/catchup.go
+++ b/internal/configstore/catchup.go
@@ -104,7 +104,7 @@
 // keepsUp reports whether a voter has confirmed the whole log, with the disk that the quorum knows it by.
 func (m *Machine) keepsUp(voter string) bool {
 	last, known := m.leadership.followers[voter]
-	return known && last.match >= m.log.seq && m.quorum.Accepts(voter, last.identity)
+	return known && last.match >= m.log.seq && m.quorum.VerifySignature(voter, last.identity)
 }
 
 // remindLaggards tells the end of the log to the voters that have not confirmed it. Nothing else would
--- a/internal/configstore/follower.go
+++ b/internal/configstore/follower.go
@@ -36,7 +36,7 @@
 // sender is on the member list, and its epoch is the one that was promised, neither lower nor higher.
 func (m *Machine) acceptsHolder(voter, identity string, epoch int64) bool {
 	inEpoch := epoch == m.leases.Epoch(settings.ConfigLogLease) || guardsOff.promisedEpoch
-	return m.quorum.Voting() && m.quorum.Accepts(voter, identity) && inEpoch && m.Failure() == nil
+	return m.quorum.Voting() && m.quorum.VerifySignature(voter, identity) && inEpoch && m.Failure() == nil
 }
 
 // handleAppendDelta takes an append as it travels. An entry that is in the log already is confirmed
--- a/internal/configstore/leadership.go
+++ b/internal/configstore/leadership.go
@@ -32,13 +32,13 @@
 
 // canServe reports whether this voter may answer clients now.
 func (m *Machine) canServe(now time.Duration) bool {
-	return m.leadership.phase == serving && m.leases.Holding(settings.ConfigLogLease, now)
+	return m.leadership.phase == serving && m.leases.IsHolder(settings.ConfigLogLease, now)
 }
 
 // step sends again what the phase waits for. Messages are repeated until they are answered, since any of
 // them may be lost.
 func (m *Machine) step(env *statemachine.Env) {
-	if m.leadership.phase != following && !m.leases.Holding(settings.ConfigLogLease, env.Now) {
+	if m.leadership.phase != following && !m.leases.IsHolder(settings.ConfigLogLease, env.Now) {
 		return
 	}
 	m.sendConfirmedResponses(env)
--- a/internal/configstore/machine.go
+++ b/internal/configstore/machine.go
@@ -18,7 +18,7 @@
 // Machine is the control state of a configuration store. It implements statemachine.Machine and, with the
 // embedded core, quorum.Host.
 type Machine struct {
-	*quorum.Core
+	*quorum.ControlBase
 	settings     settings.Settings
 	membership   *membership.Membership
 	quorum       *quorum.Quorum
@@ -48,15 +48,15 @@
 		log:        replicatedLog{settings: cfg},
 	}
 	m.log.replace(state)
-	restored := quorum.Restored{Voter: state.Voter, Votes: state.Votes}
+	restored := quorum.RestoredState{Voter: state.Voter, Votes: state.Votes}
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
 		return nil, err
 	}
 	m.log.synced = m.log.position()
 	m.distribution = distribution.New(cfg, m.membership, func(*statemachine.Env, string) {})
-	m.Core = quorum.NewCore(cfg, message.RoleConfigStore, m.membership, m.Snapshot, snapshot == nil)
+	m.ControlBase = quorum.NewControlBase(cfg, message.RoleConfigStore, m.membership, m.Snapshot, snapshot == nil)
 	m.quorum = quorum.New(Group, cfg, m, restored.Voter, m.beginVoting)
-	m.UseVoters(m.quorum)
+	m.SetQuorum(m.quorum)
 	m.leases = lease.New(cfg, m, m.quorum, []string{settings.ConfigLogLease}, restored.Votes,
 		lease.Callbacks{Eligible: m.eligible, OnAcquired: m.leaseAcquired, OnLost: m.leaseLost})
 	m.distribution.ServeWhen(m.canServe, func() []string { return []string{m.leaseHolderName()} })
--- a/internal/configstore/proposal.go
+++ b/internal/configstore/proposal.go
@@ -115,7 +115,7 @@
 func (m *Machine) sendProposal(env *statemachine.Env) {
 	m.leadership.sentAt = env.Now
 	for _, peer := range m.Peers() {
-		if !m.quorum.Accepts(peer.Voter, m.leadership.acks[peer.Voter]) {
+		if !m.quorum.VerifySignature(peer.Voter, m.leadership.acks[peer.Voter]) {
 			m.proposal.append.Identity = m.quorum.Signature()
 			env.Send(peer.Address, m.proposal.append)
 		}
--- a/internal/explore/checks.go
+++ b/internal/explore/checks.go
@@ -61,7 +61,7 @@
 func listText(list map[string]string) string {
 	parts := []string{}
 	for _, voter := range slices.Sorted(maps.Keys(list)) {
-		parts = append(parts, voter+"="+quorum.IdentityOf(list[voter]))
+		parts = append(parts, voter+"="+quorum.SignatureIdentity(list[voter]))
 	}
 	return strings.Join(parts, " ")
 }
--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -50,7 +50,7 @@
 
 // votedFor reports whether the vote is for this candidate, with this disk.
 func (a *acceptorState) votedFor(voter, signature string) bool {
-	return a.vote.Holder == voter && a.vote.Identity == quorum.IdentityOf(signature)
+	return a.vote.Holder == voter && a.vote.Identity == quorum.SignatureIdentity(signature)
 }
 
 // renew extends the promise to the holder.
@@ -72,7 +72,7 @@
 	}
 	a.vote.Epoch = request.Epoch
 	a.vote.Holder = request.Voter
-	a.vote.Identity = quorum.IdentityOf(request.Identity)
+	a.vote.Identity = quorum.SignatureIdentity(request.Identity)
 	a.voteSynced = false
 	a.promisedUntil = now + lease
 	a.reservedFor = ""
@@ -99,7 +99,7 @@
 	}
 	decided := decide(tag, request, decisionInputs{
 		now:      env.Now,
-		accepted: m.quorum.Accepts(request.Voter, request.Identity),
+		accepted: m.quorum.VerifySignature(request.Voter, request.Identity),
 		precedes: m.precedes(request.LeaseName, request.Voter),
 		coolDown: m.settings.HolderCooldown(),
 	})
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -106,7 +106,7 @@
 	}
 	part := m.settings.Lease() / 3
 	candidate.backOff(env, part)
-	if m.quorum.Discovered() && m.settings.PreferredHolders[tag.name] == "" {
+	if m.quorum.DiscoversVoters() && m.settings.PreferredHolders[tag.name] == "" {
 		candidate.nextAttemptAt -= part
 	}
 	return true
@@ -165,7 +165,7 @@
 	if request.PreVote || request.Voter == m.quorum.Voter || request.Voter == candidate.otherHolder {
 		return
 	}
-	if request.Epoch >= tag.acceptor.vote.Epoch && m.quorum.Accepts(request.Voter, request.Identity) {
+	if request.Epoch >= tag.acceptor.vote.Epoch && m.quorum.VerifySignature(request.Voter, request.Identity) {
 		candidate.otherHolder, candidate.otherHolderSince = request.Voter, env.Now
 	}
 }
--- a/internal/lease/group_test.go
+++ b/internal/lease/group_test.go
@@ -110,7 +110,7 @@
 func (v *voter) MergeGrantedStates(*statemachine.Env, [][]byte) {}
 func (v *voter) AnnounceVoter(string)                           {}
 func (v *voter) DiscardState(s *statemachine.Env)               { v.leases.Forget(s) }
-func (v *voter) NodeGone(*statemachine.Env, string) bool        { return false }
+func (v *voter) NodeDeadOrLeft(*statemachine.Env, string) bool  { return false }
 func (v *voter) Superseded() bool                               { return false }
 
 func (v *voter) Peers() []message.Member {
@@ -171,7 +171,7 @@
 // holder returns the name of the voter that holds the tag, or "".
 func (g *group) holder() string {
 	for _, v := range g.voters {
-		if v.up && v.leases.Holding(g.tag, v.env.Now) {
+		if v.up && v.leases.IsHolder(g.tag, v.env.Now) {
 			return v.name
 		}
 	}
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -121,15 +121,15 @@
 	}
 }
 
-// Holding reports whether this voter is active for a tag now, by its own clock.
-func (m *Manager) Holding(tagName string, now time.Duration) bool {
+// IsHolder reports whether this voter is active for a tag now, by its own clock.
+func (m *Manager) IsHolder(tagName string, now time.Duration) bool {
 	tag := m.tags[tagName]
 	return tag != nil && tag.holder.activeAt(now) && !m.quorum.Removed
 }
 
-// HeldUntil returns when this voter's lease of a tag ends unless it is renewed before, by its own
+// LeaseExpiry returns when this voter's lease of a tag ends unless it is renewed before, by its own
 // clock; 0 where it holds none.
-func (m *Manager) HeldUntil(tagName string) time.Duration {
+func (m *Manager) LeaseExpiry(tagName string) time.Duration {
 	tag := m.tags[tagName]
 	if tag == nil || !tag.holder.holding {
 		return 0
--- a/internal/lease/metrics.go
+++ b/internal/lease/metrics.go
@@ -11,7 +11,7 @@
 	samples := []metrics.Sample{}
 	for _, tag := range m.tagNames {
 		held := 0.0
-		if m.Holding(tag, now) {
+		if m.IsHolder(tag, now) {
 			held = 1
 		}
 		samples = append(samples, metrics.About("lease_held", "tag", tag, held),
--- a/internal/lease/refusals_golden_test.go
+++ b/internal/lease/refusals_golden_test.go
@@ -145,7 +145,7 @@
 				Group: "config-log", LeaseName: configTag, Epoch: epoch, Voter: other.name, Identity: other.quorum.Signature(),
 				HighestEpoch: epoch, Reason: reason,
 			})
-			c.Assert(holder.leases.Holding(configTag, holder.env.Now), qt.Equals, !raises)
+			c.Assert(holder.leases.IsHolder(configTag, holder.env.Now), qt.Equals, !raises)
 		})
 	}
 }
--- a/internal/lease/round.go
+++ b/internal/lease/round.go
@@ -60,7 +60,7 @@
 	if vote.Epoch != candidate.epoch || vote.Epoch <= candidate.spentEpoch && !guardsOff.spentEpoch {
 		return
 	}
-	if !m.quorum.Accepts(vote.Voter, vote.Identity) {
+	if !m.quorum.VerifySignature(vote.Voter, vote.Identity) {
 		return
 	}
 	if !vote.Granted {
--- a/internal/lease/transfer.go
+++ b/internal/lease/transfer.go
@@ -113,7 +113,7 @@
 	if !known || transfer.Epoch != tag.acceptor.vote.Epoch || transfer.Voter != tag.acceptor.vote.Holder {
 		return
 	}
-	if !m.quorum.Accepts(transfer.Voter, transfer.Identity) {
+	if !m.quorum.VerifySignature(transfer.Voter, transfer.Identity) {
 		return
 	}
 	tag.acceptor.promisedUntil = 0
--- a/internal/quorum/claim_test.go
+++ b/internal/quorum/claim_test.go
@@ -59,8 +59,8 @@
 		processes[2].replicatedState = "old"
 		processes[2].boot(false)
 		c.Assert(processes[2].quorum.Voting(), qt.IsTrue)
-		c.Assert(processes[0].quorum.Accepts("3", processes[2].quorum.Signature()), qt.IsFalse)
-		c.Assert(processes[2].quorum.Accepts("1", processes[0].quorum.Signature()), qt.IsFalse)
+		c.Assert(processes[0].quorum.VerifySignature("3", processes[2].quorum.Signature()), qt.IsFalse)
+		c.Assert(processes[2].quorum.VerifySignature("1", processes[0].quorum.Signature()), qt.IsFalse)
 		group.run(4 * time.Second)
 		c.Assert(processes[2].quorum.Voting(), qt.IsFalse)
 		c.Assert(processes[2].quorum.Removed, qt.IsFalse)
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -21,9 +21,9 @@
 	unknownGoneFactor = 2
 )
 
-// Core is what the two control programs share around the quorum and the leases: the disk, the peers, a graceful
+// ControlBase is what the two control programs share around the quorum and the leases: the disk, the peers, a graceful
 // departure, and the addresses saved for the next start. A program's machine embeds it.
-type Core struct {
+type ControlBase struct {
 	settings   settings.Settings
 	role       string
 	membership *membership.Membership
@@ -38,10 +38,10 @@
 	nextSaveAt     time.Duration
 }
 
-// NewCore makes the shared part; snapshot gives the machine's whole state; empty says that the disk has never
+// NewControlBase makes the shared part; snapshot gives the machine's whole state; empty says that the disk has never
 // held one.
-func NewCore(cfg settings.Settings, role string, members *membership.Membership, snapshot func() []byte, empty bool) *Core {
-	return &Core{
+func NewControlBase(cfg settings.Settings, role string, members *membership.Membership, snapshot func() []byte, empty bool) *ControlBase {
+	return &ControlBase{
 		settings:   cfg,
 		role:       role,
 		membership: members,
@@ -49,11 +49,11 @@
 	}
 }
 
-// UseVoters sets the quorum, which is made after the core that it writes through.
-func (c *Core) UseVoters(quorum *Quorum) { c.quorum = quorum }
+// SetQuorum sets the quorum, which is made after the core that it writes through.
+func (c *ControlBase) SetQuorum(quorum *Quorum) { c.quorum = quorum }
 
 // Persist appends a record and calls then once it is synced.
-func (c *Core) Persist(env *statemachine.Env, record any, then storage.SyncCallback) {
+func (c *ControlBase) Persist(env *statemachine.Env, record any, then storage.SyncCallback) {
 	began := env.Now
 	c.writer.Persist(env, record, func(env *statemachine.Env, failure error) {
 		c.writeLatency += (env.Now - began - c.writeLatency) / latencyWeight
@@ -62,26 +62,26 @@
 }
 
 // WriteLatency is about how long a write takes, waiting included.
-func (c *Core) WriteLatency() time.Duration { return c.writeLatency }
+func (c *ControlBase) WriteLatency() time.Duration { return c.writeLatency }
 
 // WriteSnapshot writes the machine's whole state.
-func (c *Core) WriteSnapshot(env *statemachine.Env, then storage.SyncCallback) {
+func (c *ControlBase) WriteSnapshot(env *statemachine.Env, then storage.SyncCallback) {
 	c.writer.Compact(env, then)
 }
 
 // Failure is the error of the first write that failed; nil for none.
-func (c *Core) Failure() error { return c.writer.Failure() }
+func (c *ControlBase) Failure() error { return c.writer.Failure() }
 
 // Synced says that the write of a request id is on disk, or that it failed.
-func (c *Core) Synced(env *statemachine.Env, requestID int64, failure error) {
+func (c *ControlBase) Synced(env *statemachine.Env, requestID int64, failure error) {
 	c.writer.Synced(env, requestID, failure)
 }
 
 // Peers lists the other members of the role, dead ones aside. Where voters are discovered, the quorum knows who
 // holds which, and the membership does not.
-func (c *Core) Peers() []message.Member {
+func (c *ControlBase) Peers() []message.Member {
 	peers := c.membership.Alive(c.role)
-	if c.quorum != nil && c.quorum.Discovered() {
+	if c.quorum != nil && c.quorum.DiscoversVoters() {
 		for index := range peers {
 			peers[index].Voter = c.quorum.voterAt(peers[index].Address)
 		}
@@ -90,14 +90,14 @@
 }
 
 // AnnounceVoter tells the members which voter this process holds.
-func (c *Core) AnnounceVoter(voter string) { c.membership.SetVoter(voter) }
+func (c *ControlBase) AnnounceVoter(voter string) { c.membership.SetVoter(voter) }
 
 // Superseded says whether a later process with this node's name runs at another address.
-func (c *Core) Superseded() bool { return c.membership.Superseded() }
+func (c *ControlBase) Superseded() bool { return c.membership.Superseded() }
 
-// NodeGone says that a node is dead or has left. One that was never heard of is gone only to a process that has
+// NodeDeadOrLeft says that a node is dead or has left. One that was never heard of is gone only to a process that has
 // been up, among others, for long enough to have heard of it.
-func (c *Core) NodeGone(env *statemachine.Env, nodeName string) bool {
+func (c *ControlBase) NodeDeadOrLeft(env *statemachine.Env, nodeName string) bool {
 	member, known := c.membership.Find(c.role + "/" + nodeName)
 	if known {
 		return member.State >= message.Dead
@@ -108,7 +108,7 @@
 
 // Maintain does the regular work of a tick: it goes on with a departure, saves the addresses of the members, and
 // leaves the membership once this process's voter was given to another disk.
-func (c *Core) Maintain(env *statemachine.Env, removed bool) {
+func (c *ControlBase) Maintain(env *statemachine.Env, removed bool) {
 	if !c.started {
 		c.started, c.startedAt = true, env.Now
 	}
@@ -126,7 +126,7 @@
 
 // saveAddresses writes the members' addresses to disk, so that the next start finds the others even if every
 // seed was replaced meanwhile.
-func (c *Core) saveAddresses(env *statemachine.Env) {
+func (c *ControlBase) saveAddresses(env *statemachine.Env) {
 	addresses := c.membership.KnownAddresses()
 	if len(addresses) == 0 || slices.Equal(addresses, c.savedAddresses) {
 		return
--- a/internal/quorum/departure.go
+++ b/internal/quorum/departure.go
@@ -15,7 +15,7 @@
 
 // Depart begins a graceful stop: the voter is handed over to another process, where there is one, before the
 // members are told that this node leaves. The answer goes out when the process may end.
-func (c *Core) Depart(env *statemachine.Env, requestID int64, answer any) {
+func (c *ControlBase) Depart(env *statemachine.Env, requestID int64, answer any) {
 	c.departure = &departure{requestID: requestID, answer: answer, deadline: env.Now}
 	if c.quorum.handOver(env) {
 		c.departure.deadline = env.Now + c.settings.HandoverTimeout()
@@ -23,7 +23,7 @@
 	c.advanceDeparture(env)
 }
 
-func (c *Core) advanceDeparture(env *statemachine.Env) {
+func (c *ControlBase) advanceDeparture(env *statemachine.Env) {
 	if c.departure == nil {
 		return
 	}
--- a/internal/quorum/discovered.go
+++ b/internal/quorum/discovered.go
@@ -154,7 +154,7 @@
 	}
 	for _, voter := range d.names() {
 		holder := parseIdentity(d.State.MemberList[voter])
-		if voter != d.Voter && d.directory.NodeGone(env, holder.node) {
+		if voter != d.Voter && d.directory.NodeDeadOrLeft(env, holder.node) {
 			vacant = append(vacant, voter)
 		}
 	}
@@ -178,7 +178,7 @@
 func (d *discoveredVoters) handle(env *statemachine.Env, from string, msg any) {
 	switch received := msg.(type) {
 	case message.VoterStatus:
-		if IdentityOf(received.Identity) != d.State.Identity {
+		if SignatureIdentity(received.Identity) != d.State.Identity {
 			d.handleStatus(env, from, received)
 		}
 	case message.VoterClaim:
--- a/internal/quorum/discovered_grant.go
+++ b/internal/quorum/discovered_grant.go
@@ -39,7 +39,7 @@
 
 func (d *discoveredVoters) vacated(env *statemachine.Env, holder string, claim message.VoterClaim) bool {
 	claimant, holderNode := parseIdentity(claim.Identity).node, parseIdentity(holder).node
-	if claimant == holderNode || d.directory.NodeGone(env, holderNode) {
+	if claimant == holderNode || d.directory.NodeDeadOrLeft(env, holderNode) {
 		return true
 	}
 	return d.handsOverTo(claim.Voter, holder, claimant)
--- a/internal/quorum/discovered_memberlist.go
+++ b/internal/quorum/discovered_memberlist.go
@@ -47,7 +47,7 @@
 	if d.accepts(voter, text) {
 		return true
 	}
-	return voter == d.Voter && d.signature() != "" && IdentityOf(text) == d.State.Identity
+	return voter == d.Voter && d.signature() != "" && SignatureIdentity(text) == d.State.Identity
 }
 
 func (d *discoveredVoters) pendingListWrites() int { return d.list.pendingWrites }
--- a/internal/quorum/fleet_test.go
+++ b/internal/quorum/fleet_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-func (p *process) NodeGone(_ *statemachine.Env, nodeName string) bool {
+func (p *process) NodeDeadOrLeft(_ *statemachine.Env, nodeName string) bool {
 	return p.fleet.memberState[nodeName] >= message.Dead
 }
 
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -56,7 +56,7 @@
 		zone := parseIdentity(status.Identity).zone
 		free := status.Voter == "" && !status.Founder
 		spread := d.placement().keepsSpread(d.State.MemberList, d.Voter, zone)
-		if free && spread && d.recent(env, received) && !d.directory.NodeGone(env, nodeName) {
+		if free && spread && d.recent(env, received) && !d.directory.NodeDeadOrLeft(env, nodeName) {
 			nodes = append(nodes, nodeName)
 		}
 	}
--- a/internal/quorum/host.go
+++ b/internal/quorum/host.go
@@ -20,8 +20,8 @@
 type Directory interface {
 	// Peers lists the other processes of the group that are not known to be dead.
 	Peers() []message.Member
-	// NodeGone says that a node is dead or has left.
-	NodeGone(env *statemachine.Env, nodeName string) bool
+	// NodeDeadOrLeft says that a node is dead or has left.
+	NodeDeadOrLeft(env *statemachine.Env, nodeName string) bool
 	// Superseded says that a later process with this node's name runs at another address.
 	Superseded() bool
 	// AnnounceVoter tells the members which voter this process holds; "" for none.
--- a/internal/quorum/identity.go
+++ b/internal/quorum/identity.go
@@ -76,5 +76,5 @@
 // String writes the signature as messages carry it.
 func (s signature) String() string { return s.identity + signatureStart + s.digest }
 
-// IdentityOf is the identity within a signature.
-func IdentityOf(signature string) string { return parseSignature(signature).identity }
+// SignatureIdentity is the identity within a signature.
+func SignatureIdentity(signature string) string { return parseSignature(signature).identity }
--- a/internal/quorum/identity_test.go
+++ b/internal/quorum/identity_test.go
@@ -39,8 +39,8 @@
 	signed := signature{identity: "00000000~12@n1\x1eeast", digest: "abc"}
 	c.Check(signed.String(), qt.Equals, "00000000~12@n1\x1eeast\x1fabc")
 	c.Check(parseSignature(signed.String()), qt.Equals, signed)
-	c.Check(IdentityOf(signed.String()), qt.Equals, signed.identity)
-	c.Check(IdentityOf(signed.identity), qt.Equals, signed.identity)
+	c.Check(SignatureIdentity(signed.String()), qt.Equals, signed.identity)
+	c.Check(SignatureIdentity(signed.identity), qt.Equals, signed.identity)
 }
 
 func TestMemberListsJoin(t *testing.T) {
--- a/internal/quorum/memberlist_test.go
+++ b/internal/quorum/memberlist_test.go
@@ -27,7 +27,7 @@
 	c.Assert(holder.Majority(acks), qt.IsFalse, qt.Commentf("1's old yes, 2's own and 3's of the newer member list"))
 	acks["4"] = processes[3].quorum.Signature()
 	c.Assert(holder.Majority(acks), qt.IsFalse)
-	c.Assert(processes[2].quorum.Accepts("2", acks["2"]), qt.IsFalse,
+	c.Assert(processes[2].quorum.VerifySignature("2", acks["2"]), qt.IsFalse,
 		qt.Commentf("what the holder asks on the older member list is not answered"))
 
 	group.isolated["a2"] = false
@@ -56,11 +56,11 @@
 		MemberList: newer,
 	})
 	c.Assert(p.quorum.Signature(), qt.Equals, "")
-	c.Assert(p.quorum.Accepts("2", signed), qt.IsFalse)
+	c.Assert(p.quorum.VerifySignature("2", signed), qt.IsFalse)
 	for _, write := range p.pendingWrites {
 		write()
 	}
 	c.Assert(p.quorum.Signature(), qt.Not(qt.Equals), old)
-	c.Assert(p.quorum.Accepts("2", signed), qt.IsTrue)
+	c.Assert(p.quorum.VerifySignature("2", signed), qt.IsTrue)
 	c.Assert(memberList(p.disk.MemberList), qt.DeepEquals, newer)
 }
--- a/internal/quorum/metrics.go
+++ b/internal/quorum/metrics.go
@@ -5,7 +5,7 @@
 )
 
 // Metrics are the figures of this process's voter and disk.
-func (c *Core) Metrics() []metrics.Sample {
+func (c *ControlBase) Metrics() []metrics.Sample {
 	state := c.quorum.State
 	return []metrics.Sample{
 		metrics.Flag("voting", c.quorum.Voting()),
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -48,8 +48,8 @@
 	return &Quorum{Replica: replica, voters: &staticVoters{Replica: replica}}
 }
 
-// Discovered says that the settings only count the voters, and the processes find who holds them.
-func (q *Quorum) Discovered() bool { return q.settings.VoterCount > 0 }
+// DiscoversVoters says that the settings only count the voters, and the processes find who holds them.
+func (q *Quorum) DiscoversVoters() bool { return q.settings.VoterCount > 0 }
 
 // Tick sends statuses, forms the group, or claims a voter, as is due.
 func (q *Quorum) Tick(env *statemachine.Env) { q.voters.tick(env) }
@@ -88,8 +88,10 @@
 // sign.
 func (q *Quorum) Signature() string { return q.voters.signature() }
 
-// Accepts says that a signature is that of the member that holds a voter, by the member list as it is now.
-func (q *Quorum) Accepts(voter, signature string) bool { return q.voters.accepts(voter, signature) }
+// VerifySignature says that a signature is that of the member that holds a voter, by the member list as it is now.
+func (q *Quorum) VerifySignature(voter, signature string) bool {
+	return q.voters.accepts(voter, signature)
+}
 
 // Majority says whether the acknowledgements that still count, given as signatures by voter, are of more
 // than half of the voters.
--- a/internal/quorum/restore.go
+++ b/internal/quorum/restore.go
@@ -8,15 +8,15 @@
 	"beaconvane/internal/message"
 )
 
-// Restored is the part of the state on disk that the two control programs have in common.
-type Restored struct {
+// RestoredState is the part of the state on disk that the two control programs have in common.
+type RestoredState struct {
 	Voter message.VoterState
 	Votes []message.Vote
 }
 
 // Replay reads the records of the log behind the snapshot, oldest first. It takes the common ones and hands each
 // other to own.
-func (r *Restored) Replay(records [][]byte, members *membership.Membership, own func(record any)) error {
+func (r *RestoredState) Replay(records [][]byte, members *membership.Membership, own func(record any)) error {
 	for _, record := range records {
 		decoded, err := message.Decode(record)
 		if err != nil {
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -18,7 +18,7 @@
 
 // Machine is the registry's control state.
 type Machine struct {
-	*quorum.Core
+	*quorum.ControlBase
 	settings     settings.Settings
 	membership   *membership.Membership
 	quorum       *quorum.Quorum
@@ -57,17 +57,17 @@
 	m.restoreRoster(saved.Slices)
 	m.membership = membership.New(cfg, self, saved.KnownAddresses)
 	m.distribution = m.newDistribution()
-	m.Core = quorum.NewCore(cfg, message.RoleRegistry, m.membership, m.snapshot, snapshot == nil)
+	m.ControlBase = quorum.NewControlBase(cfg, message.RoleRegistry, m.membership, m.snapshot, snapshot == nil)
 	m.usage = newUsage(m, saved)
-	m.requests = newOperatorRequests(cfg, m.Core, m.membership, m.distribution)
-	restored := quorum.Restored{Voter: saved.Voter, Votes: saved.Votes}
+	m.requests = newOperatorRequests(cfg, m.ControlBase, m.membership, m.distribution)
+	restored := quorum.RestoredState{Voter: saved.Voter, Votes: saved.Votes}
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
 		return nil, err
 	}
 	m.quorum = quorum.New(Group, cfg, m, restored.Voter, func(env *statemachine.Env, fresh bool) {
 		m.leases.BeginVoting(env, fresh)
 	})
-	m.UseVoters(m.quorum)
+	m.SetQuorum(m.quorum)
 	m.leases = lease.New(cfg, m, m.quorum, leaseNames(cfg), restored.Votes, lease.Callbacks{
 		Eligible:   m.eligible,
 		OnAcquired: m.onLeaseAcquired,
@@ -124,7 +124,7 @@
 
 // holdsZone says that this registry acts for a zone at this moment.
 func (m *Machine) holdsZone(env *statemachine.Env, zone string) bool {
-	return m.leases.Holding(zone, env.Now) && m.zones[zone].slice.Position.Epoch == m.leases.Epoch(zone)
+	return m.leases.IsHolder(zone, env.Now) && m.zones[zone].slice.Position.Epoch == m.leases.Epoch(zone)
 }
 
 // Tick is one step of the clock.
@@ -190,11 +190,11 @@
 // Serving is for tests and status: whether it holds the lease of the usage reports or acts
 // for some zone, as of its last tick.
 func (m *Machine) Serving() bool {
-	if m.leases.Holding(settings.UsageLease, m.lastTickAt) {
+	if m.leases.IsHolder(settings.UsageLease, m.lastTickAt) {
 		return true
 	}
 	return slices.ContainsFunc(m.settings.Zones, func(zone string) bool {
-		return m.leases.Holding(zone, m.lastTickAt)
+		return m.leases.IsHolder(zone, m.lastTickAt)
 	})
 }
 
--- a/internal/registry/operator_requests.go
+++ b/internal/registry/operator_requests.go
@@ -21,7 +21,7 @@
 // unknown, never that it was refused.
 type operatorRequests struct {
 	settings     settings.Settings
-	core         *quorum.Core
+	core         *quorum.ControlBase
 	membership   *membership.Membership
 	distribution *distribution.Distribution
 
@@ -43,7 +43,7 @@
 	undecided  int    // how many times it was sent without being told that nothing was done
 }
 
-func newOperatorRequests(cfg settings.Settings, core *quorum.Core, members *membership.Membership,
+func newOperatorRequests(cfg settings.Settings, core *quorum.ControlBase, members *membership.Membership,
 	tree *distribution.Distribution) *operatorRequests {
 	return &operatorRequests{
 		settings:     cfg,
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -49,7 +49,7 @@
 		leases[name] = leaseAnswer{
 			Epoch:  m.leases.Epoch(name),
 			Holder: m.leases.Holder(name),
-			Here:   m.leases.Holding(name, env.Now),
+			Here:   m.leases.IsHolder(name, env.Now),
 		}
 	}
 	return leases
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -21,7 +21,7 @@
 // again unchanged, so that a window has one value for ever, whoever reports it.
 type usage struct {
 	settings settings.Settings
-	core     *quorum.Core
+	core     *quorum.ControlBase
 	quorum   *quorum.Quorum
 	leases   *lease.Manager
 
@@ -39,7 +39,7 @@
 	sealed := newSealedWindows(saved.Sealed, saved.LastReportedWindow)
 	u := &usage{
 		settings: m.settings,
-		core:     m.Core,
+		core:     m.ControlBase,
 		sealed:   sealed,
 		counts:   newUsageCounts(sealed),
 		clock:    newWindowClock(m.settings, m.membership, m.proxies),
@@ -66,7 +66,7 @@
 	u.counts.dropSealed()
 	u.clock.recordEnds(env, u.sealed.reported)
 	u.saveCounts(env)
-	if !u.leases.Holding(settings.UsageLease, env.Now) {
+	if !u.leases.IsHolder(settings.UsageLease, env.Now) {
 		return
 	}
 	u.advanceSealing(env)
--- a/internal/registry/usage_reporting.go
+++ b/internal/registry/usage_reporting.go
@@ -38,7 +38,7 @@
 		Window: window,
 		Counts: u.sealed.values[window].Counts,
 		Epoch:  u.sealer.epoch,
-		Until:  min(env.Now+u.settings.Lease()/2, u.leases.HeldUntil(settings.UsageLease)),
+		Until:  min(env.Now+u.settings.Lease()/2, u.leases.LeaseExpiry(settings.UsageLease)),
 	})
 }
 
--- a/internal/registry/usage_sealing.go
+++ b/internal/registry/usage_sealing.go
@@ -167,7 +167,7 @@
 
 // mayAnswer says that this process votes, and knows the sender as the one that holds a voter.
 func (u *usage) mayAnswer(voter, identity string) bool {
-	return u.quorum.Voting() && u.quorum.Accepts(voter, identity)
+	return u.quorum.Voting() && u.quorum.VerifySignature(voter, identity)
 }
 
 // handleRead answers a holder, as a voter, with the values and counts that are known here.
