--- a/internal/api/configurations.go
+++ b/internal/api/configurations.go
@@ -33,11 +33,11 @@
 		return
 	}
 	h.serve(out, in, registry.WriteConfiguration{
-		ConfigName: configName(in),
-		Version:    pathNumber(in, "version"),
-		Body:       body,
-		Packed:     delta.Encode(nil, body),
-		Check:      registry.CheckConfiguration(h.settings, body),
+		ConfigName:     configName(in),
+		Version:        pathNumber(in, "version"),
+		Body:           body,
+		CompressedBody: delta.Encode(nil, body),
+		Check:          registry.CheckConfiguration(h.settings, body),
 	})
 }
 
@@ -50,7 +50,7 @@
 	defer ticker.Stop()
 	request := registry.ReadConfigurationStatus{ConfigName: configName(in), Version: pathNumber(in, "version")}
 	for {
-		answer, err := node.RequestAs[registry.Answer](in.Context(), h.process, request)
+		answer, err := node.RequestAs[registry.OperatorResponse](in.Context(), h.process, request)
 		if err != nil {
 			WriteCode(out, errcode.Internal, noReply)
 			return
--- a/internal/api/registry_handler.go
+++ b/internal/api/registry_handler.go
@@ -85,7 +85,7 @@
 	_, isRead := request.(registry.ReadConfiguration)
 	limited, cancel := context.WithTimeout(in.Context(), h.settings.OperatorTimeout(len(write.Body))+controlSlack)
 	defer cancel()
-	answer, err := node.RequestAs[registry.Answer](limited, h.process, request)
+	answer, err := node.RequestAs[registry.OperatorResponse](limited, h.process, request)
 	switch {
 	case err == nil:
 		writeResponse(out, answer)
@@ -99,7 +99,7 @@
 }
 
 // writeResponse writes the machine's reply, whose body is JSON already.
-func writeResponse(out http.ResponseWriter, answer registry.Answer) {
+func writeResponse(out http.ResponseWriter, answer registry.OperatorResponse) {
 	setCodeHeaders(out, answer.Code)
 	out.Header().Set("Content-Type", "application/json")
 	out.WriteHeader(answer.Code.Status())
--- a/internal/cli/reload_test.go
+++ b/internal/cli/reload_test.go
@@ -24,7 +24,7 @@
 func (l *seedRecorder) Handle(*statemachine.Env, string, any)  {}
 func (l *seedRecorder) Tick(*statemachine.Env)                 {}
 func (l *seedRecorder) Synced(*statemachine.Env, int64, error) {}
-func (l *seedRecorder) Asked(_ *statemachine.Env, _ int64, it any) {
+func (l *seedRecorder) HandleRequest(_ *statemachine.Env, _ int64, it any) {
 	l.received <- it.(statemachine.SeedsChanged).Seeds
 }
 
--- a/internal/configstore/machine.go
+++ b/internal/configstore/machine.go
@@ -137,8 +137,8 @@
 // when the process may end.
 type Stop struct{}
 
-// Asked takes the process's own questions.
-func (m *Machine) Asked(env *statemachine.Env, requestID int64, question any) {
+// HandleRequest takes the process's own questions.
+func (m *Machine) HandleRequest(env *statemachine.Env, requestID int64, question any) {
 	switch asked := question.(type) {
 	case statemachine.SeedsChanged:
 		m.membership.SetSeeds(asked.Seeds)
--- a/internal/distribution/parent.go
+++ b/internal/distribution/parent.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// ConnectionBroke leaves a parent whose process has ended, without waiting for its silence.
-func (d *Distribution) ConnectionBroke(env *statemachine.Env, address string) {
+// HandleConnectionClosed leaves a parent whose process has ended, without waiting for its silence.
+func (d *Distribution) HandleConnectionClosed(env *statemachine.Env, address string) {
 	if d.parent.exists() && d.parent.address == address {
 		d.leaveParent(env, leftForConnection, d.settings.UpdatesEvery()*disconnectedIntervals)
 		d.nextRequestAt = env.Now
--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -180,7 +180,7 @@
 			w.retire(p)
 		}
 	})
-	p.apply(w, statemachine.Asked{RequestID: 1, Question: stopQuestion(p.role)})
+	p.apply(w, statemachine.LocalRequest{RequestID: 1, Request: stopQuestion(p.role)})
 	return true
 }
 
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -260,7 +260,7 @@
 // reports takes a usage report: it reaches the collector at once, and the answer is lost at
 // times.
 func (w *World) reports(p *process, sent registry.UsageReport) {
-	if w.fleet == nil || p.now(w) > sent.Until {
+	if w.fleet == nil || p.now(w) > sent.ExpiresAt {
 		return
 	}
 	w.note("%s reports window %d under %d: %v", p.name(), sent.Window, sent.Epoch, sent.Counts)
@@ -273,7 +273,7 @@
 	incarnation := p.incarnation
 	w.after(1, func() {
 		if p.up && !p.frozen && p.incarnation == incarnation {
-			p.apply(w, statemachine.Asked{Question: registry.UsageDelivered{Window: sent.Window}})
+			p.apply(w, statemachine.LocalRequest{Request: registry.UsageDelivered{Window: sent.Window}})
 		}
 	})
 }
--- a/internal/golden/counters_test.go
+++ b/internal/golden/counters_test.go
@@ -44,7 +44,7 @@
 // reportingMachine sends a usage report at each question.
 type reportingMachine struct{ standIn }
 
-func (*reportingMachine) Asked(env *statemachine.Env, requestID int64, question any) {
+func (*reportingMachine) HandleRequest(env *statemachine.Env, requestID int64, question any) {
 	env.Report(question)
 	env.Reply(requestID, true)
 }
@@ -61,7 +61,7 @@
 	cfg.Collector = collector.URL
 	process := runProcess(c, cfg, message.RoleRegistry, &reportingMachine{})
 	sent := func(until time.Duration, counter string) {
-		_, err := process.Request(process.Group.Context, registry.UsageReport{Window: 1, Until: until})
+		_, err := process.Request(process.Group.Context, registry.UsageReport{Window: 1, ExpiresAt: until})
 		c.Assert(err, qt.IsNil)
 		for deadline := time.Now().Add(answerTimeout); process.Counters()[counter] == 0 && time.Now().Before(deadline); {
 			time.Sleep(pollInterval)
--- a/internal/golden/proxy_api_test.go
+++ b/internal/golden/proxy_api_test.go
@@ -28,7 +28,7 @@
 func (standInProxy) Handle(*statemachine.Env, string, any)  {}
 func (standInProxy) Tick(*statemachine.Env)                 {}
 func (standInProxy) Synced(*statemachine.Env, int64, error) {}
-func (standInProxy) Asked(env *statemachine.Env, requestID int64, question any) {
+func (standInProxy) HandleRequest(env *statemachine.Env, requestID int64, question any) {
 	switch question.(type) {
 	case proxy.ReadStatus:
 		env.Reply(requestID, proxy.Status{AgesMS: map[string]int64{"topic": 11}, Configurations: map[string]int64{"main": 12},
--- a/internal/golden/registry_api_test.go
+++ b/internal/golden/registry_api_test.go
@@ -34,12 +34,12 @@
 func (m *standIn) Handle(*statemachine.Env, string, any)  {}
 func (m *standIn) Tick(*statemachine.Env)                 {}
 func (m *standIn) Synced(*statemachine.Env, int64, error) {}
-func (m *standIn) Asked(env *statemachine.Env, requestID int64, question any) {
+func (m *standIn) HandleRequest(env *statemachine.Env, requestID int64, question any) {
 	env.Event("an-event", 4003, 7, "a cause")
 	if m.silent {
 		return
 	}
-	env.Reply(requestID, registry.Answer{Code: m.code, Body: []byte(`{"asked":"` + asked(question) + `"}`)})
+	env.Reply(requestID, registry.OperatorResponse{Code: m.code, Body: []byte(`{"asked":"` + asked(question) + `"}`)})
 }
 
 // asked returns a question as text that no renaming of its type changes.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -127,7 +127,7 @@
 	}
 	network.LimitRate(n.Settings.TrafficRate())
 	n.Transport = network
-	network.OnConnectionLost(func(address string) { n.Notify(statemachine.ConnectionBroke{Address: address}) })
+	network.OnConnectionLost(func(address string) { n.Notify(statemachine.ConnectionClosed{Address: address}) })
 	if begin != nil {
 		begin(network)
 	}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -12,7 +12,7 @@
 // Notify gives the machine a notice that wants no reply.
 func (n *Node) Notify(notice any) {
 	select {
-	case n.commands <- statemachine.Asked{Question: notice}:
+	case n.commands <- statemachine.LocalRequest{Request: notice}:
 	case <-n.Group.Context.Done():
 	}
 }
@@ -21,7 +21,7 @@
 func (n *Node) Request(ctx context.Context, request any) (any, error) {
 	requestID, replies := n.requests.open()
 	select {
-	case n.commands <- statemachine.Asked{RequestID: requestID, Question: request}:
+	case n.commands <- statemachine.LocalRequest{RequestID: requestID, Request: request}:
 	case <-ctx.Done():
 		return nil, errcode.Wrap("node.ask", errcode.Internal, ctx.Err())
 	}
--- a/internal/node/usage_report.go
+++ b/internal/node/usage_report.go
@@ -74,7 +74,7 @@
 
 // post sends a report once, at a time of the process clock.
 func (r *usageReporter) post(ctx context.Context, report registry.UsageReport, now time.Duration) reportOutcome {
-	limit := min(r.limit, report.Until-now)
+	limit := min(r.limit, report.ExpiresAt-now)
 	if limit <= 0 {
 		return reportTooLate
 	}
--- a/internal/node/usage_report_test.go
+++ b/internal/node/usage_report_test.go
@@ -28,7 +28,7 @@
 	}))
 	defer collector.Close()
 	r := newUsageReporter(collector.URL, "core-1", time.Minute, func(header http.Header, _ string, _ int64) { header.Set("Fence", "7") })
-	report := registry.UsageReport{Window: 3, Counts: map[string]int64{"t": 5}, Epoch: 7, Until: time.Hour}
+	report := registry.UsageReport{Window: 3, Counts: map[string]int64{"t": 5}, Epoch: 7, ExpiresAt: time.Hour}
 	c.Assert(r.post(context.Background(), report, 0), qt.Equals, reportAccepted)
 	c.Assert(<-seen, qt.Equals, `7 {"counts":{"t":5},"epoch":7,"from":"core-1","window":3}`)
 	status = http.StatusConflict
@@ -42,7 +42,7 @@
 	collector := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked <- struct{}{} }))
 	defer collector.Close()
 	r := newUsageReporter(collector.URL, "core-1", time.Minute, nil)
-	c.Assert(r.post(context.Background(), registry.UsageReport{Until: time.Second}, time.Second), qt.Equals, reportTooLate)
+	c.Assert(r.post(context.Background(), registry.UsageReport{ExpiresAt: time.Second}, time.Second), qt.Equals, reportTooLate)
 	c.Assert(asked, qt.HasLen, 0)
 }
 
@@ -69,7 +69,7 @@
 	const left = 50 * time.Millisecond
 	r := newUsageReporter("http://"+listener.Addr().String(), "core-1", time.Hour, nil)
 	began := time.Now()
-	outcome := r.post(context.Background(), registry.UsageReport{Until: time.Second + left}, time.Second)
+	outcome := r.post(context.Background(), registry.UsageReport{ExpiresAt: time.Second + left}, time.Second)
 	c.Assert(outcome, qt.Equals, reportFailed)
 	c.Assert(time.Since(began) >= left, qt.IsTrue)
 	c.Assert(errors.Is(<-ended, syscall.ECONNRESET), qt.IsTrue)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -80,8 +80,8 @@
 	m.sendDue(env)
 }
 
-// Asked takes a notice or a query from the process.
-func (m *Machine) Asked(env *statemachine.Env, requestID int64, question any) {
+// HandleRequest takes a notice or a query from the process.
+func (m *Machine) HandleRequest(env *statemachine.Env, requestID int64, question any) {
 	switch asked := question.(type) {
 	case Announced:
 		m.handleAnnounced(env, asked.Registration)
@@ -94,8 +94,8 @@
 		m.sendUsage(env, asked)
 	case statemachine.SeedsChanged:
 		m.membership.SetSeeds(asked.Seeds)
-	case statemachine.ConnectionBroke:
-		m.distribution.ConnectionBroke(env, asked.Address)
+	case statemachine.ConnectionClosed:
+		m.distribution.HandleConnectionClosed(env, asked.Address)
 	case ReadSealed:
 		env.Reply(requestID, m.SealedBelow())
 	case ReadStatus:
--- a/internal/proxy/usage_test.go
+++ b/internal/proxy/usage_test.go
@@ -37,7 +37,7 @@
 
 // count hands counts over and returns the updates that the first registry is sent.
 func (p *countingProxy) count(closed int64, usage ...message.UsageCount) []message.UsageUpdate {
-	p.machine.Asked(p.env, 0, UsageCounted{Usage: usage, Closed: closed})
+	p.machine.HandleRequest(p.env, 0, UsageCounted{Usage: usage, Closed: closed})
 	updates := []message.UsageUpdate{}
 	for _, effect := range p.env.Drain() {
 		sent, isSend := effect.(statemachine.Send)
--- a/internal/registry/answer.go
+++ b/internal/registry/answer.go
@@ -6,9 +6,9 @@
 	"beaconvane/internal/errcode"
 )
 
-// Answer is what goes back to an operator. The types of the JSON bodies follow below; the fields of
+// OperatorResponse is what goes back to an operator. The types of the JSON bodies follow below; the fields of
 // each stand in the order of the alphabet, which is their order on the wire.
-type Answer struct {
+type OperatorResponse struct {
 	Code errcode.Code
 	Body []byte // JSON, unless Raw
 	Raw  bool   // the body is a configuration, byte for byte as it was committed
@@ -143,15 +143,15 @@
 }
 
 // answerJSON makes an answer of a body.
-func answerJSON(code errcode.Code, body any) Answer {
+func answerJSON(code errcode.Code, body any) OperatorResponse {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return Answer{Code: errcode.Internal, Body: []byte(`{}`)}
+		return OperatorResponse{Code: errcode.Internal, Body: []byte(`{}`)}
 	}
-	return Answer{Code: code, Body: text}
+	return OperatorResponse{Code: code, Body: text}
 }
 
 // answerCode makes an answer that has a result code and a detail only.
-func answerCode(code errcode.Code, detail string) Answer {
+func answerCode(code errcode.Code, detail string) OperatorResponse {
 	return answerJSON(code, codeAnswer{Code: code, Detail: detail, Result: code.String()})
 }
--- a/internal/registry/configuration.go
+++ b/internal/registry/configuration.go
@@ -24,7 +24,7 @@
 }
 
 // configurationStatus says which proxy has which version in force, as its heartbeats tell.
-func (m *Machine) configurationStatus(env *statemachine.Env, configName string, wanted int64) Answer {
+func (m *Machine) configurationStatus(env *statemachine.Env, configName string, wanted int64) OperatorResponse {
 	topic := distribution.ConfigurationTopic(configName)
 	version, _, known := m.distribution.Configuration(configName)
 	if !known {
--- a/internal/registry/operator_requests.go
+++ b/internal/registry/operator_requests.go
@@ -57,7 +57,7 @@
 // write forwards a write.
 func (r *operatorRequests) write(env *statemachine.Env, replyTo int64, asked WriteConfiguration) {
 	r.lastRequestID++
-	packed := asked.Packed
+	packed := asked.CompressedBody
 	if packed == nil {
 		packed = delta.Encode(nil, asked.Body)
 	}
@@ -109,7 +109,7 @@
 }
 
 // timeoutAnswer is the answer when the time is up.
-func (p *pendingRequest) timeoutAnswer() Answer {
+func (p *pendingRequest) timeoutAnswer() OperatorResponse {
 	if p.write != nil && p.undecided > 0 {
 		return answerCode(errcode.ConfigurationUnsure, "no answer in time")
 	}
@@ -198,7 +198,7 @@
 
 // conclude makes the answer of a final response, and takes the effects of a write that succeeded.
 func (r *operatorRequests) conclude(env *statemachine.Env, request *pendingRequest,
-	response message.StoreResponse) Answer {
+	response message.StoreResponse) OperatorResponse {
 	body, err := r.unpack(response)
 	if err != nil {
 		return answerCode(errcode.Internal, err.Error())
@@ -228,9 +228,9 @@
 }
 
 // readAnswer is the answer to a read that succeeded.
-func readAnswer(read message.ReadRequest, response message.StoreResponse, body []byte) Answer {
+func readAnswer(read message.ReadRequest, response message.StoreResponse, body []byte) OperatorResponse {
 	if !read.List {
-		return Answer{Code: errcode.OK, Body: body, Raw: true}
+		return OperatorResponse{Code: errcode.OK, Body: body, Raw: true}
 	}
 	return answerJSON(errcode.OK, versionsAnswer{
 		Configuration:  response.ConfigName,
--- a/internal/registry/questions.go
+++ b/internal/registry/questions.go
@@ -13,11 +13,11 @@
 type (
 	// WriteConfiguration asks for a version of a configuration to be committed.
 	WriteConfiguration struct {
-		ConfigName string
-		Version    int64
-		Body       []byte
-		Packed     []byte // the body compressed by package delta; nil: not made
-		Check      message.ContentCheck
+		ConfigName     string
+		Version        int64
+		Body           []byte
+		CompressedBody []byte // the body compressed by package delta; nil: not made
+		Check          message.ContentCheck
 	}
 	// ReadConfiguration asks for a version (0: the current one), or for the list of versions.
 	ReadConfiguration struct {
@@ -49,8 +49,8 @@
 	return message.ContentCheck{Done: true, TooLarge: tooLarge, Faults: faults}
 }
 
-// Asked takes a question or a notice of the process.
-func (m *Machine) Asked(env *statemachine.Env, requestID int64, question any) {
+// HandleRequest takes a question or a notice of the process.
+func (m *Machine) HandleRequest(env *statemachine.Env, requestID int64, question any) {
 	switch asked := question.(type) {
 	case WriteConfiguration:
 		m.requests.write(env, requestID, asked)
@@ -72,8 +72,8 @@
 		m.usage.handleDelivered(env, asked.Window)
 	case statemachine.SeedsChanged:
 		m.membership.SetSeeds(asked.Seeds)
-	case statemachine.ConnectionBroke:
-		m.distribution.ConnectionBroke(env, asked.Address)
+	case statemachine.ConnectionClosed:
+		m.distribution.HandleConnectionClosed(env, asked.Address)
 	case Stop:
 		m.stop(env, requestID)
 	}
@@ -87,7 +87,7 @@
 }
 
 // readiness says whether this process does its part, and if not, what it lacks.
-func (m *Machine) readiness(env *statemachine.Env) Answer {
+func (m *Machine) readiness(env *statemachine.Env) OperatorResponse {
 	switch {
 	case m.Failure() != nil:
 		return answerCode(errcode.DiskFault, "")
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -10,7 +10,7 @@
 var memberStateNames = [...]string{"alive", "suspect", "dead", "left"}
 
 // status gathers all that this registry knows of itself and of the others.
-func (m *Machine) status(env *statemachine.Env) Answer {
+func (m *Machine) status(env *statemachine.Env) OperatorResponse {
 	parent, path, moves := m.distribution.Parent()
 	return answerJSON(errcode.OK, statusAnswer{
 		Node:           m.settings.Node,
@@ -96,7 +96,7 @@
 }
 
 // roster lists the registrations by zone. The code says so where some slice isn't current here.
-func (m *Machine) roster(env *statemachine.Env) Answer {
+func (m *Machine) roster(env *statemachine.Env) OperatorResponse {
 	answer := rosterAnswer{Slices: map[string][]registrationAnswer{}, AgesMS: map[string]int64{}}
 	code := errcode.OK
 	for _, zone := range m.settings.Zones {
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -98,7 +98,7 @@
 }
 
 // answer is the sealed value of a window, for an operator.
-func (u *usage) answer(window int64) Answer {
+func (u *usage) answer(window int64) OperatorResponse {
 	value, known := u.sealed.values[window]
 	if !known || window > u.sealed.reported && !u.sealed.final[window] {
 		return answerCode(errcode.UsageNotFound, strconv.FormatInt(window, 10))
--- a/internal/registry/usage_reporting.go
+++ b/internal/registry/usage_reporting.go
@@ -11,10 +11,10 @@
 // UsageReport is the body of the report effect: what the collector gets, and until when it may be
 // sent, by the process clock. It never outlasts the lease, since the next holder may act then.
 type UsageReport struct {
-	Window int64
-	Counts map[string]int64 // by tenant
-	Epoch  int64
-	Until  time.Duration
+	Window    int64
+	Counts    map[string]int64 // by tenant
+	Epoch     int64
+	ExpiresAt time.Duration
 }
 
 // UsageDelivered is the notice by which the process says that the collector has a window.
@@ -35,10 +35,10 @@
 	}
 	u.nextReportAt = env.Now + u.settings.ReportEvery()
 	env.Report(UsageReport{
-		Window: window,
-		Counts: u.sealed.values[window].Counts,
-		Epoch:  u.sealer.epoch,
-		Until:  min(env.Now+u.settings.Lease()/2, u.leases.LeaseExpiry(settings.UsageLease)),
+		Window:    window,
+		Counts:    u.sealed.values[window].Counts,
+		Epoch:     u.sealer.epoch,
+		ExpiresAt: min(env.Now+u.settings.Lease()/2, u.leases.LeaseExpiry(settings.UsageLease)),
 	})
 }
 
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -102,7 +102,7 @@
 	defer cancel()
 	write := registry.WriteConfiguration{ConfigName: n.part.Settings.ConfigNames[0], Version: request.Version, Body: request.Body,
 		Check: registry.CheckConfiguration(n.part.Settings, request.Body)}
-	answer, err := ask[registry.Answer](limited, n.process, write)
+	answer, err := ask[registry.OperatorResponse](limited, n.process, write)
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/collector.go
+++ b/internal/simulation/collector.go
@@ -31,6 +31,6 @@
 		wait += time.Duration(w.random.Int64N(int64(2 * time.Second)))
 	}
 	w.after(wait, func() {
-		from.run(incarnation, func() { from.apply(statemachine.Asked{Question: registry.UsageDelivered{Window: report.Window}}) })
+		from.run(incarnation, func() { from.apply(statemachine.LocalRequest{Request: registry.UsageDelivered{Window: report.Window}}) })
 	})
 }
--- a/internal/simulation/cutoff.go
+++ b/internal/simulation/cutoff.go
@@ -160,7 +160,7 @@
 	}
 	for _, severed := range []bool{true, false} {
 		if registryNode := w.side(severed); registryNode != nil {
-			w.askRegistry(registryNode, registry.ReadConfiguration{ConfigName: "main"}, func(registry.Answer) {})
+			w.askRegistry(registryNode, registry.ReadConfiguration{ConfigName: "main"}, func(registry.OperatorResponse) {})
 			w.readViews(registryNode)
 		}
 	}
@@ -177,7 +177,7 @@
 	for _, question := range []any{registry.ReadRoster{}, registry.ReadConfigurationStatus{ConfigName: "main"}} {
 		registryNode.request(question, func(answer any) {
 			w.dangers["views asked of a cut-off node"]++
-			if code := mustBe[registry.Answer](answer).Code; code == errcode.OK {
+			if code := mustBe[registry.OperatorResponse](answer).Code; code == errcode.OK {
 				w.fail("%s, cut off for %s, answered %T as current", registryNode.name, w.now-since, question)
 			}
 		})
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -26,7 +26,7 @@
 func (b *environment) Random() *rand.Rand { return b.node.world.random }
 
 // Notify hands a notice to the control machine.
-func (b *environment) Notify(notice any) { b.node.apply(statemachine.Asked{Question: notice}) }
+func (b *environment) Notify(notice any) { b.node.apply(statemachine.LocalRequest{Request: notice}) }
 
 // Enqueue passes an item to its stage a moment later, as the workers would.
 func (b *environment) Enqueue(env frontend.Stage, item any) bool {
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -45,7 +45,7 @@
 	if registries := w.alive(message.RoleRegistry); len(registries) > 0 {
 		operation := &configLogOperation{from: w.now}
 		registries[w.random.IntN(len(registries))].request(registry.ReadConfiguration{ConfigName: "main"}, func(answer any) {
-			got := mustBe[registry.Answer](answer)
+			got := mustBe[registry.OperatorResponse](answer)
 			if got.Code == errcode.OK || got.Code == errcode.ConfigurationNotFound {
 				operation.answer = configLogAnswer{code: got.Code, digest: checker.Digest(got.Body)}
 				operation.to, operation.answered = w.now, true
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -134,7 +134,7 @@
 
 func (n *Node) count() {
 	usage, closed := n.frontend.Usage(time.Duration(n.Wall().UnixNano()), mustBe[*proxy.Machine](n.control).SealedBelow())
-	n.apply(statemachine.Asked{Question: proxy.UsageCounted{Usage: usage, Closed: closed}})
+	n.apply(statemachine.LocalRequest{Request: proxy.UsageCounted{Usage: usage, Closed: closed}})
 }
 
 // tick is dropped, not kept back, while the process stands still.
--- a/internal/simulation/node_effects.go
+++ b/internal/simulation/node_effects.go
@@ -32,7 +32,7 @@
 		n.world.after(n.world.transit()*2, func() {
 			owner := n.world.addresses[done.Address]
 			n.run(incarnation, func() {
-				n.apply(statemachine.Asked{Question: proxy.Probed{
+				n.apply(statemachine.LocalRequest{Request: proxy.Probed{
 					Key:         done.Key,
 					Incarnation: done.Incarnation,
 					Answered:    owner != nil && owner.up,
@@ -41,7 +41,7 @@
 		})
 	case statemachine.Report:
 		report := mustBe[registry.UsageReport](done.Body)
-		if n.Now() > report.Until {
+		if n.Now() > report.ExpiresAt {
 			return
 		}
 		n.world.after(n.world.transit(), func() { n.world.collect(n, incarnation, report) })
@@ -87,5 +87,5 @@
 	n.lastRequestID++
 	requestID := n.lastRequestID
 	n.replies[requestID] = reply
-	n.run(n.incarnation, func() { n.apply(statemachine.Asked{RequestID: requestID, Question: question}) })
+	n.run(n.incarnation, func() { n.apply(statemachine.LocalRequest{RequestID: requestID, Request: question}) })
 }
--- a/internal/simulation/node_lifecycle.go
+++ b/internal/simulation/node_lifecycle.go
@@ -96,7 +96,7 @@
 	}
 	switch n.role {
 	case message.RoleProxy:
-		n.apply(statemachine.Asked{Question: proxy.Stop{}})
+		n.apply(statemachine.LocalRequest{Request: proxy.Stop{}})
 		n.tracker.Drain()
 		var wait func()
 		wait = func() {
--- a/internal/simulation/operator_orders.go
+++ b/internal/simulation/operator_orders.go
@@ -83,7 +83,7 @@
 		Version:    o.version,
 		Body:       o.body,
 		Check:      registry.CheckConfiguration(registryNode.settings, o.body),
-	}, func(answer registry.Answer) {
+	}, func(answer registry.OperatorResponse) {
 		told = true
 		if w.orderAnswered(o, answer) {
 			w.after(min(orderPause*time.Duration(o.tries), orderPauseMax), func() { w.persist(o) })
@@ -110,7 +110,7 @@
 }
 
 // orderAnswered checks an answer; true when the operator has to send the order again.
-func (w *World) orderAnswered(o *order, answer registry.Answer) bool {
+func (w *World) orderAnswered(o *order, answer registry.OperatorResponse) bool {
 	w.mark("order %d %s answered %s", o.version, o.digest, answer.Code)
 	told := gjson.GetBytes(answer.Body, "version").Int()
 	w.compareOrder(o, answer.Code, told)
@@ -174,13 +174,13 @@
 
 // askRegistry puts an operator's question and holds the answer against what a registry in this
 // state of the world may say, and how soon.
-func (w *World) askRegistry(registryNode *Node, question any, then func(answer registry.Answer)) {
+func (w *World) askRegistry(registryNode *Node, question any, then func(answer registry.OperatorResponse)) {
 	began, incarnation, newest := w.now, registryNode.incarnation, w.newestAcked
 	_, cutBefore := w.severed[registryNode.machine]
 	answered := false
 	registryNode.request(question, func(reply any) {
 		answered = true
-		answer := mustBe[registry.Answer](reply)
+		answer := mustBe[registry.OperatorResponse](reply)
 		if get, isRead := question.(registry.ReadConfiguration); isRead && answer.Code == errcode.OK && !get.List && get.Version == 0 {
 			w.judgeRead(registryNode, answer, newest)
 		}
@@ -202,7 +202,7 @@
 }
 
 // judgeRead checks that a read gives what was acknowledged before it was sent, or newer.
-func (w *World) judgeRead(registryNode *Node, answer registry.Answer, newest int64) {
+func (w *World) judgeRead(registryNode *Node, answer registry.OperatorResponse, newest int64) {
 	version, known := w.contents[checker.Digest(answer.Body)]
 	if !known {
 		w.fail("%s gave back a configuration that nobody sent", registryNode.name)
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -37,7 +37,7 @@
 		Body:       body,
 		Check:      registry.CheckConfiguration(registryNode.settings, body),
 	}, func(answer any) {
-		given := mustBe[registry.Answer](answer)
+		given := mustBe[registry.OperatorResponse](answer)
 		code := given.Code
 		operation.answer, operation.to, operation.answered = configLogAnswer{code: code}, w.now, true
 		w.mark("put %d answered %s", version, code)
--- a/internal/simulation/proxy_connection.go
+++ b/internal/simulation/proxy_connection.go
@@ -145,7 +145,7 @@
 			incarnation := node.incarnation
 			w.after(w.transit(), func() {
 				node.run(incarnation, func() {
-					node.apply(statemachine.Asked{Question: statemachine.ConnectionBroke{Address: ended.address()}})
+					node.apply(statemachine.LocalRequest{Request: statemachine.ConnectionClosed{Address: ended.address()}})
 				})
 			})
 		}
--- a/internal/simulation/refusal_causes.go
+++ b/internal/simulation/refusal_causes.go
@@ -47,7 +47,7 @@
 	for _, registryNode := range w.alive(message.RoleRegistry) {
 		if w.linked(from, registryNode) && w.linked(registryNode, from) {
 			registryNode.request(registry.ReadConfigurationStatus{ConfigName: "main"}, func(answer any) {
-				age := gjson.GetBytes(mustBe[registry.Answer](answer).Body, "age_ms")
+				age := gjson.GetBytes(mustBe[registry.OperatorResponse](answer).Body, "age_ms")
 				known = known || age.Exists() && age.Int() <= from.settings.ReparentAfter().Milliseconds()
 			})
 		}
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -97,7 +97,7 @@
 	for _, node := range w.alive(message.RoleRegistry) {
 		registryNode := node
 		registryNode.request(registry.ReadConfiguration{ConfigName: "main", List: true}, func(answer any) {
-			got := mustBe[registry.Answer](answer)
+			got := mustBe[registry.OperatorResponse](answer)
 			if got.Code != errcode.OK {
 				w.fail("%s does not list the versions: %s", registryNode.name, got.Code)
 				return
@@ -105,7 +105,7 @@
 			for _, listed := range gjson.GetBytes(got.Body, "versions").Array() {
 				version := listed.Int()
 				registryNode.request(registry.ReadConfiguration{ConfigName: "main", Version: version}, func(answer any) {
-					if got := mustBe[registry.Answer](answer); got.Code == errcode.OK {
+					if got := mustBe[registry.OperatorResponse](answer); got.Code == errcode.OK {
 						w.record.Kept = append(w.record.Kept, checker.Kept{
 							Voter:      registryNode.voterName(),
 							ConfigName: "main",
@@ -119,7 +119,7 @@
 		for _, report := range w.record.Reported {
 			window := report.Window
 			registryNode.request(registry.ReadUsage{Window: window}, func(answer any) {
-				if got := mustBe[registry.Answer](answer); got.Code == errcode.OK {
+				if got := mustBe[registry.OperatorResponse](answer); got.Code == errcode.OK {
 					counts := map[string]int64{}
 					gjson.GetBytes(got.Body, "counts").ForEach(func(tenant, count gjson.Result) bool {
 						counts[tenant.String()] = count.Int()
--- a/internal/statemachine/machine.go
+++ b/internal/statemachine/machine.go
@@ -9,9 +9,9 @@
 	Tick(env *Env)
 	// Synced reports that the write with this request ID is on disk, or why it failed.
 	Synced(env *Env, requestID int64, failure error)
-	// Asked takes a question or a notice from the process itself. The machine answers a question by
+	// HandleRequest takes a question or a notice from the process itself. The machine answers a question by
 	// Env.Reply, during this call or a later one.
-	Asked(env *Env, requestID int64, question any)
+	HandleRequest(env *Env, requestID int64, question any)
 }
 
 // Command is one input of a machine: applying it changes the machine's state and adds effects to
@@ -44,18 +44,20 @@
 // Apply calls Machine.Synced.
 func (c Synced) Apply(machine Machine, env *Env) { machine.Synced(env, c.RequestID, c.Failure) }
 
-// Asked is the command for a question or a notice from the process itself.
-type Asked struct {
+// LocalRequest is the command for a question or a notice from the process itself.
+type LocalRequest struct {
 	RequestID int64 // carried by the Reply; 0 when no answer is wanted
-	Question  any
+	Request   any
 }
 
 // Apply calls Machine.Asked.
-func (c Asked) Apply(machine Machine, env *Env) { machine.Asked(env, c.RequestID, c.Question) }
+func (c LocalRequest) Apply(machine Machine, env *Env) {
+	machine.HandleRequest(env, c.RequestID, c.Request)
+}
 
-// ConnectionBroke is the notice, sent as an Asked command, that a control connection which this
+// ConnectionClosed is the notice, sent as an Asked command, that a control connection which this
 // process had opened has ended, as it does at once when the process at the other end stops.
-type ConnectionBroke struct{ Address string }
+type ConnectionClosed struct{ Address string }
 
 // SeedsChanged is the notice, sent as an Asked command, that the settings name other seeds now.
 type SeedsChanged struct{ Seeds []string }
--- a/internal/storage/disks_generate_golden_test.go
+++ b/internal/storage/disks_generate_golden_test.go
@@ -108,7 +108,7 @@
 	if p.fleet.role == message.RoleRegistry {
 		question = registry.Stop{}
 	}
-	p.machine.Asked(p.env, 1, question)
+	p.machine.HandleRequest(p.env, 1, question)
 	p.drain()
 }
 
