--- a/cmd/stubserver/main.go
+++ b/cmd/stubserver/main.go
@@ -77,7 +77,7 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	<-signals
-	o.server.Change(func(announcement *backend.Announcement) { announcement.Leaving = true })
+	o.server.Change(func(announcement *backend.Announcement) { announcement.Draining = true })
 	o.server.SignOff()
 	encoder := json.NewEncoder(os.Stdout)
 	for _, ran := range o.server.Runs() {
--- a/internal/api/announcements.go
+++ b/internal/api/announcements.go
@@ -110,7 +110,7 @@
 	case message.StateWarming:
 		announcement.Warming = true
 	case message.StateDraining:
-		announcement.Leaving = true
+		announcement.Draining = true
 	default:
 		return announcement, errAnnouncedState
 	}
--- a/internal/api/announcements_test.go
+++ b/internal/api/announcements_test.go
@@ -38,7 +38,7 @@
 	for body, want := range map[string]backend.Announcement{
 		`{"state":"ready"}`:               {Instance: "d1", Incarnation: 1},
 		`{"state":"warming","unknown":1}`: {Instance: "d1", Incarnation: 1, Warming: true},
-		`{"state":"leaving","slots":3}`:   {Instance: "d1", Incarnation: 1, Leaving: true, Slots: 3},
+		`{"state":"leaving","slots":3}`:   {Instance: "d1", Incarnation: 1, Draining: true, Slots: 3},
 	} {
 		announcement, err := parseNamedAnnouncement("d1", []byte(body))
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/backend/admission.go
+++ b/internal/backend/admission.go
@@ -71,7 +71,7 @@
 		return errcode.BusyUpstreamGone
 	case registered.broken && !b.mayRedial(now, registered):
 		return errcode.BusyUpstreamGone
-	case registered.announcement.Leaving:
+	case registered.announcement.Draining:
 		return errcode.BusyLeaving
 	case registered.announcement.Warming:
 		return errcode.BusyNotReady
--- a/internal/backend/announcement.go
+++ b/internal/backend/announcement.go
@@ -6,23 +6,23 @@
 
 // Announcement is what an upstream says of itself, in each heartbeat.
 type Announcement struct {
-	Service     string  `json:"service"`
-	Instance    string  `json:"instance"`
-	Incarnation int64   `json:"incarnation"`
-	Address     string  `json:"address"`
-	Zone        string  `json:"zone"`
-	Slots       int64   `json:"slots"`
-	Warming     bool    `json:"warming"`
-	Leaving     bool    `json:"leaving"`
-	Load        float64 `json:"load"`
-	Sequence    int64   `json:"number"`  // rises with each announcement of an incarnation; 0: not told
-	Cold        int64   `json:"cold_ms"` // how long it stays slow yet
+	Service         string  `json:"service"`
+	Instance        string  `json:"instance"`
+	Incarnation     int64   `json:"incarnation"`
+	Address         string  `json:"address"`
+	Zone            string  `json:"zone"`
+	Slots           int64   `json:"slots"`
+	Warming         bool    `json:"warming"`
+	Draining        bool    `json:"leaving"`
+	Load            float64 `json:"load"`
+	Sequence        int64   `json:"number"`  // rises with each announcement of an incarnation; 0: not told
+	WarmUpRemaining int64   `json:"cold_ms"` // how long it stays slow yet
 }
 
 // State is the roster's word for an announcement.
 func (a Announcement) State() string {
 	switch {
-	case a.Leaving:
+	case a.Draining:
 		return message.StateDraining
 	case a.Warming:
 		return message.StateWarming
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -71,7 +71,7 @@
 		serving.HandleForward(time.Second, forwardOf(id, "one", 5))
 	}
 	gone := response("one", "a:1", 5)
-	gone.Leaving = true
+	gone.Draining = true
 	_, _, decisions := serving.Announce(2*time.Second, gone)
 	c.Assert(codes(decisions), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
 	serving.Announce(3*time.Second, response("one", "a:1", 5))
@@ -88,9 +88,9 @@
 	target := Target{Key: "pay/one", Address: "a:1", Incarnation: 5}
 	c.Assert(serving.Dialable(settings.Default().AddressProofTTL(), target), qt.IsTrue)
 	c.Assert(serving.Dialable(settings.Default().AddressProofTTL()+1, target), qt.IsFalse)
-	serving.MarkAlive(time.Second, target)
+	serving.RecordActivity(time.Second, target)
 	c.Assert(serving.Dialable(time.Second, target), qt.IsTrue)
-	serving.MarkBroken(2*time.Second, target)
+	serving.RecordConnectionLoss(2*time.Second, target)
 	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	serving.Announce(2*time.Second+1, response("one", "a:1", 5))
 	c.Assert(serving.Dialable(2*time.Second+1, target), qt.IsTrue)
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -88,7 +88,7 @@
 		return c.failedCall(decision.Target, err, cancelled)
 	}
 	// Bytes on a proven connection: for a moment nobody else can be at that address.
-	c.serving.MarkAlive(c.goroutines.Now(), decision.Target)
+	c.serving.RecordActivity(c.goroutines.Now(), decision.Target)
 	if reusable && !cancelled {
 		c.pool.release(decision.Target, connection)
 		return outcome
@@ -109,7 +109,7 @@
 	case errors.As(err, &networkError) && networkError.Timeout():
 		code = errcode.UnknownTimeout
 	case code == errcode.UnknownOutcome && !cancelled:
-		c.serving.MarkDoubtful(target)
+		c.serving.InvalidateProof(target)
 	}
 	return message.Outcome{Kind: message.OutcomeUnknown, Code: int64(code)}
 }
@@ -137,7 +137,7 @@
 	}
 	connection, code := c.dialProven(target, deadline)
 	if code == errcode.BusyUpstreamGone {
-		c.serving.MarkBroken(c.goroutines.Now(), target)
+		c.serving.RecordConnectionLoss(c.goroutines.Now(), target)
 	}
 	return connection, code
 }
@@ -146,7 +146,7 @@
 func (c *UpstreamClient) connectUnproven(target Target, deadline time.Time) (*upstreamConnection, errcode.Code) {
 	connection, err := c.dial(target, deadline)
 	if err != nil {
-		c.serving.MarkBroken(c.goroutines.Now(), target)
+		c.serving.RecordConnectionLoss(c.goroutines.Now(), target)
 		return nil, errcode.BusyUpstreamGone
 	}
 	return connection, errcode.OK
@@ -158,7 +158,7 @@
 	target := announcement.target()
 	connection, err := c.dial(target, time.Now().Add(c.settings.DialTimeout()))
 	if err != nil {
-		c.serving.MarkBroken(c.goroutines.Now(), target)
+		c.serving.RecordConnectionLoss(c.goroutines.Now(), target)
 		return
 	}
 	c.guards.replace(target, connection)
--- a/internal/backend/guard.go
+++ b/internal/backend/guard.go
@@ -44,7 +44,7 @@
 	}
 	guard.close()
 	delete(g.guards, key)
-	g.backend.MarkBroken(g.goroutines.Now(), target)
+	g.backend.RecordConnectionLoss(g.goroutines.Now(), target)
 	return false
 }
 
@@ -60,7 +60,7 @@
 		guard.close()
 		delete(g.guards, target)
 		if !quiet {
-			g.backend.MarkBroken(now, target)
+			g.backend.RecordConnectionLoss(now, target)
 		}
 	}
 }
--- a/internal/backend/heartbeats_test.go
+++ b/internal/backend/heartbeats_test.go
@@ -59,7 +59,7 @@
 	serving := New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
 	serving.Announce(0, numbered(7, nil))
 	accepted, endings, decisions := serving.Announce(time.Second, numbered(6, func(announcement *Announcement) {
-		announcement.Leaving, announcement.Slots, announcement.Address = true, 50, "a:2"
+		announcement.Draining, announcement.Slots, announcement.Address = true, 50, "a:2"
 	}))
 	c.Assert(accepted, qt.IsTrue)
 	c.Assert(endings, qt.HasLen, 0)
--- a/internal/backend/liveness.go
+++ b/internal/backend/liveness.go
@@ -43,8 +43,8 @@
 	return same && !registered.broken && now-registered.lastSeenAt <= b.settings.AddressProofTTL()
 }
 
-// MarkAlive notes bytes that came on a proven connection to the target.
-func (b *Backend) MarkAlive(now time.Duration, target Target) {
+// RecordActivity notes bytes that came on a proven connection to the target.
+func (b *Backend) RecordActivity(now time.Duration, target Target) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if registered, same := b.lookupTarget(target); same && !registered.broken {
@@ -52,9 +52,9 @@
 	}
 }
 
-// MarkDoubtful notes that a connection to the target broke with a request on it. No new connection
+// InvalidateProof notes that a connection to the target broke with a request on it. No new connection
 // is proven until the next sign of life, but the guard and the connections that stand still are.
-func (b *Backend) MarkDoubtful(target Target) {
+func (b *Backend) InvalidateProof(target Target) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if registered, same := b.lookupTarget(target); same {
@@ -62,9 +62,9 @@
 	}
 }
 
-// MarkBroken notes a refused, reset or closed connection. Nothing is dialled until a newer
+// RecordConnectionLoss notes a refused, reset or closed connection. Nothing is dialled until a newer
 // heartbeat.
-func (b *Backend) MarkBroken(now time.Duration, target Target) {
+func (b *Backend) RecordConnectionLoss(now time.Duration, target Target) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	registered, known := b.upstreams[target.Key]
--- a/internal/backend/registration.go
+++ b/internal/backend/registration.go
@@ -21,14 +21,14 @@
 	}
 	ended, decisions = b.endReplaced(announcement)
 	registered = b.register(announcement.key())
-	if registered.announcement.Leaving {
-		announcement.Leaving = true
+	if registered.announcement.Draining {
+		announcement.Draining = true
 	}
 	registered.announcement, registered.announcedAt, registered.lastSeenAt = announcement, now, now
 	if registered.broken && now > registered.brokenAt {
 		registered.broken = false
 	}
-	if announcement.Leaving {
+	if announcement.Draining {
 		decisions = append(decisions, registered.refuseQueued(errcode.BusyLeaving)...)
 	}
 	return true, ended, append(decisions, b.startQueued(now, registered)...)
@@ -143,7 +143,7 @@
 		registered := b.upstreams[key]
 		for _, registration := range upstreams[registered.announcement.Service] {
 			if registered.isNewlyLeaving(key, registration) {
-				registered.announcement.Leaving = true
+				registered.announcement.Draining = true
 				decisions = append(decisions, registered.refuseQueued(errcode.BusyLeaving)...)
 			}
 		}
@@ -157,5 +157,5 @@
 	return registration.Key() == key &&
 		registration.Incarnation == u.announcement.Incarnation &&
 		registration.State == message.StateDraining &&
-		!u.announcement.Leaving
+		!u.announcement.Draining
 }
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -89,7 +89,7 @@
 
 // Leave makes an upstream announce that it leaves, and records when.
 func (f *Fleet) Leave(upstream *stubserver.StubServer) {
-	upstream.Change(func(announcement *backend.Announcement) { announcement.Leaving = true })
+	upstream.Change(func(announcement *backend.Announcement) { announcement.Draining = true })
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.leaving = append(f.leaving, checker.Leaving{
--- a/internal/frontend/connections.go
+++ b/internal/frontend/connections.go
@@ -45,7 +45,7 @@
 	if len(ids) == 0 {
 		return
 	}
-	if !connection.Attached() || !safeguard.NeverAttached.On() {
+	if !connection.Established() || !safeguard.NeverAttached.On() {
 		for _, id := range ids {
 			d.deliverOutcome(notStartedOutcome(id))
 		}
--- a/internal/frontend/dispatcher_test.go
+++ b/internal/frontend/dispatcher_test.go
@@ -26,9 +26,9 @@
 	w.posted = append(w.posted, msg)
 	return nil
 }
-func (w *fakeConnection) Broken() bool   { return w.broken }
-func (w *fakeConnection) Attached() bool { return w.attached }
-func (w *fakeConnection) Close()         { w.broken = true }
+func (w *fakeConnection) Broken() bool      { return w.broken }
+func (w *fakeConnection) Established() bool { return w.attached }
+func (w *fakeConnection) Close()            { w.broken = true }
 
 type fakeEnvironment struct {
 	dispatcher  *Dispatcher
--- a/internal/frontend/environment.go
+++ b/internal/frontend/environment.go
@@ -25,9 +25,9 @@
 	Post(msg any) error
 	// Broken reports whether the connection has ended.
 	Broken() bool
-	// Attached reports whether the connection was ever made. What was posted on one that never
+	// Established reports whether the connection was ever made. What was posted on one that never
 	// was has not reached anybody.
-	Attached() bool
+	Established() bool
 	Close()
 }
 
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -389,9 +389,9 @@
 	cut      bool
 }
 
-func (l *modelLink) Broken() bool   { return l.closed }
-func (l *modelLink) Attached() bool { return l.attached }
-func (l *modelLink) Close()         { l.closed = true }
+func (l *modelLink) Broken() bool      { return l.closed }
+func (l *modelLink) Established() bool { return l.attached }
+func (l *modelLink) Close()            { l.closed = true }
 
 // end breaks the connection; its opener is told a moment later.
 func (l *modelLink) end() {
--- a/internal/frontend/outcomequery.go
+++ b/internal/frontend/outcomequery.go
@@ -118,7 +118,7 @@
 	if len(births) == 0 {
 		return
 	}
-	if connection.Attached() && q.remaining > 0 {
+	if connection.Established() && q.remaining > 0 {
 		q.dispatcher.queryOutcomes(q.servingProxy, births, q.remaining)
 		return
 	}
--- a/internal/frontend/registration.go
+++ b/internal/frontend/registration.go
@@ -66,7 +66,7 @@
 		Address:     registration.Address,
 		Zone:        registration.Zone,
 		Slots:       registration.Slots,
-		Leaving:     registration.State == message.StateDraining,
+		Draining:    registration.State == message.StateDraining,
 	}
 }
 
--- a/internal/frontend/registration_test.go
+++ b/internal/frontend/registration_test.go
@@ -161,7 +161,7 @@
 	p.dispatcher.Announce(announced("one", "up:1", 4))
 	c.Assert(p.notices(), qt.DeepEquals, []string{"one ready"})
 	leaving := announced("one", "up:1", 6)
-	leaving.Leaving = true
+	leaving.Draining = true
 	p.dispatcher.Announce(leaving)
 	c.Assert(p.notices(), qt.DeepEquals, []string{"one leaving"})
 	p.dispatcher.Announce(announced("one", "up:1", 5))
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -188,6 +188,6 @@
 	asked.Connection = err != nil
 	asked.Status, asked.Body = response.StatusCode, string(answer)
 	asked.Code, _ = strconv.Atoi(response.Header.Get(frontend.CodeHeader))
-	asked.Mark = response.Header.Get(stubserver.MarkHeader)
+	asked.Mark = response.Header.Get(stubserver.ResponseMarkHeader)
 	asked.Retry = response.Header.Get("Retry-After") != ""
 }
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -120,7 +120,7 @@
 				asked.Code, asked.Retry = int(final.Code), final.RetryAfter > 0
 				for _, line := range final.Headers {
 					switch line.Name {
-					case stubserver.MarkHeader:
+					case stubserver.ResponseMarkHeader:
 						asked.Mark = line.Value
 					case frontend.CodeHeader:
 						asked.Code, _ = strconv.Atoi(line.Value)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -126,7 +126,7 @@
 	}
 	for target, guard := range n.guards {
 		if !guard.quiet() {
-			n.serving.MarkBroken(n.Now(), target)
+			n.serving.RecordConnectionLoss(n.Now(), target)
 			delete(n.guards, target)
 		}
 	}
--- a/internal/simulation/proxy_connection.go
+++ b/internal/simulation/proxy_connection.go
@@ -65,8 +65,8 @@
 // Broken says whether the connection has ended.
 func (s *simConnection) Broken() bool { return s.closed }
 
-// Attached says whether the connection was made.
-func (s *simConnection) Attached() bool { return s.attached }
+// Established says whether the connection was made.
+func (s *simConnection) Established() bool { return s.attached }
 
 // Close ends the connection.
 func (s *simConnection) Close() { s.closed = true }
--- a/internal/simulation/refusal_causes.go
+++ b/internal/simulation/refusal_causes.go
@@ -24,7 +24,7 @@
 func (w *World) able(from *Node, service string) bool {
 	for _, key := range w.upstreamOrder {
 		u := w.upstreams[key]
-		if u.response.Service != service || !u.up || u.response.Leaving || w.now < u.warmUntil+commit || u.running >= u.slots {
+		if u.response.Service != service || !u.up || u.response.Draining || w.now < u.warmUntil+commit || u.running >= u.slots {
 			continue
 		}
 		for _, servingProxy := range u.servingProxies {
--- a/internal/simulation/upstream.go
+++ b/internal/simulation/upstream.go
@@ -69,7 +69,7 @@
 	u.incarnation++
 	u.running = 0
 	u.response.Incarnation = int64(epoch+u.world.now) + 1
-	u.response.Leaving = false
+	u.response.Draining = false
 	u.warmUntil = u.world.now + warm
 	u.world.addresses[u.response.Address] = u
 	u.world.mark("upstream %s up at %s", u.key, u.response.Address)
@@ -150,7 +150,7 @@
 
 // leave says that it leaves.
 func (u *Upstream) leave() {
-	u.response.Leaving = true
+	u.response.Draining = true
 	u.world.record.Leaving = append(u.world.record.Leaving, checker.Leaving{
 		Service:  u.response.Service,
 		Instance: u.response.Instance,
@@ -270,7 +270,7 @@
 func (u *Upstream) answerRequest(order backend.Decision, stream *upstreamStream, index int, answer string) message.Outcome {
 	w := u.world
 	status := stubserver.Status(w.random.Float64, stubserver.UsualOtherShare)
-	headers := []message.HeaderLine{{Name: stubserver.MarkHeader, Value: answer}}
+	headers := []message.HeaderLine{{Name: stubserver.ResponseMarkHeader, Value: answer}}
 	if w.random.IntN(10) == 0 {
 		headers = append(headers, message.HeaderLine{Name: frontend.CodeHeader, Value: "3101"})
 		w.dangers["answers that claim a code of the mesh's"]++
--- a/internal/simulation/upstream_connection.go
+++ b/internal/simulation/upstream_connection.go
@@ -32,7 +32,7 @@
 		n.run(incarnation, func() {
 			owner := n.world.addresses[target.Address]
 			if owner == nil || !owner.up {
-				n.serving.MarkBroken(n.Now(), target)
+				n.serving.RecordConnectionLoss(n.Now(), target)
 				return
 			}
 			n.guards[target] = upConnection{owner: owner, incarnation: owner.incarnation}
@@ -76,7 +76,7 @@
 	guarded := func() bool {
 		guard, known := n.guards[target]
 		if known && !guard.quiet() {
-			n.serving.MarkBroken(n.Now(), target)
+			n.serving.RecordConnectionLoss(n.Now(), target)
 		}
 		return known && guard.quiet()
 	}
@@ -96,7 +96,7 @@
 			owner := w.addresses[target.Address]
 			switch {
 			case owner == nil || !owner.up:
-				n.serving.MarkBroken(n.Now(), target)
+				n.serving.RecordConnectionLoss(n.Now(), target)
 				refuse(errcode.BusyUpstreamGone)
 			case !n.serving.Dialable(n.Now(), target) || !guarded():
 				refuse(errcode.BusyUnproven)
@@ -123,9 +123,9 @@
 		over = true
 		n.run(incarnation, func() {
 			if broke {
-				n.serving.MarkDoubtful(target)
+				n.serving.InvalidateProof(target)
 			} else if outcome.Kind == message.Completed {
-				n.serving.MarkAlive(n.Now(), target)
+				n.serving.RecordActivity(n.Now(), target)
 				if connection.owner.serviceSpec.Closes || !connection.stream.kept {
 					n.fill(target)
 				} else if n.serving.ConnectionsUsable(n.Now(), target) {
--- a/internal/stubserver/requests.go
+++ b/internal/stubserver/requests.go
@@ -92,7 +92,7 @@
 	u.runs[index].Whole, u.runs[index].Answer, u.runs[index].Status, u.runs[index].Mark = u.since(), answer, status, answer
 	u.lock.Unlock()
 	out.Header().Set("Content-Type", "text/plain")
-	out.Header().Set(MarkHeader, answer)
+	out.Header().Set(ResponseMarkHeader, answer)
 	if index%10 == 0 {
 		// Only the mesh may set this header: it must not let it through.
 		out.Header().Set(frontend.CodeHeader, "3101")
@@ -136,7 +136,7 @@
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		asked.Connection, asked.Status, asked.Body = err != nil, response.StatusCode, string(body)
-		asked.Mark, asked.Retry = response.Header.Get(MarkHeader), response.Header.Get("Retry-After") != ""
+		asked.Mark, asked.Retry = response.Header.Get(ResponseMarkHeader), response.Header.Get("Retry-After") != ""
 		asked.Code, _ = strconv.Atoi(response.Header.Get(frontend.CodeHeader)) // 0 where the header is missing
 	}
 	asked.Done = u.since()
--- a/internal/stubserver/stubserver.go
+++ b/internal/stubserver/stubserver.go
@@ -19,8 +19,8 @@
 // IDHeader has the load generator's own id of a request.
 const IDHeader = "X-Loadgen-Id"
 
-// MarkHeader marks an answer as that of one run.
-const MarkHeader = "X-Run"
+// ResponseMarkHeader marks an answer as that of one run.
+const ResponseMarkHeader = "X-Run"
 
 // StubServer is one stand-in upstream. Its exported fields are set before Start.
 type StubServer struct {
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -63,8 +63,8 @@
 	return true
 }
 
-// Attached reports whether the TCP connection was ever made. Before that nothing was sent.
-func (c *Connection) Attached() bool {
+// Established reports whether the TCP connection was ever made. Before that nothing was sent.
+func (c *Connection) Established() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.conn != nil
