--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -85,7 +85,7 @@
 }
 
 // writeRecord writes one JSON line a request.
-func writeRecord(path string, requests []checker.Asked) error {
+func writeRecord(path string, requests []checker.CallerRequest) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
--- a/internal/checker/answers.go
+++ b/internal/checker/answers.go
@@ -8,8 +8,8 @@
 
 // checkAnswers checks what callers were told: what must not run twice did not, busy answers are
 // true, and upstreams' answers are their own and come at once.
-func (r *Review) checkAnswers(record Record, runs map[string][]Ran) {
-	for _, request := range record.Asked {
+func (r *Review) checkAnswers(record Record, runs map[string][]Execution) {
+	for _, request := range record.Requests {
 		own := runs[request.ID]
 		r.count(requestSent)
 		if request.Once && len(own) > 1 {
@@ -32,7 +32,7 @@
 }
 
 // checkBusyAnswer checks an answer that says that nothing ran.
-func (r *Review) checkBusyAnswer(request Asked, runs []Ran) {
+func (r *Review) checkBusyAnswer(request CallerRequest, runs []Execution) {
 	r.count(busyAnswer)
 	if len(runs) > 0 {
 		r.violate(busyRan, "%s was told busy (%d) and ran at %s", request.ID, request.Code, runs[0].Instance)
@@ -44,7 +44,7 @@
 
 // checkUpstreamAnswer checks an upstream's answer: one of the request's runs sent it, and it was not
 // held back, unless a machine on its way was frozen or cut off.
-func (r *Review) checkUpstreamAnswer(record Record, request Asked, runs []Ran) {
+func (r *Review) checkUpstreamAnswer(record Record, request CallerRequest, runs []Execution) {
 	r.count(upstreamAnswer)
 	own, excused := false, false
 	delay := time.Duration(math.MaxInt64)
@@ -53,13 +53,13 @@
 			continue
 		}
 		own = true
-		delay = min(delay, request.Done-ran.Whole)
-		excused = Within(record.Held, request.Proxy, ran.Whole, request.Done) ||
-			Within(record.Held, ran.ServingProxy, ran.Whole, request.Done)
+		delay = min(delay, request.Done-ran.ResponseSent)
+		excused = Within(record.Disconnected, request.Proxy, ran.ResponseSent, request.Done) ||
+			Within(record.Disconnected, ran.ServingProxy, ran.ResponseSent, request.Done)
 	}
 	if !own {
 		r.violate(foreignAnswer, "%s got status %d, mark %q and a body of %d bytes that no run of it sent",
-			request.ID, request.Status, request.Mark, len(request.Body))
+			request.ID, request.Status, request.ResponseMark, len(request.Body))
 		return
 	}
 	if excused {
@@ -67,12 +67,12 @@
 		return
 	}
 	r.measure(answerHoldMS, float64(delay.Milliseconds()))
-	if delay > record.Bounds.AnswerHold {
+	if delay > record.Bounds.ResponseDelay {
 		r.violate(answerHeldBack, "%s was held for %s", request.ID, delay)
 	}
 }
 
 // sent reports whether this run sent, complete, the answer that the caller got.
-func (ran Ran) sent(request Asked) bool {
-	return ran.Answer == request.Body && ran.Status == request.Status && ran.Mark == request.Mark && ran.Whole > 0
+func (ran Execution) sent(request CallerRequest) bool {
+	return ran.Answer == request.Body && ran.Status == request.Status && ran.ResponseMark == request.ResponseMark && ran.ResponseSent > 0
 }
--- a/internal/checker/bounds.go
+++ b/internal/checker/bounds.go
@@ -5,31 +5,31 @@
 // Bounds are the limits of the promises that have one. A KeyWithdrawal of 0 is not checked.
 type Bounds struct {
 	ConfigurationInForce time.Duration // from the acknowledgement until it is in force on each node
-	SlipBack             time.Duration // for which an older version may be in force again
+	RollbackWindow       time.Duration // for which an older version may be in force again
 	KeyWithdrawal        time.Duration // for which a withdrawn key may still work
 	Drain                time.Duration // for which a draining upstream may still get requests
-	AnswerHold           time.Duration // for which a complete answer may be delayed
-	HolderRest           time.Duration // before a lease may go back to its former holder
-	UsageLate            time.Duration // from a window's end to its report
-	UsageOff             float64       // share of a window's counts that may be wrong
+	ResponseDelay        time.Duration // for which a complete answer may be delayed
+	HolderCooldown       time.Duration // before a lease may go back to its former holder
+	UsageReportDelay     time.Duration // from a window's end to its report
+	UsageError           float64       // share of a window's counts that may be wrong
 	RetryShare           float64       // retries for each first attempt in RetryWindow
 	RetryWindow          time.Duration
-	RetryMore            int // retries in RetryWindow beyond the share
+	RetryAllowance       int // retries in RetryWindow beyond the share
 }
 
 // BriefBounds returns the bounds of docs/brief.md; withdrawal says whether withdrawn keys have one.
 func BriefBounds(withdrawal bool) Bounds {
 	bounds := Bounds{
 		ConfigurationInForce: 2 * time.Second,
-		SlipBack:             250 * time.Millisecond,
+		RollbackWindow:       250 * time.Millisecond,
 		Drain:                2 * time.Second,
-		AnswerHold:           200 * time.Millisecond,
-		HolderRest:           3 * time.Second,
-		UsageLate:            10 * time.Second,
-		UsageOff:             0.05,
+		ResponseDelay:        200 * time.Millisecond,
+		HolderCooldown:       3 * time.Second,
+		UsageReportDelay:     10 * time.Second,
+		UsageError:           0.05,
 		RetryShare:           0.2,
 		RetryWindow:          10 * time.Second,
-		RetryMore:            10,
+		RetryAllowance:       10,
 	}
 	if withdrawal {
 		bounds.KeyWithdrawal = 5 * time.Second
@@ -40,9 +40,9 @@
 // Stretch returns bounds whose times, and share of wrong usage counts, are larger by a factor, for a
 // smoke test on a machine of unknown speed. What must never happen at all stays as it is.
 func (b Bounds) Stretch(by float64) Bounds {
-	for _, bound := range []*time.Duration{&b.ConfigurationInForce, &b.SlipBack, &b.KeyWithdrawal, &b.Drain, &b.AnswerHold, &b.UsageLate} {
+	for _, bound := range []*time.Duration{&b.ConfigurationInForce, &b.RollbackWindow, &b.KeyWithdrawal, &b.Drain, &b.ResponseDelay, &b.UsageReportDelay} {
 		*bound = time.Duration(float64(*bound) * by)
 	}
-	b.UsageOff *= by
+	b.UsageError *= by
 	return b
 }
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -66,18 +66,18 @@
 }
 
 // runsByID returns the runs of each request.
-func runsByID(record Record) map[string][]Ran {
-	runs := map[string][]Ran{}
-	for _, ran := range record.Ran {
+func runsByID(record Record) map[string][]Execution {
+	runs := map[string][]Execution{}
+	for _, ran := range record.Executions {
 		runs[ran.ID] = append(runs[ran.ID], ran)
 	}
 	return runs
 }
 
 // requestsByID returns the requests by the ID that their callers gave them.
-func requestsByID(record Record) map[string]Asked {
-	requests := map[string]Asked{}
-	for _, request := range record.Asked {
+func requestsByID(record Record) map[string]CallerRequest {
+	requests := map[string]CallerRequest{}
+	for _, request := range record.Requests {
 		requests[request.ID] = request
 	}
 	return requests
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -13,19 +13,19 @@
 
 func clean() Record {
 	return Record{
-		Asked: []Asked{
+		Requests: []CallerRequest{
 			{
 				ID: "a", Proxy: "e1", Route: "send", Service: "pay", Tenant: "t", Caller: "c", Key: "k", Once: true,
-				Sent: 10 * sec, Done: 11 * sec, Status: 200, Body: "by one", Mark: "m",
+				Sent: 10 * sec, Done: 11 * sec, Status: 200, Body: "by one", ResponseMark: "m",
 			},
 			{
 				ID: "b", Proxy: "e1", Route: "send", Service: "pay", Tenant: "t", Caller: "c", Key: "k", Once: true,
 				Sent: 12 * sec, Done: 12 * sec, Status: 503, Code: 3103, Retry: true,
 			},
 		},
-		Ran: []Ran{{
+		Executions: []Execution{{
 			ID: "a", Service: "pay", Instance: "one", Tenant: "t", Caller: "c",
-			At: 10 * sec, Whole: 11 * sec, Answer: "by one", Status: 200, Mark: "m", Life: 1, ServingProxy: "e1",
+			At: 10 * sec, ResponseSent: 11 * sec, Answer: "by one", Status: 200, ResponseMark: "m", Incarnation: 1, ServingProxy: "e1",
 		}},
 		Writes: []Write{
 			{
@@ -37,25 +37,25 @@
 				Keys: map[string]string{"k": "t"}, Digest: "two",
 			},
 		},
-		Forced:  []Force{{Node: "e1", ConfigName: "main", Version: 1, At: sec}, {Node: "e1", ConfigName: "main", Version: 2, At: 4 * sec}},
-		Up:      []Span{{Name: "e1", From: 0, To: 60 * sec}},
-		Leaving: []Leaving{{Service: "pay", Instance: "one", Life: 1, At: 20 * sec}},
+		Activations: []Activation{{Node: "e1", ConfigName: "main", Version: 1, At: sec}, {Node: "e1", ConfigName: "main", Version: 2, At: 4 * sec}},
+		Up:          []Span{{Name: "e1", From: 0, To: 60 * sec}},
+		DrainStarts: []DrainStart{{Service: "pay", Instance: "one", Incarnation: 1, At: 20 * sec}},
 		Reported: []Reported{
 			{Window: 2, From: "s1", Counts: map[string]int64{"t": 1}, At: 16 * sec, End: 15 * sec},
 			{Window: 2, From: "s2", Counts: map[string]int64{"t": 1}, At: 17 * sec, End: 15 * sec},
 		},
-		Keeping: []Keeping{
-			{Tag: "x", Voter: "s1", Epoch: 1, At: sec},
-			{Tag: "x", Voter: "s2", Epoch: 2, At: 10 * sec},
-			{Tag: "x", Voter: "s1", Epoch: 3, At: 20 * sec},
+		LeaseTenures: []LeaseTenure{
+			{LeaseName: "x", Voter: "s1", Epoch: 1, At: sec},
+			{LeaseName: "x", Voter: "s2", Epoch: 2, At: 10 * sec},
+			{LeaseName: "x", Voter: "s1", Epoch: 3, At: 20 * sec},
 		},
-		Acts:     []Keeping{{Tag: "x", Voter: "s1", Epoch: 1, At: sec}, {Tag: "x", Voter: "s2", Epoch: 2, At: 11 * sec}},
-		Reread:   []Reported{{Window: 2, From: "s3", Counts: map[string]int64{"t": 1}}},
-		Kept:     []Kept{{"s1", "main", 1, "one"}, {"s1", "main", 2, "two"}, {"s2", "main", 2, "two"}, {"s2", "main", 1, "one"}},
-		KeptMost: 16,
-		End:      60 * sec,
-		Bounds:   BriefBounds(true),
-		Window:   5 * sec,
+		HolderActions:    []LeaseTenure{{LeaseName: "x", Voter: "s1", Epoch: 1, At: sec}, {LeaseName: "x", Voter: "s2", Epoch: 2, At: 11 * sec}},
+		StoredUsage:      []Reported{{Window: 2, From: "s3", Counts: map[string]int64{"t": 1}}},
+		StoredVersions:   []StoredVersion{{"s1", "main", 1, "one"}, {"s1", "main", 2, "two"}, {"s2", "main", 2, "two"}, {"s2", "main", 1, "one"}},
+		RetainedVersions: 16,
+		End:              60 * sec,
+		Bounds:           BriefBounds(true),
+		Window:           5 * sec,
 	}
 }
 
@@ -63,40 +63,44 @@
 	c := qt.New(t)
 	c.Assert(Check(clean()).Violations, qt.HasLen, 0)
 	for rule, plant := range map[string]func(r *Record){
-		"once":               func(r *Record) { r.Ran = append(r.Ran, r.Ran[0]) },
-		"busy-ran":           func(r *Record) { r.Ran = append(r.Ran, Ran{ID: "b", Service: "pay", Tenant: "t", Caller: "c"}) },
-		"retry-after":        func(r *Record) { r.Asked[1].Retry = false },
-		"own-answer":         func(r *Record) { r.Asked[0].Body = "by another" },
-		"answer-hold":        func(r *Record) { r.Asked[0].Done += 300 * time.Millisecond },
-		"stray":              func(r *Record) { r.Ran = append(r.Ran, Ran{ID: "?"}) },
-		"identity":           func(r *Record) { r.Ran[0].Tenant = "other" },
-		"key-seen":           func(r *Record) { r.Ran[0].KeySeen = true },
-		"landing":            func(r *Record) { r.Ran[0].Service = "other" },
-		"configuration-late": func(r *Record) { r.Forced[1].At = 6 * sec },
+		"once": func(r *Record) { r.Executions = append(r.Executions, r.Executions[0]) },
+		"busy-ran": func(r *Record) {
+			r.Executions = append(r.Executions, Execution{ID: "b", Service: "pay", Tenant: "t", Caller: "c"})
+		},
+		"retry-after":        func(r *Record) { r.Requests[1].Retry = false },
+		"own-answer":         func(r *Record) { r.Requests[0].Body = "by another" },
+		"answer-hold":        func(r *Record) { r.Requests[0].Done += 300 * time.Millisecond },
+		"stray":              func(r *Record) { r.Executions = append(r.Executions, Execution{ID: "?"}) },
+		"identity":           func(r *Record) { r.Executions[0].Tenant = "other" },
+		"key-seen":           func(r *Record) { r.Executions[0].KeySeen = true },
+		"landing":            func(r *Record) { r.Executions[0].Service = "other" },
+		"configuration-late": func(r *Record) { r.Activations[1].At = 6 * sec },
 		"configuration-slip": func(r *Record) {
-			r.Forced = append(r.Forced, Force{Node: "e1", ConfigName: "main", Version: 1, At: 9 * sec})
+			r.Activations = append(r.Activations, Activation{Node: "e1", ConfigName: "main", Version: 1, At: 9 * sec})
 		},
-		"configuration-lost": func(r *Record) { r.Kept = r.Kept[:3] },
-		"key-late":           func(r *Record) { r.Asked[0].Key = "old" },
-		"drain-late":         func(r *Record) { r.Leaving[0].At = 7 * sec },
+		"configuration-lost": func(r *Record) { r.StoredVersions = r.StoredVersions[:3] },
+		"key-late":           func(r *Record) { r.Requests[0].Key = "old" },
+		"drain-late":         func(r *Record) { r.DrainStarts[0].At = 7 * sec },
 		"usage-late":         func(r *Record) { r.Reported[0].At = 26 * sec },
 		"usage-twice":        func(r *Record) { r.Reported[1].Counts = map[string]int64{"t": 2} },
 		"usage-off":          func(r *Record) { r.Reported[0].Counts["t"], r.Reported[1].Counts["t"] = 5, 5 },
-		"back-and-forth":     func(r *Record) { r.Keeping[2].At = 12 * sec },
-		"two-holders":        func(r *Record) { r.Keeping[2].Epoch = 2 },
-		"stale-act":          func(r *Record) { r.Acts = append(r.Acts, Keeping{Tag: "x", Voter: "s1", Epoch: 1, At: 12 * sec}) },
-		"slots":              func(r *Record) { r.Peaks = []Peak{{Instance: "one", Most: 5, Slots: 4}} },
+		"back-and-forth":     func(r *Record) { r.LeaseTenures[2].At = 12 * sec },
+		"two-holders":        func(r *Record) { r.LeaseTenures[2].Epoch = 2 },
+		"stale-act": func(r *Record) {
+			r.HolderActions = append(r.HolderActions, LeaseTenure{LeaseName: "x", Voter: "s1", Epoch: 1, At: 12 * sec})
+		},
+		"slots": func(r *Record) { r.Peaks = []Peak{{Instance: "one", MaxRunning: 5, Slots: 4}} },
 		"dropped": func(r *Record) {
-			r.Asked[0].Connection, r.Asked[0].Done = true, 0
+			r.Requests[0].Connection, r.Requests[0].Done = true, 0
 			r.Stopped = []Span{{Name: "e1", From: 11 * sec, To: 12 * sec}}
 		},
 		"dropped ": func(r *Record) {
-			r.Asked[0].Code, r.Asked[0].Status, r.Asked[0].Done = 3201, 502, 12*sec
+			r.Requests[0].Code, r.Requests[0].Status, r.Requests[0].Done = 3201, 502, 12*sec
 		},
-		"own-answer ":         func(r *Record) { r.Asked[0].Status = 201 },
-		"own-answer  ":        func(r *Record) { r.Asked[0].Mark = "other" },
-		"configuration-lost ": func(r *Record) { r.Kept[2].Digest = "other" },
-		"usage-twice ":        func(r *Record) { r.Reread[0].Counts = map[string]int64{"t": 2} },
+		"own-answer ":         func(r *Record) { r.Requests[0].Status = 201 },
+		"own-answer  ":        func(r *Record) { r.Requests[0].ResponseMark = "other" },
+		"configuration-lost ": func(r *Record) { r.StoredVersions[2].Digest = "other" },
+		"usage-twice ":        func(r *Record) { r.StoredUsage[0].Counts = map[string]int64{"t": 2} },
 		"usage-missing":       func(r *Record) { r.Reported = nil },
 		"usage-missing ":      func(r *Record) { r.Reported = append(r.Reported, Reported{Window: 4, Counts: map[string]int64{}}) },
 		"usage-off ": func(r *Record) {
@@ -104,13 +108,13 @@
 		},
 		"retry-share ": func(r *Record) {
 			for range 12 {
-				r.Attempts = append(r.Attempts, Attempt{Service: "pay", At: sec, Again: true})
+				r.Attempts = append(r.Attempts, Attempt{Service: "pay", At: sec, Retry: true})
 			}
 		},
 		"retry-share": func(r *Record) {
-			r.Asked[0].Once = false
+			r.Requests[0].Once = false
 			for range 12 {
-				r.Ran = append(r.Ran, r.Ran[0])
+				r.Executions = append(r.Executions, r.Executions[0])
 			}
 		},
 	} {
--- a/internal/checker/configurations.go
+++ b/internal/checker/configurations.go
@@ -12,7 +12,7 @@
 				continue
 			}
 			r.count(configurationArrival)
-			at, arrived := inForceAt(record.Forced, write, span)
+			at, arrived := inForceAt(record.Activations, write, span)
 			if !arrived || at > write.At+bound {
 				r.violate(configurationLate, "version %d acknowledged at %s is in force on %s at %s",
 					write.Version, write.At, span.Name, at)
@@ -25,10 +25,10 @@
 
 // inForceAt returns when a node, in the incarnation of a span, first had a version or a newer one in
 // force.
-func inForceAt(forced []Force, write Write, span Span) (at time.Duration, arrived bool) {
+func inForceAt(forced []Activation, write Write, span Span) (at time.Duration, arrived bool) {
 	at = -1
 	for _, force := range forced {
-		if force.Node != span.Name || force.ConfigName != write.ConfigName || force.Version < write.Version || force.At < span.Born {
+		if force.Node != span.Name || force.ConfigName != write.ConfigName || force.Version < write.Version || force.At < span.StartedAt {
 			continue
 		}
 		if at < 0 || force.At < at {
@@ -41,11 +41,11 @@
 // checkConfigurationOrder checks that no node goes back to an older version.
 func (r *Review) checkConfigurationOrder(record Record) {
 	type topic struct{ node, configName string }
-	newest := map[topic]Force{}
-	for _, force := range record.Forced {
+	newest := map[topic]Activation{}
+	for _, force := range record.Activations {
 		key := topic{force.Node, force.ConfigName}
 		last, known := newest[key]
-		if known && force.Version < last.Version && force.At > last.At+record.Bounds.SlipBack {
+		if known && force.Version < last.Version && force.At > last.At+record.Bounds.RollbackWindow {
 			r.violate(configurationSlip, "%s went from %d to %d", force.Node, last.Version, force.Version)
 			continue
 		}
@@ -72,7 +72,7 @@
 func (r *Review) checkConfigurationCopies(record Record) {
 	type place struct{ voter, configName string }
 	logs := map[place]*storedLog{}
-	for _, kept := range record.Kept {
+	for _, kept := range record.StoredVersions {
 		r.count(versionReadBack)
 		at := place{kept.Voter, kept.ConfigName}
 		if logs[at] == nil {
@@ -88,7 +88,7 @@
 			}
 			digest, stored := log.digests[write.Version]
 			switch {
-			case !stored && log.discarded(write.Version, record.KeptMost):
+			case !stored && log.discarded(write.Version, record.RetainedVersions):
 			case !stored:
 				r.violate(configurationLost, "%s %d was acknowledged, %s does not give it back",
 					at.configName, write.Version, at.voter)
--- a/internal/checker/keys.go
+++ b/internal/checker/keys.go
@@ -6,12 +6,12 @@
 )
 
 // checkWithdrawnKeys checks that a withdrawn key stops working in time.
-func (r *Review) checkWithdrawnKeys(record Record, requests map[string]Asked) {
+func (r *Review) checkWithdrawnKeys(record Record, requests map[string]CallerRequest) {
 	if record.Bounds.KeyWithdrawal == 0 {
 		return
 	}
 	withdrawnAt := withdrawnKeys(record.Writes)
-	for _, ran := range record.Ran {
+	for _, ran := range record.Executions {
 		request := requests[ran.ID]
 		at, withdrawn := withdrawnAt[request.Key]
 		if !withdrawn || request.Key == "" {
--- a/internal/checker/record.go
+++ b/internal/checker/record.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Asked is one request as its caller saw it.
-type Asked struct {
-	ID         string        `json:"id"`
-	Proxy      string        `json:"proxy"`
-	Route      string        `json:"route"`
-	Service    string        `json:"service"`
-	Tenant     string        `json:"tenant"`
-	Caller     string        `json:"caller"`
-	Key        string        `json:"-"`
-	Once       bool          `json:"once"`     // must not run twice
-	Intended   time.Duration `json:"intended"` // when the load's schedule wanted it sent
-	Sent       time.Duration `json:"sent"`
-	Done       time.Duration `json:"done"`
-	Status     int           `json:"status"`
-	Code       int           `json:"code"`             // of the mesh, where the answer is its own; 0: an upstream's answer
-	Retry      bool          `json:"retry_after"`      // the answer had a Retry-After header
-	Connection bool          `json:"connection_error"` // no answer at all
-	Body       string        `json:"body"`
-	Mark       string        `json:"mark"` // the header by which an upstream marks its answer
+// CallerRequest is one request as its caller saw it.
+type CallerRequest struct {
+	ID           string        `json:"id"`
+	Proxy        string        `json:"proxy"`
+	Route        string        `json:"route"`
+	Service      string        `json:"service"`
+	Tenant       string        `json:"tenant"`
+	Caller       string        `json:"caller"`
+	Key          string        `json:"-"`
+	Once         bool          `json:"once"`     // must not run twice
+	Intended     time.Duration `json:"intended"` // when the load's schedule wanted it sent
+	Sent         time.Duration `json:"sent"`
+	Done         time.Duration `json:"done"`
+	Status       int           `json:"status"`
+	Code         int           `json:"code"`             // of the mesh, where the answer is its own; 0: an upstream's answer
+	Retry        bool          `json:"retry_after"`      // the answer had a Retry-After header
+	Connection   bool          `json:"connection_error"` // no answer at all
+	Body         string        `json:"body"`
+	ResponseMark string        `json:"mark"` // the header by which an upstream marks its answer
 }
 
-// Ran is one run of a request at an upstream.
-type Ran struct {
+// Execution is one run of a request at an upstream.
+type Execution struct {
 	ID           string        `json:"id"`
 	Service      string        `json:"service"`
 	Instance     string        `json:"instance"`
@@ -38,11 +38,11 @@
 	Caller       string        `json:"caller"`
 	KeySeen      bool          `json:"key_seen"`
 	At           time.Duration `json:"at"`
-	Whole        time.Duration `json:"whole"` // when the answer was sent completely; 0: never
+	ResponseSent time.Duration `json:"whole"` // when the answer was sent completely; 0: never
 	Answer       string        `json:"answer"`
 	Status       int           `json:"status"`
-	Mark         string        `json:"mark"`
-	Life         int64         `json:"incarnation"`
+	ResponseMark string        `json:"mark"`
+	Incarnation  int64         `json:"incarnation"`
 	ServingProxy string        `json:"serving_proxy"` // machine of the serving proxy, where known
 }
 
@@ -63,8 +63,8 @@
 	return fmt.Sprintf("%x", hash.Sum64())
 }
 
-// Kept is a version of a configuration as a voter returns it at the end of the run.
-type Kept struct {
+// StoredVersion is a version of a configuration as a voter returns it at the end of the run.
+type StoredVersion struct {
 	Voter      string
 	ConfigName string
 	Version    int64
@@ -76,11 +76,11 @@
 type Attempt struct {
 	Service string
 	At      time.Duration
-	Again   bool
+	Retry   bool
 }
 
-// Force records that a version of a configuration came into force on a node.
-type Force struct {
+// Activation records that a version of a configuration came into force on a node.
+type Activation struct {
 	Node       string
 	ConfigName string
 	Version    int64
@@ -89,10 +89,10 @@
 
 // Span is an interval of time of a node or upstream, both ends included.
 type Span struct {
-	Name string
-	From time.Duration
-	To   time.Duration
-	Born time.Duration // when this incarnation of the node began, before From after a cut
+	Name      string
+	From      time.Duration
+	To        time.Duration
+	StartedAt time.Duration // when this incarnation of the node began, before From after a cut
 }
 
 // Within reports whether a machine has a span that touches the interval from one time to another.
@@ -107,17 +107,17 @@
 
 // Peak is the highest number of requests that an upstream ran at one time, and its slots.
 type Peak struct {
-	Instance string
-	Most     int
-	Slots    int
+	Instance   string
+	MaxRunning int
+	Slots      int
 }
 
-// Leaving records that an upstream announced that it is draining; Life is its incarnation.
-type Leaving struct {
-	Service  string
-	Instance string
-	Life     int64
-	At       time.Duration
+// DrainStart records that an upstream announced that it is draining; Life is its incarnation.
+type DrainStart struct {
+	Service     string
+	Instance    string
+	Incarnation int64
+	At          time.Duration
 }
 
 // Reported is a usage window as the collector got it.
@@ -129,38 +129,38 @@
 	End    time.Duration // end of the window on the same clock
 }
 
-// Keeping records that a voter became the holder of a lease, or, among Record.Acts, that it acted as
+// LeaseTenure records that a voter became the holder of a lease, or, among Record.Acts, that it acted as
 // the holder. Tag is the name of the lease.
-type Keeping struct {
-	Tag   string
-	Voter string
-	Epoch int64
-	At    time.Duration
+type LeaseTenure struct {
+	LeaseName string
+	Voter     string
+	Epoch     int64
+	At        time.Duration
 }
 
 // Record is all that a run left behind. Times are since the start of the run.
 type Record struct {
-	Asked      []Asked
-	Ran        []Ran
-	Writes     []Write
-	Forced     []Force
-	Up         []Span // nodes running and connected to the core, by name
-	Held       []Span // machines frozen or cut off, by name
-	Peaks      []Peak // the most that ran at one time, by upstream
-	Hurt       []Span // hard ends of machines and upstreams, by name
-	Stopped    []Span // polite stops of proxies, from the signal to the exit
-	Untold     []Span // intervals whose usage counts were lost with a proxy that was cut off
-	Leaving    []Leaving
-	Reported   []Reported
-	Reread     []Reported // windows as the voters give them back
-	Attempts   []Attempt
-	Kept       []Kept
-	ReadyAsked int // how often the platform checked the readiness of a node
-	KeptMost   int // how many versions a voter must keep
-	End        time.Duration
-	Keeping    []Keeping
-	Acts       []Keeping     // changes made by a holder, with the epoch
-	Window     time.Duration // length of a usage window; 0: counts are not checked
-	Epoch      time.Duration // time of day at time 0
-	Bounds     Bounds
+	Requests         []CallerRequest
+	Executions       []Execution
+	Writes           []Write
+	Activations      []Activation
+	Up               []Span // nodes running and connected to the core, by name
+	Disconnected     []Span // machines frozen or cut off, by name
+	Peaks            []Peak // the most that ran at one time, by upstream
+	Crashes          []Span // hard ends of machines and upstreams, by name
+	Stopped          []Span // polite stops of proxies, from the signal to the exit
+	UsageLosses      []Span // intervals whose usage counts were lost with a proxy that was cut off
+	DrainStarts      []DrainStart
+	Reported         []Reported
+	StoredUsage      []Reported // windows as the voters give them back
+	Attempts         []Attempt
+	StoredVersions   []StoredVersion
+	ReadyAsked       int // how often the platform checked the readiness of a node
+	RetainedVersions int // how many versions a voter must keep
+	End              time.Duration
+	LeaseTenures     []LeaseTenure
+	HolderActions    []LeaseTenure // changes made by a holder, with the epoch
+	Window           time.Duration // length of a usage window; 0: counts are not checked
+	Epoch            time.Duration // time of day at time 0
+	Bounds           Bounds
 }
--- a/internal/checker/retries.go
+++ b/internal/checker/retries.go
@@ -17,7 +17,7 @@
 
 // checkRetries checks the retries against the first attempts of the same service, in any span as
 // long as the window: those that left a proxy, and those that ran.
-func (r *Review) checkRetries(record Record, runs map[string][]Ran) {
+func (r *Review) checkRetries(record Record, runs map[string][]Execution) {
 	for service, attempts := range r.attemptsByService(record, runs) {
 		if !r.checkRetryShare(record.Bounds, service, attempts) {
 			return
@@ -26,12 +26,12 @@
 }
 
 // attemptsByService collects the attempts and the runs.
-func (r *Review) attemptsByService(record Record, runs map[string][]Ran) map[string][]timedAttempt {
+func (r *Review) attemptsByService(record Record, runs map[string][]Execution) map[string][]timedAttempt {
 	attempts := map[string][]timedAttempt{}
 	for _, attempt := range record.Attempts {
 		key := "attempts at " + attempt.Service
-		attempts[key] = append(attempts[key], timedAttempt{attempt.At, attempt.Again})
-		if attempt.Again {
+		attempts[key] = append(attempts[key], timedAttempt{attempt.At, attempt.Retry})
+		if attempt.Retry {
 			r.count(attemptAgain)
 		}
 	}
@@ -65,7 +65,7 @@
 			count(attempts[oldest], -1)
 			oldest++
 		}
-		if float64(again) > bounds.RetryShare*float64(first)+float64(bounds.RetryMore) {
+		if float64(again) > bounds.RetryShare*float64(first)+float64(bounds.RetryAllowance) {
 			r.violate(retryShareExceeded, "%s: %d retries to %d first tries before %s", service, again, first, newest.at)
 			return false
 		}
--- a/internal/checker/runs.go
+++ b/internal/checker/runs.go
@@ -5,9 +5,9 @@
 
 // checkRuns checks each run at an upstream: a caller sent the request, a configuration allowed it
 // there, and the upstream saw tenant and caller but not the key.
-func (r *Review) checkRuns(record Record, requests map[string]Asked) {
+func (r *Review) checkRuns(record Record, requests map[string]CallerRequest) {
 	allowed := allowedLandings(record.Writes)
-	for _, ran := range record.Ran {
+	for _, ran := range record.Executions {
 		r.count(runSeen)
 		request, known := requests[ran.ID]
 		if !known {
--- a/internal/checker/usage.go
+++ b/internal/checker/usage.go
@@ -13,7 +13,7 @@
 // missing, and near to what callers saw.
 func (r *Review) checkUsage(record Record) {
 	reports := r.firstReports(record)
-	for _, reread := range record.Reread {
+	for _, reread := range record.StoredUsage {
 		r.count(windowReadBack)
 		if first, known := reports[reread.Window]; known && !maps.Equal(first.Counts, reread.Counts) {
 			r.violate(usageChanged, "window %d was reported as %v, %s gives back %v",
@@ -45,7 +45,7 @@
 		reports[report.Window] = report
 		late := report.At - report.End
 		r.measure(usageLateMS, float64(late.Milliseconds()))
-		if late > record.Bounds.UsageLate {
+		if late > record.Bounds.UsageReportDelay {
 			r.violate(usageLate, "window %d came %s after its end", report.Window, late)
 		}
 	}
@@ -66,14 +66,14 @@
 // border of two windows may count in either, since clocks differ and answers take time.
 func countAnswers(record Record) (least, most tenantCounts) {
 	least, most = tenantCounts{}, tenantCounts{}
-	for _, request := range record.Asked {
+	for _, request := range record.Requests {
 		if request.Code != 0 || request.Connection {
 			continue
 		}
 		early := int64((record.Epoch + request.Done - windowEdge) / record.Window)
 		late := int64((record.Epoch + request.Done + windowEdge) / record.Window)
 		most.add(early, request.Tenant)
-		if Within(record.Untold, request.Proxy, request.Done, request.Done) {
+		if Within(record.UsageLosses, request.Proxy, request.Done, request.Done) {
 			continue
 		}
 		if early == late {
@@ -92,7 +92,7 @@
 		first, last = min(first, window), max(last, window)
 	}
 	for window := range least {
-		due := time.Duration(window+1)*record.Window - record.Epoch + record.Bounds.UsageLate
+		due := time.Duration(window+1)*record.Window - record.Epoch + record.Bounds.UsageReportDelay
 		if _, reported := reports[window]; !reported && due <= record.End {
 			r.violate(usageMissing, "window %d had answers and was never reported", window)
 		}
@@ -131,7 +131,7 @@
 	}
 	share := max(worst, float64(off)/float64(max(1, all)))
 	r.measure(usageDeviation, share)
-	if share > bounds.UsageOff {
+	if share > bounds.UsageError {
 		r.violate(usageOff, "window %d reported %v, callers saw %v to %v", window, counts, least, most)
 	}
 }
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -133,7 +133,7 @@
 }
 
 // Load runs the load generator over all proxies and returns its record.
-func (f *Fleet) Load(rate float64, length time.Duration, seed uint64) []checker.Asked {
+func (f *Fleet) Load(rate float64, length time.Duration, seed uint64) []checker.CallerRequest {
 	return f.runLoad(f.proxyAddresses(), f.Deployment.Kinds, rate, length, seed)
 }
 
@@ -149,7 +149,7 @@
 // runLoad sends requests of some kinds to some addresses, on behalf of all tenants.
 func (f *Fleet) runLoad(
 	addresses []string, kinds []loadgen.Kind, rate float64, length time.Duration, seed uint64,
-) []checker.Asked {
+) []checker.CallerRequest {
 	return loadgen.Run(f.Group.Context, f.Group, loadgen.Plan{
 		Proxies: addresses,
 		Kinds:   kinds,
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -41,13 +41,13 @@
 	lock           sync.Mutex // guards the records below while the load runs
 	reported       []checker.Reported
 	writes         []checker.Write
-	leaving        []checker.Leaving
+	leaving        []checker.DrainStart
 	connectedSince map[string]time.Duration // of the proxies that no signal has disturbed
 	connected      []checker.Span           // of proxies, up to the first signal
 	writeAnswers   map[string]int           // by status and code
 	frozen         []checker.Span
 	killed         []checker.Span
-	uploads        []checker.Asked // requests besides the load
+	uploads        []checker.CallerRequest // requests besides the load
 }
 
 // New prepares a fleet: settings, addresses and the stand-in collector. It starts no process.
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -39,28 +39,28 @@
 
 // Record gathers all that the run left behind, from what this process saw and from the logs of the
 // others.
-func (f *Fleet) Record(asked []checker.Asked) checker.Record {
-	record := checker.Record{Asked: asked, Bounds: checker.BriefBounds(f.Deployment.Withdrawal)}
+func (f *Fleet) Record(asked []checker.CallerRequest) checker.Record {
+	record := checker.Record{Requests: asked, Bounds: checker.BriefBounds(f.Deployment.Withdrawal)}
 	for _, upstream := range f.Upstreams {
-		record.Ran = append(record.Ran, upstream.Runs()...)
-		record.Asked = append(record.Asked, upstream.Asked()...)
+		record.Executions = append(record.Executions, upstream.Runs()...)
+		record.Requests = append(record.Requests, upstream.Asked()...)
 		record.Peaks = append(record.Peaks, checker.Peak{
-			Instance: upstream.Announcement.Instance,
-			Most:     upstream.Most(),
-			Slots:    int(upstream.Announcement.Slots),
+			Instance:   upstream.Announcement.Instance,
+			MaxRunning: upstream.Most(),
+			Slots:      int(upstream.Announcement.Slots),
 		})
 	}
 	for _, process := range f.Processes {
 		f.endConnected(process)
 	}
 	f.lock.Lock()
-	record.Up, record.Held, record.Hurt = f.connected, f.frozen, f.killed
-	record.Writes, record.Reported, record.Leaving = f.writes, f.reported, f.leaving
+	record.Up, record.Disconnected, record.Crashes = f.connected, f.frozen, f.killed
+	record.Writes, record.Reported, record.DrainStarts = f.writes, f.reported, f.leaving
 	f.lock.Unlock()
 	for _, process := range f.Processes {
-		record.Keeping = append(record.Keeping, f.leaseHolders(process)...)
+		record.LeaseTenures = append(record.LeaseTenures, f.leaseHolders(process)...)
 		if process.Role == message.RoleProxy {
-			record.Forced = append(record.Forced, f.configurationsInForce(process)...)
+			record.Activations = append(record.Activations, f.configurationsInForce(process)...)
 		}
 	}
 	f.readBack(&record)
@@ -71,7 +71,7 @@
 
 // readBack reads from each registry every version that is kept and every window that was reported.
 func (f *Fleet) readBack(record *checker.Record) {
-	record.KeptMost = int(settings.Default().Limits.RetainedVersions)
+	record.RetainedVersions = int(settings.Default().Limits.RetainedVersions)
 	for _, process := range f.Of(message.RoleRegistry) {
 		listed := struct {
 			Versions []int64 `json:"versions"`
@@ -80,7 +80,7 @@
 		for _, version := range listed.Versions {
 			body, status := fetch(fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.Outside, configName, version))
 			if status == http.StatusOK {
-				record.Kept = append(record.Kept, checker.Kept{
+				record.StoredVersions = append(record.StoredVersions, checker.StoredVersion{
 					Voter:      process.Node,
 					ConfigName: configName,
 					Version:    version,
@@ -93,7 +93,7 @@
 				Counts map[string]int64 `json:"counts"`
 			}{}
 			if Get(fmt.Sprintf("http://%s/v1/usage/%d", process.Outside, report.Window), &reread) == http.StatusOK {
-				record.Reread = append(record.Reread, checker.Reported{Window: report.Window, From: process.Node, Counts: reread.Counts})
+				record.StoredUsage = append(record.StoredUsage, checker.Reported{Window: report.Window, From: process.Node, Counts: reread.Counts})
 			}
 		}
 	}
@@ -139,20 +139,20 @@
 }
 
 // configurationsInForce returns when each version came into force on a proxy, by its log.
-func (f *Fleet) configurationsInForce(process *Process) []checker.Force {
-	list := []checker.Force{}
+func (f *Fleet) configurationsInForce(process *Process) []checker.Activation {
+	list := []checker.Activation{}
 	for _, line := range f.events(process, eventInForce) {
-		list = append(list, checker.Force{Node: process.Node, ConfigName: line.Cause, Version: line.Epoch, At: f.timeOf(line)})
+		list = append(list, checker.Activation{Node: process.Node, ConfigName: line.Cause, Version: line.Epoch, At: f.timeOf(line)})
 	}
 	return list
 }
 
 // leaseHolders returns when a process became the holder of each lease, by its log.
-func (f *Fleet) leaseHolders(process *Process) []checker.Keeping {
-	list := []checker.Keeping{}
+func (f *Fleet) leaseHolders(process *Process) []checker.LeaseTenure {
+	list := []checker.LeaseTenure{}
 	for _, line := range f.events(process, eventLeaseTaken) {
 		tag, _, _ := strings.Cut(line.Cause, " ")
-		list = append(list, checker.Keeping{Tag: tag, Voter: process.Node, Epoch: line.Epoch, At: f.timeOf(line)})
+		list = append(list, checker.LeaseTenure{LeaseName: tag, Voter: process.Node, Epoch: line.Epoch, At: f.timeOf(line)})
 	}
 	return list
 }
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -92,11 +92,11 @@
 	upstream.Change(func(announcement *backend.Announcement) { announcement.Draining = true })
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.leaving = append(f.leaving, checker.Leaving{
-		Service:  upstream.Announcement.Service,
-		Instance: upstream.Announcement.Instance,
-		Life:     upstream.Announcement.Incarnation,
-		At:       f.since(),
+	f.leaving = append(f.leaving, checker.DrainStart{
+		Service:     upstream.Announcement.Service,
+		Instance:    upstream.Announcement.Instance,
+		Incarnation: upstream.Announcement.Incarnation,
+		At:          f.since(),
 	})
 }
 
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -59,7 +59,7 @@
 
 // Run makes the requests of a plan and returns their record, once all are answered or the context
 // has ended.
-func Run(ctx context.Context, group *goroutine.Group, plan Plan) []checker.Asked {
+func Run(ctx context.Context, group *goroutine.Group, plan Plan) []checker.CallerRequest {
 	run := &run{plan: plan, client: newClient(plan), random: rand.New(rand.NewPCG(plan.Seed, seedStream))}
 	begin := time.Now()
 	count := int(plan.Rate * plan.Length.Seconds())
@@ -87,7 +87,7 @@
 	random  *rand.Rand
 	waiting sync.WaitGroup
 	lock    sync.Mutex
-	record  []checker.Asked
+	record  []checker.CallerRequest
 }
 
 func newClient(plan Plan) *http.Client {
@@ -121,11 +121,11 @@
 }
 
 // next draws kind, tenant and proxy of the next request.
-func (r *run) next(number int, intended time.Time) (Kind, checker.Asked) {
+func (r *run) next(number int, intended time.Time) (Kind, checker.CallerRequest) {
 	kind := r.drawKind()
 	tenant := r.plan.Tenants[r.random.IntN(len(r.plan.Tenants))]
 	proxy := r.plan.Proxies[r.random.IntN(len(r.plan.Proxies))]
-	return kind, checker.Asked{
+	return kind, checker.CallerRequest{
 		ID:       fmt.Sprintf("q%d-%d", r.plan.Seed, number),
 		Proxy:    proxy,
 		Route:    kind.Route,
@@ -154,14 +154,14 @@
 }
 
 // addRecord adds a request to the record.
-func (r *run) addRecord(asked checker.Asked) {
+func (r *run) addRecord(asked checker.CallerRequest) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.record = append(r.record, asked)
 }
 
 // request makes one request and records its answer.
-func (r *run) request(kind Kind, asked *checker.Asked) {
+func (r *run) request(kind Kind, asked *checker.CallerRequest) {
 	asked.Sent = time.Since(r.plan.Base)
 	// A body that is no bytes.Reader can't be rewound, so the library can't send it again.
 	body := io.MultiReader(bytes.NewReader(make([]byte, kind.Body)))
@@ -188,6 +188,6 @@
 	asked.Connection = err != nil
 	asked.Status, asked.Body = response.StatusCode, string(answer)
 	asked.Code, _ = strconv.Atoi(response.Header.Get(frontend.CodeHeader))
-	asked.Mark = response.Header.Get(stubserver.ResponseMarkHeader)
+	asked.ResponseMark = response.Header.Get(stubserver.ResponseMarkHeader)
 	asked.Retry = response.Header.Get("Retry-After") != ""
 }
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -21,7 +21,7 @@
 }
 
 // Summarise counts answers and computes the percentiles of the latencies.
-func Summarise(list []checker.Asked) Summary {
+func Summarise(list []checker.CallerRequest) Summary {
 	summary := Summary{Asked: len(list), ByCode: map[string]int{}}
 	latencies := []float64{}
 	for _, asked := range list {
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -221,7 +221,7 @@
 			}
 			w.dangers[dangerAsked] += node.tracker.AttemptsOn(connection)
 			connection.drop()
-			w.record.Held = append(w.record.Held, checker.Span{Name: connection.to.machine, From: w.now, To: w.now + brokenHold})
+			w.record.Disconnected = append(w.record.Disconnected, checker.Span{Name: connection.to.machine, From: w.now, To: w.now + brokenHold})
 		}
 	}
 }
@@ -232,7 +232,7 @@
 
 // countUnsure counts, from the record, the once-only requests whose answer was lost.
 func (w *World) countUnsure(runs map[string]int) {
-	for _, asked := range w.record.Asked {
+	for _, asked := range w.record.Requests {
 		if asked.Once && runs[asked.ID] > 0 && (asked.Connection || asked.Code/100 == 32) {
 			w.dangers[dangerUnsure]++
 		}
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -58,7 +58,7 @@
 		w.dangers["requests with forged names and keys in cookies"]++
 	}
 	w.sendRequest(proxies[w.random.IntN(len(proxies))], header, kind,
-		checker.Asked{ID: id, Tenant: tenant.Name, Key: tenant.Key, Caller: kind.Caller}, func() {})
+		checker.CallerRequest{ID: id, Tenant: tenant.Name, Key: tenant.Key, Caller: kind.Caller}, func() {})
 }
 
 // callOn is an upstream's further call, with the pass of the request that it runs.
@@ -82,10 +82,10 @@
 	// It waits no longer than this for what it called.
 	w.after(2*time.Second, once)
 	w.dangers["further calls"]++
-	w.sendRequest(servingProxy, header, kind, checker.Asked{ID: id, Tenant: order.Forward.Tenant, Key: key, Caller: from}, once)
+	w.sendRequest(servingProxy, header, kind, checker.CallerRequest{ID: id, Tenant: order.Forward.Tenant, Key: key, Caller: from}, once)
 }
 
-func (w *World) sendRequest(chosenProxy *Node, header http.Header, kind loadgen.Kind, response checker.Asked, then func()) {
+func (w *World) sendRequest(chosenProxy *Node, header http.Header, kind loadgen.Kind, response checker.CallerRequest, then func()) {
 	asked := &response
 	asked.Proxy = chosenProxy.machine
 	asked.Route, asked.Service, asked.Once = kind.Route, kind.Service, kind.Once
@@ -121,7 +121,7 @@
 				for _, line := range final.Headers {
 					switch line.Name {
 					case stubserver.ResponseMarkHeader:
-						asked.Mark = line.Value
+						asked.ResponseMark = line.Value
 					case frontend.CodeHeader:
 						asked.Code, _ = strconv.Atoi(line.Value)
 					}
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -44,7 +44,7 @@
 					n.world.record.Attempts = append(n.world.record.Attempts, checker.Attempt{
 						Service: trip.Request.Route.Service,
 						At:      n.world.now,
-						Again:   before > 0,
+						Retry:   before > 0,
 					})
 				}
 			case frontend.StageOutcome:
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -21,7 +21,7 @@
 	set(1)
 	for _, machine := range left {
 		// A frame under way comes again some time after the cut is mended.
-		w.record.Held = append(w.record.Held, checker.Span{Name: machine, From: w.now, To: w.now + length + time.Second})
+		w.record.Disconnected = append(w.record.Disconnected, checker.Span{Name: machine, From: w.now, To: w.now + length + time.Second})
 	}
 	w.breakSpans(left, right)
 	w.after(length, func() {
--- a/internal/simulation/never_test.go
+++ b/internal/simulation/never_test.go
@@ -37,12 +37,12 @@
 }
 
 // counted counts the requests of a record for which a danger was there.
-func counted(record checker.Record, danger func(asked checker.Asked, runs []checker.Ran) bool) int {
-	runs, count := map[string][]checker.Ran{}, 0
-	for _, ran := range record.Ran {
+func counted(record checker.Record, danger func(asked checker.CallerRequest, runs []checker.Execution) bool) int {
+	runs, count := map[string][]checker.Execution{}, 0
+	for _, ran := range record.Executions {
 		runs[ran.ID] = append(runs[ran.ID], ran)
 	}
-	for _, asked := range record.Asked {
+	for _, asked := range record.Requests {
 		if danger(asked, runs[asked.ID]) {
 			count++
 		}
@@ -55,7 +55,7 @@
 	qt.Assert(t, count >= least, qt.IsTrue, qt.Commentf("%s: %d, want at least %d", what, count, least))
 }
 
-func unknown(asked checker.Asked) bool { return asked.Code/100 == 32 }
+func unknown(asked checker.CallerRequest) bool { return asked.Code/100 == 32 }
 
 // 1: once-only requests ran, and their answers were lost with a serving proxy or an upstream.
 func TestNeverTwice(t *testing.T) {
@@ -64,7 +64,7 @@
 		Step{14 * second, "upstream-faults", "dispatch/dispatch-2", 6 * second},
 		Step{16 * second, "kill", "edge-2", second}, Step{18 * second, "upstream-kill", "dispatch/dispatch-4", second})
 	reached(t, "once-only requests that ran and whose answer was lost",
-		counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
+		counted(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
 			return asked.Once && len(runs) == 1 && unknown(asked)
 		}), 5)
 }
@@ -75,7 +75,7 @@
 	random := rand.New(rand.NewPCG(2, 5))
 	result := simulate(t, "umuyoboro", 2, d.Rate, Scenarios["edges-killed"](d, random)...)
 	reached(t, "once-only requests that ran and whose answer was lost",
-		counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
+		counted(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
 			return asked.Once && len(runs) == 1 && unknown(asked)
 		}), 1)
 }
@@ -88,8 +88,8 @@
 		Step{12 * second, "upstream-faults", "registry/registry-3", 4 * second},
 		Step{17 * second, "service-kill", "dispatch/dispatch-1", 3 * second})
 	reached(t, "requests that ran and had no second upstream to go to",
-		counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
-			return !asked.Once && len(runs) > 0 && runs[0].Whole == 0 && unknown(asked)
+		counted(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
+			return !asked.Once && len(runs) > 0 && runs[0].ResponseSent == 0 && unknown(asked)
 		}), 3)
 }
 
@@ -98,7 +98,7 @@
 	result := simulate(t, "jendela", 4, 120, Step{11 * second, "upstream-faults", "quoting/quoting-1", 6 * second},
 		Step{12 * second, "upstream-faults", "booking/booking-2", 6 * second})
 	reached(t, "answers that claim a code of the mesh's", result.Review.Seen["danger: answers that claim a code of the mesh's"], 50)
-	reached(t, "callers told an upstream's own refusal", counted(result.Record, func(asked checker.Asked, _ []checker.Ran) bool {
+	reached(t, "callers told an upstream's own refusal", counted(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
 		return asked.Code == 0 && asked.Status >= 400
 	}), 50)
 }
@@ -130,7 +130,7 @@
 		Step{15800 * time.Millisecond, "kill", "edge-10", 300 * time.Millisecond})
 	lives := 0
 	for _, span := range result.Record.Up {
-		if span.Born > 14*second && span.Born < 18*second {
+		if span.StartedAt > 14*second && span.StartedAt < 18*second {
 			lives++
 		}
 	}
@@ -144,12 +144,12 @@
 	result := simulate(t, "jendela", 7, 200, Step{12 * second, "isolate", "edge-1", 10 * second}, Step{13 * second, "withdraw", "", 0})
 	write := result.Record.Writes[len(result.Record.Writes)-1]
 	reached(t, "requests with the key at the cut-off proxy past the bound, refused",
-		counted(result.Record, func(asked checker.Asked, _ []checker.Ran) bool {
+		counted(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
 			_, honoured := write.Keys[asked.Key]
 			return asked.Proxy == "edge-1" && !honoured && asked.Sent > write.At+5*second && asked.Code == int(errcode.BusyStale)
 		}), 3)
 	reached(t, "requests with the key at the cut-off proxy before the bound, run",
-		counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
+		counted(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
 			_, honoured := write.Keys[asked.Key]
 			return asked.Proxy == "edge-1" && !honoured && asked.Sent > write.At && len(runs) > 0
 		}), 1)
@@ -164,8 +164,8 @@
 	qt.Assert(t, result.Review.Worst["drain-ms"] > 500, qt.IsTrue,
 		qt.Commentf("the cut-off home gave work for %v ms", result.Review.Worst["drain-ms"]))
 	after := 0
-	for _, leaving := range result.Record.Leaving {
-		after += counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
+	for _, leaving := range result.Record.DrainStarts {
+		after += counted(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
 			return len(runs) > 0 && runs[0].Instance == leaving.Instance && runs[0].At > leaving.At
 		})
 	}
@@ -181,9 +181,9 @@
 	result := simulate(t, "umuyoboro", 9, 300, plan...)
 	underway := 0
 	for _, stop := range result.Record.Stopped {
-		underway += counted(result.Record, func(asked checker.Asked, runs []checker.Ran) bool {
+		underway += counted(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
 			return len(runs) > 0 && (asked.Proxy == stop.Name || runs[0].ServingProxy == stop.Name) && runs[0].At < stop.From &&
-				runs[0].Whole > stop.From
+				runs[0].ResponseSent > stop.From
 		})
 	}
 	reached(t, "requests running at the signal", underway, 5)
@@ -196,7 +196,7 @@
 		Step{12500 * time.Millisecond, "herd", "", 300 * time.Millisecond},
 		Step{18 * second, "service-kill", "dispatch/dispatch-1", 2 * second})
 	reached(t, "tries again", result.Review.Seen["tries again"], 20)
-	reached(t, "requests refused for the budget", counted(result.Record, func(asked checker.Asked, _ []checker.Ran) bool {
+	reached(t, "requests refused for the budget", counted(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
 		return asked.Code == int(errcode.BusyBudget)
 	}), 20)
 }
@@ -209,7 +209,7 @@
 			result := simulate(t, deployment, 11, 300,
 				Step{killed, "kill-all", "", 4 * second},
 				Step{25 * second, "kill-holder", "usage", second})
-			reached(t, "answers in the last tenth of a second", counted(result.Record, func(asked checker.Asked, _ []checker.Ran) bool {
+			reached(t, "answers in the last tenth of a second", counted(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
 				return asked.Code == 0 && !asked.Connection && asked.Done > killed-second/10 && asked.Done <= killed
 			}), 10)
 			reached(t, "windows read back", result.Review.Seen["windows read back"], 12)
@@ -233,8 +233,8 @@
 			Step{22 * second, "kill-all", "", second})
 		behind := false
 		holders := map[string]bool{}
-		for _, keeping := range result.Record.Keeping {
-			if keeping.Tag != settings.ConfigLogLease {
+		for _, keeping := range result.Record.LeaseTenures {
+			if keeping.LeaseName != settings.ConfigLogLease {
 				continue
 			}
 			holders[keeping.Voter] = true
--- a/internal/simulation/node_effects.go
+++ b/internal/simulation/node_effects.go
@@ -53,11 +53,11 @@
 	switch done.EventName {
 	case "lease-taken":
 		tag, _, _ := strings.Cut(done.Cause, " ")
-		n.world.record.Keeping = append(n.world.record.Keeping, checker.Keeping{
-			Tag:   tag,
-			Voter: n.voterName(),
-			Epoch: done.Epoch,
-			At:    n.world.now,
+		n.world.record.LeaseTenures = append(n.world.record.LeaseTenures, checker.LeaseTenure{
+			LeaseName: tag,
+			Voter:     n.voterName(),
+			Epoch:     done.Epoch,
+			At:        n.world.now,
 		})
 	case "voter-recovered":
 		n.world.dangers["voters taken by an empty disk"]++
@@ -65,7 +65,7 @@
 	case "voter-lost":
 		n.world.dangers["voters lost to another machine"]++
 	case "configuration-in-force":
-		n.world.record.Forced = append(n.world.record.Forced, checker.Force{
+		n.world.record.Activations = append(n.world.record.Activations, checker.Activation{
 			Node:       n.machine,
 			ConfigName: done.Cause,
 			Version:    done.Epoch,
@@ -73,11 +73,11 @@
 		})
 	case "roster-change":
 		tag, _, _ := strings.Cut(done.Cause, " ")
-		n.world.record.Acts = append(n.world.record.Acts, checker.Keeping{
-			Tag:   tag,
-			Voter: n.voterName(),
-			Epoch: done.Epoch,
-			At:    n.world.now,
+		n.world.record.HolderActions = append(n.world.record.HolderActions, checker.LeaseTenure{
+			LeaseName: tag,
+			Voter:     n.voterName(),
+			Epoch:     done.Epoch,
+			At:        n.world.now,
 		})
 	}
 }
--- a/internal/simulation/node_faults.go
+++ b/internal/simulation/node_faults.go
@@ -20,9 +20,9 @@
 
 // holder finds the machine whose process acts for a tag now.
 func (w *World) holder(tag string) string {
-	newest := checker.Keeping{}
-	for _, keeping := range w.record.Keeping {
-		if keeping.Tag == tag && keeping.Epoch >= newest.Epoch {
+	newest := checker.LeaseTenure{}
+	for _, keeping := range w.record.LeaseTenures {
+		if keeping.LeaseName == tag && keeping.Epoch >= newest.Epoch {
 			newest = keeping
 		}
 	}
--- a/internal/simulation/node_lifecycle.go
+++ b/internal/simulation/node_lifecycle.go
@@ -126,14 +126,14 @@
 	n.closeSpan()
 	n.up = false
 	if n.frozen {
-		n.world.record.Held = append(n.world.record.Held, checker.Span{Name: n.machine, From: n.frozenAt, To: n.world.now})
+		n.world.record.Disconnected = append(n.world.record.Disconnected, checker.Span{Name: n.machine, From: n.frozenAt, To: n.world.now})
 	}
 	if hard {
-		n.world.record.Hurt = append(n.world.record.Hurt, checker.Span{Name: n.machine, From: n.world.now, To: n.world.now})
+		n.world.record.Crashes = append(n.world.record.Crashes, checker.Span{Name: n.machine, From: n.world.now, To: n.world.now})
 	}
 	if since, cut := n.world.cutSince[n.machine]; cut && n.role == message.RoleProxy {
 		// What it counted while cut off died with it, untold.
-		n.world.record.Untold = append(n.world.record.Untold, checker.Span{
+		n.world.record.UsageLosses = append(n.world.record.UsageLosses, checker.Span{
 			Name: n.machine,
 			From: since - 200*time.Millisecond,
 			To:   n.world.now,
@@ -176,7 +176,7 @@
 		return
 	}
 	n.frozen = false
-	n.world.record.Held = append(n.world.record.Held, checker.Span{Name: n.machine, From: n.frozenAt, To: n.world.now})
+	n.world.record.Disconnected = append(n.world.record.Disconnected, checker.Span{Name: n.machine, From: n.frozenAt, To: n.world.now})
 	n.world.mark("wake %s", n.name)
 	n.openSpan()
 	held := n.inbox
@@ -190,7 +190,7 @@
 
 func (n *Node) closeSpan() {
 	if n.spanOpen && n.role == message.RoleProxy {
-		n.world.record.Up = append(n.world.record.Up, checker.Span{Name: n.machine, From: n.spanStart, To: n.world.now, Born: n.born})
+		n.world.record.Up = append(n.world.record.Up, checker.Span{Name: n.machine, From: n.spanStart, To: n.world.now, StartedAt: n.born})
 	}
 	n.spanOpen = false
 }
--- a/internal/simulation/operator_orders.go
+++ b/internal/simulation/operator_orders.go
@@ -104,7 +104,7 @@
 			newer++
 		}
 	}
-	if newer >= w.record.KeptMost {
+	if newer >= w.record.RetainedVersions {
 		w.dangers["orders sent again that are older than what is kept"]++
 	}
 }
--- a/internal/simulation/refusal_causes.go
+++ b/internal/simulation/refusal_causes.go
@@ -57,19 +57,19 @@
 
 // causeOf names the cause of a request that was not answered, so that what could not be helped is
 // told apart from what the mesh refused although it could have served.
-func (w *World) causeOf(asked checker.Asked) string {
+func (w *World) causeOf(asked checker.CallerRequest) string {
 	recent := asked.Sent - commit
 	done := max(asked.Done, asked.Sent)
 	switch {
 	case asked.Connection && asked.Done == asked.Sent:
 		return "its proxy was down"
-	case checker.Within(w.record.Hurt, asked.Proxy, asked.Sent, done+commit) && asked.Connection:
+	case checker.Within(w.record.Crashes, asked.Proxy, asked.Sent, done+commit) && asked.Connection:
 		return "its proxy ended"
 	case asked.Code == int(errcode.RequestKeyUnknown):
 		return "key withdrawn"
 	case asked.Code == int(errcode.RequestPassInvalid), asked.Code == int(errcode.RequestCallerRefused):
 		return "the request it came from had ended"
-	case checker.Within(w.record.Held, asked.Proxy, recent, done):
+	case checker.Within(w.record.Disconnected, asked.Proxy, recent, done):
 		return "its proxy was frozen or cut off"
 	case asked.Code == int(errcode.BusyStale), asked.Code == int(errcode.BusyNotReady) && w.refusedUnknownAge[asked.ID]:
 		return "nobody could vouch for its updates"
@@ -78,7 +78,7 @@
 		return "the retry budget was spent"
 	case asked.Code/100 == 32:
 		return "outcome unknown"
-	case checker.Within(w.record.Hurt, asked.Proxy, recent, done):
+	case checker.Within(w.record.Crashes, asked.Proxy, recent, done):
 		return "its proxy had just started"
 	case w.couldServe[asked.ID]:
 		return refusedThoughAble
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -106,7 +106,7 @@
 				version := listed.Int()
 				registryNode.request(registry.ReadConfiguration{ConfigName: "main", Version: version}, func(answer any) {
 					if got := mustBe[registry.OperatorResponse](answer); got.Code == errcode.OK {
-						w.record.Kept = append(w.record.Kept, checker.Kept{
+						w.record.StoredVersions = append(w.record.StoredVersions, checker.StoredVersion{
 							Voter:      registryNode.voterName(),
 							ConfigName: "main",
 							Version:    version,
@@ -125,7 +125,7 @@
 						counts[tenant.String()] = count.Int()
 						return true
 					})
-					w.record.Reread = append(w.record.Reread, checker.Reported{
+					w.record.StoredUsage = append(w.record.StoredUsage, checker.Reported{
 						Window: window,
 						From:   registryNode.voterName(),
 						Counts: counts,
@@ -141,7 +141,7 @@
 	bound := time.Duration(settings.Default().Bounds.Restore) * time.Millisecond
 	good, count := 0, 0
 	latest := time.Duration(0)
-	for _, asked := range w.record.Asked {
+	for _, asked := range w.record.Requests {
 		answered := asked.Code == 0 && !asked.Connection
 		count++
 		if answered {
@@ -175,7 +175,7 @@
 			Detail: fmt.Sprintf("a request %s after the last fault was not answered", latest),
 		})
 	}
-	if len(w.record.Writes) > 0 && len(w.record.Kept) == 0 {
+	if len(w.record.Writes) > 0 && len(w.record.StoredVersions) == 0 {
 		result.Review.Violations = append(result.Review.Violations, checker.Violation{
 			Rule:   "restore",
 			Detail: "no configuration could be read back at the end",
--- a/internal/simulation/upstream.go
+++ b/internal/simulation/upstream.go
@@ -26,7 +26,7 @@
 	running        int
 	most           int
 	slots          int
-	runs           []checker.Ran
+	runs           []checker.Execution
 	ended          []func()
 	faults         stubserver.Faults
 	firstProxy     int
@@ -83,7 +83,7 @@
 	}
 	u.up = false
 	u.world.mark("upstream %s killed", u.key)
-	u.world.record.Hurt = append(u.world.record.Hurt, checker.Span{Name: u.response.Instance, From: u.world.now, To: u.world.now})
+	u.world.record.Crashes = append(u.world.record.Crashes, checker.Span{Name: u.response.Instance, From: u.world.now, To: u.world.now})
 	if u.world.addresses[u.response.Address] == u {
 		delete(u.world.addresses, u.response.Address)
 	}
@@ -102,7 +102,7 @@
 	u.up = false
 	u.vanished[u.incarnation] = true
 	u.world.mark("upstream %s vanished", u.key)
-	u.world.record.Hurt = append(u.world.record.Hurt, checker.Span{Name: u.response.Instance, From: u.world.now, To: u.world.now})
+	u.world.record.Crashes = append(u.world.record.Crashes, checker.Span{Name: u.response.Instance, From: u.world.now, To: u.world.now})
 	if u.world.addresses[u.response.Address] == u {
 		delete(u.world.addresses, u.response.Address)
 	}
@@ -151,11 +151,11 @@
 // leave says that it leaves.
 func (u *Upstream) leave() {
 	u.response.Draining = true
-	u.world.record.Leaving = append(u.world.record.Leaving, checker.Leaving{
-		Service:  u.response.Service,
-		Instance: u.response.Instance,
-		Life:     u.response.Incarnation,
-		At:       u.world.now,
+	u.world.record.DrainStarts = append(u.world.record.DrainStarts, checker.DrainStart{
+		Service:     u.response.Service,
+		Instance:    u.response.Instance,
+		Incarnation: u.response.Incarnation,
+		At:          u.world.now,
 	})
 	u.announce()
 }
@@ -249,7 +249,7 @@
 
 // recordRun notes for the checker that the upstream began to run a request.
 func (u *Upstream) recordRun(servingProxy *Node, order backend.Decision, id string, keySeen bool) {
-	u.runs = append(u.runs, checker.Ran{
+	u.runs = append(u.runs, checker.Execution{
 		ID:           id,
 		Service:      u.response.Service,
 		Instance:     u.response.Instance,
@@ -259,7 +259,7 @@
 		Caller:       order.Forward.Caller,
 		KeySeen:      keySeen,
 		At:           u.world.now,
-		Life:         u.response.Incarnation,
+		Incarnation:  u.response.Incarnation,
 		ServingProxy: servingProxy.machine,
 	})
 }
@@ -279,7 +279,7 @@
 		message.Outcome{Status: int64(status), Headers: headers, Body: []byte(answer)})
 	if whole {
 		run := &u.runs[index]
-		run.Whole, run.Answer, run.Status, run.Mark = w.now, answer, status, answer
+		run.ResponseSent, run.Answer, run.Status, run.ResponseMark = w.now, answer, status, answer
 	}
 	return read
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -45,7 +45,7 @@
 	addresses     map[string]*Upstream // who owns an upstream address now
 	strayUntil    time.Duration        // until when upstreams send stray answers
 	record        checker.Record
-	asked         []*checker.Asked
+	asked         []*checker.CallerRequest
 	faults        map[string]fault // by the name of a step
 	armed         *armedLoss       // the second loss that waits for a newcomer's vote
 	voting        map[string]int   // programs of a machine whose newcomers have their votes
@@ -107,7 +107,7 @@
 	}
 	w.record.Bounds = checker.BriefBounds(options.Deployment.Withdrawal)
 	w.record.Window, w.record.Epoch = time.Duration(settings.Default().Bounds.UsageWindow)*time.Millisecond, epoch
-	w.record.KeptMost = int(settings.Default().Limits.RetainedVersions)
+	w.record.RetainedVersions = int(settings.Default().Limits.RetainedVersions)
 	w.tenants = len(options.Deployment.Tenants())
 	w.build()
 	return w
@@ -156,15 +156,15 @@
 	}
 	w.record.End = w.now
 	for _, asked := range w.asked {
-		w.record.Asked = append(w.record.Asked, *asked)
+		w.record.Requests = append(w.record.Requests, *asked)
 	}
 	for _, key := range w.upstreamOrder {
-		w.record.Ran = append(w.record.Ran, w.upstreams[key].runs...)
-		w.record.Peaks = append(w.record.Peaks, checker.Peak{Instance: key, Most: w.upstreams[key].most, Slots: w.upstreams[key].slots})
+		w.record.Executions = append(w.record.Executions, w.upstreams[key].runs...)
+		w.record.Peaks = append(w.record.Peaks, checker.Peak{Instance: key, MaxRunning: w.upstreams[key].most, Slots: w.upstreams[key].slots})
 	}
-	sort.SliceStable(w.record.Keeping, func(i, j int) bool { return w.record.Keeping[i].At < w.record.Keeping[j].At })
+	sort.SliceStable(w.record.LeaseTenures, func(i, j int) bool { return w.record.LeaseTenures[i].At < w.record.LeaseTenures[j].At })
 	runs := map[string]int{}
-	for _, ran := range w.record.Ran {
+	for _, ran := range w.record.Executions {
 		runs[ran.ID]++
 	}
 	w.countUnsure(runs)
--- a/internal/stubserver/requests.go
+++ b/internal/stubserver/requests.go
@@ -42,10 +42,10 @@
 }
 
 // recordRun records the begin of a run, and returns it with its index, the faults and the work.
-func (u *StubServer) recordRun(in *http.Request, body []byte) (ran checker.Ran, index int, faults Faults, work time.Duration) {
+func (u *StubServer) recordRun(in *http.Request, body []byte) (ran checker.Execution, index int, faults Faults, work time.Duration) {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	ran = checker.Ran{
+	ran = checker.Execution{
 		ID:           in.Header.Get(IDHeader),
 		Service:      u.Announcement.Service,
 		Instance:     u.Announcement.Instance,
@@ -55,7 +55,7 @@
 		Caller:       in.Header.Get(backend.CallerHeader),
 		KeySeen:      u.keySeen(in, body),
 		At:           u.since(),
-		Life:         u.Announcement.Incarnation,
+		Incarnation:  u.Announcement.Incarnation,
 		ServingProxy: u.servingProxy,
 	}
 	index = len(u.runs)
@@ -89,7 +89,7 @@
 func (u *StubServer) sendAnswer(out http.ResponseWriter, index int, answer string) {
 	status := Status(rand.Float64, u.OtherShare)
 	u.lock.Lock()
-	u.runs[index].Whole, u.runs[index].Answer, u.runs[index].Status, u.runs[index].Mark = u.since(), answer, status, answer
+	u.runs[index].ResponseSent, u.runs[index].Answer, u.runs[index].Status, u.runs[index].ResponseMark = u.since(), answer, status, answer
 	u.lock.Unlock()
 	out.Header().Set("Content-Type", "text/plain")
 	out.Header().Set(ResponseMarkHeader, answer)
@@ -112,8 +112,8 @@
 
 // callUpstream sends a request through the proxy that serves this upstream, on behalf of the caller
 // of a run, and records it.
-func (u *StubServer) callUpstream(call Call, ran checker.Ran, index int, delegation string) {
-	asked := checker.Asked{
+func (u *StubServer) callUpstream(call Call, ran checker.Execution, index int, delegation string) {
+	asked := checker.CallerRequest{
 		ID:         fmt.Sprintf("%s~%s~%d", ran.ID, ran.Instance, index),
 		Proxy:      ran.ServingProxy,
 		Route:      call.Route,
@@ -136,7 +136,7 @@
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		asked.Connection, asked.Status, asked.Body = err != nil, response.StatusCode, string(body)
-		asked.Mark, asked.Retry = response.Header.Get(ResponseMarkHeader), response.Header.Get("Retry-After") != ""
+		asked.ResponseMark, asked.Retry = response.Header.Get(ResponseMarkHeader), response.Header.Get("Retry-After") != ""
 		asked.Code, _ = strconv.Atoi(response.Header.Get(frontend.CodeHeader)) // 0 where the header is missing
 	}
 	asked.Done = u.since()
--- a/internal/stubserver/stubserver.go
+++ b/internal/stubserver/stubserver.go
@@ -36,14 +36,14 @@
 
 	lock           sync.Mutex
 	faults         Faults
-	runs           []checker.Ran
+	runs           []checker.Execution
 	running        int
 	mostRunning    int
 	listener       net.Listener
 	announceClient *http.Client
 	callClient     *http.Client // for calls; a new connection for each, so that none is sent twice
 	stop           context.CancelFunc
-	calls          []checker.Asked
+	calls          []checker.CallerRequest
 	servingProxy   string // the proxy that took the last announcement
 }
 
@@ -81,10 +81,10 @@
 }
 
 // Runs returns the runs so far.
-func (u *StubServer) Runs() []checker.Ran {
+func (u *StubServer) Runs() []checker.Execution {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	return append([]checker.Ran{}, u.runs...)
+	return append([]checker.Execution{}, u.runs...)
 }
 
 // Most returns the highest number of requests that ran at one time.
@@ -95,10 +95,10 @@
 }
 
 // Asked returns the requests to other upstreams so far.
-func (u *StubServer) Asked() []checker.Asked {
+func (u *StubServer) Asked() []checker.CallerRequest {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	return append([]checker.Asked{}, u.calls...)
+	return append([]checker.CallerRequest{}, u.calls...)
 }
 
 // since returns the time since the base of the record.
