--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -138,6 +138,6 @@
 			process.Role, process.Settings(), folder, process.Role, process.Node)
 	}
 	registries, proxies := prepared.Of(message.RoleRegistry), prepared.Of(message.RoleProxy)
-	fmt.Fprintf(out, "REGISTRY=%s PROXY=%s OTHER=%s\n", registries[0].Outside, proxies[0].Outside, proxies[1].Outside)
+	fmt.Fprintf(out, "REGISTRY=%s PROXY=%s OTHER=%s\n", registries[0].HTTPAddress, proxies[0].HTTPAddress, proxies[1].HTTPAddress)
 	return nil
 }
--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -45,7 +45,7 @@
 	m := &measurement{
 		plan: scaletest.Plan{Zones: 26, Services: 840, Tenants: 8, Fanout: 128, InForce: 6 * time.Second},
 		course: scaletest.Course{
-			Sizes: []int{16, 32, 64, 96, 128}, Repeats: 3, Window: 2 * time.Second, Every: time.Second, Settle: 2 * time.Second,
+			Sizes: []int{16, 32, 64, 96, 128}, Repeats: 3, Window: 2 * time.Second, Every: time.Second, SettleTime: 2 * time.Second,
 			Limit: time.Minute, Phases: []string{scaletest.Steady, scaletest.Configurations, scaletest.Restarts},
 		},
 		target: 12000,
@@ -62,7 +62,7 @@
 	flags.IntVar(&m.course.Repeats, "repeats", m.course.Repeats, "windows of each stretch")
 	flags.DurationVar(&m.course.Window, "window", m.course.Window, "length of a window")
 	flags.DurationVar(&m.course.Every, "every", m.course.Every, "from one configuration change, or restart, to the next")
-	flags.DurationVar(&m.course.Settle, "settle", m.course.Settle, "rest before the first window")
+	flags.DurationVar(&m.course.SettleTime, "settle", m.course.SettleTime, "rest before the first window")
 	flags.DurationVar(&m.course.Limit, "limit", m.course.Limit, "longest wait for a fleet to be whole, or a configuration in force")
 	flags.StringSliceVar(&m.course.Phases, "phases", m.course.Phases, "some of steady, configurations, restarts")
 	flags.IntVar(&m.plan.Zones, "zones", m.plan.Zones, "zones of the fleet")
@@ -89,7 +89,7 @@
 		table.Rows = append(table.Rows, rows...)
 		fmt.Fprintf(os.Stderr, "%d proxies: %.1f s\n", size, time.Since(began).Seconds())
 	}
-	table.Fit()
+	table.FitLines()
 	table.Markdown(os.Stdout)
 	if m.asJSON != "" {
 		if err := writeJSON(table, m.asJSON); err != nil {
--- a/cmd/simulate/explore.go
+++ b/cmd/simulate/explore.go
@@ -66,24 +66,24 @@
 		return f.runSearch()
 	}
 	summary := explore.Sweep(f.options, f.seed, f.walks, f.workers, f.limit, func(s explore.Summary) {
-		fmt.Fprintf(os.Stderr, "%s: %d walks, %d steps, %v\n", s.Took.Round(time.Second), s.Walks, s.Steps, s.Broken)
+		fmt.Fprintf(os.Stderr, "%s: %d walks, %d steps, %v\n", s.Elapsed.Round(time.Second), s.Walks, s.Steps, s.Broken)
 	})
 	fmt.Printf("%d walks of %d rounds, %d voters: %d steps, %d epochs held, %d answers in %s; actions %v\n",
 		summary.Walks, f.options.Rounds,
-		f.options.Voters, summary.Steps, summary.Epochs, summary.Answers, summary.Took.Round(time.Millisecond), summary.Counts)
+		f.options.Voters, summary.Steps, summary.Epochs, summary.Answers, summary.Elapsed.Round(time.Millisecond), summary.Counts)
 	return report(summary)
 }
 
 func (f *exploreFlags) runSearch() error {
 	f.bounds.Limit = f.limit
 	searched := explore.Search(f.options, f.bounds, f.seed, f.workers, func(s explore.Searched) {
-		fmt.Fprintf(os.Stderr, "%s: %d runs, %d states, %d cut, %v\n", s.Took.Round(time.Second), s.Walks, s.States, s.Cut, s.Broken)
+		fmt.Fprintf(os.Stderr, "%s: %d runs, %d states, %d cut, %v\n", s.Elapsed.Round(time.Second), s.Walks, s.States, s.Pruned, s.Broken)
 	})
 	fmt.Printf("search: %d voters, up to %d faults in rounds %d to %d of %d: ",
 		f.options.Voters, f.bounds.Faults, f.bounds.From, f.bounds.To-1, f.options.Rounds)
 	fmt.Printf("%d runs, %d states, %d branches cut, whole %t, %d steps, %d answers in %s\n",
-		searched.Walks, searched.States, searched.Cut, searched.Whole,
-		searched.Steps, searched.Answers, searched.Took.Round(time.Millisecond))
+		searched.Walks, searched.States, searched.Pruned, searched.Exhaustive,
+		searched.Steps, searched.Answers, searched.Elapsed.Round(time.Millisecond))
 	return report(searched.Summary)
 }
 
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			summary := Sweep(walks.options, 1, walks.count, runtime.GOMAXPROCS(0), 0, nil)
 			t.Logf("%d walks, %d steps, %d epochs held, %d answers in %s", summary.Walks, summary.Steps, summary.Epochs,
-				summary.Answers, summary.Took)
+				summary.Answers, summary.Elapsed)
 			for rule, found := range summary.Found {
 				shrunk := Shrink(found)
 				t.Errorf("%s is broken by %d walks: %s\n%s", rule, summary.Broken[rule], shrunk.Violation, shrunk.Plan)
@@ -61,7 +61,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			summary := Sweep(walks.options, 1, walks.count, runtime.GOMAXPROCS(0), 0, nil)
-			t.Logf("%d walks, %d steps, %d epochs held in %s", summary.Walks, summary.Steps, summary.Epochs, summary.Took)
+			t.Logf("%d walks, %d steps, %d epochs held in %s", summary.Walks, summary.Steps, summary.Epochs, summary.Elapsed)
 			for rule, found := range summary.Found {
 				shrunk := Shrink(found)
 				t.Errorf("%s is broken by %d walks: %s\n%s", rule, summary.Broken[rule], shrunk.Violation, shrunk.Plan)
@@ -107,9 +107,9 @@
 	}
 	searched := Search(Options{Voters: 3, Rounds: 70},
 		Bounds{From: 10, To: 14, Faults: 1, Length: []int{4, 40}}, 1, runtime.GOMAXPROCS(0), nil)
-	t.Logf("%d runs, %d states, %d branches cut, %d steps in %s", searched.Walks, searched.States, searched.Cut, searched.Steps,
-		searched.Took)
-	qt.Assert(t, searched.Whole, qt.IsTrue)
+	t.Logf("%d runs, %d states, %d branches cut, %d steps in %s", searched.Walks, searched.States, searched.Pruned, searched.Steps,
+		searched.Elapsed)
+	qt.Assert(t, searched.Exhaustive, qt.IsTrue)
 	qt.Assert(t, searched.Deepest, qt.Equals, 1)
 	qt.Assert(t, searched.Walks > 300, qt.IsTrue)
 	for rule, found := range searched.Found {
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -24,10 +24,10 @@
 // Searched is what a search came to.
 type Searched struct {
 	Summary
-	States  int64 // that were met first
-	Cut     int64 // branches that came to a state met before
-	Whole   bool  // everything within the bounds was searched
-	Deepest int   // faults in one run
+	States     int64 // that were met first
+	Pruned     int64 // branches that came to a state met before
+	Exhaustive bool  // everything within the bounds was searched
+	Deepest    int   // faults in one run
 }
 
 // branch is a plan to be run, with the place behind which further faults may come.
@@ -98,7 +98,7 @@
 				s.lock.Lock()
 				if progress != nil && time.Since(told) > progressEvery {
 					told = time.Now()
-					s.searched.Took = time.Since(s.began)
+					s.searched.Elapsed = time.Since(s.began)
 					progress(s.searched)
 				}
 				s.lock.Unlock()
@@ -106,8 +106,8 @@
 		})
 	}
 	waiting.Wait()
-	s.searched.Took = time.Since(s.began)
-	s.searched.Whole = len(s.open) == 0
+	s.searched.Elapsed = time.Since(s.began)
+	s.searched.Exhaustive = len(s.open) == 0
 	return s.searched
 }
 
@@ -192,7 +192,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if fewest, met := s.met[state]; met && fewest <= faults {
-		s.searched.Cut++
+		s.searched.Pruned++
 		return true
 	}
 	s.met[state] = faults
--- a/internal/explore/sweep.go
+++ b/internal/explore/sweep.go
@@ -21,7 +21,7 @@
 	Counts  map[Kind]int64
 	Found   map[string]Result // the first of each rule
 	Broken  map[string]int64  // walks by rule
-	Took    time.Duration
+	Elapsed time.Duration
 }
 
 // Sweep plays walks from a first seed on, some at a time, until count are played or the
@@ -48,7 +48,7 @@
 				summary.add(result)
 				if progress != nil && time.Since(told) > progressEvery {
 					told = time.Now()
-					summary.Took = time.Since(began)
+					summary.Elapsed = time.Since(began)
 					progress(summary)
 				}
 				lock.Unlock()
@@ -56,7 +56,7 @@
 		})
 	}
 	waiting.Wait()
-	summary.Took = time.Since(began)
+	summary.Elapsed = time.Since(began)
 	return summary
 }
 
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -53,7 +53,7 @@
 // Ready reports whether every proxy is ready.
 func (f *Fleet) Ready() bool {
 	for _, process := range f.Of(message.RoleProxy) {
-		if Get("http://"+process.Outside+"/beacon/ready", nil) != http.StatusOK {
+		if Get("http://"+process.HTTPAddress+"/beacon/ready", nil) != http.StatusOK {
 			return false
 		}
 	}
@@ -65,7 +65,7 @@
 func (f *Fleet) Write(version int64, tenants []loadgen.Tenant, more int) (int, error) {
 	body := f.Deployment.Configuration(tenants, more)
 	for _, process := range f.Of(message.RoleRegistry) {
-		url := fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.Outside, configName, version)
+		url := fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.HTTPAddress, configName, version)
 		request, err := http.NewRequest(http.MethodPut, url, bytes.NewReader(body))
 		if err != nil {
 			return 0, errcode.Wrap("fleet.write", errcode.Internal, err)
@@ -125,7 +125,7 @@
 func (f *Fleet) Holder(tag string) *Process {
 	for _, process := range f.Of(message.RoleRegistry) {
 		status := registryStatus{}
-		if Get("http://"+process.Outside+"/v1/status", &status) == http.StatusOK && status.Leases[tag].Here {
+		if Get("http://"+process.HTTPAddress+"/v1/status", &status) == http.StatusOK && status.Leases[tag].Here {
 			return process
 		}
 	}
@@ -141,7 +141,7 @@
 func (f *Fleet) proxyAddresses() []string {
 	addresses := []string{}
 	for _, process := range f.Of(message.RoleProxy) {
-		addresses = append(addresses, process.Outside)
+		addresses = append(addresses, process.HTTPAddress)
 	}
 	return addresses
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -152,7 +152,7 @@
 	if err := os.WriteFile(name+".json", body, 0o600); err != nil {
 		return nil, errcode.Wrap("fleet.settings", errcode.DiskFault, err)
 	}
-	return &Process{Role: at.role, Node: at.node, Outside: outside, settings: name + ".json", log: name + ".log"}, nil
+	return &Process{Role: at.role, Node: at.node, HTTPAddress: outside, settings: name + ".json", log: name + ".log"}, nil
 }
 
 // freeAddress finds a free port of a loopback host by binding it and letting go.
--- a/internal/fleet/play.go
+++ b/internal/fleet/play.go
@@ -132,7 +132,7 @@
 				State string `json:"state"`
 			} `json:"slices"`
 		}{}
-		if Get("http://"+process.Outside+"/v1/roster", &roster) != http.StatusOK {
+		if Get("http://"+process.HTTPAddress+"/v1/roster", &roster) != http.StatusOK {
 			return false
 		}
 		count := 0
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -27,13 +27,13 @@
 
 // Process is one product process of the fleet.
 type Process struct {
-	Role     string
-	Node     string
-	Outside  string // address of the HTTP API; "" for a configuration store
-	settings string
-	log      string
-	command  *exec.Cmd
-	ended    chan struct{}
+	Role        string
+	Node        string
+	HTTPAddress string // address of the HTTP API; "" for a configuration store
+	settings    string
+	log         string
+	command     *exec.Cmd
+	ended       chan struct{}
 
 	frozenAt time.Duration
 }
@@ -87,12 +87,12 @@
 	f.lock.Lock()
 	switch signal {
 	case syscall.SIGKILL:
-		f.killed = append(f.killed, checker.Span{Name: process.Outside, From: f.since(), To: f.since()})
+		f.killed = append(f.killed, checker.Span{Name: process.HTTPAddress, From: f.since(), To: f.since()})
 	case syscall.SIGSTOP:
 		process.frozenAt = f.since()
 	case syscall.SIGCONT:
 		if process.frozenAt > 0 {
-			f.frozen = append(f.frozen, checker.Span{Name: process.Outside, From: process.frozenAt, To: f.since()})
+			f.frozen = append(f.frozen, checker.Span{Name: process.HTTPAddress, From: process.frozenAt, To: f.since()})
 		}
 		process.frozenAt = 0
 	}
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -40,13 +40,13 @@
 // Record gathers all that the run left behind, from what this process saw and from the logs of the
 // others.
 func (f *Fleet) Record(asked []checker.CallerRequest) checker.Record {
-	record := checker.Record{Requests: asked, Bounds: checker.BriefBounds(f.Deployment.Withdrawal)}
+	record := checker.Record{Requests: asked, Bounds: checker.BriefBounds(f.Deployment.KeyWithdrawalBound)}
 	for _, upstream := range f.Upstreams {
 		record.Executions = append(record.Executions, upstream.Runs()...)
-		record.Requests = append(record.Requests, upstream.Asked()...)
+		record.Requests = append(record.Requests, upstream.Requests()...)
 		record.Peaks = append(record.Peaks, checker.Peak{
 			Instance:   upstream.Announcement.Instance,
-			MaxRunning: upstream.Most(),
+			MaxRunning: upstream.MaxRunning(),
 			Slots:      int(upstream.Announcement.Slots),
 		})
 	}
@@ -76,9 +76,9 @@
 		listed := struct {
 			Versions []int64 `json:"versions"`
 		}{}
-		Get("http://"+process.Outside+"/v1/configurations/"+configName+"/versions", &listed)
+		Get("http://"+process.HTTPAddress+"/v1/configurations/"+configName+"/versions", &listed)
 		for _, version := range listed.Versions {
-			body, status := fetch(fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.Outside, configName, version))
+			body, status := fetch(fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.HTTPAddress, configName, version))
 			if status == http.StatusOK {
 				record.StoredVersions = append(record.StoredVersions, checker.StoredVersion{
 					Voter:      process.Node,
@@ -92,7 +92,7 @@
 			reread := struct {
 				Counts map[string]int64 `json:"counts"`
 			}{}
-			if Get(fmt.Sprintf("http://%s/v1/usage/%d", process.Outside, report.Window), &reread) == http.StatusOK {
+			if Get(fmt.Sprintf("http://%s/v1/usage/%d", process.HTTPAddress, report.Window), &reread) == http.StatusOK {
 				record.StoredUsage = append(record.StoredUsage, checker.Reported{Window: report.Window, From: process.Node, Counts: reread.Counts})
 			}
 		}
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -50,7 +50,7 @@
 	}
 	return &stubserver.StubServer{
 		Announcement: announcement,
-		Proxies:      []string{servingProxy.Outside, next.Outside},
+		Proxies:      []string{servingProxy.HTTPAddress, next.HTTPAddress},
 		Work:         service.Work,
 		Keys:         f.keys(),
 		Base:         f.Base,
--- a/internal/scaletest/measure.go
+++ b/internal/scaletest/measure.go
@@ -20,14 +20,14 @@
 
 // Course says how each size is measured.
 type Course struct {
-	Sizes    []int             `json:"sizes"`
-	Repeats  int               `json:"repeats"`
-	Window   time.Duration     `json:"window"`
-	Every    time.Duration     `json:"every"`  // between two configuration changes, or two restarts
-	Settle   time.Duration     `json:"settle"` // pause before the first window
-	Limit    time.Duration     `json:"limit"`  // of any wait
-	Phases   []string          `json:"phases"`
-	Progress func(text string) `json:"-"`
+	Sizes      []int             `json:"sizes"`
+	Repeats    int               `json:"repeats"`
+	Window     time.Duration     `json:"window"`
+	Every      time.Duration     `json:"every"`  // between two configuration changes, or two restarts
+	SettleTime time.Duration     `json:"settle"` // pause before the first window
+	Limit      time.Duration     `json:"limit"`  // of any wait
+	Phases     []string          `json:"phases"`
+	Progress   func(text string) `json:"-"`
 }
 
 // Phases of a course: a steady one, one with configuration changes, one with restarts of proxies.
@@ -186,7 +186,7 @@
 		return nil, err
 	}
 	sum.add(Steady, "fleet", "whole_ms", float64(time.Since(began).Milliseconds()))
-	pause(course.Settle)
+	pause(course.SettleTime)
 	for _, phase := range course.Phases {
 		for range course.Repeats {
 			if err := f.measurePhase(sum, course, phase); err != nil {
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -92,7 +92,7 @@
 		Target: 12000,
 		Rows:   append(made(func(size float64) float64 { return 100 * size }, 0.1), never),
 	}
-	table.Fit()
+	table.FitLines()
 	out := bytes.Buffer{}
 	table.Markdown(&out)
 	c.Assert(out.String(), qt.Contains,
--- a/internal/scaletest/table.go
+++ b/internal/scaletest/table.go
@@ -36,8 +36,8 @@
 	rows   []Row
 }
 
-// Fit groups the rows by measure and fits each.
-func (t *Table) Fit() {
+// FitLines groups the rows by measure and fits each.
+func (t *Table) FitLines() {
 	grouped, order := map[string]*Line{}, []string{}
 	for _, row := range t.Rows {
 		key := row.Phase + "/" + row.Role + "/" + row.Metric
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -105,7 +105,7 @@
 		faults:    allFaults(),
 		voting:    map[string]int{},
 	}
-	w.record.Bounds = checker.BriefBounds(options.Deployment.Withdrawal)
+	w.record.Bounds = checker.BriefBounds(options.Deployment.KeyWithdrawalBound)
 	w.record.Window, w.record.Epoch = time.Duration(settings.Default().Bounds.UsageWindow)*time.Millisecond, epoch
 	w.record.RetainedVersions = int(settings.Default().Limits.RetainedVersions)
 	w.tenants = len(options.Deployment.Tenants())
--- a/internal/stubserver/stubserver.go
+++ b/internal/stubserver/stubserver.go
@@ -87,15 +87,15 @@
 	return append([]checker.Execution{}, u.runs...)
 }
 
-// Most returns the highest number of requests that ran at one time.
-func (u *StubServer) Most() int {
+// MaxRunning returns the highest number of requests that ran at one time.
+func (u *StubServer) MaxRunning() int {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return u.mostRunning
 }
 
-// Asked returns the requests to other upstreams so far.
-func (u *StubServer) Asked() []checker.CallerRequest {
+// Requests returns the requests to other upstreams so far.
+func (u *StubServer) Requests() []checker.CallerRequest {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return append([]checker.CallerRequest{}, u.calls...)
--- a/internal/workload/deployments.go
+++ b/internal/workload/deployments.go
@@ -44,12 +44,12 @@
 // Jendela is the deployment that prices windows in the Klang Valley.
 func Jendela() Deployment {
 	return Deployment{
-		Name:       "jendela",
-		Zones:      []string{"klang", "petaling", "shah-alam"},
-		Proxies:    11,
-		Rate:       510,
-		Withdrawal: true,
-		DiskDelay:  20 * time.Millisecond,
+		Name:               "jendela",
+		Zones:              []string{"klang", "petaling", "shah-alam"},
+		Proxies:            11,
+		Rate:               510,
+		KeyWithdrawalBound: true,
+		DiskDelay:          20 * time.Millisecond,
 		Services: []Service{
 			{Name: "quoting", Count: 5, Slots: 24, Work: 20 * time.Millisecond, Load: true},
 			{Name: "booking", Count: 3, Slots: 24, Work: 25 * time.Millisecond, Load: true, Closes: true},
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -24,17 +24,17 @@
 
 // Deployment is a fleet and the traffic on it.
 type Deployment struct {
-	Name       string
-	Zones      []string
-	Proxies    int
-	Services   []Service
-	Kinds      []loadgen.Kind
-	Rate       float64       // requests a second
-	Withdrawal bool          // how long withdrawn keys may work has a bound
-	DiskDelay  time.Duration // of one sync
-	Cores      int           // core machines; 0 is three
-	VoterCount int64         // voters that the core processes discover; 0: the settings name them
-	Writes     string        // the setting for competing writes of configurations; "": the default
+	Name               string
+	Zones              []string
+	Proxies            int
+	Services           []Service
+	Kinds              []loadgen.Kind
+	Rate               float64       // requests a second
+	KeyWithdrawalBound bool          // how long withdrawn keys may work has a bound
+	DiskDelay          time.Duration // of one sync
+	Cores              int           // core machines; 0 is three
+	VoterCount         int64         // voters that the core processes discover; 0: the settings name them
+	Writes             string        // the setting for competing writes of configurations; "": the default
 	// CoreZones are the zones of the core machines, in order; none: the zones in turn.
 	CoreZones []string
 	// CoreLink and ProxyLink are the bytes a second that a machine's link carries each way; 0:
@@ -126,7 +126,7 @@
 		cfg.WritePolicy = d.Writes
 	}
 	cfg.Tolerated = d.Tolerated
-	if d.Withdrawal {
+	if d.KeyWithdrawalBound {
 		cfg.Bounds.KeyWithdrawal = 5000
 	}
 	if role == message.RoleProxy {
