--- a/internal/api/proxy_handler.go
+++ b/internal/api/proxy_handler.go
@@ -88,7 +88,7 @@
 type proxyCounters struct {
 	Answers             map[string]int64 `json:"answers"` // finished requests by the name of their code
 	Control             *proxy.Status    `json:"control,omitempty"`
-	Inside              int64            `json:"inside"` // callers' requests that are being served
+	InFlight            int64            `json:"inside"` // callers' requests that are being served
 	Process             map[string]int64 `json:"process"`
 	Retries             int64            `json:"retries"`
 	ServingProxyPending int              `json:"serving_proxy_pending"` // queued for the upstreams beside this proxy
@@ -101,7 +101,7 @@
 	running, pending := p.backend.Running()
 	counters := proxyCounters{
 		Answers:             results,
-		Inside:              p.pipeline.InFlight(),
+		InFlight:            p.pipeline.InFlight(),
 		Process:             p.process.Counters(),
 		Retries:             retries,
 		ServingProxyPending: pending,
--- a/internal/backend/records.go
+++ b/internal/backend/records.go
@@ -16,7 +16,7 @@
 	// the connection stays taken: most likely the upstream has done with it.
 	lingerDivisor = 10
 
-	// targetLingerDivisor makes the same of DialFresh, where upstreams were told how long a
+	// targetLingerDivisor makes the same of AddressProofTTL, where upstreams were told how long a
 	// request has: that time is over, or the connection is.
 	targetLingerDivisor = 4
 )
--- a/internal/checker/record.go
+++ b/internal/checker/record.go
@@ -71,7 +71,7 @@
 	Digest     string
 }
 
-// Attempt is one attempt to send a request from a proxy to a serving proxy; Again says that it was
+// Attempt is one attempt to send a request from a proxy to a serving proxy; Retry says that it was
 // not the request's first.
 type Attempt struct {
 	Service string
@@ -112,7 +112,7 @@
 	Slots      int
 }
 
-// DrainStart records that an upstream announced that it is draining; Life is its incarnation.
+// DrainStart records that an upstream announced that it is draining; Incarnation is its incarnation.
 type DrainStart struct {
 	Service     string
 	Instance    string
@@ -129,8 +129,8 @@
 	End    time.Duration // end of the window on the same clock
 }
 
-// LeaseTenure records that a voter became the holder of a lease, or, among Record.Acts, that it acted as
-// the holder. Tag is the name of the lease.
+// LeaseTenure records that a voter became the holder of a lease, or, among Record.HolderActions, that it acted as
+// the holder. LeaseName is the name of the lease.
 type LeaseTenure struct {
 	LeaseName string
 	Voter     string
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -13,7 +13,7 @@
 	noRetryAfter rule = "retry-after"
 	// foreignAnswer: an answer that is not the mesh's own is, byte for byte, that of a run.
 	foreignAnswer rule = "own-answer"
-	// answerHeldBack: a complete answer reaches its caller within Bounds.AnswerHold.
+	// answerHeldBack: a complete answer reaches its caller within Bounds.ResponseDelay.
 	answerHeldBack rule = "answer-hold"
 	// answerLost: an answer that an upstream sent completely reaches its caller, unless a machine
 	// on its way failed; a polite stop of a proxy loses no request.
@@ -29,7 +29,7 @@
 	// configurationLate: an acknowledged version is in force on each connected node within
 	// Bounds.ConfigurationInForce.
 	configurationLate rule = "configuration-late"
-	// configurationSlip: a node goes back to no older version after Bounds.SlipBack.
+	// configurationSlip: a node goes back to no older version after Bounds.RollbackWindow.
 	configurationSlip rule = "configuration-slip"
 	// configurationLost: each voter returns the very bytes of every acknowledged version.
 	configurationLost rule = "configuration-lost"
@@ -41,15 +41,15 @@
 	slotsExceeded rule = "slots"
 	// retryShareExceeded: retries stay below Bounds.RetryShare of the first attempts.
 	retryShareExceeded rule = "retry-share"
-	// usageLate: a usage window is reported within Bounds.UsageLate of its end.
+	// usageLate: a usage window is reported within Bounds.UsageReportDelay of its end.
 	usageLate rule = "usage-late"
 	// usageChanged: a usage window has the same counts each time that it is reported or read.
 	usageChanged rule = "usage-twice"
 	// usageMissing: every usage window with answers is reported, and the windows have no gap.
 	usageMissing rule = "usage-missing"
-	// usageOff: a usage window's counts are within Bounds.UsageOff of what callers saw.
+	// usageOff: a usage window's counts are within Bounds.UsageError of what callers saw.
 	usageOff rule = "usage-off"
-	// leaseFlapped: a voter gets a lease back from another only after Bounds.HolderRest.
+	// leaseFlapped: a voter gets a lease back from another only after Bounds.HolderCooldown.
 	leaseFlapped rule = "back-and-forth"
 	// twoHolders: an epoch of a lease has one holder.
 	twoHolders rule = "two-holders"
--- a/internal/message/doc.go
+++ b/internal/message/doc.go
@@ -4,7 +4,7 @@
 //
 // Encode turns a message into a frame and Decode turns a frame back into the message, by value:
 //
-//	frame, err := message.Encode(message.Ping{Number: 1})
+//	frame, err := message.Encode(message.Ping{Sequence: 1})
 //	decoded, err := message.Decode(frame)
 //	ping, isPing := decoded.(message.Ping)
 //
--- a/internal/proxy/notices.go
+++ b/internal/proxy/notices.go
@@ -4,7 +4,7 @@
 	"beaconvane/internal/message"
 )
 
-// The notices below are handed to Machine.Asked by the process and have no answer.
+// The notices below are handed to Machine.HandleRequest by the process and have no answer.
 
 // Announced is the notice that the backend has accepted an announcement of an upstream.
 type Announced struct {
@@ -34,7 +34,7 @@
 // Stop is the notice that the process stops.
 type Stop struct{}
 
-// The queries below are handed to Machine.Asked with a request id, under which the answer comes.
+// The queries below are handed to Machine.HandleRequest with a request id, under which the answer comes.
 
 // ReadSealed asks below which window all usage is sealed. The answer is an int64.
 type ReadSealed struct{}
--- a/internal/registry/persistence.go
+++ b/internal/registry/persistence.go
@@ -56,7 +56,7 @@
 }
 
 // StateForGrant is the state that this voter hands to one which asks for its grant. With
-// MergeGrantedStates and the methods of quorum.Core it makes the machine a quorum.Host.
+// MergeGrantedStates and the methods of quorum.ControlBase it makes the machine a quorum.Host.
 func (m *Machine) StateForGrant() []byte { return m.snapshot() }
 
 // MergeGrantedStates takes what the granters of this voter know.
@@ -95,7 +95,7 @@
 	return m.snapshot()
 }
 
-// compactWhenDue writes a snapshot after whole copies were pulled, at most once in HolderRest.
+// compactWhenDue writes a snapshot after whole copies were pulled, at most once in HolderCooldown.
 // What was pulled is not in the log.
 func (m *Machine) compactWhenDue(env *statemachine.Env) {
 	if !m.replication.snapshotDue || env.Now < m.replication.nextSnapshotAt {
--- a/internal/registry/questions.go
+++ b/internal/registry/questions.go
@@ -9,7 +9,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Questions that the HTTP side asks of the machine. Each is answered by an Answer.
+// Questions that the HTTP side asks of the machine. Each is answered by an OperatorResponse.
 type (
 	// WriteConfiguration asks for a version of a configuration to be committed.
 	WriteConfiguration struct {
--- a/internal/statemachine/effects.go
+++ b/internal/statemachine/effects.go
@@ -35,7 +35,7 @@
 	Snapshot  []byte
 }
 
-// Reply is the effect that answers an Asked command.
+// Reply is the effect that answers a LocalRequest command.
 type Reply struct {
 	RequestID int64
 	Answer    any
--- a/internal/statemachine/machine.go
+++ b/internal/statemachine/machine.go
@@ -50,14 +50,14 @@
 	Request   any
 }
 
-// Apply calls Machine.Asked.
+// Apply calls Machine.HandleRequest.
 func (c LocalRequest) Apply(machine Machine, env *Env) {
 	machine.HandleRequest(env, c.RequestID, c.Request)
 }
 
-// ConnectionClosed is the notice, sent as an Asked command, that a control connection which this
+// ConnectionClosed is the notice, sent as a LocalRequest command, that a control connection which this
 // process had opened has ended, as it does at once when the process at the other end stops.
 type ConnectionClosed struct{ Address string }
 
-// SeedsChanged is the notice, sent as an Asked command, that the settings name other seeds now.
+// SeedsChanged is the notice, sent as a LocalRequest command, that the settings name other seeds now.
 type SeedsChanged struct{ Seeds []string }
