--- a/internal/checker/bounds.go
+++ b/internal/checker/bounds.go
@@ -40,7 +40,9 @@
 // Stretch returns bounds whose times, and share of wrong usage counts, are larger by a factor, for a
 // smoke test on a machine of unknown speed. What must never happen at all stays as it is.
 func (b Bounds) Stretch(by float64) Bounds {
-	for _, bound := range []*time.Duration{&b.ConfigurationInForce, &b.RollbackWindow, &b.KeyWithdrawal, &b.Drain, &b.ResponseDelay, &b.UsageReportDelay} {
+	for _, bound := range []*time.Duration{
+		&b.ConfigurationInForce, &b.RollbackWindow, &b.KeyWithdrawal, &b.Drain, &b.ResponseDelay, &b.UsageReportDelay,
+	} {
 		*bound = time.Duration(float64(*bound) * by)
 	}
 	b.UsageError *= by
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -37,7 +37,10 @@
 				Keys: map[string]string{"k": "t"}, Digest: "two",
 			},
 		},
-		Activations: []Activation{{Node: "e1", ConfigName: "main", Version: 1, At: sec}, {Node: "e1", ConfigName: "main", Version: 2, At: 4 * sec}},
+		Activations: []Activation{
+			{Node: "e1", ConfigName: "main", Version: 1, At: sec},
+			{Node: "e1", ConfigName: "main", Version: 2, At: 4 * sec},
+		},
 		Up:          []Span{{Name: "e1", From: 0, To: 60 * sec}},
 		DrainStarts: []DrainStart{{Service: "pay", Instance: "one", Incarnation: 1, At: 20 * sec}},
 		Reported: []Reported{
@@ -49,9 +52,14 @@
 			{LeaseName: "x", Voter: "s2", Epoch: 2, At: 10 * sec},
 			{LeaseName: "x", Voter: "s1", Epoch: 3, At: 20 * sec},
 		},
-		HolderActions:    []LeaseTenure{{LeaseName: "x", Voter: "s1", Epoch: 1, At: sec}, {LeaseName: "x", Voter: "s2", Epoch: 2, At: 11 * sec}},
+		HolderActions:    []LeaseTenure{
+			{LeaseName: "x", Voter: "s1", Epoch: 1, At: sec},
+			{LeaseName: "x", Voter: "s2", Epoch: 2, At: 11 * sec},
+		},
 		StoredUsage:      []Reported{{Window: 2, From: "s3", Counts: map[string]int64{"t": 1}}},
-		StoredVersions:   []StoredVersion{{"s1", "main", 1, "one"}, {"s1", "main", 2, "two"}, {"s2", "main", 2, "two"}, {"s2", "main", 1, "one"}},
+		StoredVersions:   []StoredVersion{
+			{"s1", "main", 1, "one"}, {"s1", "main", 2, "two"}, {"s2", "main", 2, "two"}, {"s2", "main", 1, "one"},
+		},
 		RetainedVersions: 16,
 		End:              60 * sec,
 		Bounds:           BriefBounds(true),
--- a/internal/configstore/takeover.go
+++ b/internal/configstore/takeover.go
@@ -72,7 +72,8 @@
 	source := positions[m.quorum.Voter]
 	for _, voter := range m.quorum.VoterNames() {
 		response, known := positions[voter]
-		if known && !guardsOff.highestPosition && m.quorum.VerifySignature(voter, response.Identity) && endOf(source).before(endOf(response)) {
+		if known && !guardsOff.highestPosition && m.quorum.VerifySignature(voter, response.Identity) &&
+			endOf(source).before(endOf(response)) {
 			source = response
 		}
 	}
--- a/internal/distribution/parent_selection_test.go
+++ b/internal/distribution/parent_selection_test.go
@@ -52,7 +52,9 @@
 		tree.settle("near")
 		tree.makeStale("near", "far")
 		tree.full["other"], tree.full["fourth"] = true, true
-		c.Assert(tree.play(tree.settings.ReparentAfter()*3, func() bool { return len(tree.lastResorts) > 0 && tree.parent() != "" }), qt.IsTrue)
+		c.Assert(tree.play(tree.settings.ReparentAfter()*3, func() bool {
+			return len(tree.lastResorts) > 0 && tree.parent() != ""
+		}), qt.IsTrue)
 		for _, root := range tree.lastResorts {
 			c.Assert(root == "other" || root == "fourth", qt.IsTrue,
 				qt.Commentf("seed %d: %v after %v", seed, tree.lastResorts, tree.asked))
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -100,7 +100,8 @@
 func (tree *testTree) answer(parent string, request message.UpdatesRequest) {
 	if tree.full[parent] && !request.LastResort {
 		tree.distribution.Handle(tree.env, parent, message.UpdatesResponse{
-			Round: request.Round, Parent: parent, RelayPath: []string{}, Refused: true, Reason: message.RefusedFull, Alternatives: []string{},
+			Round: request.Round, Parent: parent, RelayPath: []string{}, Refused: true, Reason: message.RefusedFull,
+			Alternatives: []string{},
 		})
 		return
 	}
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -93,7 +93,8 @@
 				Counts map[string]int64 `json:"counts"`
 			}{}
 			if Get(fmt.Sprintf("http://%s/v1/usage/%d", process.HTTPAddress, report.Window), &reread) == http.StatusOK {
-				record.StoredUsage = append(record.StoredUsage, checker.Reported{Window: report.Window, From: process.Node, Counts: reread.Counts})
+				record.StoredUsage = append(record.StoredUsage,
+					checker.Reported{Window: report.Window, From: process.Node, Counts: reread.Counts})
 			}
 		}
 	}
--- a/internal/registry/replication.go
+++ b/internal/registry/replication.go
@@ -169,7 +169,8 @@
 		return
 	}
 	current := replica.slice.Position
-	holderDiffers := snapshot.HoldsLease && snapshot.Position.Epoch >= m.leases.Epoch(snapshot.Zone) && !current.SameContent(snapshot.Position)
+	holderDiffers := snapshot.HoldsLease && snapshot.Position.Epoch >= m.leases.Epoch(snapshot.Zone) &&
+		!current.SameContent(snapshot.Position)
 	if current.Before(snapshot.Position) || holderDiffers {
 		replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 		m.replication.snapshotDue = true
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -157,7 +157,8 @@
 // checkTakeOver checks that a takeover ends before the bound of whatever waits for it.
 func (c Settings) checkTakeOver(faults *Faults) {
 	b := c.Bounds
-	faults.clash(c.LeaseTakeover() >= ms(b.UsageReportDelay)-c.SealAfter(), "bounds.usage_late_ms", "a takeover after the seal does not fit in it")
+	faults.clash(c.LeaseTakeover() >= ms(b.UsageReportDelay)-c.SealAfter(), "bounds.usage_late_ms",
+		"a takeover after the seal does not fit in it")
 	faults.clash(b.KeyWithdrawal > 0 && c.LeaseTakeover() >= c.MaxAgeAdmit(), "bounds.key_withdrawal_ms",
 		"a takeover would outlast it: lower holder_rest_ms or raise it")
 	faults.clash(c.LeaseTakeover()*2 > ms(b.Restore), "bounds.restore_ms", "two takeovers must fit in it")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,7 +98,7 @@
 	Seeds            []string          `json:"seeds"`
 	DataDirectory    string            `json:"data"`
 	ConfigNames      []string          `json:"configurations"`
-	WritePolicy      string            `json:"puts"`   // rising: a lower number is a conflict; highest: it is acknowledged and alters nothing
+	WritePolicy      string            `json:"puts"`   // rising: a lower number is a conflict; highest: it is acknowledged, no change
 	Slices           []string          `json:"slices"` // a proxy's: zones whose upstreams it uses; default all
 	Collector        string            `json:"collector"`
 	PreferredHolders map[string]string `json:"active"`
--- a/internal/simulation/answers.go
+++ b/internal/simulation/answers.go
@@ -221,7 +221,8 @@
 			}
 			w.dangers[dangerAsked] += node.tracker.AttemptsOn(connection)
 			connection.drop()
-			w.record.Disconnected = append(w.record.Disconnected, checker.Span{Name: connection.to.machine, From: w.now, To: w.now + brokenHold})
+			w.record.Disconnected = append(w.record.Disconnected,
+				checker.Span{Name: connection.to.machine, From: w.now, To: w.now + brokenHold})
 		}
 	}
 }
--- a/internal/simulation/never_test.go
+++ b/internal/simulation/never_test.go
@@ -98,9 +98,10 @@
 	result := simulate(t, "jendela", 4, 120, Step{11 * second, "upstream-faults", "quoting/quoting-1", 6 * second},
 		Step{12 * second, "upstream-faults", "booking/booking-2", 6 * second})
 	reached(t, "answers that claim a code of the mesh's", result.Review.Seen["danger: answers that claim a code of the mesh's"], 50)
-	reached(t, "callers told an upstream's own refusal", counted(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
-		return asked.Code == 0 && asked.Status >= 400
-	}), 50)
+	reached(t, "callers told an upstream's own refusal",
+		counted(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
+			return asked.Code == 0 && asked.Status >= 400
+		}), 50)
 }
 
 // 4: callers claim to be others, show keys in cookies; upstreams call on by passes.
@@ -209,9 +210,10 @@
 			result := simulate(t, deployment, 11, 300,
 				Step{killed, "kill-all", "", 4 * second},
 				Step{25 * second, "kill-holder", "usage", second})
-			reached(t, "answers in the last tenth of a second", counted(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
-				return asked.Code == 0 && !asked.Connection && asked.Done > killed-second/10 && asked.Done <= killed
-			}), 10)
+			reached(t, "answers in the last tenth of a second",
+				counted(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
+					return asked.Code == 0 && !asked.Connection && asked.Done > killed-second/10 && asked.Done <= killed
+				}), 10)
 			reached(t, "windows read back", result.Review.Seen["windows read back"], 12)
 		})
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -160,7 +160,8 @@
 	}
 	for _, key := range w.upstreamOrder {
 		w.record.Executions = append(w.record.Executions, w.upstreams[key].runs...)
-		w.record.Peaks = append(w.record.Peaks, checker.Peak{Instance: key, MaxRunning: w.upstreams[key].most, Slots: w.upstreams[key].slots})
+		w.record.Peaks = append(w.record.Peaks,
+			checker.Peak{Instance: key, MaxRunning: w.upstreams[key].most, Slots: w.upstreams[key].slots})
 	}
 	sort.SliceStable(w.record.LeaseTenures, func(i, j int) bool { return w.record.LeaseTenures[i].At < w.record.LeaseTenures[j].At })
 	runs := map[string]int{}
