--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -52,12 +52,12 @@
 			{LeaseName: "x", Voter: "s2", Epoch: 2, At: 10 * sec},
 			{LeaseName: "x", Voter: "s1", Epoch: 3, At: 20 * sec},
 		},
-		HolderActions:    []LeaseTenure{
+		HolderActions: []LeaseTenure{
 			{LeaseName: "x", Voter: "s1", Epoch: 1, At: sec},
 			{LeaseName: "x", Voter: "s2", Epoch: 2, At: 11 * sec},
 		},
-		StoredUsage:      []Reported{{Window: 2, From: "s3", Counts: map[string]int64{"t": 1}}},
-		StoredVersions:   []StoredVersion{
+		StoredUsage: []Reported{{Window: 2, From: "s3", Counts: map[string]int64{"t": 1}}},
+		StoredVersions: []StoredVersion{
 			{"s1", "main", 1, "one"}, {"s1", "main", 2, "two"}, {"s2", "main", 2, "two"}, {"s2", "main", 1, "one"},
 		},
 		RetainedVersions: 16,
