--- a/internal/registry/answer.go
+++ b/internal/registry/answer.go
@@ -6,47 +6,48 @@
 	"beaconvane/internal/errcode"
 )
 
-// Answer is what goes back to an operator. The types of the JSON bodies follow below; the fields of
-// each stand in the order of the alphabet, which is their order on the wire.
+// Answer is the machine's reply to a request from the HTTP API. The types of its JSON bodies follow
+// below. The fields of each are declared in the alphabetical order of their JSON keys, which is
+// their order on the wire.
 type Answer struct {
 	Code errcode.Code
-	Body []byte // JSON, unless Raw
-	Raw  bool   // the body is a configuration, byte for byte as it was committed
+	Body []byte // JSON, unless Raw is set
+	Raw  bool   // Body is a configuration, byte for byte as committed
 }
 
-// codeAnswer says how a call ended, and nothing more.
+// codeAnswer is the body of an answer that carries only a result code and a detail.
 type codeAnswer struct {
 	Code   errcode.Code `json:"code"`
 	Detail string       `json:"detail"`
 	Result string       `json:"result"`
 }
 
-// writeAnswer says how a write ended.
+// writeAnswer is the body of the answer to WriteConfiguration.
 type writeAnswer struct {
 	Code          errcode.Code `json:"code"`
 	Configuration string       `json:"configuration"`
 	Detail        string       `json:"detail,omitempty"`
 	Faults        []string     `json:"faults,omitempty"`
 	Result        string       `json:"result"`
-	Version       int64        `json:"version"` // committed, or in force
+	Version       int64        `json:"version"` // committed by the write, or in force if another one is
 }
 
-// versionsAnswer lists the kept versions of a configuration.
+// versionsAnswer lists the versions of a configuration that the configstores retain.
 type versionsAnswer struct {
 	Configuration  string   `json:"configuration"`
-	Configurations []string `json:"configurations"` // all that are known
+	Configurations []string `json:"configurations"` // names of all known configurations
 	Versions       []int64  `json:"versions"`
 }
 
-// configurationStatusAnswer says which proxy has which version in force.
+// configurationStatusAnswer reports which version of a configuration each proxy has in force.
 type configurationStatusAnswer struct {
-	AgeMS         int64            `json:"age_ms"`
-	Configuration string           `json:"configuration"`
-	Everywhere    bool             `json:"everywhere"`
-	InForce       map[string]int64 `json:"in_force"` // version by proxy
-	Lacking       []string         `json:"lacking"`  // proxies below the wanted version
-	Version       int64            `json:"version"`
-	Wanted        int64            `json:"wanted"`
+	AgeMS          int64            `json:"age_ms"`
+	Configuration  string           `json:"configuration"`
+	Everywhere     bool             `json:"everywhere"` // BehindProxies is empty
+	VersionByProxy map[string]int64 `json:"in_force"`
+	BehindProxies  []string         `json:"lacking"` // proxies whose version is below MinVersion
+	Version        int64            `json:"version"` // newest version that this registry holds
+	MinVersion     int64            `json:"wanted"`  // the requested version, or Version if that is higher
 }
 
 // usageAnswer is a sealed usage window.
@@ -55,7 +56,7 @@
 	Window int64            `json:"window"`
 }
 
-// memberAnswer is a member as this registry sees it.
+// memberAnswer is one member of the fleet as listed in this registry's membership.
 type memberAnswer struct {
 	Address     string `json:"address"`
 	Incarnation int64  `json:"incarnation"`
@@ -66,24 +67,24 @@
 	Zone        string `json:"zone"`
 }
 
-// leaseAnswer is the lease of a tag.
+// leaseAnswer describes the lease of one tag.
 type leaseAnswer struct {
-	Epoch  int64  `json:"epoch"`
-	Here   bool   `json:"here"` // this registry holds it
-	Holder string `json:"holder"`
+	Epoch    int64  `json:"epoch"`
+	HeldHere bool   `json:"here"` // this registry is the holder
+	Holder   string `json:"holder"` // voter that this registry last voted for
 }
 
-// sliceAnswer is how far a zone's slice of the roster is known.
+// sliceAnswer describes this registry's copy of one zone's slice of the roster.
 type sliceAnswer struct {
-	AgeMS int64 `json:"age_ms"`
-	Count int64 `json:"count"`
-	Epoch int64 `json:"epoch"`
-	Known bool  `json:"known"`
-	Seq   int64 `json:"seq"`
-	Whole bool  `json:"whole"`
+	AgeMS    int64 `json:"age_ms"`
+	Count    int64 `json:"count"`
+	Epoch    int64 `json:"epoch"`
+	Known    bool  `json:"known"` // the slice was current at some time, so that AgeMS is valid
+	Seq      int64 `json:"seq"`
+	Complete bool  `json:"whole"`
 }
 
-// configurationAnswer is how far a configuration is known.
+// configurationAnswer describes this registry's copy of one configuration.
 type configurationAnswer struct {
 	AgeMS   int64 `json:"age_ms"`
 	Bytes   int   `json:"bytes"`
@@ -91,41 +92,42 @@
 	Version int64 `json:"version"`
 }
 
-// relayAnswer is a proxy's place in the distribution tree, as its heartbeats tell.
+// relayAnswer describes a proxy's position in the distribution tree, from its latest heartbeat
+// batch.
 type relayAnswer struct {
-	HeardMS int64    `json:"heard_ms"`
-	Path    []string `json:"path"`
-	Ready   bool     `json:"ready"`
+	HeartbeatAgeMS int64    `json:"heard_ms"` // time since that batch was received
+	Path           []string `json:"path"`
+	Ready          bool     `json:"ready"`
 }
 
-// updatesAnswer is where this registry's own updates come from.
+// updatesAnswer describes this registry's own position in the distribution tree.
 type updatesAnswer struct {
-	From  string   `json:"from"`
-	Moves int64    `json:"moves"`
-	Path  []string `json:"path"`
+	Parent        string   `json:"from"`
+	ParentChanges int64    `json:"moves"` // how often the parent was changed
+	Path          []string `json:"path"`
 }
 
-// usageStatusAnswer is how far the usage reports are.
+// usageStatusAnswer reports the progress of the usage reports.
 type usageStatusAnswer struct {
-	Reported int64 `json:"reported"`
+	Reported int64 `json:"reported"` // number of the newest window that was delivered to the collector
 }
 
-// statusAnswer is all that a registry tells of itself.
+// statusAnswer is the body of the answer to ReadStatus.
 type statusAnswer struct {
 	Configurations map[string]configurationAnswer `json:"configurations"`
 	Leases         map[string]leaseAnswer         `json:"leases"` // by tag
 	Members        []memberAnswer                 `json:"members"`
 	Node           string                         `json:"node"`
-	Relays         map[string]relayAnswer         `json:"relays"` // by proxy
-	ShutOut        bool                           `json:"shut_out"`
-	Slices         map[string]sliceAnswer         `json:"slices"` // by zone
+	Relays         map[string]relayAnswer         `json:"relays"`   // by proxy
+	Removed        bool                           `json:"shut_out"` // another disk was given this process's voter
+	Slices         map[string]sliceAnswer         `json:"slices"`   // by zone
 	Updates        updatesAnswer                  `json:"updates"`
 	Usage          usageStatusAnswer              `json:"usage"`
 	Voter          string                         `json:"voter"`
 	Voting         bool                           `json:"voting"`
 }
 
-// registrationAnswer is one upstream of the roster.
+// registrationAnswer is one registration of the roster.
 type registrationAnswer struct {
 	Address      string `json:"address"`
 	Incarnation  int64  `json:"incarnation"`
@@ -136,13 +138,13 @@
 	State        string `json:"state"`
 }
 
-// rosterAnswer is the roster by zone.
+// rosterAnswer is the body of the answer to ReadRoster: the registrations and their ages by zone.
 type rosterAnswer struct {
 	AgesMS map[string]int64                `json:"ages_ms"`
 	Slices map[string][]registrationAnswer `json:"slices"`
 }
 
-// answerJSON makes an answer of a body.
+// answerJSON returns an answer with the body encoded as JSON.
 func answerJSON(code errcode.Code, body any) Answer {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -151,7 +153,7 @@
 	return Answer{Code: code, Body: text}
 }
 
-// answerCode makes an answer that has a result code and a detail only.
+// answerCode returns an answer that carries only a result code and a detail.
 func answerCode(code errcode.Code, detail string) Answer {
 	return answerJSON(code, codeAnswer{Code: code, Detail: detail, Result: code.String()})
 }
--- a/internal/registry/changes.go
+++ b/internal/registry/changes.go
@@ -8,7 +8,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// The causes of a change. They travel with the change and stand in the journal.
+// The causes of a roster change. They are sent with the change and recorded in the journal.
 const (
 	causeCreated             = "created"
 	causeNewIncarnation      = "new incarnation"
@@ -18,50 +18,53 @@
 	causeDeregistered        = "signed off"
 	causeHeartbeatsStopped   = "heartbeats stopped"
 
-	causeMovedTo        = "moved to "         // and the zone
-	causeAddressTakenBy = "address taken by " // and the key of the other upstream
+	causeMovedTo        = "moved to "         // followed by the zone
+	causeAddressTakenBy = "address taken by " // followed by the key of the other upstream
 )
 
-// causeOf says why a registration takes the place of the one that is current.
-func causeOf(registered bool, current, wanted message.Registration) string {
+// changeCause returns the cause of replacing the current registration by the desired one. Current
+// is only used if an upstream is registered.
+func changeCause(registered bool, current, desired message.Registration) string {
 	switch {
 	case !registered:
 		return causeCreated
-	case current.Incarnation != wanted.Incarnation:
+	case current.Incarnation != desired.Incarnation:
 		return causeNewIncarnation
-	case current.State != wanted.State && wanted.State == message.StateLeaving:
+	case current.State != desired.State && desired.State == message.StateLeaving:
 		return causeDrain
-	case current.State != wanted.State:
-		return wanted.State
-	case current.ServingProxy != wanted.ServingProxy:
+	case current.State != desired.State:
+		return desired.State
+	case current.ServingProxy != desired.ServingProxy:
 		return causeServingProxyChanged
 	}
 	return causeOtherFields
 }
 
-// registrationChange is a change of one registration that a holder decided on.
+// registrationChange is a change of one registration that the holder of the zone has decided on.
 type registrationChange struct {
 	registration message.Registration
 	removed      bool
 	cause        string
 }
 
+// removal returns the change that removes a registration.
 func removal(registration message.Registration, cause string) registrationChange {
 	return registrationChange{registration: registration, removed: true, cause: cause}
 }
 
-// changeTracker knows which upstreams a change or a probe is under way for, by the keys of their
-// registrations.
+// changeTracker tracks the changes and probes in progress, by the keys of the registrations.
 type changeTracker struct {
-	inFlight map[string]bool          // a change is being written to disk
-	probedAt map[string]time.Duration // when a probe was last asked for
+	inFlight map[string]bool          // the change is being written to disk
+	probedAt map[string]time.Duration // time of the latest probe request
 }
 
+// newChangeTracker returns a tracker without changes or probes.
 func newChangeTracker() *changeTracker {
 	return &changeTracker{inFlight: map[string]bool{}, probedAt: map[string]time.Duration{}}
 }
 
-// beginProbe notes that a probe of an upstream is asked for; false if the last one is not a pause ago.
+// beginProbe records a probe request for an upstream. It returns false, and records nothing, if the
+// latest one is less than pause old.
 func (t *changeTracker) beginProbe(key string, now, pause time.Duration) bool {
 	if at, probed := t.probedAt[key]; probed && now-at < pause {
 		return false
@@ -70,8 +73,9 @@
 	return true
 }
 
-// commitChange writes a change to disk; only then it takes effect and is broadcast. An upstream
-// with a change in flight is left alone until that is written.
+// commitChange writes a change to disk, and applies and broadcasts it once it is synced. It does
+// nothing after a disk failure, or while an earlier change of the same upstream is in flight: the
+// next reconciliation repeats the change if it is still needed.
 func (m *Machine) commitChange(env *statemachine.Env, zone string, change registrationChange) {
 	key := change.registration.Key()
 	if m.changes.inFlight[key] || m.Failure() != nil {
@@ -94,7 +98,7 @@
 	})
 }
 
-// applyChange puts a synced change into effect and broadcasts it.
+// applyChange applies a synced change to the slice and broadcasts it to the peers.
 func (m *Machine) applyChange(env *statemachine.Env, zone string, epoch int64, change registrationChange) {
 	applied := m.zones[zone].slice.Append(epoch, change.registration, change.removed, change.cause)
 	env.Event("roster-change", 0, epoch, zone+" "+change.registration.Key()+": "+change.cause)
--- a/internal/registry/configuration.go
+++ b/internal/registry/configuration.go
@@ -8,8 +8,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// handleConfigurationCommitted takes a version that a peer was told is committed; one that is known
-// here already isn't unpacked.
+// handleConfigurationCommitted stores a committed version that a peer has published. A version that
+// is not newer than the stored one is skipped before its body is decompressed.
 func (m *Machine) handleConfigurationCommitted(env *statemachine.Env, committed message.ConfigurationCommitted) {
 	version, _, known := m.distribution.Configuration(committed.ConfigName)
 	if known && version >= committed.Version {
@@ -23,42 +23,46 @@
 	m.distribution.WriteConfiguration(env, committed.ConfigName, committed.Version, body)
 }
 
-// configurationStatus says which proxy has which version in force, as its heartbeats tell.
-func (m *Machine) configurationStatus(env *statemachine.Env, configName string, wanted int64) Answer {
+// configurationStatus reports which version of a configuration each living proxy has in force,
+// according to its heartbeats. The proxies are compared with minVersion, or with the version of
+// this registry if that is higher. If minVersion is 0, the code of the answer tells whether the
+// version of this registry is current.
+func (m *Machine) configurationStatus(env *statemachine.Env, configName string, minVersion int64) Answer {
 	topic := distribution.ConfigurationTopic(configName)
 	version, _, known := m.distribution.Configuration(configName)
 	if !known {
 		return answerCode(errcode.ConfigurationNotFound, configName)
 	}
 	code := errcode.OK
-	if wanted == 0 {
-		code = m.freshness(env, topic)
+	if minVersion == 0 {
+		code = m.freshnessCode(env, topic)
 	}
-	wanted = max(wanted, version)
+	minVersion = max(minVersion, version)
 	age, _ := m.distribution.Age(topic, env.Now)
 	answer := configurationStatusAnswer{
-		Configuration: configName,
-		Version:       version,
-		AgeMS:         age.Milliseconds(),
-		InForce:       map[string]int64{},
-		Wanted:        wanted,
-		Lacking:       []string{},
+		Configuration:  configName,
+		Version:        version,
+		AgeMS:          age.Milliseconds(),
+		VersionByProxy: map[string]int64{},
+		MinVersion:     minVersion,
+		BehindProxies:  []string{},
 	}
 	for _, proxy := range m.membership.Alive(message.RoleProxy) {
 		inForce := m.proxies.inForce(proxy.Name, topic)
-		answer.InForce[proxy.Name] = inForce
-		if inForce < wanted {
-			answer.Lacking = append(answer.Lacking, proxy.Name)
+		answer.VersionByProxy[proxy.Name] = inForce
+		if inForce < minVersion {
+			answer.BehindProxies = append(answer.BehindProxies, proxy.Name)
 		}
 	}
-	answer.Everywhere = len(answer.Lacking) == 0
+	answer.Everywhere = len(answer.BehindProxies) == 0
 	return answerJSON(code, answer)
 }
 
-// freshness says whether this registry may still give a topic out as current: it has heard from the
-// topic's source within the time after which it isn't ready either. A registry that lost contact
-// goes on to say what it knows, and how old that is, under the code BusyStale.
-func (m *Machine) freshness(env *statemachine.Env, topic string) errcode.Code {
+// freshnessCode returns OK if this registry may serve a topic as current: its source confirmed it
+// within MaxAgeReady, the age past which the process isn't ready either. Otherwise it returns
+// BusyStale. A registry that lost contact to the source still serves its data under that code, with
+// the data's age.
+func (m *Machine) freshnessCode(env *statemachine.Env, topic string) errcode.Code {
 	age, known := m.distribution.Age(topic, env.Now)
 	if !known || age > m.settings.MaxAgeReady() {
 		return errcode.BusyStale
@@ -66,7 +70,7 @@
 	return errcode.OK
 }
 
-// sliceIsCurrent says that a zone's slice of the roster may be given out as current.
+// sliceIsCurrent reports whether a zone's slice of the roster may be served as current.
 func (m *Machine) sliceIsCurrent(env *statemachine.Env, zone string) bool {
-	return m.freshness(env, distribution.SliceTopic(zone)) == errcode.OK
+	return m.freshnessCode(env, distribution.SliceTopic(zone)) == errcode.OK
 }
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -1,19 +1,19 @@
-// Package registry is the control state of a registry process. Every registry holds the
-// registrations (the roster) of all zones; one of them holds the lease of each zone and
-// alone changes that zone's part.
+// Package registry implements the control state of a registry process. Every registry replicates
+// the registrations (the roster) of all zones. Each zone has a lease, and only the registry that
+// holds it changes that zone's slice of the roster.
 //
-//   - Heartbeats come from the proxies to every registry, so that a registry which acquires
-//     a lease already knows who was heard lately (heartbeats.go, proxies.go).
-//   - The holder of a zone's lease registers, changes, drains and expires upstreams. A change
-//     is synced to its disk first, then takes effect, then is broadcast (reconcile.go,
+//   - Proxies send heartbeats to every registry, so that a registry that acquires a lease already
+//     has the recent heartbeats of the zone's upstreams (heartbeats.go, proxies.go).
+//   - The holder of a zone's lease registers, changes, drains and expires upstreams. Each change
+//     is first synced to the holder's disk, then applied, then broadcast (reconcile.go,
 //     changes.go).
-//   - The other registries follow the broadcasts, compare digests with the holder's and pull
-//     a whole copy where they differ (replication.go).
-//   - The holder of the usage lease seals the usage windows and reports them (the files that
-//     begin with usage).
-//   - Questions of operators are answered here, or forwarded to the configstore that holds
-//     the lease of the configurations (questions.go, operator_requests.go, status.go).
+//   - The other registries apply the broadcasts, compare their digests with the holder's and pull
+//     a snapshot where they differ (replication.go).
+//   - The holder of the usage lease seals the usage windows and reports them to the collector (the
+//     files whose names begin with usage).
+//   - Operators' requests are answered here, or forwarded to the configstore that holds the lease
+//     of the configurations (requests.go, forwarded_requests.go, status.go).
 //
-// Machine is a statemachine.Machine: it is driven by one goroutine, and takes time and random
-// numbers from the Env only.
+// Machine is a statemachine.Machine: a single goroutine drives it, and it takes time and random
+// numbers only from the Env.
 package registry
--- a/internal/registry/operator_requests.go
+++ b/internal/registry/forwarded_requests.go
@@ -15,11 +15,11 @@
 	"beaconvane/internal/statemachine"
 )
 
-// operatorRequests are the operators' reads and writes of configurations that were forwarded to the
-// configstore and are not answered yet. A write without an answer is sent again with the same
-// bytes, which the configstore answers alike. When its time is up the outcome is said to be
-// unknown, never that it was refused.
-type operatorRequests struct {
+// forwardedRequests are the operators' reads and writes of configurations that were forwarded to a
+// configstore and await its response. A write without a response is sent again with the same bytes,
+// which the configstore answers in the same way. At its deadline a write that may have taken effect
+// is answered with an unknown outcome, never with a refusal.
+type forwardedRequests struct {
 	settings     settings.Settings
 	core         *quorum.Core
 	membership   *membership.Membership
@@ -27,25 +27,26 @@
 
 	lastRequestID int64
 	pending       map[int64]*pendingRequest
-	holderHint    string // name of the configstore that was last said to hold the lease
+	holderHint    string // name of the configstore that the latest redirect named as holder
 }
 
-// pendingRequest is a request that was forwarded: a write or a read.
+// pendingRequest is a forwarded write or read; exactly one of write and read is set.
 type pendingRequest struct {
-	replyTo  int64                 // request id of the question
-	write    *message.WriteRequest // its body is packed
-	body     []byte                // of the write, unpacked
+	replyTo  int64                 // request id of the operator's request
+	write    *message.WriteRequest // its body is compressed
+	body     []byte                // body of the write, uncompressed
 	read     *message.ReadRequest
 	deadline time.Duration
 
-	nextSendAt time.Duration
-	sentTo     string // address it was last sent to; "": send at once wherever the holder is
-	undecided  int    // how many times it was sent without being told that nothing was done
+	nextSendAt      time.Duration
+	sentTo          string // address of the latest send; "": the next send is not a repeat
+	unresolvedSends int    // sends that were not answered with "nothing was done"
 }
 
-func newOperatorRequests(cfg settings.Settings, core *quorum.Core, members *membership.Membership,
-	tree *distribution.Distribution) *operatorRequests {
-	return &operatorRequests{
+// newForwardedRequests returns the forwarded requests of a registry that just started: none.
+func newForwardedRequests(cfg settings.Settings, core *quorum.Core, members *membership.Membership,
+	tree *distribution.Distribution) *forwardedRequests {
+	return &forwardedRequests{
 		settings:     cfg,
 		core:         core,
 		membership:   members,
@@ -54,47 +55,47 @@
 	}
 }
 
-// write forwards a write.
-func (r *operatorRequests) write(env *statemachine.Env, replyTo int64, asked WriteConfiguration) {
+// write forwards a write to a configstore.
+func (r *forwardedRequests) write(env *statemachine.Env, replyTo int64, request WriteConfiguration) {
 	r.lastRequestID++
-	packed := asked.Packed
+	packed := request.Packed
 	if packed == nil {
-		packed = delta.Encode(nil, asked.Body)
+		packed = delta.Encode(nil, request.Body)
 	}
 	r.pending[r.lastRequestID] = &pendingRequest{
 		replyTo:  replyTo,
-		deadline: env.Now + r.settings.AnswerLimit(len(asked.Body)),
-		body:     asked.Body,
+		deadline: env.Now + r.settings.AnswerLimit(len(request.Body)),
+		body:     request.Body,
 		write: &message.WriteRequest{
 			RequestID:  r.lastRequestID,
-			ConfigName: asked.ConfigName,
-			Version:    asked.Version,
+			ConfigName: request.ConfigName,
+			Version:    request.Version,
 			Body:       packed,
 			Packed:     true,
-			Check:      asked.Check,
+			Check:      request.Check,
 		},
 	}
 	r.tick(env)
 }
 
-// read forwards a read.
-func (r *operatorRequests) read(env *statemachine.Env, replyTo int64, asked ReadConfiguration) {
+// read forwards a read to a configstore.
+func (r *forwardedRequests) read(env *statemachine.Env, replyTo int64, request ReadConfiguration) {
 	r.lastRequestID++
 	r.pending[r.lastRequestID] = &pendingRequest{
 		replyTo:  replyTo,
 		deadline: env.Now + r.settings.AnswerLimit(0),
 		read: &message.ReadRequest{
 			RequestID:  r.lastRequestID,
-			ConfigName: asked.ConfigName,
-			Version:    asked.Version,
-			List:       asked.List,
+			ConfigName: request.ConfigName,
+			Version:    request.Version,
+			List:       request.List,
 		},
 	}
 	r.tick(env)
 }
 
-// tick sends the requests whose time has come and ends those whose time is up.
-func (r *operatorRequests) tick(env *statemachine.Env) {
+// tick sends the requests that are due, and answers those whose deadline has passed.
+func (r *forwardedRequests) tick(env *statemachine.Env) {
 	for _, requestID := range slices.Sorted(maps.Keys(r.pending)) {
 		request := r.pending[requestID]
 		if env.Now >= request.deadline {
@@ -108,36 +109,39 @@
 	}
 }
 
-// timeoutAnswer is the answer when the time is up.
+// timeoutAnswer returns the answer at the deadline. A write that a configstore may have committed
+// is reported as of unknown outcome.
 func (p *pendingRequest) timeoutAnswer() Answer {
-	if p.write != nil && p.undecided > 0 {
+	if p.write != nil && p.unresolvedSends > 0 {
 		return answerCode(errcode.ConfigurationUnsure, "no answer in time")
 	}
 	return answerCode(errcode.ConfigurationNoHolder, "no holder in time")
 }
 
-func (r *operatorRequests) send(env *statemachine.Env, request *pendingRequest) {
+// send sends a request to the presumed holder and schedules the next attempt.
+func (r *forwardedRequests) send(env *statemachine.Env, request *pendingRequest) {
 	address, found := r.holderAddress(env)
 	request.nextSendAt = env.Now + r.settings.UpdatesEvery()
 	if !found {
 		return
 	}
 	if request.sentTo == address {
-		// Sent there already: give that holder time before asking the same again.
+		// A repeat to the same holder: allow it more time to respond before the next one.
 		request.nextSendAt = env.Now + r.settings.Lease()/2
 	}
 	request.sentTo = address
 	if request.write != nil {
-		request.undecided++
+		request.unresolvedSends++
 		env.Send(address, *request.write)
 	} else {
 		env.Send(address, *request.read)
 	}
 }
 
-// holderAddress guesses which configstore holds the lease: the one that the last answer hinted at,
-// else the one that the updates come from, else any.
-func (r *operatorRequests) holderAddress(env *statemachine.Env) (string, bool) {
+// holderAddress returns the address of the configstore that presumably holds the lease: the one
+// named by the latest redirect, else the parent in the distribution tree, else a random one. It
+// returns false if no configstore is alive.
+func (r *forwardedRequests) holderAddress(env *statemachine.Env) (string, bool) {
 	stores := r.configStores()
 	parent, _, _ := r.distribution.Parent()
 	for _, name := range []string{r.holderHint, parent} {
@@ -152,8 +156,8 @@
 	return stores[env.Random.IntN(len(stores))].Address, true
 }
 
-// configStores lists the living configstores, and only the voters among them if there are any.
-func (r *operatorRequests) configStores() []message.Member {
+// configStores lists the living configstores, or only the voters among them if there are any.
+func (r *forwardedRequests) configStores() []message.Member {
 	stores := r.membership.Alive(message.RoleConfigStore)
 	voters := slices.DeleteFunc(slices.Clone(stores), func(store message.Member) bool { return store.Voter == "" })
 	if len(voters) > 0 {
@@ -162,8 +166,8 @@
 	return stores
 }
 
-// handle takes the answer of a configstore; false for any other message.
-func (r *operatorRequests) handle(env *statemachine.Env, msg any) bool {
+// handle processes the response of a configstore. It returns false for any other message.
+func (r *forwardedRequests) handle(env *statemachine.Env, msg any) bool {
 	response, isResponse := msg.(message.StoreResponse)
 	if !isResponse {
 		return false
@@ -176,30 +180,33 @@
 	case errcode.ConfigurationNoHolder, errcode.ConfigurationBehind:
 		r.redirect(env, request, response)
 	case errcode.ConfigurationUnsure:
-		// The configstore lost its lease midway; the same bytes settle it at the next holder.
+		// The configstore lost its lease during the write. Sending the same bytes to the next
+		// holder settles the outcome.
 		request.sentTo = ""
 		request.nextSendAt = env.Now + r.settings.UpdatesEvery()
 	default:
 		delete(r.pending, response.RequestID)
-		env.Reply(request.replyTo, r.conclude(env, request, response))
+		env.Reply(request.replyTo, r.finalAnswer(env, request, response))
 	}
 	return true
 }
 
-// redirect has a request sent again, to the configstore that the one asked took for the holder.
-func (r *operatorRequests) redirect(env *statemachine.Env, request *pendingRequest, response message.StoreResponse) {
+// redirect schedules another attempt after a configstore has answered that it is not the holder or
+// is behind. The attempt goes to the holder that the response names.
+func (r *forwardedRequests) redirect(env *statemachine.Env, request *pendingRequest, response message.StoreResponse) {
 	r.holderHint = response.Holder
-	request.undecided--
+	request.unresolvedSends--
 	request.nextSendAt = env.Now + r.settings.UpdatesEvery()/2
 	if response.Holder != "" && errcode.Code(response.Code) == errcode.ConfigurationNoHolder {
 		request.sentTo = ""
 	}
 }
 
-// conclude makes the answer of a final response, and takes the effects of a write that succeeded.
-func (r *operatorRequests) conclude(env *statemachine.Env, request *pendingRequest,
+// finalAnswer returns the answer to a request whose response is final, and publishes the version of
+// a write that succeeded.
+func (r *forwardedRequests) finalAnswer(env *statemachine.Env, request *pendingRequest,
 	response message.StoreResponse) Answer {
-	body, err := r.unpack(response)
+	body, err := r.decompressBody(response)
 	if err != nil {
 		return answerCode(errcode.Internal, err.Error())
 	}
@@ -220,14 +227,15 @@
 	})
 }
 
-func (r *operatorRequests) unpack(response message.StoreResponse) ([]byte, error) {
+// decompressBody returns the body of a response, decompressed if it was compressed.
+func (r *forwardedRequests) decompressBody(response message.StoreResponse) ([]byte, error) {
 	if !response.Packed {
 		return response.Body, nil
 	}
 	return delta.Apply(nil, response.Body, r.settings.Limits.Configuration)
 }
 
-// readAnswer is the answer to a read that succeeded.
+// readAnswer returns the answer to a read that succeeded.
 func readAnswer(read message.ReadRequest, response message.StoreResponse, body []byte) Answer {
 	if !read.List {
 		return Answer{Code: errcode.OK, Body: body, Raw: true}
@@ -239,10 +247,10 @@
 	})
 }
 
-// publish passes a committed version on to the distribution tree and to the peers at once, whatever
-// becomes of the configstore that committed it. The response has a body where another version
-// than the written one is in force.
-func (r *operatorRequests) publish(env *statemachine.Env, request *pendingRequest,
+// publish passes a committed version to the distribution tree and to the peers at once, so that it
+// spreads even if the configstore that committed it fails. The response has a body if the version
+// in force is not the written one.
+func (r *forwardedRequests) publish(env *statemachine.Env, request *pendingRequest,
 	response message.StoreResponse, responseBody []byte) {
 	body, packed := request.body, request.write.Body
 	if len(responseBody) > 0 {
--- a/internal/registry/guards_test.go
+++ b/internal/registry/guards_test.go
@@ -12,13 +12,14 @@
 	"beaconvane/internal/registry"
 )
 
-// maxWalks bounds how many walks of the exploration may pass before one breaks a rule.
+// maxWalks is the maximum number of random walks that the exploration may take to find a violation.
 const maxWalks = 600
 
+// threeRegistries are the options of the explored walks.
 var threeRegistries = explore.Options{Role: message.RoleRegistry, Voters: 3, Rounds: 320, Faults: 8}
 
-// expectedViolations lists the guards without which the exploration breaks a rule: the first seed
-// of its walks, and the rules of which one must be broken.
+// expectedViolations lists, by disabled guard, the seed of the first walk and the names of the
+// rules, separated by spaces: the exploration must report a violation of one of them.
 var expectedViolations = map[string]struct {
 	seed  uint64
 	rules string
@@ -31,19 +32,20 @@
 	"closedWindow":   {493, "counts"},
 }
 
-// With any of these guards off the exploration finds a broken promise; with all of them
-// on, TestWalksOfRegistriesKeepAllPromises of the exploration finds none.
-func TestExplorationMissesGuards(t *testing.T) {
-	if racing {
-		t.Skip("each walk is one thread; run without -race")
+// Guards against an exploration that cannot detect a missing safety rule: with any one guard
+// disabled it must find a violation. With all guards enabled, TestWalksOfRegistriesKeepAllPromises
+// of package explore requires that it finds none.
+func TestExplorationDetectsDisabledGuards(t *testing.T) {
+	if raceEnabled {
+		t.Skip("each walk runs on a single goroutine; run without -race")
 	}
-	for name, missed := range expectedViolations {
+	for name, expected := range expectedViolations {
 		t.Run(name, func(t *testing.T) {
 			registry.WithoutGuard(name, func() {
-				found, walks, broken := explore.Find(threeRegistries, missed.seed, maxWalks, runtime.GOMAXPROCS(0))
-				qt.Assert(t, broken, qt.IsTrue, qt.Commentf("nothing found in %d walks", walks))
+				found, walks, violated := explore.Find(threeRegistries, expected.seed, maxWalks, runtime.GOMAXPROCS(0))
+				qt.Assert(t, violated, qt.IsTrue, qt.Commentf("no violation found in %d walks", walks))
 				t.Logf("found after %d walks, %d actions: %s", walks, len(found.Plan.Actions), found.Violation)
-				qt.Assert(t, strings.Fields(missed.rules), qt.Any(qt.Equals), found.Violation.Rule)
+				qt.Assert(t, strings.Fields(expected.rules), qt.Any(qt.Equals), found.Violation.Rule)
 			})
 		})
 	}
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -10,84 +10,89 @@
 )
 
 const (
-	// heartbeatRetention is how long the newest heartbeat of a silent upstream is kept, in
-	// heartbeat bounds.
+	// heartbeatRetention is how long the latest heartbeat of a silent upstream is retained, as a
+	// multiple of HeartbeatTimeout.
 	heartbeatRetention = 4
-	// deregistrationRetention is how long a deregistration is kept, in heartbeat bounds, so that
-	// late heartbeats of the ended incarnation don't register it again.
+	// deregistrationRetention is how long a deregistration is retained, as a multiple of
+	// HeartbeatTimeout, so that late heartbeats of the ended incarnation don't register it again.
 	deregistrationRetention = 10
 )
 
-// upstreamHeartbeat is the newest heartbeat of an upstream.
+// upstreamHeartbeat is a heartbeat of an upstream as this registry received it.
 type upstreamHeartbeat struct {
-	heartbeat message.Heartbeat
-	at        time.Duration // when the upstream announced itself, by this registry's clock
-	proxy     string        // that passed it on
+	heartbeat   message.Heartbeat
+	announcedAt time.Duration // when the upstream sent it to the proxy, by this registry's clock
+	proxy       string        // name of the proxy that forwarded it
 }
 
-// deregistration is an upstream's word that it has ended an incarnation, and all before it.
+// deregistration records that an upstream has ended an incarnation and all earlier ones.
 type deregistration struct {
 	incarnation int64
-	at          time.Duration
+	receivedAt  time.Duration
 }
 
-// heartbeatTable holds what upstreams last said, by the keys of their registrations. Every
-// registry keeps one, not only the holder of a zone.
+// heartbeatTable holds the latest heartbeat and deregistration of each upstream, by the keys of
+// their registrations. Every registry maintains one, whether or not it holds a lease.
 type heartbeatTable struct {
-	newest          map[string]upstreamHeartbeat
+	latest          map[string]upstreamHeartbeat
 	deregistrations map[string]deregistration
 }
 
+// newHeartbeatTable returns an empty table.
 func newHeartbeatTable() *heartbeatTable {
-	return &heartbeatTable{newest: map[string]upstreamHeartbeat{}, deregistrations: map[string]deregistration{}}
+	return &heartbeatTable{latest: map[string]upstreamHeartbeat{}, deregistrations: map[string]deregistration{}}
 }
 
-// record takes a heartbeat, unless a newer one is known. Of one incarnation the later
-// announcement is newer; the proxy that passed on the last one is always believed.
+// record stores a heartbeat and reports whether it did so. It rejects heartbeats of an earlier
+// incarnation, and those of the same incarnation that were announced earlier, unless the proxy that
+// forwarded the stored one sent them: a proxy may correct its own report.
 func (t *heartbeatTable) record(received upstreamHeartbeat) bool {
 	key := received.heartbeat.Registration.Key()
 	incarnation := received.heartbeat.Registration.Incarnation
-	if last, known := t.newest[key]; known {
+	if last, known := t.latest[key]; known {
 		lastIncarnation := last.heartbeat.Registration.Incarnation
 		if incarnation < lastIncarnation {
 			return false
 		}
-		if incarnation == lastIncarnation && received.at < last.at && last.proxy != received.proxy {
+		if incarnation == lastIncarnation && received.announcedAt < last.announcedAt && last.proxy != received.proxy {
 			return false
 		}
 	}
-	t.newest[key] = received
+	t.latest[key] = received
 	return true
 }
 
+// recordDeregistration stores the end of an incarnation, unless that of the same or a later
+// incarnation is stored.
 func (t *heartbeatTable) recordDeregistration(key string, incarnation int64, now time.Duration) {
-	if known, deregistered := t.deregistrations[key]; !deregistered || known.incarnation < incarnation {
+	if last, exists := t.deregistrations[key]; !exists || last.incarnation < incarnation {
 		t.deregistrations[key] = deregistration{incarnation, now}
 	}
 }
 
-// isDeregistered says that the incarnation of a registration has ended.
+// isDeregistered reports whether the incarnation of a registration has ended.
 func (t *heartbeatTable) isDeregistered(registration message.Registration) bool {
-	known, deregistered := t.deregistrations[registration.Key()]
-	return deregistered && registration.Incarnation <= known.incarnation
+	last, deregistered := t.deregistrations[registration.Key()]
+	return deregistered && registration.Incarnation <= last.incarnation
 }
 
-func (t *heartbeatTable) forgetDeregistrations(before time.Duration) {
-	maps.DeleteFunc(t.deregistrations, func(_ string, known deregistration) bool { return known.at < before })
+// dropDeregistrations removes the deregistrations that were received before an instant.
+func (t *heartbeatTable) dropDeregistrations(before time.Duration) {
+	maps.DeleteFunc(t.deregistrations, func(_ string, known deregistration) bool { return known.receivedAt < before })
 }
 
-// handleHeartbeats takes the heartbeats that a proxy heard from its upstreams.
+// handleHeartbeats processes a batch of upstream heartbeats that a proxy has forwarded.
 func (m *Machine) handleHeartbeats(env *statemachine.Env, from string, batch message.HeartbeatBatch) {
 	if !m.proxies.record(batch, env.Now) {
 		return
 	}
 	env.Send(from, message.HeartbeatResponse{
 		Registry: m.membership.Self().Name,
-		Sealed:   m.usage.sealed.lowestOpen(),
+		Sealed:   m.usage.sealed.lowestUnsealed(),
 		Newer:    m.distribution.NewerThan(batch.Positions),
 	})
-	for _, end := range batch.Deregistrations {
-		m.heartbeats.recordDeregistration(end.Service+"/"+end.Instance, end.Incarnation, env.Now)
+	for _, ended := range batch.Deregistrations {
+		m.heartbeats.recordDeregistration(ended.Service+"/"+ended.Instance, ended.Incarnation, env.Now)
 	}
 	for _, heartbeat := range batch.Heartbeats {
 		announcedAt := env.Now - time.Duration(heartbeat.Age)
@@ -95,28 +100,29 @@
 			m.reconcileHeartbeat(env, heartbeat.Registration.Key())
 		}
 	}
-	m.pullWhereProxyIsAhead(env, batch.Positions)
+	m.pullStaleZones(env, batch.Positions)
 }
 
-// pullWhereProxyIsAhead asks the peers for the zones of which a proxy has a later position.
-func (m *Machine) pullWhereProxyIsAhead(env *statemachine.Env, marks []message.Position) {
-	for _, mark := range marks {
-		zone, isSlice := zoneOfTopic(mark.Topic)
+// pullStaleZones pulls the zones for which a proxy reports a later position than that of the copy
+// here.
+func (m *Machine) pullStaleZones(env *statemachine.Env, positions []message.Position) {
+	for _, position := range positions {
+		zone, isSlice := zoneOfTopic(position.Topic)
 		if !isSlice {
 			continue
 		}
-		if replica, known := m.zones[zone]; known && replica.slice.Position.Before(mark) {
+		if replica, known := m.zones[zone]; known && replica.slice.Position.Before(position) {
 			m.pullZone(env, zone, "a proxy is ahead")
 		}
 	}
 }
 
-// reconcileHeartbeats holds all recent heartbeats against the roster, and drops old ones.
+// reconcileHeartbeats reconciles the roster with all recent heartbeats, and removes expired ones.
 func (m *Machine) reconcileHeartbeats(env *statemachine.Env) {
 	oldest := env.Now - m.settings.HeartbeatTimeout()*heartbeatRetention
-	for _, key := range slices.Sorted(maps.Keys(m.heartbeats.newest)) {
-		if m.heartbeats.newest[key].at < oldest {
-			delete(m.heartbeats.newest, key)
+	for _, key := range slices.Sorted(maps.Keys(m.heartbeats.latest)) {
+		if m.heartbeats.latest[key].announcedAt < oldest {
+			delete(m.heartbeats.latest, key)
 			continue
 		}
 		m.reconcileHeartbeat(env, key)
--- a/internal/registry/heartbeats_test.go
+++ b/internal/registry/heartbeats_test.go
@@ -9,37 +9,39 @@
 	"beaconvane/internal/message"
 )
 
+// heartbeatOf returns a heartbeat of upstream dispatch/dispatch-1.
 func heartbeatOf(incarnation int64, proxy string, at time.Duration) upstreamHeartbeat {
 	registration := message.Registration{Service: "dispatch", Instance: "dispatch-1", Incarnation: incarnation}
 	return upstreamHeartbeat{message.Heartbeat{Registration: registration}, at, proxy}
 }
 
-// The newest heartbeat holds: by incarnation, then by time, and of one proxy the last that it passed on.
-func TestTheNewestHeartbeatIsKept(t *testing.T) {
+// A later incarnation replaces the stored heartbeat. Within an incarnation it is replaced by one
+// that was announced no earlier, or by any that comes from the proxy that forwarded the stored one.
+func TestLatestHeartbeatIsKept(t *testing.T) {
 	c := qt.New(t)
 	table := newHeartbeatTable()
 	for _, step := range []struct {
 		received upstreamHeartbeat
-		taken    bool
+		accepted bool
 	}{
 		{heartbeatOf(2, "proxy-a", 100*time.Millisecond), true},
 		{heartbeatOf(1, "proxy-a", 900*time.Millisecond), false}, // an earlier incarnation
-		{heartbeatOf(2, "proxy-b", 50*time.Millisecond), false},  // older, by way of another proxy
-		{heartbeatOf(2, "proxy-a", 50*time.Millisecond), true},   // the same proxy corrects itself
-		{heartbeatOf(2, "proxy-b", 60*time.Millisecond), true},   // newer, by way of another proxy
+		{heartbeatOf(2, "proxy-b", 50*time.Millisecond), false},  // announced earlier, other proxy
+		{heartbeatOf(2, "proxy-a", 50*time.Millisecond), true},   // announced earlier, same proxy: a correction
+		{heartbeatOf(2, "proxy-b", 60*time.Millisecond), true},   // announced later, other proxy
 		{heartbeatOf(3, "proxy-c", 10*time.Millisecond), true},   // a later incarnation
 	} {
-		before := table.newest["dispatch/dispatch-1"]
-		c.Assert(table.record(step.received), qt.Equals, step.taken)
-		wanted := before
-		if step.taken {
-			wanted = step.received
+		before := table.latest["dispatch/dispatch-1"]
+		c.Assert(table.record(step.received), qt.Equals, step.accepted)
+		expected := before
+		if step.accepted {
+			expected = step.received
 		}
-		c.Assert(table.newest["dispatch/dispatch-1"], qt.Equals, wanted)
+		c.Assert(table.latest["dispatch/dispatch-1"], qt.Equals, expected)
 	}
 }
 
-// A deregistration ends an incarnation and those before it, until it is forgotten.
+// A deregistration ends its incarnation and all earlier ones until it is dropped from the table.
 func TestDeregistrationsEndIncarnations(t *testing.T) {
 	c := qt.New(t)
 	table := newHeartbeatTable()
@@ -50,8 +52,8 @@
 		c.Check(table.isDeregistered(registration), qt.Equals, ended)
 	}
 	registration := heartbeatOf(2, "", 0).heartbeat.Registration
-	table.forgetDeregistrations(time.Second)
+	table.dropDeregistrations(time.Second)
 	c.Check(table.isDeregistered(registration), qt.IsTrue)
-	table.forgetDeregistrations(time.Second + 1)
+	table.dropDeregistrations(time.Second + 1)
 	c.Check(table.isDeregistered(registration), qt.IsFalse)
 }
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -13,10 +13,10 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Group is the name of the registries' voters as a group.
+// Group is the name of the quorum group that the registries form.
 const Group = "registry"
 
-// Machine is the registry's control state.
+// Machine is the control state of a registry process. It must be driven by a single goroutine.
 type Machine struct {
 	*quorum.Core
 	settings     settings.Settings
@@ -25,22 +25,22 @@
 	leases       *lease.Manager
 	distribution *distribution.Distribution
 
-	zones       map[string]*zoneReplica // by name of the zone
+	zones       map[string]*zoneReplica // by zone name
 	heartbeats  *heartbeatTable
 	proxies     proxyReports
 	changes     *changeTracker
 	replication *replicationState
-	requests    *operatorRequests
-	usage       *usage
+	requests    *forwardedRequests
+	usage       *usageManager
 
 	started           bool
-	startedAt         time.Duration // of the first tick
+	startedAt         time.Duration // time of the first tick
 	lastTickAt        time.Duration
 	nextMaintenanceAt time.Duration
 	stopping          bool
 }
 
-// New restores a machine from what its disk held.
+// New restores a machine from the snapshot and the log records on its disk.
 func New(cfg settings.Settings, self message.Member, snapshot []byte, records [][]byte) (*Machine, error) {
 	saved, err := quorum.DecodeSnapshot[message.RegistryState](snapshot)
 	if err != nil {
@@ -58,14 +58,14 @@
 	m.membership = membership.New(cfg, self, saved.KnownAddresses)
 	m.distribution = m.newDistribution()
 	m.Core = quorum.NewCore(cfg, message.RoleRegistry, m.membership, m.snapshot, snapshot == nil)
-	m.usage = newUsage(m, saved)
-	m.requests = newOperatorRequests(cfg, m.Core, m.membership, m.distribution)
+	m.usage = newUsageManager(m, saved)
+	m.requests = newForwardedRequests(cfg, m.Core, m.membership, m.distribution)
 	restored := quorum.Restored{Voter: saved.Voter, Votes: saved.Votes}
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
 		return nil, err
 	}
-	m.quorum = quorum.New(Group, cfg, m, restored.Voter, func(env *statemachine.Env, fresh bool) {
-		m.leases.BeginVoting(env, fresh)
+	m.quorum = quorum.New(Group, cfg, m, restored.Voter, func(env *statemachine.Env, newGroup bool) {
+		m.leases.BeginVoting(env, newGroup)
 	})
 	m.UseVoters(m.quorum)
 	m.leases = lease.New(cfg, m, m.quorum, leaseNames(cfg), restored.Votes, lease.Callbacks{
@@ -77,8 +77,8 @@
 	return m, nil
 }
 
-// newDistribution returns the node's part in the distribution tree: it wants all configurations
-// and shares all zones.
+// newDistribution returns this registry's node of the distribution tree: it subscribes to all
+// configurations and serves the slices of all zones.
 func (m *Machine) newDistribution() *distribution.Distribution {
 	tree := distribution.New(m.settings, m.membership, func(*statemachine.Env, string) {})
 	for _, configName := range m.settings.ConfigNames {
@@ -90,13 +90,14 @@
 	return tree
 }
 
-// leaseNames lists the leases that registries hold: one of each zone, and that of the usage reports.
+// leaseNames lists the names of the leases that registries hold: one per zone, and that of the
+// usage reports.
 func leaseNames(cfg settings.Settings) []string {
 	return append(append([]string{}, cfg.Zones...), settings.UsageTag)
 }
 
-// eligible says whether this registry may become a candidate for a lease. A zone without a
-// complete copy must not: it would drop the registrations that it doesn't know.
+// eligible reports whether this registry may become a candidate for a lease. It may not for a zone
+// whose copy is incomplete: as the holder it would drop the missing registrations.
 func (m *Machine) eligible(leaseName string) bool {
 	if m.Failure() != nil || m.stopping || m.membership.Superseded() {
 		return false
@@ -104,6 +105,8 @@
 	return leaseName == settings.UsageTag || m.zones[leaseName].complete
 }
 
+// onLeaseAcquired starts a new epoch of the zone, or of the usage reports, whose lease was
+// acquired.
 func (m *Machine) onLeaseAcquired(env *statemachine.Env, leaseName string, epoch int64) {
 	if leaseName == settings.UsageTag {
 		m.usage.onLeaseAcquired(epoch)
@@ -116,18 +119,21 @@
 	m.replication.snapshotDue = true
 }
 
+// onLeaseLost stops sealing when the usage lease is lost. Zones need no action: holdsZone checks
+// the lease.
 func (m *Machine) onLeaseLost(_ *statemachine.Env, leaseName string, _ int64) {
 	if leaseName == settings.UsageTag {
 		m.usage.onLeaseLost()
 	}
 }
 
-// holdsZone says that this registry acts for a zone at this moment.
+// holdsZone reports whether this registry holds a zone's lease and its slice is in the lease's
+// epoch, so that it may change the zone now.
 func (m *Machine) holdsZone(env *statemachine.Env, zone string) bool {
 	return m.leases.Holding(zone, env.Now) && m.zones[zone].slice.Position.Epoch == m.leases.Epoch(zone)
 }
 
-// Tick is one step of the clock.
+// Tick performs the periodic work of one clock tick.
 func (m *Machine) Tick(env *statemachine.Env) {
 	m.lastTickAt = env.Now
 	if !m.started {
@@ -149,7 +155,7 @@
 	m.compactWhenDue(env)
 }
 
-// refreshHeldZones tells the distribution tree that the zones held here are current.
+// refreshHeldZones marks the slices of the zones held here as current in the distribution tree.
 func (m *Machine) refreshHeldZones(env *statemachine.Env) {
 	for _, zone := range m.settings.Zones {
 		if m.holdsZone(env, zone) {
@@ -158,7 +164,7 @@
 	}
 }
 
-// Handle takes a message from another process.
+// Handle dispatches a message from another process.
 func (m *Machine) Handle(env *statemachine.Env, from string, msg any) {
 	if m.membership.Handle(env, from, msg) || m.quorum.Handle(env, from, msg) || m.leases.Handle(env, from, msg) ||
 		m.distribution.Handle(env, from, msg) || m.usage.handle(env, from, msg) || m.requests.handle(env, msg) {
@@ -184,11 +190,11 @@
 	}
 }
 
-// VoterState is for tests and status: what this disk says of its voter.
+// VoterState returns the voter's state on this disk. It is for tests and the status.
 func (m *Machine) VoterState() message.VoterState { return m.quorum.State }
 
-// Serving is for tests and status: whether it holds the lease of the usage reports or acts
-// for some zone, as of its last tick.
+// Serving reports whether this registry held the usage lease or the lease of a zone at its last
+// tick. It is for tests and the status.
 func (m *Machine) Serving() bool {
 	if m.leases.Holding(settings.UsageTag, m.lastTickAt) {
 		return true
@@ -198,7 +204,8 @@
 	})
 }
 
-// Registrations is for tests and status: a zone's slice of the roster, by key.
+// Registrations returns a zone's slice of the roster in the order of the keys. It is for tests and
+// the status.
 func (m *Machine) Registrations(zone string) []message.Registration {
 	replica, known := m.zones[zone]
 	if !known {
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -5,7 +5,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// samples are the machine's figures for the metrics page.
+// samples returns the machine's samples for the metrics page.
 func (m *Machine) samples(env *statemachine.Env) []metrics.Sample {
 	samples := append(m.Metrics(), m.leases.Metrics(env.Now)...)
 	samples = append(samples, m.distribution.Metrics(env.Now)...)
--- a/internal/registry/norace_test.go
+++ b/internal/registry/norace_test.go
@@ -1,6 +1,7 @@
 //go:build !race
 
-// Without the race detector every walk is played; race_test.go says why not with it.
 package registry_test
 
-const racing = false
+// raceEnabled is false: the exploration runs only without the race detector, for the reason in
+// race_test.go.
+const raceEnabled = false
--- a/internal/registry/persistence.go
+++ b/internal/registry/persistence.go
@@ -5,7 +5,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// restoreRoster takes the roster of the snapshot.
+// restoreRoster restores the copies of the zones from the disk snapshot. Zones that are not in the
+// settings are ignored.
 func (m *Machine) restoreRoster(saved []message.RosterSnapshot) {
 	for _, snapshot := range saved {
 		if replica, known := m.zones[snapshot.Tag]; known {
@@ -14,7 +15,7 @@
 	}
 }
 
-// replay takes a record of the log on disk.
+// replay applies a record of the log on disk.
 func (m *Machine) replay(record any) {
 	switch saved := record.(type) {
 	case message.RosterChange:
@@ -22,17 +23,18 @@
 			replica.slice.Append(saved.Position.Epoch, saved.Registration, saved.Removed, saved.Cause)
 		}
 	case message.UsageSealed:
-		m.usage.sealed.learn(saved)
+		m.usage.sealed.merge(saved)
 	case message.UnreportedUsage:
 		m.usage.counts.restore(saved)
 	case message.UsageReported:
-		m.usage.sealed.learnReported(saved.Window)
+		m.usage.sealed.advanceReported(saved.Window)
 	}
 }
 
-// Snapshot is the whole state, as a slot of the disk holds it.
+// Snapshot returns the encoded state of the machine, as a slot on the disk stores it.
 func (m *Machine) Snapshot() []byte { return m.snapshot() }
 
+// snapshot encodes the state of the machine.
 func (m *Machine) snapshot() []byte {
 	state := message.RegistryState{
 		Voter:          m.quorum.State,
@@ -49,17 +51,19 @@
 	}
 	body, err := message.Encode(state)
 	if err != nil {
-		// Programming error: the type is one of the message kinds, and any value of it can be encoded.
-		panic("registry: snapshot: " + err.Error())
+		// Unreachable unless message.RegistryState is not registered as a message kind: any value
+		// of a registered kind can be encoded.
+		panic("registry: cannot encode the snapshot: " + err.Error())
 	}
 	return body
 }
 
-// StateForGrant is the state that this voter hands to one which asks for its grant. With
-// MergeGrantedStates and the methods of quorum.Core it makes the machine a quorum.Host.
+// StateForGrant returns the state that this voter sends with its grant. StateForGrant,
+// MergeGrantedStates and the methods of quorum.Core implement quorum.Host.
 func (m *Machine) StateForGrant() []byte { return m.snapshot() }
 
-// MergeGrantedStates takes what the granters of this voter know.
+// MergeGrantedStates merges the states of the voters that granted this process its voter. States
+// that can't be decoded are skipped.
 func (m *Machine) MergeGrantedStates(_ *statemachine.Env, states [][]byte) {
 	for _, body := range states {
 		decoded, err := message.Decode(body)
@@ -69,9 +73,9 @@
 		}
 		m.leases.Restore(state.Votes)
 		for _, sealed := range state.Sealed {
-			m.usage.sealed.learn(sealed)
+			m.usage.sealed.merge(sealed)
 		}
-		m.usage.sealed.learnReported(state.Reported)
+		m.usage.sealed.advanceReported(state.Reported)
 		for _, snapshot := range state.Slices {
 			if replica, known := m.zones[snapshot.Tag]; known && replica.slice.Position.Before(snapshot.Position) {
 				replica.slice.Replace(snapshot.Position, snapshot.Registrations)
@@ -80,23 +84,23 @@
 	}
 }
 
-// DiscardState drops what rested on a voter that is now held by another process. The roster stays, as
-// what was heard in updates.
+// DiscardState discards the state that belongs to the voter, after another process was given it.
+// The roster is kept, as if it had been received in updates.
 func (m *Machine) DiscardState(env *statemachine.Env) {
 	m.leases.Forget(env)
-	m.usage.forget()
+	m.usage.discardVoterState()
 }
 
-// ForceRecover gives up the other voters and returns the snapshot to be written. An operator does
-// so on the stopped survivor when the disks of two voters are lost.
+// ForceRecover removes the other voters from the group and returns the snapshot to be written. An
+// operator uses it on the stopped survivor after the disks of two voters are lost.
 func (m *Machine) ForceRecover() []byte {
 	m.quorum.ForceRecover()
 	m.leases.ForceRecover()
 	return m.snapshot()
 }
 
-// compactWhenDue writes a snapshot after whole copies were pulled, at most once in HolderRest.
-// What was pulled is not in the log.
+// compactWhenDue writes a disk snapshot, at most once per HolderRest, after a zone snapshot was
+// received or an epoch was started: neither is in the log.
 func (m *Machine) compactWhenDue(env *statemachine.Env) {
 	if !m.replication.snapshotDue || env.Now < m.replication.nextSnapshotAt {
 		return
--- a/internal/registry/proxies.go
+++ b/internal/registry/proxies.go
@@ -8,17 +8,18 @@
 	"beaconvane/internal/message"
 )
 
-// proxyReport is the newest batch of heartbeats of a proxy: what it has in force, where it stands
-// in the distribution tree, and which usage window is under way by its clock.
+// proxyReport is the latest heartbeat batch of a proxy. It carries the versions that the proxy has
+// in force, its path in the distribution tree, and the current usage window by its clock.
 type proxyReport struct {
-	batch message.HeartbeatBatch
-	at    time.Duration // when it came
+	batch      message.HeartbeatBatch
+	receivedAt time.Duration
 }
 
-// proxyReports holds the newest report of each proxy, by the proxy's name.
+// proxyReports holds the latest report of each proxy, by proxy name.
 type proxyReports map[string]proxyReport
 
-// record takes a report, unless it is from before the last start of the proxy.
+// record stores a report and reports whether it did so. It rejects a report from an earlier run of
+// the proxy.
 func (p proxyReports) record(batch message.HeartbeatBatch, now time.Duration) bool {
 	if last, known := p[batch.Proxy]; known && batch.StartTime < last.batch.StartTime {
 		return false
@@ -27,31 +28,32 @@
 	return true
 }
 
-func (p proxyReports) forget(before time.Duration) {
-	maps.DeleteFunc(p, func(_ string, report proxyReport) bool { return report.at < before })
+// dropBefore removes the reports that were received before an instant.
+func (p proxyReports) dropBefore(before time.Duration) {
+	maps.DeleteFunc(p, func(_ string, report proxyReport) bool { return report.receivedAt < before })
 }
 
-// names lists the proxies in the order of the alphabet.
+// names lists the proxies in alphabetical order.
 func (p proxyReports) names() []string { return slices.Sorted(maps.Keys(p)) }
 
-// usageWindows lists the usage windows that are under way by the clocks of the proxies which
-// reported since a moment.
+// usageWindows lists the current usage windows by the clocks of the proxies that have reported
+// since an instant.
 func (p proxyReports) usageWindows(since time.Duration) []int64 {
 	windows := []int64{}
 	for _, name := range p.names() {
-		if report := p[name]; report.at >= since {
+		if report := p[name]; report.receivedAt >= since {
 			windows = append(windows, report.batch.Window)
 		}
 	}
 	return windows
 }
 
-// inForce is the version of a topic that a proxy has in force; 0 where it told none.
+// inForce returns the version of a topic that a proxy has in force, or 0 if it has reported none.
 func (p proxyReports) inForce(proxy, topic string) int64 {
 	version := int64(0)
-	for _, mark := range p[proxy].batch.Positions {
-		if mark.Topic == topic {
-			version = mark.Seq
+	for _, position := range p[proxy].batch.Positions {
+		if position.Topic == topic {
+			version = position.Seq
 		}
 	}
 	return version
--- a/internal/registry/race_test.go
+++ b/internal/registry/race_test.go
@@ -1,7 +1,8 @@
 //go:build race
 
-// A walk is one thread: there is nothing for the race detector to find,
-// and it makes the long runs ten times slower. They are run without it.
 package registry_test
 
-const racing = true
+// raceEnabled is true: the exploration is skipped. Each of its walks runs on a single goroutine, so
+// that the race detector has nothing to find, and the detector makes the long runs ten times
+// slower.
+const raceEnabled = true
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -7,12 +7,12 @@
 	"beaconvane/internal/statemachine"
 )
 
-// maintainRoster is the steady part of a holder: it holds heartbeats against the roster and
-// expires upstreams that were silent for too long.
+// maintainRoster reconciles the roster with the heartbeats, drops expired records, and removes the
+// upstreams of the zones held here that have stopped sending heartbeats.
 func (m *Machine) maintainRoster(env *statemachine.Env) {
 	m.reconcileHeartbeats(env)
-	m.heartbeats.forgetDeregistrations(env.Now - m.settings.HeartbeatTimeout()*deregistrationRetention)
-	m.proxies.forget(env.Now - m.settings.ForgetAfter())
+	m.heartbeats.dropDeregistrations(env.Now - m.settings.HeartbeatTimeout()*deregistrationRetention)
+	m.proxies.dropBefore(env.Now - m.settings.ForgetAfter())
 	for _, zone := range m.settings.Zones {
 		if !m.holdsZone(env, zone) {
 			continue
@@ -23,34 +23,37 @@
 	}
 }
 
-// checkLiveness removes an upstream that deregistered or was silent for the heartbeat bound, and has
-// one probed that is late or was never probed.
+// checkLiveness removes an upstream that has deregistered or whose latest heartbeat is older than
+// HeartbeatTimeout. It requests a probe if that heartbeat is older than half of HeartbeatTimeout,
+// or if the upstream has not answered a probe yet.
 func (m *Machine) checkLiveness(env *statemachine.Env, zone string, registration message.Registration) {
 	if m.heartbeats.isDeregistered(registration) {
 		m.commitChange(env, zone, removal(registration, causeDeregistered))
 		return
 	}
-	silentFor := m.silentFor(env, zone, registration)
+	sinceHeartbeat := m.timeSinceHeartbeat(env, zone, registration)
 	switch {
-	case silentFor > m.settings.HeartbeatTimeout():
+	case sinceHeartbeat > m.settings.HeartbeatTimeout():
 		m.commitChange(env, zone, removal(registration, causeHeartbeatsStopped))
-	case silentFor > m.settings.HeartbeatTimeout()/2 || registration.State == message.StateCreated:
+	case sinceHeartbeat > m.settings.HeartbeatTimeout()/2 || registration.State == message.StateCreated:
 		m.requestProbe(env, zone, registration)
 	}
 }
 
-// silentFor is how long an upstream was not heard. A new holder gives each upstream the whole bound,
-// counted from the acquisition of the lease: the heartbeats may have gone to others before.
-func (m *Machine) silentFor(env *statemachine.Env, zone string, registration message.Registration) time.Duration {
+// timeSinceHeartbeat returns the time since an upstream's latest heartbeat, counted at most from
+// the acquisition of the zone's lease. A new holder thus allows each upstream a full
+// HeartbeatTimeout, since earlier heartbeats may have been sent to other registries.
+func (m *Machine) timeSinceHeartbeat(env *statemachine.Env, zone string, registration message.Registration) time.Duration {
 	sinceAcquired := env.Now - m.zones[zone].acquiredAt
-	newest, heard := m.heartbeats.newest[registration.Key()]
-	if !heard {
+	latest, found := m.heartbeats.latest[registration.Key()]
+	if !found {
 		return sinceAcquired
 	}
-	return min(sinceAcquired, env.Now-newest.at)
+	return min(sinceAcquired, env.Now-latest.announcedAt)
 }
 
-// requestProbe asks an upstream's serving proxy to try a connection to it.
+// requestProbe asks the serving proxy of an upstream to probe it with a connection, at most once
+// per two heartbeat intervals.
 func (m *Machine) requestProbe(env *statemachine.Env, zone string, registration message.Registration) {
 	if !m.changes.beginProbe(registration.Key(), env.Now, m.settings.HeartbeatEvery()*2) {
 		return
@@ -64,11 +67,11 @@
 	})
 }
 
-// reconcileHeartbeat holds the newest heartbeat of an upstream against the zones held here.
+// reconcileHeartbeat reconciles the zones held here with the latest heartbeat of an upstream.
 func (m *Machine) reconcileHeartbeat(env *statemachine.Env, key string) {
-	newest := m.heartbeats.newest[key]
-	announced := newest.heartbeat.Registration
-	if m.heartbeats.isDeregistered(announced) || env.Now-newest.at > m.settings.HeartbeatTimeout() {
+	latest := m.heartbeats.latest[key]
+	announced := latest.heartbeat.Registration
+	if m.heartbeats.isDeregistered(announced) || env.Now-latest.announcedAt > m.settings.HeartbeatTimeout() {
 		return
 	}
 	for _, zone := range m.settings.Zones {
@@ -78,14 +81,14 @@
 		if zone != announced.Zone {
 			m.removeMoved(env, zone, announced)
 		}
-		m.removeAddressConflicts(env, zone, newest)
+		m.removeAddressConflicts(env, zone, latest)
 		if zone == announced.Zone {
-			m.register(env, zone, newest.heartbeat)
+			m.register(env, zone, latest.heartbeat)
 		}
 	}
 }
 
-// removeMoved removes an upstream that announces itself in another zone now.
+// removeMoved removes an upstream from a zone after it has announced itself in another one.
 func (m *Machine) removeMoved(env *statemachine.Env, zone string, announced message.Registration) {
 	current, registered := m.zones[zone].slice.Registrations[announced.Key()]
 	if registered && announced.Incarnation >= current.Incarnation {
@@ -93,51 +96,54 @@
 	}
 }
 
-// removeAddressConflicts removes upstreams of other names at the address of one that was heard
-// later: an address has one upstream.
-func (m *Machine) removeAddressConflicts(env *statemachine.Env, zone string, newest upstreamHeartbeat) {
-	announced := newest.heartbeat.Registration
+// removeAddressConflicts removes the registrations of other upstreams at the address of the
+// announced one, unless their heartbeats are at least as recent: an address belongs to one
+// upstream.
+func (m *Machine) removeAddressConflicts(env *statemachine.Env, zone string, latest upstreamHeartbeat) {
+	announced := latest.heartbeat.Registration
 	for _, other := range m.zones[zone].slice.List() {
 		if other.Address != announced.Address || other.Key() == announced.Key() {
 			continue
 		}
-		otherNewest, heard := m.heartbeats.newest[other.Key()]
-		if !heard || otherNewest.at < newest.at {
+		otherLatest, found := m.heartbeats.latest[other.Key()]
+		if !found || otherLatest.announcedAt < latest.announcedAt {
 			m.commitChange(env, zone, removal(other, causeAddressTakenBy+announced.Key()))
 		}
 	}
 }
 
-// register puts an upstream on the roster of its zone as its heartbeat says, unless a later
+// register updates the registration of an upstream to match its heartbeat, unless a later
 // incarnation is registered.
 func (m *Machine) register(env *statemachine.Env, zone string, heartbeat message.Heartbeat) {
 	current, registered := m.zones[zone].slice.Registrations[heartbeat.Registration.Key()]
 	if registered && current.Incarnation > heartbeat.Registration.Incarnation {
 		return
 	}
-	wanted := wantedRegistration(heartbeat, current, registered)
-	if registered && current == wanted {
+	desired := desiredRegistration(heartbeat, current, registered)
+	if registered && current == desired {
 		return
 	}
-	m.commitChange(env, zone, registrationChange{registration: wanted, cause: causeOf(registered, current, wanted)})
-	if wanted.State == message.StateCreated {
-		m.requestProbe(env, zone, wanted)
+	m.commitChange(env, zone, registrationChange{registration: desired, cause: changeCause(registered, current, desired)})
+	if desired.State == message.StateCreated {
+		m.requestProbe(env, zone, desired)
 	}
 }
 
-// wantedRegistration is what the roster should say of an upstream. Leaving is final for an
-// incarnation, and one that wasn't probed yet stays created whatever it says of itself.
-func wantedRegistration(heartbeat message.Heartbeat, current message.Registration,
+// desiredRegistration returns the registration that the roster should hold for an upstream's
+// heartbeat. The state leaving is final for an incarnation. An incarnation that has not yet
+// answered a probe stays in the state created, whatever state it announces, unless it announces
+// leaving.
+func desiredRegistration(heartbeat message.Heartbeat, current message.Registration,
 	registered bool) message.Registration {
-	wanted := heartbeat.Registration
-	newIncarnation := !registered || current.Incarnation < wanted.Incarnation
+	desired := heartbeat.Registration
+	newIncarnation := !registered || current.Incarnation < desired.Incarnation
 	switch {
 	case !newIncarnation && current.State == message.StateLeaving:
-		wanted.State = message.StateLeaving
-	case wanted.State == message.StateLeaving:
-		// It drains, probed or not.
+		desired.State = message.StateLeaving
+	case desired.State == message.StateLeaving:
+		// Draining does not depend on the result of a probe.
 	case heartbeat.ProbeResult != message.ProbeAnswered && (newIncarnation || current.State == message.StateCreated):
-		wanted.State = message.StateCreated
+		desired.State = message.StateCreated
 	}
-	return wanted
+	return desired
 }
--- a/internal/registry/reconcile_test.go
+++ b/internal/registry/reconcile_test.go
@@ -8,15 +8,17 @@
 	"beaconvane/internal/message"
 )
 
-// Leaving is final for an incarnation; an upstream that was not probed yet is created.
-func TestWantedStates(t *testing.T) {
+// The state leaving is final for an incarnation. A new incarnation that announces another state is
+// in the state created until it has answered a probe. The other fields are those that were
+// announced.
+func TestDesiredRegistrationState(t *testing.T) {
 	c := qt.New(t)
 	for _, step := range []struct {
 		announced   string
 		probed      int64
 		incarnation int64
 		current     string // state in the roster, at incarnation 1; "": not registered
-		wanted      string
+		expected    string
 	}{
 		{message.StateReady, message.NotProbed, 1, "", message.StateCreated},
 		{message.StateReady, message.ProbeRefused, 1, "", message.StateCreated},
@@ -35,9 +37,9 @@
 		if !registered {
 			current = message.Registration{}
 		}
-		wanted := wantedRegistration(message.Heartbeat{Registration: announced, ProbeResult: step.probed}, current, registered)
-		c.Check(wanted.State, qt.Equals, step.wanted, qt.Commentf("%+v", step))
-		wanted.State = announced.State
-		c.Check(wanted, qt.Equals, announced)
+		desired := desiredRegistration(message.Heartbeat{Registration: announced, ProbeResult: step.probed}, current, registered)
+		c.Check(desired.State, qt.Equals, step.expected, qt.Commentf("%+v", step))
+		desired.State = announced.State
+		c.Check(desired, qt.Equals, announced)
 	}
 }
--- a/internal/registry/replication.go
+++ b/internal/registry/replication.go
@@ -8,30 +8,34 @@
 	"beaconvane/internal/statemachine"
 )
 
-// digestRoundRetention is how many rounds back the answer to a digest request still counts.
+// digestRoundRetention is how many rounds of digest requests are remembered. Responses to earlier
+// rounds are ignored.
 const digestRoundRetention = 64
 
-// replicationState is how this registry keeps its copies of the zones that others hold.
+// replicationState tracks how this registry's copies of the zones are synchronized with their
+// holders.
 type replicationState struct {
-	round   int64                   // of digest requests
-	askedAt map[int64]time.Duration // by round
+	round       int64                   // number of the latest round of digest requests
+	requestedAt map[int64]time.Duration // time of the digest request, by round
 
-	snapshotDue    bool // a whole copy was taken that is not on disk yet
-	nextSnapshotAt time.Duration
+	snapshotDue    bool          // a zone snapshot was received or an epoch was started that is not in the disk snapshot yet
+	nextSnapshotAt time.Duration // earliest time of the next disk snapshot
 }
 
+// newReplicationState returns the state before the first round.
 func newReplicationState() *replicationState {
-	return &replicationState{askedAt: map[int64]time.Duration{}}
+	return &replicationState{requestedAt: map[int64]time.Duration{}}
 }
 
+// beginRound starts a round of digest requests, and drops the oldest retained one.
 func (r *replicationState) beginRound(now time.Duration) {
 	r.round++
-	r.askedAt[r.round] = now
-	delete(r.askedAt, r.round-digestRoundRetention)
+	r.requestedAt[r.round] = now
+	delete(r.requestedAt, r.round-digestRoundRetention)
 }
 
-// synchronizeZones asks the holders for the digests of the zones that are complete here, and the
-// peers for whole copies of those that are not.
+// synchronizeZones sends the peers a digest request for each zone whose copy is complete, and a
+// pull for each zone whose copy is not. Zones held here are skipped.
 func (m *Machine) synchronizeZones(env *statemachine.Env) {
 	m.replication.beginRound(env.Now)
 	for _, zone := range m.settings.Zones {
@@ -47,12 +51,13 @@
 				env.Send(peer.Address, message.RosterPull{Tag: zone, Voter: m.quorum.Voter})
 			}
 		}
-		if m.nobodyIsComplete(env, replica) {
+		if m.canAssumeComplete(env, replica) {
 			replica.complete = true
 		}
 	}
 }
 
+// rosterCheck returns the digest request for a zone in the current round.
 func (m *Machine) rosterCheck(zone string) message.RosterCheck {
 	return message.RosterCheck{
 		Tag:      zone,
@@ -62,13 +67,16 @@
 	}
 }
 
-// nobodyIsComplete says that all other voters have answered that their copy isn't complete, as when
-// all registries start, or that the time for an answer is up.
-func (m *Machine) nobodyIsComplete(env *statemachine.Env, replica *zoneReplica) bool {
+// canAssumeComplete reports whether an incomplete copy may be treated as complete, because no peer
+// has a complete one: all other voters have answered so, as when all registries start together, or
+// have had longer than TakeOver to answer.
+func (m *Machine) canAssumeComplete(env *statemachine.Env, replica *zoneReplica) bool {
 	return len(replica.incompletePeers) >= m.quorum.Size()-1 || env.Now-m.startedAt > m.settings.TakeOver()
 }
 
-// handleRosterChange follows the broadcast of a holder.
+// handleRosterChange applies a change that the holder of a zone has broadcast, and pulls the zone
+// if the copy here lacks an earlier change or differs at the same position. Changes of an earlier
+// epoch are ignored.
 func (m *Machine) handleRosterChange(env *statemachine.Env, change message.RosterChange) {
 	zone, isSlice := zoneOfTopic(change.Position.Topic)
 	replica, known := m.zones[zone]
@@ -91,7 +99,7 @@
 	}
 }
 
-// handleRosterCheck answers a digest request, as the holder alone may.
+// handleRosterCheck answers a digest request. Only the holder of the zone answers.
 func (m *Machine) handleRosterCheck(env *statemachine.Env, from string, check message.RosterCheck) {
 	replica, known := m.zones[check.Tag]
 	if !known || !m.holdsZone(env, check.Tag) {
@@ -105,16 +113,16 @@
 	})
 }
 
-// handleRosterDigest compares the holder's digest with that of the copy. The same one says that
-// the copy was current when this registry asked.
+// handleRosterDigest compares the holder's digest with that of the copy here. If they are equal,
+// the copy was current when the digest was requested; otherwise the zone is pulled.
 func (m *Machine) handleRosterDigest(env *statemachine.Env, digest message.RosterDigest) {
 	replica, known := m.zones[digest.Tag]
-	askedAt, asked := m.replication.askedAt[digest.Round]
-	if !known || !asked || digest.Position.Epoch < m.leases.Epoch(digest.Tag) || m.holdsZone(env, digest.Tag) {
+	requestedAt, requested := m.replication.requestedAt[digest.Round]
+	if !known || !requested || digest.Position.Epoch < m.leases.Epoch(digest.Tag) || m.holdsZone(env, digest.Tag) {
 		return
 	}
 	if replica.slice.Position.Same(digest.Position) {
-		m.distribution.SetFreshAt(distribution.SliceTopic(digest.Tag), askedAt)
+		m.distribution.SetFreshAt(distribution.SliceTopic(digest.Tag), requestedAt)
 		return
 	}
 	if guardsOff.driftDetection {
@@ -123,8 +131,8 @@
 	m.pullZone(env, digest.Tag, "digest differs")
 }
 
-// pullZone asks the peers for a whole copy of a zone. Pulls are paced, with jitter, so that a busy
-// holder isn't flooded.
+// pullZone requests a snapshot of a zone from the peers. Requests are rate limited, with jitter, so
+// that they don't overload a busy holder.
 func (m *Machine) pullZone(env *statemachine.Env, zone, cause string) {
 	replica := m.zones[zone]
 	if env.Now < replica.nextPullAt {
@@ -139,7 +147,8 @@
 	}
 }
 
-// handleRosterPull answers with the whole copy of a zone, and with what it is worth.
+// handleRosterPull answers with a snapshot of a zone, which says whether the copy is complete and
+// whether it is the holder's.
 func (m *Machine) handleRosterPull(env *statemachine.Env, from string, pull message.RosterPull) {
 	replica, known := m.zones[pull.Tag]
 	if !known {
@@ -155,8 +164,9 @@
 	})
 }
 
-// handleRosterSnapshot takes a whole copy where it is newer than the one here, or is the holder's
-// and differs.
+// handleRosterSnapshot replaces the copy of a zone by a snapshot that is newer, or that is from the
+// holder and differs. A snapshot that is neither complete nor from the holder only counts towards
+// canAssumeComplete.
 func (m *Machine) handleRosterSnapshot(env *statemachine.Env, snapshot message.RosterSnapshot) {
 	replica, known := m.zones[snapshot.Tag]
 	if !known || m.holdsZone(env, snapshot.Tag) {
--- a/internal/registry/questions.go
+++ b/internal/registry/requests.go
@@ -9,57 +9,60 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Questions that the HTTP side asks of the machine. Each is answered by an Answer.
+// Requests from the HTTP API to the machine. Each is answered by an Answer.
 type (
-	// WriteConfiguration asks for a version of a configuration to be committed.
+	// WriteConfiguration requests the commit of a version of a configuration.
 	WriteConfiguration struct {
 		ConfigName string
 		Version    int64
 		Body       []byte
-		Packed     []byte // the body compressed by package delta; nil: not made
+		Packed     []byte // Body compressed by package delta; nil: not compressed yet
 		Check      message.ContentCheck
 	}
-	// ReadConfiguration asks for a version (0: the current one), or for the list of versions.
+	// ReadConfiguration requests a version of a configuration (0: the current one), or with List
+	// the list of its versions.
 	ReadConfiguration struct {
 		ConfigName string
 		Version    int64
 		List       bool
 	}
-	// ReadConfigurationStatus asks where a configuration is in force, at least at a version (0: the newest).
+	// ReadConfigurationStatus requests the version of a configuration that each proxy has in force.
+	// The proxies are compared with Version, or with the newest version if that is higher.
 	ReadConfigurationStatus struct {
 		ConfigName string
 		Version    int64
 	}
-	// ReadUsage asks for a sealed usage window.
+	// ReadUsage requests a sealed usage window.
 	ReadUsage struct{ Window int64 }
-	// ReadStatus asks for members, leases, relays and configurations.
+	// ReadStatus requests the members, leases, relays and configurations.
 	ReadStatus struct{}
-	// ReadRoster asks for the registrations by zone.
+	// ReadRoster requests the registrations of all zones.
 	ReadRoster struct{}
-	// ReadReadiness asks whether this process does its part.
+	// ReadReadiness requests the readiness of this process.
 	ReadReadiness struct{}
-	// Stop asks the machine to hand its leases over, since the process stops.
+	// Stop requests a graceful stop: the machine transfers its leases and answers when the process
+	// may exit.
 	Stop struct{}
 )
 
-// CheckConfiguration looks for faults in a configuration, on the caller's thread and not on the one
-// that renews leases and answers heartbeats.
+// CheckConfiguration validates a configuration. It runs on the goroutine of the caller, so that a
+// large configuration does not delay the one that renews leases and answers heartbeats.
 func CheckConfiguration(cfg settings.Settings, body []byte) message.ContentCheck {
 	faults, tooLarge := routeconfig.Check(body, cfg.ConfigurationLimits())
 	return message.ContentCheck{Done: true, TooLarge: tooLarge, Faults: faults}
 }
 
-// Asked takes a question or a notice of the process.
-func (m *Machine) Asked(env *statemachine.Env, requestID int64, question any) {
-	switch asked := question.(type) {
+// Asked handles a request of the HTTP API or a notification of the process.
+func (m *Machine) Asked(env *statemachine.Env, requestID int64, received any) {
+	switch request := received.(type) {
 	case WriteConfiguration:
-		m.requests.write(env, requestID, asked)
+		m.requests.write(env, requestID, request)
 	case ReadConfiguration:
-		m.requests.read(env, requestID, asked)
+		m.requests.read(env, requestID, request)
 	case ReadConfigurationStatus:
-		env.Reply(requestID, m.configurationStatus(env, asked.ConfigName, asked.Version))
+		env.Reply(requestID, m.configurationStatus(env, request.ConfigName, request.Version))
 	case ReadUsage:
-		env.Reply(requestID, m.usage.answer(asked.Window))
+		env.Reply(requestID, m.usage.answer(request.Window))
 	case ReadStatus:
 		env.Reply(requestID, m.status(env))
 	case ReadRoster:
@@ -69,24 +72,24 @@
 	case metrics.Read:
 		env.Reply(requestID, m.samples(env))
 	case UsageDelivered:
-		m.usage.handleDelivered(env, asked.Window)
+		m.usage.handleDelivered(env, request.Window)
 	case statemachine.SeedsChanged:
-		m.membership.SetSeeds(asked.Seeds)
+		m.membership.SetSeeds(request.Seeds)
 	case statemachine.ConnectionBroke:
-		m.distribution.ConnectionBroke(env, asked.Address)
+		m.distribution.ConnectionBroke(env, request.Address)
 	case Stop:
 		m.stop(env, requestID)
 	}
 }
 
-// stop hands the leases over; the answer comes when the process may end.
+// stop transfers the leases. The request is answered when the process may exit.
 func (m *Machine) stop(env *statemachine.Env, requestID int64) {
 	m.stopping = true
 	m.leases.TransferAll(env)
 	m.Depart(env, requestID, answerCode(errcode.OK, "stopping"))
 }
 
-// readiness says whether this process does its part, and if not, what it lacks.
+// readiness reports whether this process is ready, or else why not.
 func (m *Machine) readiness(env *statemachine.Env) Answer {
 	switch {
 	case m.Failure() != nil:
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -6,27 +6,28 @@
 	"beaconvane/internal/statemachine"
 )
 
-// memberStateNames are the names of a member's states, by their numbers in message.Member.
+// memberStateNames are the names of the member states, indexed by message.Member.State.
 var memberStateNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// status gathers all that this registry knows of itself and of the others.
+// status describes this registry, and the members, relays and leases as it sees them.
 func (m *Machine) status(env *statemachine.Env) Answer {
 	parent, path, moves := m.distribution.Parent()
 	return answerJSON(errcode.OK, statusAnswer{
 		Node:           m.settings.Node,
 		Voter:          m.quorum.Voter,
 		Voting:         m.quorum.Voting(),
-		ShutOut:        m.quorum.Removed,
+		Removed:        m.quorum.Removed,
 		Members:        m.memberAnswers(),
 		Relays:         m.relayAnswers(env),
 		Leases:         m.leaseAnswers(env),
 		Slices:         m.sliceAnswers(env),
 		Configurations: m.configurationAnswers(env),
-		Updates:        updatesAnswer{From: parent, Path: path, Moves: moves},
+		Updates:        updatesAnswer{Parent: parent, Path: path, ParentChanges: moves},
 		Usage:          usageStatusAnswer{Reported: m.usage.sealed.reported},
 	})
 }
 
+// memberAnswers lists all known members, this registry first.
 func (m *Machine) memberAnswers() []memberAnswer {
 	members := []memberAnswer{}
 	for _, member := range m.membership.All() {
@@ -43,36 +44,39 @@
 	return members
 }
 
+// leaseAnswers describes each lease by its name.
 func (m *Machine) leaseAnswers(env *statemachine.Env) map[string]leaseAnswer {
 	leases := map[string]leaseAnswer{}
 	for _, name := range leaseNames(m.settings) {
 		leases[name] = leaseAnswer{
-			Epoch:  m.leases.Epoch(name),
-			Holder: m.leases.Holder(name),
-			Here:   m.leases.Holding(name, env.Now),
+			Epoch:    m.leases.Epoch(name),
+			Holder:   m.leases.Holder(name),
+			HeldHere: m.leases.Holding(name, env.Now),
 		}
 	}
 	return leases
 }
 
+// sliceAnswers describes the copy of each zone.
 func (m *Machine) sliceAnswers(env *statemachine.Env) map[string]sliceAnswer {
 	answers := map[string]sliceAnswer{}
 	for _, zone := range m.settings.Zones {
 		replica := m.zones[zone]
-		mark := replica.slice.Position
+		position := replica.slice.Position
 		age, known := m.distribution.Age(distribution.SliceTopic(zone), env.Now)
 		answers[zone] = sliceAnswer{
-			Epoch: mark.Epoch,
-			Seq:   mark.Seq,
-			Count: mark.Count,
-			AgeMS: age.Milliseconds(),
-			Known: known,
-			Whole: replica.complete,
+			Epoch:    position.Epoch,
+			Seq:      position.Seq,
+			Count:    position.Count,
+			AgeMS:    age.Milliseconds(),
+			Known:    known,
+			Complete: replica.complete,
 		}
 	}
 	return answers
 }
 
+// configurationAnswers describes the copy of each configuration that the settings name.
 func (m *Machine) configurationAnswers(env *statemachine.Env) map[string]configurationAnswer {
 	answers := map[string]configurationAnswer{}
 	for _, configName := range m.settings.ConfigNames {
@@ -83,26 +87,28 @@
 	return answers
 }
 
+// relayAnswers describes the position of each proxy in the distribution tree.
 func (m *Machine) relayAnswers(env *statemachine.Env) map[string]relayAnswer {
 	relays := map[string]relayAnswer{}
 	for name, report := range m.proxies {
 		relays[name] = relayAnswer{
-			Path:    report.batch.Path,
-			Ready:   report.batch.Ready,
-			HeardMS: (env.Now - report.at).Milliseconds(),
+			Path:           report.batch.Path,
+			Ready:          report.batch.Ready,
+			HeartbeatAgeMS: (env.Now - report.receivedAt).Milliseconds(),
 		}
 	}
 	return relays
 }
 
-// roster lists the registrations by zone. The code says so where some slice isn't current here.
+// roster lists the registrations by zone. Its code is BusyStale if the slice of any zone is not
+// current here.
 func (m *Machine) roster(env *statemachine.Env) Answer {
 	answer := rosterAnswer{Slices: map[string][]registrationAnswer{}, AgesMS: map[string]int64{}}
 	code := errcode.OK
 	for _, zone := range m.settings.Zones {
 		topic := distribution.SliceTopic(zone)
-		if stale := m.freshness(env, topic); stale != errcode.OK {
-			code = stale
+		if freshness := m.freshnessCode(env, topic); freshness != errcode.OK {
+			code = freshness
 		}
 		if age, known := m.distribution.Age(topic, env.Now); known {
 			answer.AgesMS[zone] = age.Milliseconds()
@@ -112,6 +118,7 @@
 	return answerJSON(code, answer)
 }
 
+// registrationAnswers lists the registrations of a zone.
 func (m *Machine) registrationAnswers(zone string) []registrationAnswer {
 	answers := []registrationAnswer{}
 	for _, registration := range m.zones[zone].slice.List() {
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -13,13 +13,14 @@
 	"beaconvane/internal/statemachine"
 )
 
-// usage is the registry's part in the usage reports. Proxies count answered requests by window and
-// tenant, cumulatively, and repeat the counts with their heartbeats until the window is sealed.
-// Every registry collects them (usageCounts). The holder of the usage lease sums a window a while
-// after its end (windowClock), has the sum synced on a majority under its epoch (windowSealer), and
-// only then reports it (report). A new holder reads a majority first: a value found there is sealed
-// again unchanged, so that a window has one value for ever, whoever reports it.
-type usage struct {
+// usageManager collects, seals and reports the usage counts. Proxies count answered requests by
+// window and tenant, cumulatively, and repeat the counts with their heartbeats until the window is
+// sealed. Every registry collects them (usageCounts). Some time after the end of a window the
+// holder of the usage lease sums its counts (windowClock), has the sum synced by a majority under
+// its epoch (windowSealer), and only then reports it (sendReport). A new holder first reads a
+// majority, and seals a value that it finds there again unchanged. A window therefore never has
+// more than one reported value, whichever registry reports it.
+type usageManager struct {
 	settings settings.Settings
 	core     *quorum.Core
 	quorum   *quorum.Quorum
@@ -33,11 +34,11 @@
 	nextReportAt time.Duration
 }
 
-// newUsage restores the usage reports from a snapshot. The quorum and the leases are set later,
-// since they begin from what the log on disk says as well.
-func newUsage(m *Machine, saved message.RegistryState) *usage {
+// newUsageManager restores the usage state from a snapshot. The fields quorum and leases are set
+// after the log has been replayed, since they are created from its records as well.
+func newUsageManager(m *Machine, saved message.RegistryState) *usageManager {
 	sealed := newSealedWindows(saved.Sealed, saved.Reported)
-	u := &usage{
+	u := &usageManager{
 		settings: m.settings,
 		core:     m.Core,
 		sealed:   sealed,
@@ -48,21 +49,26 @@
 	return u
 }
 
-func (u *usage) onLeaseAcquired(epoch int64) {
+// onLeaseAcquired starts the first read of a majority under the new epoch.
+func (u *usageManager) onLeaseAcquired(epoch int64) {
 	u.sealer = windowSealer{epoch: epoch}
 	u.beginRead(0)
 }
 
-func (u *usage) onLeaseLost() { u.sealer.stop() }
+// onLeaseLost cancels the read or proposal in progress.
+func (u *usageManager) onLeaseLost() { u.sealer.stop() }
 
-// forget drops the values that the voter vouched for. The counts are the proxies' word, and stay.
-func (u *usage) forget() {
-	u.sealed.forget()
-	u.sealer.epoch, u.sealer.readFor = 0, 0
+// discardVoterState drops the sealed values, which belong to the voter. The counts come from the
+// proxies and are kept.
+func (u *usageManager) discardVoterState() {
+	u.sealed.reset()
+	u.sealer.epoch, u.sealer.readWindow = 0, 0
 	u.sealer.stop()
 }
 
-func (u *usage) tick(env *statemachine.Env) {
+// tick performs the periodic work: every registry drops and saves counts, and the holder of the
+// usage lease also seals and reports windows.
+func (u *usageManager) tick(env *statemachine.Env) {
 	u.counts.dropSealed()
 	u.clock.recordEnds(env, u.sealed.reported)
 	u.saveCounts(env)
@@ -70,18 +76,19 @@
 		return
 	}
 	u.advanceSealing(env)
-	u.report(env)
+	u.sendReport(env)
 }
 
-// handleUpdate takes the cumulative counts of a proxy.
-func (u *usage) handleUpdate(env *statemachine.Env, update message.UsageUpdate) {
+// handleUpdate records the cumulative counts of a proxy.
+func (u *usageManager) handleUpdate(env *statemachine.Env, update message.UsageUpdate) {
 	u.clock.recordClosed(update)
 	u.counts.add(update)
 	u.saveCounts(env)
 }
 
-// handle takes a message of the voters about sealing; false for any other.
-func (u *usage) handle(env *statemachine.Env, from string, msg any) bool {
+// handle processes the messages with which the voters seal windows. It returns false for any other
+// message.
+func (u *usageManager) handle(env *statemachine.Env, from string, msg any) bool {
 	switch received := msg.(type) {
 	case message.UsageRead:
 		u.handleRead(env, from, received)
@@ -97,8 +104,8 @@
 	return true
 }
 
-// answer is the sealed value of a window, for an operator.
-func (u *usage) answer(window int64) Answer {
+// answer returns the sealed value of a window to an operator, if the window is reported or final.
+func (u *usageManager) answer(window int64) Answer {
 	value, known := u.sealed.values[window]
 	if !known || window > u.sealed.reported && !u.sealed.final[window] {
 		return answerCode(errcode.UsageNotFound, strconv.FormatInt(window, 10))
--- a/internal/registry/usage_clock.go
+++ b/internal/registry/usage_clock.go
@@ -11,34 +11,35 @@
 )
 
 const (
-	// earlySealRatio is the part of the wait for a window's counts after which it is sealed, if
-	// all proxies have closed it by then.
-	earlySealRatio = 8
-	// windowEndRetention is how many windows back the end of one may be noted late.
+	// earlySealDivisor divides the wait for the counts of a window if all proxies have closed it.
+	earlySealDivisor = 8
+	// windowEndRetention is how many windows before the current one recordEnds looks back.
 	windowEndRetention = 8
 )
 
-// closedReport is a proxy's newest word on which windows it has closed.
+// closedReport is a proxy's latest report of the windows that it has closed.
 type closedReport struct {
-	startTime   int64
-	number      int64
-	closedBelow int64 // all windows below it are closed
+	startTime   int64 // start time of the proxy
+	number      int64 // number of the usage update, within this run of the proxy
+	closedBelow int64 // all windows below this one are closed
 }
 
-// windowClock says when a usage window is over and when it may be sealed. The clock of one machine
-// doesn't prove it: a registry that began while its time of day was off would seal a window before
-// most of it was counted. Every heartbeat of a proxy names the window that is under way by its own
-// clock. What more than half of the proxies say that were heard lately is the time of day here; the
-// registry's own clock counts only where it hears of none.
+// windowClock determines when a usage window is over and when it may be sealed. The wall clock of
+// one machine is not sufficient: a registry that started with a wrong wall clock would seal a
+// window before most of its requests were counted. Every heartbeat batch of a proxy names the
+// current window by the proxy's own clock. Among the windows that proxies reported within
+// HeartbeatTimeout, the latest one that more than half of the proxies have reached is the current
+// window. The registry's own wall clock is used only if there is no such report.
 type windowClock struct {
 	settings   settings.Settings
 	membership *membership.Membership
 	proxies    proxyReports
 
-	closed    map[string]closedReport // by proxy
-	endSeenAt map[int64]time.Duration // by window: when it was first known here to be over
+	closed    map[string]closedReport // by proxy name
+	endSeenAt map[int64]time.Duration // when a window was first found to be over, by window
 }
 
+// newWindowClock returns a clock that reads the current window from the given reports.
 func newWindowClock(cfg settings.Settings, members *membership.Membership, proxies proxyReports) *windowClock {
 	return &windowClock{
 		settings:   cfg,
@@ -49,8 +50,9 @@
 	}
 }
 
-// recordClosed takes the newest word of a proxy, whose clock may have been set back since. An update
-// of the running window alone says nothing of those that are over.
+// recordClosed records which windows a proxy has closed. The latest update replaces the earlier
+// ones even if it names a lower window, since the clock of the proxy may have been set back. An
+// update with Closed 0, of the current window alone, carries no such report.
 func (c *windowClock) recordClosed(update message.UsageUpdate) {
 	if update.Closed == 0 {
 		return
@@ -62,17 +64,17 @@
 	}
 }
 
-// current is the window that is under way, as more than half of the proxies say.
+// current returns the current window: the lower median of those that the proxies report.
 func (c *windowClock) current(env *statemachine.Env) int64 {
-	told := c.proxies.usageWindows(env.Now - c.settings.HeartbeatTimeout())
-	if len(told) == 0 || guardsOff.closedWindow {
+	windows := c.proxies.usageWindows(env.Now - c.settings.HeartbeatTimeout())
+	if len(windows) == 0 || guardsOff.closedWindow {
 		return int64(env.Wall / c.settings.UsageWindow())
 	}
-	slices.Sort(told)
-	return told[(len(told)-1)/2]
+	slices.Sort(windows)
+	return windows[(len(windows)-1)/2]
 }
 
-// recordEnds remembers when the windows that aren't reported yet were first known to be over.
+// recordEnds records when each window that isn't reported yet was first found to be over.
 func (c *windowClock) recordEnds(env *statemachine.Env, reported int64) {
 	current := c.current(env)
 	for window := max(reported+1, current-windowEndRetention); window < current; window++ {
@@ -87,20 +89,22 @@
 	}
 }
 
-// mayBeSealed says of a window that is over that all proxies have closed it, or that the time in
-// which their counts come is up, by the time of day or since its end was seen here.
+// mayBeSealed reports whether a window that is over may be sealed: SealAfter has passed since its
+// end, by the wall clock or since recordEnds found it to be over. The wait is divided by
+// earlySealDivisor if all proxies have closed the window.
 func (c *windowClock) mayBeSealed(env *statemachine.Env, window int64) bool {
 	wait := c.settings.SealAfter()
 	if c.closedByAll(window) {
-		wait /= earlySealRatio
+		wait /= earlySealDivisor
 	}
 	end := time.Duration(window+1) * c.settings.UsageWindow()
-	seenAt, seen := c.endSeenAt[window]
-	return env.Wall >= end+wait || seen && env.Now-seenAt >= wait
+	endSeenAt, recorded := c.endSeenAt[window]
+	return env.Wall >= end+wait || recorded && env.Now-endSeenAt >= wait
 }
 
-// closedByAll says that every proxy which is known or was heard lately has closed a window. One that
-// is cut off or frozen is waited for, since its counts may still come; one that left is not.
+// closedByAll reports whether every proxy that is alive or has reported recently has closed a
+// window. It includes proxies that are partitioned or frozen, whose counts may still arrive, but
+// not those that have left.
 func (c *windowClock) closedByAll(window int64) bool {
 	for _, name := range c.proxies.names() {
 		if member, known := c.membership.Find(name); known && member.State == message.Left {
--- a/internal/registry/usage_counts.go
+++ b/internal/registry/usage_counts.go
@@ -10,17 +10,18 @@
 	"beaconvane/internal/statemachine"
 )
 
-// usageCounts are the counts of the windows that aren't sealed yet. A proxy's counts are kept by its
-// run: a proxy that was started again begins to count from zero.
+// usageCounts holds the counts of the windows that aren't sealed yet. They are kept separately for
+// each run of a proxy, since a restarted proxy counts from zero.
 type usageCounts struct {
 	sealed   *sealedWindows
 	byWindow map[int64]map[string]message.ProxyUsage // by window and run
-	unsaved  map[int64]map[string]bool               // by window and run: changed since the last write
+	unsaved  map[int64]map[string]bool               // by window and run: changed since the last write to disk
 
-	saving     bool // a write is under way
+	saving     bool // a write to disk is in progress
 	nextSaveAt time.Duration
 }
 
+// newUsageCounts returns empty counts, which ignore the windows that have a value in sealed.
 func newUsageCounts(sealed *sealedWindows) *usageCounts {
 	return &usageCounts{
 		sealed:   sealed,
@@ -29,14 +30,15 @@
 	}
 }
 
-// proxyRunOf names a run of a proxy: the time from one start to the next.
-func proxyRunOf(update message.UsageUpdate) string {
+// proxyRunID identifies a run of a proxy, which is the time from one start to the next.
+func proxyRunID(update message.UsageUpdate) string {
 	return update.Proxy + "/" + strconv.FormatInt(update.StartTime, 36)
 }
 
-// add takes the cumulative counts of a proxy; the update with the highest number of a run holds.
+// add records the cumulative counts of a proxy. Within a run, the update with the highest number
+// replaces the others.
 func (c *usageCounts) add(update message.UsageUpdate) {
-	run := proxyRunOf(update)
+	run := proxyRunID(update)
 	for _, window := range update.Counts {
 		last, known := c.byWindow[window.Window][run]
 		if c.sealed.hasValue(window.Window) || known && update.Number <= last.Number {
@@ -55,6 +57,7 @@
 	}
 }
 
+// put stores the counts of one run in one window.
 func (c *usageCounts) put(counts message.ProxyUsage) {
 	if c.byWindow[counts.Window] == nil {
 		c.byWindow[counts.Window] = map[string]message.ProxyUsage{}
@@ -62,6 +65,7 @@
 	c.byWindow[counts.Window][counts.ProxyRun] = counts
 }
 
+// markUnsaved marks the counts of one run in one window to be written to disk.
 func (c *usageCounts) markUnsaved(window int64, run string) {
 	if c.unsaved[window] == nil {
 		c.unsaved[window] = map[string]bool{}
@@ -69,7 +73,7 @@
 	c.unsaved[window][run] = true
 }
 
-// restore takes counts from this disk.
+// restore adds counts that were read from the local disk.
 func (c *usageCounts) restore(saved message.UnreportedUsage) {
 	for _, counts := range saved.Proxies {
 		if counts.Number >= c.byWindow[counts.Window][counts.ProxyRun].Number {
@@ -78,16 +82,16 @@
 	}
 }
 
-// merge takes the counts of another registry, of windows that aren't reported yet.
-func (c *usageCounts) merge(others message.UnreportedUsage) {
-	for _, counts := range others.Proxies {
+// merge adds the counts that another registry holds of windows that aren't reported yet.
+func (c *usageCounts) merge(received message.UnreportedUsage) {
+	for _, counts := range received.Proxies {
 		if counts.Window > c.sealed.reported && counts.Number > c.byWindow[counts.Window][counts.ProxyRun].Number {
 			c.put(counts)
 		}
 	}
 }
 
-// dropSealed forgets the counts of windows whose value is known.
+// dropSealed removes the counts of the windows that have a sealed value.
 func (c *usageCounts) dropSealed() {
 	for window := range c.byWindow {
 		if c.sealed.hasValue(window) {
@@ -97,7 +101,7 @@
 	}
 }
 
-// unsealed lists the counts of the windows whose value isn't known, by window and run.
+// unsealed lists the counts of the windows without a sealed value, ordered by window and run.
 func (c *usageCounts) unsealed() message.UnreportedUsage {
 	list := message.UnreportedUsage{Proxies: []message.ProxyUsage{}}
 	for window, runs := range c.byWindow {
@@ -115,7 +119,8 @@
 	return list
 }
 
-// takeUnsaved lists the counts that changed since the last write, and takes them as written.
+// takeUnsaved returns the counts that changed since the last write to disk, and marks them as
+// saved.
 func (c *usageCounts) takeUnsaved() message.UnreportedUsage {
 	changed := message.UnreportedUsage{Proxies: []message.ProxyUsage{}}
 	for _, counts := range c.unsealed().Proxies {
@@ -127,15 +132,16 @@
 	return changed
 }
 
-// sum adds the counts of a window up, by tenant.
+// sum returns the total counts of a window by tenant.
 func (c *usageCounts) sum(window int64) map[string]int64 {
 	sums := map[string]int64{}
 	for _, counts := range c.byWindow[window] {
 		for tenant, count := range counts.Counts {
 			sums[tenant] += count
 		}
-		// Requests that a run had open when it last reported have most likely been answered
-		// before its end: they take as long to run as a report takes to be safe.
+		// Requests that were open in the last update of a run are counted: most likely they were
+		// answered before the run ended, since a request takes about as long as an update takes to
+		// be stored safely.
 		for tenant, count := range counts.Open {
 			sums[tenant] += count
 		}
@@ -143,9 +149,10 @@
 	return sums
 }
 
-// saveCounts puts changed counts on disk, one write at a time, the next as soon as the last is
-// done. After a write that took longer than SlowSync, the disk is left to the votes for as long.
-func (u *usage) saveCounts(env *statemachine.Env) {
+// saveCounts writes the changed counts to disk, with one write at a time and at least SaveEvery
+// between the starts of two. After a write that took longer than SlowSync it pauses for as long as
+// that write took, so that the disk is free for votes.
+func (u *usageManager) saveCounts(env *statemachine.Env) {
 	counts := u.counts
 	if counts.saving || env.Now < counts.nextSaveAt || len(counts.unsaved) == 0 {
 		return
@@ -155,12 +162,12 @@
 		return
 	}
 	counts.saving = true
-	began := env.Now
+	startedAt := env.Now
 	u.core.Persist(env, changed, func(env *statemachine.Env, _ error) {
 		counts.saving = false
-		counts.nextSaveAt = began + u.settings.SaveEvery()
-		if took := env.Now - began; took > u.settings.SlowSync() {
-			counts.nextSaveAt = env.Now + took
+		counts.nextSaveAt = startedAt + u.settings.SaveEvery()
+		if elapsed := env.Now - startedAt; elapsed > u.settings.SlowSync() {
+			counts.nextSaveAt = env.Now + elapsed
 		}
 		u.saveCounts(env)
 	})
--- a/internal/registry/usage_reporting.go
+++ b/internal/registry/usage_reporting.go
@@ -8,20 +8,22 @@
 	"beaconvane/internal/statemachine"
 )
 
-// UsageReport is the body of the report effect: what the collector gets, and until when it may be
-// sent, by the process clock. It never outlasts the lease, since the next holder may act then.
+// UsageReport is the report of a final window to the collector. Until, on the clock of the process,
+// is the deadline for sending it. It is never later than the end of the lease, since the next
+// holder may report after that.
 type UsageReport struct {
 	Window int64
 	Counts map[string]int64 // by tenant
-	Epoch  int64
+	Epoch  int64            // of the usage lease
 	Until  time.Duration
 }
 
-// UsageDelivered is the notice by which the process says that the collector has a window.
+// UsageDelivered notifies the machine that the collector has received a window.
 type UsageDelivered struct{ Window int64 }
 
-// report sends the oldest final window, again and again until the collector has it.
-func (u *usage) report(env *statemachine.Env) {
+// sendReport reports the oldest final window, and repeats the report every ReportEvery until it is
+// delivered. Without a collector in the settings, a window counts as delivered at once.
+func (u *usageManager) sendReport(env *statemachine.Env) {
 	window := u.sealed.reported + 1
 	if !u.sealed.final[window] {
 		return
@@ -42,8 +44,8 @@
 	})
 }
 
-// handleDelivered moves on to the next window.
-func (u *usage) handleDelivered(env *statemachine.Env, window int64) {
+// handleDelivered records the delivery of a window, so that the next one is reported.
+func (u *usageManager) handleDelivered(env *statemachine.Env, window int64) {
 	if window != u.sealed.reported+1 {
 		return
 	}
--- a/internal/registry/usage_sealing.go
+++ b/internal/registry/usage_sealing.go
@@ -9,36 +9,37 @@
 	"beaconvane/internal/statemachine"
 )
 
-// windowSealer is the state of the usage lease's holder. To seal a window it reads a majority of
-// the voters, proposes a value and waits until a majority has synced it, as the proposer of
-// single-decree Paxos does with the lease's epoch for the ballot (docs/control-safety.md).
+// windowSealer is the sealing state of the holder of the usage lease. To seal a window the holder
+// reads a majority of the voters, proposes a value and waits until a majority has synced it. It
+// acts as the proposer of single-decree Paxos, with the epoch of the lease as the ballot
+// (docs/control-safety.md).
 type windowSealer struct {
 	epoch int64
 
-	reading     bool              // a read is under way
-	readFor     int64             // the window that the last read was made for; 0: the first of the epoch
-	readAnswers map[string]string // identities by voter: who answered the read
-	ready       bool              // a majority was read under this epoch
+	reading      bool              // a read is in progress
+	readWindow   int64             // window that the latest read was started for; 0: the first read of the epoch
+	readBy       map[string]string // voters that answered the read, with their identities
+	majorityRead bool              // a read of a majority has completed under this epoch
 
-	proposal *message.UsageSealed // the value that is being synced
-	synced   map[string]string    // identities by voter: who has it on disk
+	proposal *message.UsageSealed // value that is being synced; nil: none
+	syncedBy map[string]string    // voters that have the proposal on disk, with their identities
 
-	sentAt time.Duration // when the last request went to the peers
+	sentAt time.Duration // when the latest request was sent to the peers
 }
 
-// stop ends the read and the proposal that are under way.
-func (p *windowSealer) stop() { p.reading, p.ready, p.proposal = false, false, nil }
+// stop cancels the read and the proposal in progress.
+func (s *windowSealer) stop() { s.reading, s.majorityRead, s.proposal = false, false, nil }
 
-// beginRead starts a read, which goes out with the next tick.
-func (u *usage) beginRead(window int64) {
+// beginRead starts a read of a majority. The request is sent at the next tick.
+func (u *usageManager) beginRead(window int64) {
 	u.sealer.reading = true
-	u.sealer.readFor = window
-	u.sealer.readAnswers = map[string]string{u.quorum.Voter: u.quorum.State.Identity}
+	u.sealer.readWindow = window
+	u.sealer.readBy = map[string]string{u.quorum.Voter: u.quorum.State.Identity}
 	u.sealer.sentAt = 0
 }
 
-// advanceSealing repeats the request that is under way, or begins with the next window.
-func (u *usage) advanceSealing(env *statemachine.Env) {
+// advanceSealing repeats the request in progress when it is due, or starts to seal the next window.
+func (u *usageManager) advanceSealing(env *statemachine.Env) {
 	repeat := env.Now-u.sealer.sentAt >= u.settings.DigestEvery()
 	switch {
 	case u.sealer.reading && repeat:
@@ -46,12 +47,13 @@
 		u.finishRead()
 	case u.sealer.proposal != nil && repeat:
 		u.sendProposal(env)
-	case u.sealer.ready && !u.sealer.reading && u.sealer.proposal == nil:
-		u.sealNext(env)
+	case u.sealer.majorityRead && !u.sealer.reading && u.sealer.proposal == nil:
+		u.sealNextWindow(env)
 	}
 }
 
-func (u *usage) sendRead(env *statemachine.Env) {
+// sendRead asks the peers for their values and counts.
+func (u *usageManager) sendRead(env *statemachine.Env) {
 	u.sealer.sentAt = env.Now
 	for _, peer := range u.core.Peers() {
 		env.Send(peer.Address, message.UsageRead{
@@ -63,23 +65,23 @@
 }
 
 // finishRead ends the read once a majority has answered.
-func (u *usage) finishRead() {
-	if !u.quorum.Majority(u.sealer.readAnswers) && !guardsOff.usageRead {
+func (u *usageManager) finishRead() {
+	if !u.quorum.Majority(u.sealer.readBy) && !guardsOff.usageRead {
 		return
 	}
 	u.sealer.reading = false
-	if !u.sealer.ready {
-		u.sealer.ready = true
+	if !u.sealer.majorityRead {
+		u.sealer.majorityRead = true
 		u.sealed.final = map[int64]bool{}
 	}
 }
 
-// sealNext takes the oldest window that is over, isn't reported and has no final value under this
-// epoch.
-func (u *usage) sealNext(env *statemachine.Env) {
+// sealNextWindow seals the oldest window that is over, not reported and not final under this epoch,
+// unless its counts are still awaited.
+func (u *usageManager) sealNextWindow(env *statemachine.Env) {
 	current := u.clock.current(env)
 	if u.sealed.reported == 0 {
-		u.sealed.reported = u.beforeFirst(current)
+		u.sealed.reported = u.windowBeforeFirst(current)
 	}
 	for window := max(u.sealed.reported+1, current-windowRetention); window < current; window++ {
 		if u.sealed.final[window] {
@@ -92,9 +94,10 @@
 	}
 }
 
-// beforeFirst is the window before the first that has a value or counts. Where nothing was ever
-// reported, sealing begins there and not with hours in which there was no fleet.
-func (u *usage) beforeFirst(current int64) int64 {
+// windowBeforeFirst returns the window before the first one that has a value or counts. If nothing
+// was ever reported, sealing starts after it, not with the empty windows from before the fleet
+// existed.
+func (u *usageManager) windowBeforeFirst(current int64) int64 {
 	before := current - 1
 	for window := range u.sealed.values {
 		before = min(before, window-1)
@@ -105,10 +108,10 @@
 	return before
 }
 
-// seal reads a majority for a window, and then proposes its value.
-func (u *usage) seal(env *statemachine.Env, window int64) {
-	if u.sealer.readFor != window && !guardsOff.usageRead {
-		// Only another voter may have the counts of a proxy that died.
+// seal reads a majority for a window, and after that proposes the value of the window.
+func (u *usageManager) seal(env *statemachine.Env, window int64) {
+	if u.sealer.readWindow != window && !guardsOff.usageRead {
+		// The counts of a proxy that has crashed may be held by another voter only.
 		u.beginRead(window)
 		return
 	}
@@ -120,10 +123,10 @@
 	u.propose(env, value)
 }
 
-// propose syncs a value here and at the peers.
-func (u *usage) propose(env *statemachine.Env, value message.UsageSealed) {
+// propose writes a value to the local disk and sends it to the peers to be synced.
+func (u *usageManager) propose(env *statemachine.Env, value message.UsageSealed) {
 	u.sealer.proposal = &value
-	u.sealer.synced = map[string]string{}
+	u.sealer.syncedBy = map[string]string{}
 	u.sealed.values[value.Window] = value
 	u.sealer.sentAt = env.Now
 	u.core.Persist(env, value, func(env *statemachine.Env, failure error) {
@@ -134,13 +137,14 @@
 	u.sendProposal(env)
 }
 
-// isProposed says that the value being synced is that of a window under an epoch.
-func (u *usage) isProposed(window, epoch int64) bool {
+// isProposed reports whether the proposal in progress is for a window under an epoch.
+func (u *usageManager) isProposed(window, epoch int64) bool {
 	proposal := u.sealer.proposal
 	return proposal != nil && proposal.Window == window && proposal.Epoch == epoch
 }
 
-func (u *usage) sendProposal(env *statemachine.Env) {
+// sendProposal sends the proposal in progress to the peers.
+func (u *usageManager) sendProposal(env *statemachine.Env) {
 	u.sealer.sentAt = env.Now
 	for _, peer := range u.core.Peers() {
 		env.Send(peer.Address, message.UsageSeal{
@@ -152,10 +156,11 @@
 	}
 }
 
-// recordSynced notes that a voter has the proposed value on disk. With a majority it is final.
-func (u *usage) recordSynced(env *statemachine.Env, voter, identity string) {
-	u.sealer.synced[voter] = identity
-	if !u.quorum.Majority(u.sealer.synced) && !guardsOff.majoritySeal {
+// recordSynced records that a voter has the proposed value on disk. Once a majority does, the value
+// is final.
+func (u *usageManager) recordSynced(env *statemachine.Env, voter, identity string) {
+	u.sealer.syncedBy[voter] = identity
+	if !u.quorum.Majority(u.sealer.syncedBy) && !guardsOff.majoritySeal {
 		return
 	}
 	window := u.sealer.proposal.Window
@@ -165,13 +170,15 @@
 	u.nextReportAt = 0
 }
 
-// mayAnswer says that this process votes, and knows the sender as the one that holds a voter.
-func (u *usage) mayAnswer(voter, identity string) bool {
+// mayAnswer reports whether this process votes and recognizes the sender as the holder of its
+// voter.
+func (u *usageManager) mayAnswer(voter, identity string) bool {
 	return u.quorum.Voting() && u.quorum.Accepts(voter, identity)
 }
 
-// handleRead answers a holder, as a voter, with the values and counts that are known here.
-func (u *usage) handleRead(env *statemachine.Env, from string, read message.UsageRead) {
+// handleRead answers the read of a holder, if this process is a voter, with the values and counts
+// that it has.
+func (u *usageManager) handleRead(env *statemachine.Env, from string, read message.UsageRead) {
 	if read.Epoch != u.leases.Epoch(settings.UsageTag) || !u.mayAnswer(read.Voter, read.Identity) {
 		return
 	}
@@ -185,26 +192,28 @@
 	})
 }
 
-func (u *usage) handleReadResponse(response message.UsageReadResponse) {
+// handleReadResponse merges the values and counts of a voter that has answered the read.
+func (u *usageManager) handleReadResponse(response message.UsageReadResponse) {
 	if !u.sealer.reading || response.Epoch != u.sealer.epoch {
 		return
 	}
 	for _, value := range response.Sealed {
-		u.sealed.learn(value)
+		u.sealed.merge(value)
 	}
-	u.sealed.learnReported(response.Reported)
+	u.sealed.advanceReported(response.Reported)
 	u.counts.merge(response.Unreported)
-	u.sealer.readAnswers[response.Voter] = response.Identity
+	u.sealer.readBy[response.Voter] = response.Identity
 	u.finishRead()
 }
 
-// handleSeal takes a holder's proposal, as a voter, and confirms it once it is on disk.
-func (u *usage) handleSeal(env *statemachine.Env, from string, seal message.UsageSeal) {
+// handleSeal records a holder's proposal, if this process is a voter, and acknowledges it once it
+// is synced.
+func (u *usageManager) handleSeal(env *statemachine.Env, from string, seal message.UsageSeal) {
 	if seal.Sealed.Epoch < u.leases.Epoch(settings.UsageTag) || !u.mayAnswer(seal.Voter, seal.Identity) {
 		return
 	}
-	u.sealed.learnReported(seal.Reported)
-	u.sealed.learn(seal.Sealed)
+	u.sealed.advanceReported(seal.Reported)
+	u.sealed.merge(seal.Sealed)
 	confirmation := message.UsageSealResponse{
 		Voter:    u.quorum.Voter,
 		Identity: u.quorum.Signature(),
@@ -222,7 +231,8 @@
 	})
 }
 
-func (u *usage) handleSealResponse(env *statemachine.Env, response message.UsageSealResponse) {
+// handleSealResponse counts an acknowledgement of the proposal in progress.
+func (u *usageManager) handleSealResponse(env *statemachine.Env, response message.UsageSealResponse) {
 	if u.sealer.proposal == nil || response.Window != u.sealer.proposal.Window || response.Epoch != u.sealer.epoch {
 		return
 	}
--- a/internal/registry/zone.go
+++ b/internal/registry/zone.go
@@ -11,18 +11,19 @@
 type zoneReplica struct {
 	slice *distribution.RosterSlice
 
-	// complete says that the copy holds all that a holder before may have committed. Only then
-	// may this registry become the zone's holder.
+	// complete reports whether the copy holds all changes that an earlier holder may have
+	// committed. This registry may acquire the zone's lease only if it does.
 	complete bool
 
-	// incompletePeers are the voters that answered a pull by saying that their copy isn't
-	// complete either.
+	// incompletePeers are the voters whose answer to a pull said that their copy isn't complete
+	// either.
 	incompletePeers map[string]bool
 
 	acquiredAt time.Duration // when this registry last acquired the zone's lease
-	nextPullAt time.Duration // no pull of the whole copy before it
+	nextPullAt time.Duration // earliest time of the next pull of a snapshot
 }
 
+// newZoneReplicas returns an empty, incomplete copy of each zone.
 func newZoneReplicas(zones []string) map[string]*zoneReplica {
 	replicas := make(map[string]*zoneReplica, len(zones))
 	for _, zone := range zones {
@@ -34,7 +35,7 @@
 	return replicas
 }
 
-// zoneOfTopic parses the topic of a zone's slice of the roster; false for any other topic.
+// zoneOfTopic returns the zone whose slice a topic carries. It returns false for any other topic.
 func zoneOfTopic(topic string) (string, bool) {
 	return strings.CutPrefix(topic, distribution.SliceTopic(""))
 }
--- a/internal/registry/zone_test.go
+++ b/internal/registry/zone_test.go
@@ -8,9 +8,11 @@
 	"beaconvane/internal/distribution"
 )
 
+// Only the topic of a slice names a zone: neither the topic of a configuration nor a bare name
+// does.
 func TestZoneOfTopic(t *testing.T) {
 	c := qt.New(t)
-	for topic, wanted := range map[string]struct {
+	for topic, expected := range map[string]struct {
 		zone    string
 		isSlice bool
 	}{
@@ -21,7 +23,7 @@
 		"":       {"", false},
 	} {
 		zone, isSlice := zoneOfTopic(topic)
-		c.Check(zone, qt.Equals, wanted.zone, qt.Commentf(topic))
-		c.Check(isSlice, qt.Equals, wanted.isSlice, qt.Commentf(topic))
+		c.Check(zone, qt.Equals, expected.zone, qt.Commentf(topic))
+		c.Check(isSlice, qt.Equals, expected.isSlice, qt.Commentf(topic))
 	}
 }
