--- a/internal/tools/knownred/judge.go
+++ b/internal/tools/knownred/judge.go
@@ -6,66 +6,96 @@
 	"strings"
 )
 
-// maxKnown is the most lines that the list may have.
-const maxKnown = 3
+// maxKnownFailures is the largest number of entries in the list; a low bound keeps the check strict.
+const maxKnownFailures = 3
 
-// knownFailure is one line of the list: a test, why it fails, and the issue that will mend it.
+// knownFailure is one entry of the list.
 type knownFailure struct {
-	test  string
-	cause string
-	issue string
+	test    string // name of a top-level test
+	command string // command that shows the failure, with its seed if the test has one
+	seen    string // what was observed when the test failed
+	issue   string // issue that tracks the repair
 }
 
-// testOutcome is what the output of one `go test` run says.
+// entryLabels are the labels of an entry's lines, in their order.
+var entryLabels = []string{"test", "command", "seen", "issue"}
+
+// testOutcome holds the failures reported in the output of one `go test` run.
 type testOutcome struct {
-	failedTests []string // top-level tests, in order
-	otherFaults []string // failures that no test accounts for: builds, panics, whole packages
+	failedTests   []string // top-level tests, in order
+	otherFailures []string // failures that belong to no test: builds, panics, packages that fail outside their tests
 }
 
 var (
-	testName     = regexp.MustCompile(`^Test\w+$`)
-	failedTest   = regexp.MustCompile(`^--- FAIL: (Test\w+)`)
-	packageLine  = regexp.MustCompile(`^(ok  |FAIL|\?   )\t(\S+)`)
-	crashedPhase = regexp.MustCompile(`^(panic: |fatal error: |signal: |exit status \d+$|FAIL\t.*\[(build|setup) failed\])`)
+	testName       = regexp.MustCompile(`^Test\w+$`)
+	failedTest     = regexp.MustCompile(`^--- FAIL: (Test\w+)`)
+	packageLine    = regexp.MustCompile(`^(ok  |FAIL|\?   )\t(\S+)`)
+	nonTestFailure = regexp.MustCompile(`^(panic: |fatal error: |signal: |exit status \d+$|FAIL\t.*\[(build|setup) failed\])`)
 )
 
-// parseList reads lines of the form "test, cause, issue".
+// parseList reads the list of known failures. An entry is a block of four labelled lines, in this
+// order; blank lines separate the entries:
+//
+//	test: TestSlow
+//	command: go test -run TestSlow ./internal/lease -seed 12
+//	seen: the lease is late, behind a cut
+//	issue: 12
+//
+// Blanks around a line and around a value are ignored, and so are the carriage returns of Windows line ends.
 func parseList(text string) ([]knownFailure, error) {
 	known := []knownFailure{}
-	for _, line := range strings.Split(text, "\n") {
+	listed := map[string]bool{}
+	values := []string{} // values of the current entry, in the order of entryLabels
+	for index, line := range strings.Split(text+"\n", "\n") {
 		line = strings.TrimSpace(line)
-		if line == "" {
+		complete := len(values) == len(entryLabels)
+		if line == "" && (complete || len(values) == 0) {
+			values = values[:0]
 			continue
 		}
-		failure, err := parseLine(line)
+		if complete {
+			return nil, fmt.Errorf("line %d: expected a blank line after the entry, found %q", index+1, line)
+		}
+		value, err := parseLine(line, entryLabels[len(values)])
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("line %d: %w", index+1, err)
+		}
+		if len(values) == 0 && listed[value] {
+			return nil, fmt.Errorf("line %d: expected a test that is not listed yet, found %q again", index+1, value)
+		}
+		values = append(values, value)
+		if len(values) == len(entryLabels) {
+			known = append(known, knownFailure{test: values[0], command: values[1], seen: values[2], issue: values[3]})
+			listed[values[0]] = true
 		}
-		known = append(known, failure)
 	}
-	if len(known) > maxKnown {
-		return nil, fmt.Errorf("%d tests are listed, %d at most may be", len(known), maxKnown)
+	if len(known) > maxKnownFailures {
+		return nil, fmt.Errorf("expected at most %d entries, found %d", maxKnownFailures, len(known))
 	}
 	return known, nil
 }
 
-// parseLine reads one line; the cause may hold commas.
-func parseLine(line string) (knownFailure, error) {
-	name, rest, _ := strings.Cut(line, ",")
-	last := strings.LastIndex(rest, ",")
-	if !testName.MatchString(name) || last < 0 {
-		return knownFailure{}, fmt.Errorf("want %q, have %q", "test, cause, issue", line)
+// parseLine returns the value of a line that must carry the given label. The value may hold commas and colons.
+func parseLine(line, label string) (string, error) {
+	if line == "" {
+		return "", fmt.Errorf("expected label %q, found the end of the entry", label+":")
+	}
+	value, labelled := strings.CutPrefix(line, label+":")
+	if !labelled {
+		return "", fmt.Errorf("expected label %q, found %q", label+":", line)
+	}
+	value = strings.TrimSpace(value)
+	if value == "" {
+		return "", fmt.Errorf("expected text after %q, found none", label+":")
 	}
-	cause := strings.TrimSpace(rest[:last])
-	issue := strings.TrimSpace(rest[last+1:])
-	if cause == "" || issue == "" {
-		return knownFailure{}, fmt.Errorf("cause or issue is missing: %q", line)
+	if label == "test" && !testName.MatchString(value) {
+		return "", fmt.Errorf("expected the name of one top-level test, found %q", value)
 	}
-	return knownFailure{test: name, cause: cause, issue: issue}, nil
+	return value, nil
 }
 
-// parseLog reads plain `go test` output, in which the output of a package comes together and ends
-// with the package's own line.
+// parseLog reads the output of `go test` without -json. There the output of a package is contiguous
+// and ends with the line that gives the package's result.
 func parseLog(text string) testOutcome {
 	outcome := testOutcome{}
 	failuresOfPackage := 0
@@ -75,8 +105,8 @@
 			failuresOfPackage++
 			continue
 		}
-		if crashedPhase.MatchString(line) {
-			outcome.otherFaults = append(outcome.otherFaults, line)
+		if nonTestFailure.MatchString(line) {
+			outcome.otherFailures = append(outcome.otherFailures, line)
 			continue
 		}
 		match := packageLine.FindStringSubmatch(line)
@@ -84,40 +114,41 @@
 			continue
 		}
 		if match[1] == "FAIL" && failuresOfPackage == 0 {
-			outcome.otherFaults = append(outcome.otherFaults, match[2]+" failed outside its tests")
+			outcome.otherFailures = append(outcome.otherFailures, match[2]+" failed outside its tests")
 		}
 		failuresOfPackage = 0
 	}
 	return outcome
 }
 
-// describe says how a known failure did in this run.
+// describe returns the line to print for a known failure, which tells whether it failed in this run.
 func describe(failure knownFailure, outcome testOutcome) string {
 	for _, failed := range outcome.failedTests {
 		if failed == failure.test {
-			return fmt.Sprintf("KNOWN RED: %s: %s (%s)", failure.test, failure.cause, failure.issue)
+			return fmt.Sprintf("KNOWN RED: %s: %s; %s (issue %s)", failure.test, failure.seen, failure.command, failure.issue)
 		}
 	}
-	return fmt.Sprintf("KNOWN RED, did not fail in this run: %s (%s)", failure.test, failure.issue)
+	return fmt.Sprintf("KNOWN RED, did not fail in this run: %s (issue %s)", failure.test, failure.issue)
 }
 
-// judge returns an error unless every failure of the run is a known one.
+// judge returns an error unless every failure in the outcome is a known one. The status is the exit
+// status of `go test`: if it is not zero, the outcome must hold a failed test that explains it.
 func judge(known []knownFailure, outcome testOutcome, status int) error {
 	listed := map[string]bool{}
 	for _, failure := range known {
 		listed[failure.test] = true
 	}
-	faults := append([]string{}, outcome.otherFaults...)
+	unlisted := append([]string{}, outcome.otherFailures...)
 	for _, failed := range outcome.failedTests {
 		if !listed[failed] {
-			faults = append(faults, failed)
+			unlisted = append(unlisted, failed)
 		}
 	}
-	if len(faults) > 0 {
-		return fmt.Errorf("failed, and not known: %s", strings.Join(faults, "; "))
+	if len(unlisted) > 0 {
+		return fmt.Errorf("expected only known failures, found: %s", strings.Join(unlisted, "; "))
 	}
 	if status != 0 && len(outcome.failedTests) == 0 {
-		return fmt.Errorf("go test ended with status %d and names no failed test", status)
+		return fmt.Errorf("go test exited with status %d: expected at least one failed test in its output, found none", status)
 	}
 	return nil
 }
