--- a/internal/registry/answer.go
+++ b/internal/registry/answer.go
@@ -70,7 +70,7 @@
 // leaseAnswer describes the lease of one tag.
 type leaseAnswer struct {
 	Epoch    int64  `json:"epoch"`
-	HeldHere bool   `json:"here"` // this registry is the holder
+	HeldHere bool   `json:"here"`   // this registry is the holder
 	Holder   string `json:"holder"` // voter that this registry last voted for
 }
 
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -43,9 +43,9 @@
 	return &heartbeatTable{latest: map[string]upstreamHeartbeat{}, deregistrations: map[string]deregistration{}}
 }
 
-// record stores a heartbeat and reports whether it did so. It rejects heartbeats of an earlier
-// incarnation, and those of the same incarnation that were announced earlier, unless the proxy that
-// forwarded the stored one sent them: a proxy may correct its own report.
+// record stores a heartbeat and returns whether it was accepted. It rejects heartbeats of an
+// earlier incarnation, and those of the same incarnation that were announced earlier, unless they
+// come from the proxy that forwarded the stored one: a proxy may correct its own report.
 func (t *heartbeatTable) record(received upstreamHeartbeat) bool {
 	key := received.heartbeat.Registration.Key()
 	incarnation := received.heartbeat.Registration.Incarnation
@@ -78,7 +78,7 @@
 
 // dropDeregistrations removes the deregistrations that were received before an instant.
 func (t *heartbeatTable) dropDeregistrations(before time.Duration) {
-	maps.DeleteFunc(t.deregistrations, func(_ string, known deregistration) bool { return known.receivedAt < before })
+	maps.DeleteFunc(t.deregistrations, func(_ string, recorded deregistration) bool { return recorded.receivedAt < before })
 }
 
 // handleHeartbeats processes a batch of upstream heartbeats that a proxy has forwarded.
--- a/internal/registry/proxies.go
+++ b/internal/registry/proxies.go
@@ -18,8 +18,8 @@
 // proxyReports holds the latest report of each proxy, by proxy name.
 type proxyReports map[string]proxyReport
 
-// record stores a report and reports whether it did so. It rejects a report from an earlier run of
-// the proxy.
+// record stores a report and returns whether it was accepted. It rejects a report from an earlier
+// run of the proxy.
 func (p proxyReports) record(batch message.HeartbeatBatch, now time.Duration) bool {
 	if last, known := p[batch.Proxy]; known && batch.StartTime < last.batch.StartTime {
 		return false
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -131,8 +131,7 @@
 
 // desiredRegistration returns the registration that the roster should hold for an upstream's
 // heartbeat. The state leaving is final for an incarnation. An incarnation that has not yet
-// answered a probe stays in the state created, whatever state it announces, unless it announces
-// leaving.
+// answered a probe stays in the state created unless it announces leaving.
 func desiredRegistration(heartbeat message.Heartbeat, current message.Registration,
 	registered bool) message.Registration {
 	desired := heartbeat.Registration
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -66,8 +66,8 @@
 	u.sealer.stop()
 }
 
-// tick performs the periodic work: every registry drops and saves counts, and the holder of the
-// usage lease also seals and reports windows.
+// tick performs the periodic work: every registry drops sealed counts and saves changed ones, and
+// the holder of the usage lease also seals and reports windows.
 func (u *usageManager) tick(env *statemachine.Env) {
 	u.counts.dropSealed()
 	u.clock.recordEnds(env, u.sealed.reported)
--- a/internal/registry/usage_counts.go
+++ b/internal/registry/usage_counts.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// merge adds the counts that another registry holds of windows that aren't reported yet.
+// merge adds the counts that another registry has sent, of windows that aren't reported yet.
 func (c *usageCounts) merge(received message.UnreportedUsage) {
 	for _, counts := range received.Proxies {
 		if counts.Window > c.sealed.reported && counts.Number > c.byWindow[counts.Window][counts.ProxyRun].Number {
