--- a/internal/registry/replication.go
+++ b/internal/registry/replication.go
@@ -69,7 +69,7 @@
 
 // canAssumeComplete reports whether an incomplete copy may be treated as complete, because no peer
 // has a complete one: all other voters have answered so, as when all registries start together, or
-// have had longer than TakeOver to answer.
+// have had longer than LeaseTakeover to answer.
 func (m *Machine) canAssumeComplete(env *statemachine.Env, replica *zoneReplica) bool {
 	return len(replica.incompletePeers) >= m.quorum.Size()-1 || env.Now-m.startedAt > m.settings.LeaseTakeover()
 }
