--- a/internal/configstore/follower.go
+++ b/internal/configstore/follower.go
@@ -35,8 +35,8 @@
 // acceptsHolder reports whether a message is from the voter to whom this voter granted the lease: the
 // sender is on the member list, and its epoch is the one that was promised, neither lower nor higher.
 func (m *Machine) acceptsHolder(voter, identity string, epoch int64) bool {
-	inEpoch := epoch == m.leases.Epoch(settings.ConfigLogTag) || guardsOff.promisedEpoch
-	return m.quorum.Voting() && m.quorum.Accepts(voter, identity) && inEpoch && m.Failure() == nil
+	inEpoch := epoch == m.leases.Epoch(settings.ConfigLogLease) || guardsOff.promisedEpoch
+	return m.quorum.Voting() && m.quorum.VerifySignature(voter, identity) && inEpoch && m.Failure() == nil
 }
 
 // handleAppendDelta takes an append as it travels. An entry that is in the log already is confirmed
@@ -81,7 +81,7 @@
 // acknowledge tells the holder how far this voter's disk has the log, if that is in the promised epoch.
 func (m *Machine) acknowledge(env *statemachine.Env, holderAddress string) {
 	synced := m.log.synced
-	if synced.epoch == m.leases.Epoch(settings.ConfigLogTag) {
+	if synced.epoch == m.leases.Epoch(settings.ConfigLogLease) {
 		env.Send(holderAddress, message.LogAppended{
 			Epoch:    synced.epoch,
 			Seq:      synced.seq,
@@ -99,7 +99,7 @@
 		m.requestSnapshot(env, from)
 	case m.log.epoch == recommit.Epoch:
 		m.acknowledge(env, from)
-	case m.log.position() == position{recommit.AtEpoch, recommit.AtSeq, recommit.Hash}:
+	case m.log.position() == position{recommit.PositionEpoch, recommit.PositionSeq, recommit.Hash}:
 		m.log.recommit(recommit.Epoch)
 		reached := m.log.position()
 		m.Persist(env, recommit, func(env *statemachine.Env, failure error) {
@@ -115,5 +115,5 @@
 
 // lagsBehind reports whether the holder's log of this epoch goes on where this voter's ends.
 func (m *Machine) lagsBehind(recommit message.LogRecommit) bool {
-	return recommit.AtEpoch == recommit.Epoch && m.log.epoch == recommit.Epoch && m.log.seq < recommit.AtSeq
+	return recommit.PositionEpoch == recommit.Epoch && m.log.epoch == recommit.Epoch && m.log.seq < recommit.PositionSeq
 }
--- a/internal/configstore/machine.go
+++ b/internal/configstore/machine.go
@@ -18,7 +18,7 @@
 // Machine is the control state of a configuration store. It implements statemachine.Machine and, with the
 // embedded core, quorum.Host.
 type Machine struct {
-	*quorum.Core
+	*quorum.ControlBase
 	settings     settings.Settings
 	membership   *membership.Membership
 	quorum       *quorum.Quorum
@@ -48,16 +48,16 @@
 		log:        replicatedLog{settings: cfg},
 	}
 	m.log.replace(state)
-	restored := quorum.Restored{Voter: state.Voter, Votes: state.Votes}
+	restored := quorum.RestoredState{Voter: state.Voter, Votes: state.Votes}
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
 		return nil, err
 	}
 	m.log.synced = m.log.position()
 	m.distribution = distribution.New(cfg, m.membership, func(*statemachine.Env, string) {})
-	m.Core = quorum.NewCore(cfg, message.RoleConfigStore, m.membership, m.Snapshot, snapshot == nil)
+	m.ControlBase = quorum.NewControlBase(cfg, message.RoleConfigStore, m.membership, m.Snapshot, snapshot == nil)
 	m.quorum = quorum.New(Group, cfg, m, restored.Voter, m.beginVoting)
-	m.UseVoters(m.quorum)
-	m.leases = lease.New(cfg, m, m.quorum, []string{settings.ConfigLogTag}, restored.Votes,
+	m.SetQuorum(m.quorum)
+	m.leases = lease.New(cfg, m, m.quorum, []string{settings.ConfigLogLease}, restored.Votes,
 		lease.Callbacks{Eligible: m.eligible, OnAcquired: m.leaseAcquired, OnLost: m.leaseLost})
 	m.distribution.ServeWhen(m.canServe, func() []string { return []string{m.leaseHolderName()} })
 	return m, nil
@@ -83,7 +83,7 @@
 
 // leaseHolderName returns the member name of the holder of the lease, "" if this voter doesn't know it.
 func (m *Machine) leaseHolderName() string {
-	voter := m.leases.Holder(settings.ConfigLogTag)
+	voter := m.leases.Holder(settings.ConfigLogLease)
 	for _, peer := range m.Peers() {
 		if peer.Voter == voter && peer.Address == m.quorum.AddressOf(voter) {
 			return peer.Name
@@ -137,8 +137,8 @@
 // when the process may end.
 type Stop struct{}
 
-// Asked takes the process's own questions.
-func (m *Machine) Asked(env *statemachine.Env, requestID int64, question any) {
+// HandleRequest takes the process's own questions.
+func (m *Machine) HandleRequest(env *statemachine.Env, requestID int64, question any) {
 	switch asked := question.(type) {
 	case statemachine.SeedsChanged:
 		m.membership.SetSeeds(asked.Seeds)
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -159,11 +159,11 @@
 		Proxy:           x.name,
 		StartTime:       1,
 		Ready:           true,
-		Window:          window,
+		CurrentWindow:   window,
 		Heartbeats:      []message.Heartbeat{},
 		Deregistrations: []message.Deregistration{},
 		Positions:       []message.Position{},
-		Path:            []string{},
+		RelayPath:       []string{},
 	}
 	for _, upstream := range x.upstreams {
 		if upstream.there {
@@ -179,18 +179,18 @@
 // usage tells the counts of the windows that are not sealed; like a real proxy it names the
 // closed ones only in updates that hold them.
 func (x *fleetProxy) usage(current int64) message.UsageUpdate {
-	update := message.UsageUpdate{Proxy: x.name, StartTime: 1, Number: x.number, Counts: []message.UsageCount{}, Closed: current}
+	update := message.UsageUpdate{Proxy: x.name, StartTime: 1, Sequence: x.number, Counts: []message.UsageCount{}, ClosedBelow: current}
 	if x.number%wholeUpdates != 0 {
-		update.Closed = 0
+		update.ClosedBelow = 0
 	}
 	for _, window := range slices.Sorted(maps.Keys(x.counts)) {
-		if window < x.sealed || update.Closed == 0 && window < current {
+		if window < x.sealed || update.ClosedBelow == 0 && window < current {
 			continue
 		}
 		update.Counts = append(update.Counts, message.UsageCount{
-			Window: window,
-			Counts: map[string]int64{fleetTenant: x.counts[window]},
-			Open:   map[string]int64{},
+			Window:   window,
+			Counts:   map[string]int64{fleetTenant: x.counts[window]},
+			InFlight: map[string]int64{},
 		})
 	}
 	return update
@@ -209,7 +209,7 @@
 		case message.ProbeRequest:
 			proxy.probe(received)
 		case message.HeartbeatResponse:
-			proxy.sealed = max(proxy.sealed, received.Sealed)
+			proxy.sealed = max(proxy.sealed, received.SealedBelow)
 		}
 		return true
 	}
@@ -237,7 +237,7 @@
 		upstream.registration.Incarnation++
 		upstream.registration.State = message.StateReady
 	case upstream.registration.State == message.StateReady:
-		upstream.registration.State = message.StateLeaving
+		upstream.registration.State = message.StateDraining
 	default:
 		upstream.there = false
 	}
@@ -260,7 +260,7 @@
 // reports takes a usage report: it reaches the collector at once, and the answer is lost at
 // times.
 func (w *World) reports(p *process, sent registry.UsageReport) {
-	if w.fleet == nil || p.now(w) > sent.Until {
+	if w.fleet == nil || p.now(w) > sent.ExpiresAt {
 		return
 	}
 	w.note("%s reports window %d under %d: %v", p.name(), sent.Window, sent.Epoch, sent.Counts)
@@ -273,7 +273,7 @@
 	incarnation := p.incarnation
 	w.after(1, func() {
 		if p.up && !p.frozen && p.incarnation == incarnation {
-			p.apply(w, statemachine.Asked{Question: registry.UsageDelivered{Window: sent.Window}})
+			p.apply(w, statemachine.LocalRequest{Request: registry.UsageDelivered{Window: sent.Window}})
 		}
 	})
 }
@@ -326,7 +326,7 @@
 	return act{}, false
 }
 
-func (w *World) restRounds() int { return int(w.fleetSettings().HolderRest() / roundTime) }
+func (w *World) restRounds() int { return int(w.fleetSettings().HolderCooldown() / roundTime) }
 
 // checkFleet holds the roster and the reports against the truth, at the end of a run that
 // was calm for long enough.
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -179,7 +179,7 @@
 	cfg.Zone, cfg.Service = "here", "clinic"
 	cfg.Bounds.RetryAllowance = 1000
 	if named {
-		cfg.Proof = settings.ProofTarget
+		cfg.TargetProof = settings.ProofTarget
 	}
 	return cfg
 }
@@ -194,7 +194,7 @@
 type modelNamer struct{}
 
 func (modelNamer) SetHeaders(header http.Header, forward message.Forward, _ backend.Target, _ time.Duration) {
-	header.Set("Name", forward.Name)
+	header.Set("Name", forward.AttemptName)
 	header.Set("For", forward.Instance)
 }
 
@@ -203,7 +203,7 @@
 func (m modelNamer) Interpret(answer *http.Response, forward message.Forward, _ backend.Target) backend.ResponseMetadata {
 	received := backend.ResponseMetadata{}
 	switch name := m.RequestName(answer); {
-	case name != "" && name != forward.Name:
+	case name != "" && name != forward.AttemptName:
 		received.OtherRequest = true
 	case answer.StatusCode == http.StatusMisdirectedRequest:
 		received.Refusal = errcode.BusyUpstreamGone
@@ -389,9 +389,9 @@
 	cut      bool
 }
 
-func (l *modelLink) Broken() bool   { return l.closed }
-func (l *modelLink) Attached() bool { return l.attached }
-func (l *modelLink) Close()         { l.closed = true }
+func (l *modelLink) Broken() bool      { return l.closed }
+func (l *modelLink) Established() bool { return l.attached }
+func (l *modelLink) Close()            { l.closed = true }
 
 // end breaks the connection; its opener is told a moment later.
 func (l *modelLink) end() {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -89,7 +89,7 @@
 // one with the higher epoch counts.
 func (m *Manager) Restore(votes []message.Vote) {
 	for _, vote := range votes {
-		tag, known := m.tags[vote.Tag]
+		tag, known := m.tags[vote.LeaseName]
 		if known && tag.acceptor.restore(vote) {
 			tag.candidate.heldBefore = vote.Holder == m.quorum.Voter
 		}
@@ -121,15 +121,15 @@
 	}
 }
 
-// Holding reports whether this voter is active for a tag now, by its own clock.
-func (m *Manager) Holding(tagName string, now time.Duration) bool {
+// IsHolder reports whether this voter is active for a tag now, by its own clock.
+func (m *Manager) IsHolder(tagName string, now time.Duration) bool {
 	tag := m.tags[tagName]
 	return tag != nil && tag.holder.activeAt(now) && !m.quorum.Removed
 }
 
-// HeldUntil returns when this voter's lease of a tag ends unless it is renewed before, by its own
+// LeaseExpiry returns when this voter's lease of a tag ends unless it is renewed before, by its own
 // clock; 0 where it holds none.
-func (m *Manager) HeldUntil(tagName string) time.Duration {
+func (m *Manager) LeaseExpiry(tagName string) time.Duration {
 	tag := m.tags[tagName]
 	if tag == nil || !tag.holder.holding {
 		return 0
@@ -147,7 +147,7 @@
 // since. A linearizable read waits for it; it compares times of the holder's clock only.
 func (m *Manager) ConfirmedSince(tagName string, since time.Duration) bool {
 	holder := &m.tags[tagName].holder
-	return holder.holding && holder.expiresAt-m.settings.LeaseHeld() >= since
+	return holder.holding && holder.expiresAt-m.settings.HolderLease() >= since
 }
 
 // Tick renews the leases that this voter holds, gives up those that have expired and campaigns for
--- a/internal/registry/answer.go
+++ b/internal/registry/answer.go
@@ -6,10 +6,10 @@
 	"beaconvane/internal/errcode"
 )
 
-// Answer is the machine's reply to a request from the HTTP API. The types of its JSON bodies follow
+// OperatorResponse is the machine's reply to a request from the HTTP API. The types of its JSON bodies follow
 // below. The fields of each are declared in the alphabetical order of their JSON keys, which is
 // their order on the wire.
-type Answer struct {
+type OperatorResponse struct {
 	Code errcode.Code
 	Body []byte // JSON, unless Raw is set
 	Raw  bool   // Body is a configuration, byte for byte as committed
@@ -145,15 +145,15 @@
 }
 
 // answerJSON returns an answer with the body encoded as JSON.
-func answerJSON(code errcode.Code, body any) Answer {
+func answerJSON(code errcode.Code, body any) OperatorResponse {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return Answer{Code: errcode.Internal, Body: []byte(`{}`)}
+		return OperatorResponse{Code: errcode.Internal, Body: []byte(`{}`)}
 	}
-	return Answer{Code: code, Body: text}
+	return OperatorResponse{Code: code, Body: text}
 }
 
 // answerCode returns an answer that carries only a result code and a detail.
-func answerCode(code errcode.Code, detail string) Answer {
+func answerCode(code errcode.Code, detail string) OperatorResponse {
 	return answerJSON(code, codeAnswer{Code: code, Detail: detail, Result: code.String()})
 }
--- a/internal/registry/changes.go
+++ b/internal/registry/changes.go
@@ -30,7 +30,7 @@
 		return causeCreated
 	case current.Incarnation != desired.Incarnation:
 		return causeNewIncarnation
-	case current.State != desired.State && desired.State == message.StateLeaving:
+	case current.State != desired.State && desired.State == message.StateDraining:
 		return causeDrain
 	case current.State != desired.State:
 		return desired.State
--- a/internal/registry/configuration.go
+++ b/internal/registry/configuration.go
@@ -27,7 +27,7 @@
 // according to its heartbeats. The proxies are compared with minVersion, or with the version of
 // this registry if that is higher. If minVersion is 0, the code of the answer tells whether the
 // version of this registry is current.
-func (m *Machine) configurationStatus(env *statemachine.Env, configName string, minVersion int64) Answer {
+func (m *Machine) configurationStatus(env *statemachine.Env, configName string, minVersion int64) OperatorResponse {
 	topic := distribution.ConfigurationTopic(configName)
 	version, _, known := m.distribution.Configuration(configName)
 	if !known {
--- a/internal/registry/forwarded_requests.go
+++ b/internal/registry/forwarded_requests.go
@@ -21,7 +21,7 @@
 // is answered with an unknown outcome, never with a refusal.
 type forwardedRequests struct {
 	settings     settings.Settings
-	core         *quorum.Core
+	core         *quorum.ControlBase
 	membership   *membership.Membership
 	distribution *distribution.Distribution
 
@@ -44,7 +44,7 @@
 }
 
 // newForwardedRequests returns the forwarded requests of a registry that just started: none.
-func newForwardedRequests(cfg settings.Settings, core *quorum.Core, members *membership.Membership,
+func newForwardedRequests(cfg settings.Settings, core *quorum.ControlBase, members *membership.Membership,
 	tree *distribution.Distribution) *forwardedRequests {
 	return &forwardedRequests{
 		settings:     cfg,
@@ -58,20 +58,20 @@
 // write forwards a write to a configstore.
 func (r *forwardedRequests) write(env *statemachine.Env, replyTo int64, request WriteConfiguration) {
 	r.lastRequestID++
-	packed := request.Packed
+	packed := request.CompressedBody
 	if packed == nil {
 		packed = delta.Encode(nil, request.Body)
 	}
 	r.pending[r.lastRequestID] = &pendingRequest{
 		replyTo:  replyTo,
-		deadline: env.Now + r.settings.AnswerLimit(len(request.Body)),
+		deadline: env.Now + r.settings.OperatorTimeout(len(request.Body)),
 		body:     request.Body,
 		write: &message.WriteRequest{
 			RequestID:  r.lastRequestID,
 			ConfigName: request.ConfigName,
 			Version:    request.Version,
 			Body:       packed,
-			Packed:     true,
+			Compressed: true,
 			Check:      request.Check,
 		},
 	}
@@ -83,7 +83,7 @@
 	r.lastRequestID++
 	r.pending[r.lastRequestID] = &pendingRequest{
 		replyTo:  replyTo,
-		deadline: env.Now + r.settings.AnswerLimit(0),
+		deadline: env.Now + r.settings.OperatorTimeout(0),
 		read: &message.ReadRequest{
 			RequestID:  r.lastRequestID,
 			ConfigName: request.ConfigName,
@@ -111,7 +111,7 @@
 
 // timeoutAnswer returns the answer at the deadline. A write that a configstore may have committed
 // is reported as of unknown outcome.
-func (p *pendingRequest) timeoutAnswer() Answer {
+func (p *pendingRequest) timeoutAnswer() OperatorResponse {
 	if p.write != nil && p.unresolvedSends > 0 {
 		return answerCode(errcode.ConfigurationUnsure, "no answer in time")
 	}
@@ -205,7 +205,7 @@
 // finalAnswer returns the answer to a request whose response is final, and publishes the version of
 // a write that succeeded.
 func (r *forwardedRequests) finalAnswer(env *statemachine.Env, request *pendingRequest,
-	response message.StoreResponse) Answer {
+	response message.StoreResponse) OperatorResponse {
 	body, err := r.decompressBody(response)
 	if err != nil {
 		return answerCode(errcode.Internal, err.Error())
@@ -229,16 +229,16 @@
 
 // decompressBody returns the body of a response, decompressed if it was compressed.
 func (r *forwardedRequests) decompressBody(response message.StoreResponse) ([]byte, error) {
-	if !response.Packed {
+	if !response.Compressed {
 		return response.Body, nil
 	}
 	return delta.Apply(nil, response.Body, r.settings.Limits.Configuration)
 }
 
 // readAnswer returns the answer to a read that succeeded.
-func readAnswer(read message.ReadRequest, response message.StoreResponse, body []byte) Answer {
+func readAnswer(read message.ReadRequest, response message.StoreResponse, body []byte) OperatorResponse {
 	if !read.List {
-		return Answer{Code: errcode.OK, Body: body, Raw: true}
+		return OperatorResponse{Code: errcode.OK, Body: body, Raw: true}
 	}
 	return answerJSON(errcode.OK, versionsAnswer{
 		Configuration:  response.ConfigName,
@@ -255,7 +255,7 @@
 	body, packed := request.body, request.write.Body
 	if len(responseBody) > 0 {
 		body, packed = responseBody, response.Body
-		if !response.Packed {
+		if !response.Compressed {
 			packed = delta.Encode(nil, body)
 		}
 	}
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -18,7 +18,7 @@
 
 // Machine is the control state of a registry process. It must be driven by a single goroutine.
 type Machine struct {
-	*quorum.Core
+	*quorum.ControlBase
 	settings     settings.Settings
 	membership   *membership.Membership
 	quorum       *quorum.Quorum
@@ -57,17 +57,17 @@
 	m.restoreRoster(saved.Slices)
 	m.membership = membership.New(cfg, self, saved.KnownAddresses)
 	m.distribution = m.newDistribution()
-	m.Core = quorum.NewCore(cfg, message.RoleRegistry, m.membership, m.snapshot, snapshot == nil)
+	m.ControlBase = quorum.NewControlBase(cfg, message.RoleRegistry, m.membership, m.snapshot, snapshot == nil)
 	m.usage = newUsageManager(m, saved)
-	m.requests = newForwardedRequests(cfg, m.Core, m.membership, m.distribution)
-	restored := quorum.Restored{Voter: saved.Voter, Votes: saved.Votes}
+	m.requests = newForwardedRequests(cfg, m.ControlBase, m.membership, m.distribution)
+	restored := quorum.RestoredState{Voter: saved.Voter, Votes: saved.Votes}
 	if err := restored.Replay(records, m.membership, m.replay); err != nil {
 		return nil, err
 	}
 	m.quorum = quorum.New(Group, cfg, m, restored.Voter, func(env *statemachine.Env, newGroup bool) {
 		m.leases.BeginVoting(env, newGroup)
 	})
-	m.UseVoters(m.quorum)
+	m.SetQuorum(m.quorum)
 	m.leases = lease.New(cfg, m, m.quorum, leaseNames(cfg), restored.Votes, lease.Callbacks{
 		Eligible:   m.eligible,
 		OnAcquired: m.onLeaseAcquired,
@@ -93,7 +93,7 @@
 // leaseNames lists the names of the leases that registries hold: one per zone, and that of the
 // usage reports.
 func leaseNames(cfg settings.Settings) []string {
-	return append(append([]string{}, cfg.Zones...), settings.UsageTag)
+	return append(append([]string{}, cfg.Zones...), settings.UsageLease)
 }
 
 // eligible reports whether this registry may become a candidate for a lease. It may not for a zone
@@ -102,13 +102,13 @@
 	if m.Failure() != nil || m.stopping || m.membership.Superseded() {
 		return false
 	}
-	return leaseName == settings.UsageTag || m.zones[leaseName].complete
+	return leaseName == settings.UsageLease || m.zones[leaseName].complete
 }
 
 // onLeaseAcquired starts a new epoch of the zone, or of the usage reports, whose lease was
 // acquired.
 func (m *Machine) onLeaseAcquired(env *statemachine.Env, leaseName string, epoch int64) {
-	if leaseName == settings.UsageTag {
+	if leaseName == settings.UsageLease {
 		m.usage.onLeaseAcquired(epoch)
 		return
 	}
@@ -122,7 +122,7 @@
 // onLeaseLost stops sealing when the usage lease is lost. Zones need no action: holdsZone checks
 // the lease.
 func (m *Machine) onLeaseLost(_ *statemachine.Env, leaseName string, _ int64) {
-	if leaseName == settings.UsageTag {
+	if leaseName == settings.UsageLease {
 		m.usage.onLeaseLost()
 	}
 }
@@ -130,7 +130,7 @@
 // holdsZone reports whether this registry holds a zone's lease and its slice is in the lease's
 // epoch, so that it may change the zone now.
 func (m *Machine) holdsZone(env *statemachine.Env, zone string) bool {
-	return m.leases.Holding(zone, env.Now) && m.zones[zone].slice.Position.Epoch == m.leases.Epoch(zone)
+	return m.leases.IsHolder(zone, env.Now) && m.zones[zone].slice.Position.Epoch == m.leases.Epoch(zone)
 }
 
 // Tick performs the periodic work of one clock tick.
@@ -196,11 +196,11 @@
 // Serving reports whether this registry held the usage lease or the lease of a zone at its last
 // tick. It is for tests and the status.
 func (m *Machine) Serving() bool {
-	if m.leases.Holding(settings.UsageTag, m.lastTickAt) {
+	if m.leases.IsHolder(settings.UsageLease, m.lastTickAt) {
 		return true
 	}
 	return slices.ContainsFunc(m.settings.Zones, func(zone string) bool {
-		return m.leases.Holding(zone, m.lastTickAt)
+		return m.leases.IsHolder(zone, m.lastTickAt)
 	})
 }
 
--- a/internal/registry/replication.go
+++ b/internal/registry/replication.go
@@ -48,7 +48,7 @@
 			if replica.complete {
 				env.Send(peer.Address, m.rosterCheck(zone))
 			} else {
-				env.Send(peer.Address, message.RosterPull{Tag: zone, Voter: m.quorum.Voter})
+				env.Send(peer.Address, message.RosterPull{Zone: zone, Voter: m.quorum.Voter})
 			}
 		}
 		if m.canAssumeComplete(env, replica) {
@@ -60,7 +60,7 @@
 // rosterCheck returns the digest request for a zone in the current round.
 func (m *Machine) rosterCheck(zone string) message.RosterCheck {
 	return message.RosterCheck{
-		Tag:      zone,
+		Zone:     zone,
 		Round:    m.replication.round,
 		Voter:    m.quorum.Voter,
 		Position: m.zones[zone].slice.Position,
@@ -69,9 +69,9 @@
 
 // canAssumeComplete reports whether an incomplete copy may be treated as complete, because no peer
 // has a complete one: all other voters have answered so, as when all registries start together, or
-// have had longer than TakeOver to answer.
+// have had longer than LeaseTakeover to answer.
 func (m *Machine) canAssumeComplete(env *statemachine.Env, replica *zoneReplica) bool {
-	return len(replica.incompletePeers) >= m.quorum.Size()-1 || env.Now-m.startedAt > m.settings.TakeOver()
+	return len(replica.incompletePeers) >= m.quorum.Size()-1 || env.Now-m.startedAt > m.settings.LeaseTakeover()
 }
 
 // handleRosterChange applies a change that the holder of a zone has broadcast, and pulls the zone
@@ -94,19 +94,19 @@
 	}
 	current = replica.slice.Position
 	samePosition := current.Epoch == change.Position.Epoch && current.Seq == change.Position.Seq
-	if current.Before(change.Position) || samePosition && !current.Same(change.Position) {
+	if current.Before(change.Position) || samePosition && !current.SameContent(change.Position) {
 		m.pullZone(env, zone, "gap in broadcasts")
 	}
 }
 
 // handleRosterCheck answers a digest request. Only the holder of the zone answers.
 func (m *Machine) handleRosterCheck(env *statemachine.Env, from string, check message.RosterCheck) {
-	replica, known := m.zones[check.Tag]
-	if !known || !m.holdsZone(env, check.Tag) {
+	replica, known := m.zones[check.Zone]
+	if !known || !m.holdsZone(env, check.Zone) {
 		return
 	}
 	env.Send(from, message.RosterDigest{
-		Tag:      check.Tag,
+		Zone:     check.Zone,
 		Round:    check.Round,
 		Voter:    m.quorum.Voter,
 		Position: replica.slice.Position,
@@ -116,19 +116,19 @@
 // handleRosterDigest compares the holder's digest with that of the copy here. If they are equal,
 // the copy was current when the digest was requested; otherwise the zone is pulled.
 func (m *Machine) handleRosterDigest(env *statemachine.Env, digest message.RosterDigest) {
-	replica, known := m.zones[digest.Tag]
+	replica, known := m.zones[digest.Zone]
 	requestedAt, requested := m.replication.requestedAt[digest.Round]
-	if !known || !requested || digest.Position.Epoch < m.leases.Epoch(digest.Tag) || m.holdsZone(env, digest.Tag) {
+	if !known || !requested || digest.Position.Epoch < m.leases.Epoch(digest.Zone) || m.holdsZone(env, digest.Zone) {
 		return
 	}
-	if replica.slice.Position.Same(digest.Position) {
-		m.distribution.SetFreshAt(distribution.SliceTopic(digest.Tag), requestedAt)
+	if replica.slice.Position.SameContent(digest.Position) {
+		m.distribution.SetFreshAt(distribution.SliceTopic(digest.Zone), requestedAt)
 		return
 	}
 	if guardsOff.driftDetection {
 		return
 	}
-	m.pullZone(env, digest.Tag, "digest differs")
+	m.pullZone(env, digest.Zone, "digest differs")
 }
 
 // pullZone requests a snapshot of a zone from the peers. Requests are rate limited, with jitter, so
@@ -143,22 +143,22 @@
 	replica.nextPullAt = env.Now + half + jitter
 	env.Event("roster-pull", 0, replica.slice.Position.Epoch, zone+": "+cause)
 	for _, peer := range m.Peers() {
-		env.Send(peer.Address, message.RosterPull{Tag: zone, Voter: m.quorum.Voter})
+		env.Send(peer.Address, message.RosterPull{Zone: zone, Voter: m.quorum.Voter})
 	}
 }
 
 // handleRosterPull answers with a snapshot of a zone, which says whether the copy is complete and
 // whether it is the holder's.
 func (m *Machine) handleRosterPull(env *statemachine.Env, from string, pull message.RosterPull) {
-	replica, known := m.zones[pull.Tag]
+	replica, known := m.zones[pull.Zone]
 	if !known {
 		return
 	}
 	env.Send(from, message.RosterSnapshot{
-		Tag:           pull.Tag,
+		Zone:          pull.Zone,
 		Voter:         m.quorum.Voter,
 		Complete:      replica.complete,
-		HoldsLease:    m.holdsZone(env, pull.Tag),
+		HoldsLease:    m.holdsZone(env, pull.Zone),
 		Position:      replica.slice.Position,
 		Registrations: replica.slice.List(),
 	})
@@ -168,8 +168,8 @@
 // holder and differs. A snapshot that is neither complete nor from the holder only counts towards
 // canAssumeComplete.
 func (m *Machine) handleRosterSnapshot(env *statemachine.Env, snapshot message.RosterSnapshot) {
-	replica, known := m.zones[snapshot.Tag]
-	if !known || m.holdsZone(env, snapshot.Tag) {
+	replica, known := m.zones[snapshot.Zone]
+	if !known || m.holdsZone(env, snapshot.Zone) {
 		return
 	}
 	if !snapshot.Complete && !snapshot.HoldsLease {
@@ -179,7 +179,8 @@
 		return
 	}
 	current := replica.slice.Position
-	holderDiffers := snapshot.HoldsLease && snapshot.Position.Epoch >= m.leases.Epoch(snapshot.Tag) && !current.Same(snapshot.Position)
+	holderDiffers := snapshot.HoldsLease && snapshot.Position.Epoch >= m.leases.Epoch(snapshot.Zone) &&
+		!current.SameContent(snapshot.Position)
 	if current.Before(snapshot.Position) || holderDiffers {
 		replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 		m.replication.snapshotDue = true
--- a/internal/registry/usage.go
+++ b/internal/registry/usage.go
@@ -22,7 +22,7 @@
 // more than one reported value, whichever registry reports it.
 type usageManager struct {
 	settings settings.Settings
-	core     *quorum.Core
+	core     *quorum.ControlBase
 	quorum   *quorum.Quorum
 	leases   *lease.Manager
 
@@ -37,10 +37,10 @@
 // newUsageManager restores the usage state from a snapshot. The fields quorum and leases are set
 // after the log has been replayed, since they are created from its records as well.
 func newUsageManager(m *Machine, saved message.RegistryState) *usageManager {
-	sealed := newSealedWindows(saved.Sealed, saved.Reported)
+	sealed := newSealedWindows(saved.Sealed, saved.LastReportedWindow)
 	u := &usageManager{
 		settings: m.settings,
-		core:     m.Core,
+		core:     m.ControlBase,
 		sealed:   sealed,
 		counts:   newUsageCounts(sealed),
 		clock:    newWindowClock(m.settings, m.membership, m.proxies),
@@ -72,7 +72,7 @@
 	u.counts.dropSealed()
 	u.clock.recordEnds(env, u.sealed.reported)
 	u.saveCounts(env)
-	if !u.leases.Holding(settings.UsageTag, env.Now) {
+	if !u.leases.IsHolder(settings.UsageLease, env.Now) {
 		return
 	}
 	u.advanceSealing(env)
@@ -105,7 +105,7 @@
 }
 
 // answer returns the sealed value of a window to an operator, if the window is reported or final.
-func (u *usageManager) answer(window int64) Answer {
+func (u *usageManager) answer(window int64) OperatorResponse {
 	value, known := u.sealed.values[window]
 	if !known || window > u.sealed.reported && !u.sealed.final[window] {
 		return answerCode(errcode.UsageNotFound, strconv.FormatInt(window, 10))
--- a/internal/registry/usage_clock.go
+++ b/internal/registry/usage_clock.go
@@ -54,13 +54,13 @@
 // ones even if it names a lower window, since the clock of the proxy may have been set back. An
 // update with Closed 0, of the current window alone, carries no such report.
 func (c *windowClock) recordClosed(update message.UsageUpdate) {
-	if update.Closed == 0 {
+	if update.ClosedBelow == 0 {
 		return
 	}
 	last, known := c.closed[update.Proxy]
-	newer := update.StartTime > last.startTime || update.StartTime == last.startTime && update.Number > last.number
+	newer := update.StartTime > last.startTime || update.StartTime == last.startTime && update.Sequence > last.number
 	if !known || newer {
-		c.closed[update.Proxy] = closedReport{update.StartTime, update.Number, update.Closed}
+		c.closed[update.Proxy] = closedReport{update.StartTime, update.Sequence, update.ClosedBelow}
 	}
 }
 
--- a/internal/registry/usage_counts.go
+++ b/internal/registry/usage_counts.go
@@ -41,17 +41,17 @@
 	run := proxyRunID(update)
 	for _, window := range update.Counts {
 		last, known := c.byWindow[window.Window][run]
-		if c.sealed.hasValue(window.Window) || known && update.Number <= last.Number {
+		if c.sealed.hasValue(window.Window) || known && update.Sequence <= last.Sequence {
 			continue
 		}
 		c.put(message.ProxyUsage{
 			Window:   window.Window,
 			ProxyRun: run,
-			Number:   update.Number,
+			Sequence: update.Sequence,
 			Counts:   window.Counts,
-			Open:     window.Open,
+			InFlight: window.InFlight,
 		})
-		if !known || !maps.Equal(last.Counts, window.Counts) || !maps.Equal(last.Open, window.Open) {
+		if !known || !maps.Equal(last.Counts, window.Counts) || !maps.Equal(last.InFlight, window.InFlight) {
 			c.markUnsaved(window.Window, run)
 		}
 	}
@@ -76,7 +76,7 @@
 // restore adds counts that were read from the local disk.
 func (c *usageCounts) restore(saved message.UnreportedUsage) {
 	for _, counts := range saved.Proxies {
-		if counts.Number >= c.byWindow[counts.Window][counts.ProxyRun].Number {
+		if counts.Sequence >= c.byWindow[counts.Window][counts.ProxyRun].Sequence {
 			c.put(counts)
 		}
 	}
@@ -85,7 +85,7 @@
 // merge adds the counts that another registry has sent, of windows that aren't reported yet.
 func (c *usageCounts) merge(received message.UnreportedUsage) {
 	for _, counts := range received.Proxies {
-		if counts.Window > c.sealed.reported && counts.Number > c.byWindow[counts.Window][counts.ProxyRun].Number {
+		if counts.Window > c.sealed.reported && counts.Sequence > c.byWindow[counts.Window][counts.ProxyRun].Sequence {
 			c.put(counts)
 		}
 	}
@@ -142,7 +142,7 @@
 		// Requests that were open in the last update of a run are counted: most likely they were
 		// answered before the run ended, since a request takes about as long as an update takes to
 		// be stored safely.
-		for tenant, count := range counts.Open {
+		for tenant, count := range counts.InFlight {
 			sums[tenant] += count
 		}
 	}
--- a/internal/registry/usage_reporting.go
+++ b/internal/registry/usage_reporting.go
@@ -8,14 +8,14 @@
 	"beaconvane/internal/statemachine"
 )
 
-// UsageReport is the report of a final window to the collector. Until, on the clock of the process,
+// UsageReport is the report of a final window to the collector. ExpiresAt, on the clock of the process,
 // is the deadline for sending it. It is never later than the end of the lease, since the next
 // holder may report after that.
 type UsageReport struct {
-	Window int64
-	Counts map[string]int64 // by tenant
-	Epoch  int64            // of the usage lease
-	Until  time.Duration
+	Window    int64
+	Counts    map[string]int64 // by tenant
+	Epoch     int64            // of the usage lease
+	ExpiresAt time.Duration
 }
 
 // UsageDelivered notifies the machine that the collector has received a window.
@@ -37,10 +37,10 @@
 	}
 	u.nextReportAt = env.Now + u.settings.ReportEvery()
 	env.Report(UsageReport{
-		Window: window,
-		Counts: u.sealed.values[window].Counts,
-		Epoch:  u.sealer.epoch,
-		Until:  min(env.Now+u.settings.Lease()/2, u.leases.HeldUntil(settings.UsageTag)),
+		Window:    window,
+		Counts:    u.sealed.values[window].Counts,
+		Epoch:     u.sealer.epoch,
+		ExpiresAt: min(env.Now+u.settings.Lease()/2, u.leases.LeaseExpiry(settings.UsageLease)),
 	})
 }
 
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -24,17 +24,17 @@
 
 // Deployment is a fleet and the traffic on it.
 type Deployment struct {
-	Name       string
-	Zones      []string
-	Proxies    int
-	Services   []Service
-	Kinds      []loadgen.Kind
-	Rate       float64       // requests a second
-	Withdrawal bool          // how long withdrawn keys may work has a bound
-	DiskDelay  time.Duration // of one sync
-	Cores      int           // core machines; 0 is three
-	VoterCount int64         // voters that the core processes discover; 0: the settings name them
-	Writes     string        // the setting for competing writes of configurations; "": the default
+	Name               string
+	Zones              []string
+	Proxies            int
+	Services           []Service
+	Kinds              []loadgen.Kind
+	Rate               float64       // requests a second
+	KeyWithdrawalBound bool          // how long withdrawn keys may work has a bound
+	DiskDelay          time.Duration // of one sync
+	Cores              int           // core machines; 0 is three
+	VoterCount         int64         // voters that the core processes discover; 0: the settings name them
+	Writes             string        // the setting for competing writes of configurations; "": the default
 	// CoreZones are the zones of the core machines, in order; none: the zones in turn.
 	CoreZones []string
 	// CoreLink and ProxyLink are the bytes a second that a machine's link carries each way; 0:
@@ -113,24 +113,24 @@
 func (d Deployment) Settings(role, nodeName, voter, zone, address, outside string, seeds []string, data string) settings.Settings {
 	cfg := settings.Default()
 	cfg.Node, cfg.Voter, cfg.Voters, cfg.Zone, cfg.Zones = nodeName, voter, Voters, zone, d.Zones
-	cfg.Address, cfg.Outside, cfg.Seeds, cfg.Data = address, outside, seeds, data
-	cfg.Active = map[string]string{settings.ConfigLogTag: Voters[0], settings.UsageTag: Voters[2]}
+	cfg.Address, cfg.HTTPAddress, cfg.Seeds, cfg.DataDirectory = address, outside, seeds, data
+	cfg.PreferredHolders = map[string]string{settings.ConfigLogLease: Voters[0], settings.UsageLease: Voters[2]}
 	for index, name := range d.Zones {
-		cfg.Active[name] = Voters[index%len(Voters)]
+		cfg.PreferredHolders[name] = Voters[index%len(Voters)]
 	}
 	if d.VoterCount > 0 {
 		cfg.Voter, cfg.Voters, cfg.VoterCount = "", settings.VoterNames(d.VoterCount), d.VoterCount
-		cfg.Active, cfg.Found = map[string]string{}, true
+		cfg.PreferredHolders, cfg.Bootstrap = map[string]string{}, true
 	}
 	if d.Writes != "" {
-		cfg.Writes = d.Writes
+		cfg.WritePolicy = d.Writes
 	}
 	cfg.Tolerated = d.Tolerated
-	if d.Withdrawal {
+	if d.KeyWithdrawalBound {
 		cfg.Bounds.KeyWithdrawal = 5000
 	}
 	if role == message.RoleProxy {
-		cfg.Voter, cfg.Data = "", ""
+		cfg.Voter, cfg.DataDirectory = "", ""
 	}
 	return cfg
 }
