--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -71,7 +71,7 @@
 		serving.HandleForward(time.Second, forwardOf(id, "one", 5))
 	}
 	gone := response("one", "a:1", 5)
-	gone.Leaving = true
+	gone.Draining = true
 	_, _, decisions := serving.Announce(2*time.Second, gone)
 	c.Assert(codes(decisions), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
 	serving.Announce(3*time.Second, response("one", "a:1", 5))
@@ -86,11 +86,11 @@
 	c := qt.New(t)
 	serving := newServingProxy(c)
 	target := Target{Key: "pay/one", Address: "a:1", Incarnation: 5}
-	c.Assert(serving.Dialable(settings.Default().DialFresh(), target), qt.IsTrue)
-	c.Assert(serving.Dialable(settings.Default().DialFresh()+1, target), qt.IsFalse)
-	serving.MarkAlive(time.Second, target)
+	c.Assert(serving.Dialable(settings.Default().AddressProofTTL(), target), qt.IsTrue)
+	c.Assert(serving.Dialable(settings.Default().AddressProofTTL()+1, target), qt.IsFalse)
+	serving.RecordActivity(time.Second, target)
 	c.Assert(serving.Dialable(time.Second, target), qt.IsTrue)
-	serving.MarkBroken(2*time.Second, target)
+	serving.RecordConnectionLoss(2*time.Second, target)
 	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	serving.Announce(2*time.Second+1, response("one", "a:1", 5))
 	c.Assert(serving.Dialable(2*time.Second+1, target), qt.IsTrue)
@@ -150,7 +150,7 @@
 	b.caller.pool.lock.Lock()
 	delete(b.caller.pool.idle, target)
 	b.caller.pool.lock.Unlock()
-	b.serving.upstreams["pay/one"].lastSeenAt -= settings.Default().DialFresh() + 1
+	b.serving.upstreams["pay/one"].lastSeenAt -= settings.Default().AddressProofTTL() + 1
 	outcome := b.request(c, "b", http.MethodPost)
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.BusyUnproven)
@@ -163,7 +163,7 @@
 	c := qt.New(t)
 	cfg := settings.Default()
 	serving := newServingProxy(c)
-	left := message.Registration{Service: "pay", Instance: "one", Incarnation: 5, State: message.StateLeaving}
+	left := message.Registration{Service: "pay", Instance: "one", Incarnation: 5, State: message.StateDraining}
 	c.Assert(codes(serving.HandleForward(cfg.ServingProxyTimeout(), forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
 	c.Assert(
 		codes(serving.HandleForward(cfg.ServingProxyTimeout()+1, forwardOf("b", "one", 5))),
@@ -193,7 +193,7 @@
 	c.Assert(decisions, qt.HasLen, 1)
 	serving.Complete(time.Second, decisions[0], message.Outcome{Kind: message.Completed, Status: 200, Body: []byte("answer")})
 	c.Check(string(serving.Outcome(time.Second, "q").Body), qt.Equals, "answer")
-	later := time.Second + cfg.AnswerRetention() + time.Millisecond
+	later := time.Second + cfg.ResponseRetention() + time.Millisecond
 	serving.Announce(later, announcement)
 	serving.Expire(later)
 	late := serving.Outcome(later, "q")
--- a/internal/configstore/catchup.go
+++ b/internal/configstore/catchup.go
@@ -31,7 +31,7 @@
 	}
 	m.backoff.nextRequestAt = env.Now + m.backoff.interval
 	env.Event(eventSnapshotRequested, 0, m.log.epoch, "behind the holder")
-	env.Send(holderAddress, m.snapshotRequest(m.leases.Epoch(settings.ConfigLogTag)))
+	env.Send(holderAddress, m.snapshotRequest(m.leases.Epoch(settings.ConfigLogLease)))
 }
 
 // snapshotRequest returns a request for a voter's complete log.
@@ -44,8 +44,8 @@
 	return message.LogSnapshot{
 		Epoch:          epoch,
 		Voter:          m.quorum.Voter,
-		AtEpoch:        m.log.epoch,
-		AtSeq:          m.log.seq,
+		PositionEpoch:  m.log.epoch,
+		PositionSeq:    m.log.seq,
 		Configurations: m.encoder.encode(m.log.entries()),
 		History:        m.log.history.entries,
 	}
@@ -54,10 +54,10 @@
 // expectsSnapshot reports whether a received log is of the promised epoch, has a higher position than this
 // voter's log, and was sent by a voter that this phase accepts a log from.
 func (m *Machine) expectsSnapshot(snapshot message.LogSnapshot) bool {
-	if snapshot.Epoch != m.leases.Epoch(settings.ConfigLogTag) {
+	if snapshot.Epoch != m.leases.Epoch(settings.ConfigLogLease) {
 		return false
 	}
-	if !m.log.position().before(position{epoch: snapshot.AtEpoch, seq: snapshot.AtSeq}) {
+	if !m.log.position().before(position{epoch: snapshot.PositionEpoch, seq: snapshot.PositionSeq}) {
 		return false
 	}
 	switch m.leadership.phase {
@@ -82,8 +82,8 @@
 		return
 	}
 	m.log.replace(message.ConfigStoreState{
-		Epoch:          snapshot.AtEpoch,
-		Seq:            snapshot.AtSeq,
+		Epoch:          snapshot.PositionEpoch,
+		Seq:            snapshot.PositionSeq,
 		Configurations: entries,
 		History:        snapshot.History,
 	})
@@ -106,7 +106,7 @@
 // member list.
 func (m *Machine) isCaughtUp(voter string) bool {
 	last, known := m.leadership.followers[voter]
-	return known && last.syncedSeq >= m.log.seq && m.quorum.Accepts(voter, last.identity)
+	return known && last.syncedSeq >= m.log.seq && m.quorum.VerifySignature(voter, last.identity)
 }
 
 // notifyLaggingVoters sends the end of the log to the voters that have not acknowledged it. Otherwise they
--- a/internal/configstore/committed_versions_test.go
+++ b/internal/configstore/committed_versions_test.go
@@ -23,7 +23,7 @@
 		t.Run(writes, func(t *testing.T) {
 			c := qt.New(t)
 			store := newSingleVoterStore(c, writes)
-			lastVersion := settings.Default().Limits.KeptConfigurations * 3
+			lastVersion := settings.Default().Limits.RetainedVersions * 3
 			for version := int64(1); version <= lastVersion; version++ {
 				c.Assert(store.writeCode(c, version, numberedDocument(version)), qt.Equals, errcode.OK)
 			}
--- a/internal/configstore/decision.go
+++ b/internal/configstore/decision.go
@@ -47,7 +47,7 @@
 	request message.WriteRequest, current message.StoredConfiguration, notNewer bool,
 ) (response message.StoreResponse, decided bool) {
 	outcome := m.log.history.outcome(request.ConfigName, request.Version, request.Body)
-	highestWins := m.settings.Writes == settings.WritesHighest
+	highestWins := m.settings.WritePolicy == settings.WritesHighest
 	switch {
 	case outcome == committedSame && highestWins:
 		return acknowledgement(current), true
--- a/internal/configstore/differences.go
+++ b/internal/configstore/differences.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		request.Check = message.ContentCheck{Done: true, TooLarge: true, Faults: []string{"$: " + err.Error()}}
 	}
-	request.Body, request.Packed = body, false
+	request.Body, request.Compressed = body, false
 	return request
 }
 
@@ -138,14 +138,14 @@
 	base := m.appendBase(entry.ConfigName)
 	_, difference := m.encoder.difference(base.Body, entry.Body)
 	return message.LogAppendDelta{
-		Epoch:      entry.Epoch,
-		Seq:        entry.Seq,
-		Voter:      m.quorum.Voter,
-		ConfigName: entry.ConfigName,
-		Version:    entry.Version,
-		Base:       base.Version,
-		Difference: difference,
-		Digest:     contentDigest(entry.Body),
+		Epoch:       entry.Epoch,
+		Seq:         entry.Seq,
+		Voter:       m.quorum.Voter,
+		ConfigName:  entry.ConfigName,
+		Version:     entry.Version,
+		BaseVersion: base.Version,
+		Difference:  difference,
+		Digest:      contentDigest(entry.Body),
 	}
 }
 
@@ -153,7 +153,7 @@
 // version is not the one that the append was encoded against.
 func (m *Machine) decodeAppend(encoded message.LogAppendDelta) (entry message.LogAppend, baseMatches bool) {
 	base := m.appendBase(encoded.ConfigName)
-	if base.Version != encoded.Base {
+	if base.Version != encoded.BaseVersion {
 		return message.LogAppend{}, false
 	}
 	body, err := delta.Apply(base.Body, encoded.Difference, m.settings.Limits.Configuration)
--- a/internal/configstore/leadership.go
+++ b/internal/configstore/leadership.go
@@ -33,13 +33,13 @@
 
 // canServe reports whether this voter may handle client requests at the given time.
 func (m *Machine) canServe(now time.Duration) bool {
-	return m.leadership.phase == serving && m.leases.Holding(settings.ConfigLogTag, now)
+	return m.leadership.phase == serving && m.leases.IsHolder(settings.ConfigLogLease, now)
 }
 
 // step sends the confirmed responses, and the messages of the current phase if the interval since they were
 // last sent has passed. Messages are repeated until they are answered, since any of them may be lost.
 func (m *Machine) step(env *statemachine.Env) {
-	if m.leadership.phase != following && !m.leases.Holding(settings.ConfigLogTag, env.Now) {
+	if m.leadership.phase != following && !m.leases.IsHolder(settings.ConfigLogLease, env.Now) {
 		return
 	}
 	m.sendConfirmedResponses(env)
@@ -90,12 +90,12 @@
 // term.
 func (m *Machine) recommitMessage(end position) message.LogRecommit {
 	return message.LogRecommit{
-		Epoch:    m.leadership.term,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		AtEpoch:  end.epoch,
-		AtSeq:    end.seq,
-		Hash:     end.hash,
+		Epoch:         m.leadership.term,
+		Voter:         m.quorum.Voter,
+		Identity:      m.quorum.Signature(),
+		PositionEpoch: end.epoch,
+		PositionSeq:   end.seq,
+		Hash:          end.hash,
 	}
 }
 
--- a/internal/configstore/log.go
+++ b/internal/configstore/log.go
@@ -74,7 +74,7 @@
 	}
 	retained := l.versions[configName]
 	limits := l.settings.Limits
-	for int64(len(retained)) > limits.KeptConfigurations || total > limits.Frame/bodyFrameDivisor && len(retained) > 1 {
+	for int64(len(retained)) > limits.RetainedVersions || total > limits.Frame/bodyFrameDivisor && len(retained) > 1 {
 		total -= int64(len(retained[0].Body))
 		retained = retained[1:]
 	}
--- a/internal/configstore/takeover.go
+++ b/internal/configstore/takeover.go
@@ -42,12 +42,12 @@
 // positionResponse returns the response that reports a position of this voter's log.
 func (m *Machine) positionResponse(epoch int64, end position) message.LogPositionResponse {
 	return message.LogPositionResponse{
-		Epoch:    epoch,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		AtEpoch:  end.epoch,
-		AtSeq:    end.seq,
-		Hash:     end.hash,
+		Epoch:         epoch,
+		Voter:         m.quorum.Voter,
+		Identity:      m.quorum.Signature(),
+		PositionEpoch: end.epoch,
+		PositionSeq:   end.seq,
+		Hash:          end.hash,
 	}
 }
 
@@ -72,7 +72,7 @@
 	source := positions[m.quorum.Voter]
 	for _, voter := range m.quorum.VoterNames() {
 		response, known := positions[voter]
-		if known && !guardsOff.highestPosition && m.quorum.Accepts(voter, response.Identity) &&
+		if known && !guardsOff.highestPosition && m.quorum.VerifySignature(voter, response.Identity) &&
 			reportedPosition(source).before(reportedPosition(response)) {
 			source = response
 		}
@@ -89,7 +89,7 @@
 
 // reportedPosition returns the position in a response, without the hash, which doesn't order positions.
 func reportedPosition(response message.LogPositionResponse) position {
-	return position{epoch: response.AtEpoch, seq: response.AtSeq}
+	return position{epoch: response.PositionEpoch, seq: response.PositionSeq}
 }
 
 // fetchFromSource requests the complete log of the source.
@@ -137,7 +137,7 @@
 func (m *Machine) beginServing(env *statemachine.Env) {
 	m.leadership.phase = serving
 	source := m.leadership.takeover.source
-	cause := fmt.Sprintf("after (%d,%d) of %s", source.AtEpoch, source.AtSeq, source.Voter)
+	cause := fmt.Sprintf("after (%d,%d) of %s", source.PositionEpoch, source.PositionSeq, source.Voter)
 	env.Event(eventServing, 0, m.leadership.term, cause)
 	for _, configName := range m.log.configNames() {
 		m.publish(env, configName)
--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -24,7 +24,7 @@
 
 func newAcceptorState(tagName string) acceptorState {
 	return acceptorState{
-		vote:       message.Vote{Tag: tagName},
+		vote:       message.Vote{LeaseName: tagName},
 		voteSynced: true,
 		heldUntil:  map[string]time.Duration{},
 	}
@@ -50,7 +50,7 @@
 
 // votedFor reports whether the vote is for this candidate, with this disk.
 func (a *acceptorState) votedFor(voter, signature string) bool {
-	return a.vote.Holder == voter && a.vote.Identity == quorum.IdentityOf(signature)
+	return a.vote.Holder == voter && a.vote.Identity == quorum.SignatureIdentity(signature)
 }
 
 // renew extends the promise to the holder.
@@ -72,7 +72,7 @@
 	}
 	a.vote.Epoch = request.Epoch
 	a.vote.Holder = request.Voter
-	a.vote.Identity = quorum.IdentityOf(request.Identity)
+	a.vote.Identity = quorum.SignatureIdentity(request.Identity)
 	a.voteSynced = false
 	a.promisedUntil = now + lease
 	a.reservedFor = ""
@@ -80,7 +80,7 @@
 
 // handleRequest answers a candidate or a holder; from is empty when the request is this voter's own.
 func (m *Manager) handleRequest(env *statemachine.Env, from string, request message.LeaseRequest) {
-	tag, known := m.tags[request.Tag]
+	tag, known := m.tags[request.LeaseName]
 	if !known {
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 	answer := message.LeaseVote{
 		Group:        request.Group,
-		Tag:          request.Tag,
+		LeaseName:    request.LeaseName,
 		Epoch:        request.Epoch,
 		Round:        request.Round,
 		Voter:        m.quorum.Voter,
@@ -99,9 +99,9 @@
 	}
 	decided := decide(tag, request, decisionInputs{
 		now:      env.Now,
-		accepted: m.quorum.Accepts(request.Voter, request.Identity),
-		precedes: m.precedes(request.Tag, request.Voter),
-		coolDown: m.settings.HolderRest(),
+		accepted: m.quorum.VerifySignature(request.Voter, request.Identity),
+		precedes: m.precedes(request.LeaseName, request.Voter),
+		coolDown: m.settings.HolderCooldown(),
 	})
 	switch decided.action {
 	case ignore:
@@ -142,7 +142,7 @@
 func (m *Manager) castVote(env *statemachine.Env, from string, tag *tagState, request message.LeaseRequest,
 	answer message.LeaseVote) {
 	acceptor := &tag.acceptor
-	acceptor.changeVote(request, env.Now, m.settings.Lease(), m.settings.HolderRest())
+	acceptor.changeVote(request, env.Now, m.settings.Lease(), m.settings.HolderCooldown())
 	answer.Granted = true
 	if guardsOff.syncedVote {
 		m.answer(env, from, answer)
--- a/internal/lease/transfer.go
+++ b/internal/lease/transfer.go
@@ -63,7 +63,7 @@
 	if peer.Voter == "" || peer.Voter == m.quorum.Voter || peer.State != message.Alive {
 		return false
 	}
-	if tag.acceptor.inCoolDown(peer.Voter, now, m.settings.HolderRest()) {
+	if tag.acceptor.inCoolDown(peer.Voter, now, m.settings.HolderCooldown()) {
 		return false
 	}
 	status, _, known := m.quorum.LastStatus(peer.Voter)
@@ -73,7 +73,7 @@
 // returnToPreferred transfers a tag to the voter that the settings prefer, once this voter has held it
 // for a while and the preferred one votes again.
 func (m *Manager) returnToPreferred(env *statemachine.Env, tag *tagState) {
-	preferred := m.settings.Active[tag.name]
+	preferred := m.settings.PreferredHolders[tag.name]
 	if preferred == "" || preferred == m.quorum.Voter || env.Now-tag.holder.acquiredAt < m.settings.FailbackAfter() {
 		return
 	}
@@ -93,12 +93,12 @@
 // open.
 func (m *Manager) transferTo(env *statemachine.Env, tag *tagState, successor string) {
 	transfer := message.LeaseYield{
-		Group:    m.quorum.Group,
-		Tag:      tag.name,
-		Epoch:    tag.candidate.epoch,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		To:       successor,
+		Group:     m.quorum.Group,
+		LeaseName: tag.name,
+		Epoch:     tag.candidate.epoch,
+		Voter:     m.quorum.Voter,
+		Identity:  m.quorum.Signature(),
+		Successor: successor,
 	}
 	m.loseLease(env, tag, "transferred to "+successor)
 	tag.candidate.nextAttemptAt = env.Now + m.settings.Lease()*2
@@ -109,22 +109,22 @@
 // handleTransfer releases this voter from its promise to the holder, which has stopped acting, and
 // reserves the tag for the successor.
 func (m *Manager) handleTransfer(env *statemachine.Env, transfer message.LeaseYield) {
-	tag, known := m.tags[transfer.Tag]
+	tag, known := m.tags[transfer.LeaseName]
 	if !known || transfer.Epoch != tag.acceptor.vote.Epoch || transfer.Voter != tag.acceptor.vote.Holder {
 		return
 	}
-	if !m.quorum.Accepts(transfer.Voter, transfer.Identity) {
+	if !m.quorum.VerifySignature(transfer.Voter, transfer.Identity) {
 		return
 	}
 	tag.acceptor.promisedUntil = 0
-	tag.acceptor.reservedFor = transfer.To
+	tag.acceptor.reservedFor = transfer.Successor
 	tag.acceptor.reservedUntil = env.Now + m.settings.Lease()/2
-	if transfer.To != "" {
+	if transfer.Successor != "" {
 		// The holder itself limits how often it transfers a tag, so no cool-down stands against it.
-		tag.acceptor.coolDownFrom = env.Now - m.settings.HolderRest()
+		tag.acceptor.coolDownFrom = env.Now - m.settings.HolderCooldown()
 	}
 	switch {
-	case transfer.To == m.quorum.Voter:
+	case transfer.Successor == m.quorum.Voter:
 		tag.candidate.nextAttemptAt = env.Now
 	case transfer.Voter != m.quorum.Voter:
 		tag.candidate.nextAttemptAt = env.Now + m.settings.Lease()/2
--- a/internal/quorum/discovered_grant.go
+++ b/internal/quorum/discovered_grant.go
@@ -39,7 +39,7 @@
 
 func (d *discoveredVoters) vacated(env *statemachine.Env, holder string, claim message.VoterClaim) bool {
 	claimant, holderNode := parseIdentity(claim.Identity).node, parseIdentity(holder).node
-	if claimant == holderNode || d.directory.NodeGone(env, holderNode) {
+	if claimant == holderNode || d.directory.NodeDeadOrLeft(env, holderNode) {
 		return true
 	}
 	return d.handsOverTo(claim.Voter, holder, claimant)
@@ -65,7 +65,7 @@
 		Group:      d.Group,
 		Voter:      d.Voter,
 		Identity:   d.State.Identity,
-		To:         claim.Identity,
+		Claimant:   claim.Identity,
 		Refused:    true,
 		MemberList: maps.Clone(d.State.MemberList),
 		State:      []byte{},
--- a/internal/storage/disks_generate_golden_test.go
+++ b/internal/storage/disks_generate_golden_test.go
@@ -110,7 +110,7 @@
 	if p.fleet.role == message.RoleRegistry {
 		question = registry.Stop{}
 	}
-	p.machine.Asked(p.env, 1, question)
+	p.machine.HandleRequest(p.env, 1, question)
 	p.drain()
 }
 
@@ -225,7 +225,7 @@
 		upstreams[0].Incarnation++
 	}
 	if interval >= leaving {
-		upstreams[1].State = message.StateLeaving
+		upstreams[1].State = message.StateDraining
 	}
 	upstreams[2].Slots += interval / slotsChangeEvery
 	if interval >= signedOff {
@@ -246,13 +246,13 @@
 			open["tenant-1"] = 2
 		}
 		answered := map[string]int64{"tenant-1": counted, "tenant-2": interval}
-		counts = append(counts, message.UsageCount{Window: counted, Counts: answered, Open: open})
+		counts = append(counts, message.UsageCount{Window: counted, Counts: answered, InFlight: open})
 	}
 	return []any{
 		message.HeartbeatBatch{Proxy: "proxy/p", StartTime: goldenProxyStartTime, Ready: true,
 			Heartbeats: heartbeats, Deregistrations: deregistrations,
-			Positions: []message.Position{}, Path: []string{}, Window: window},
-		message.UsageUpdate{Proxy: "proxy/p", StartTime: goldenProxyStartTime, Number: interval, Counts: counts, Closed: window},
+			Positions: []message.Position{}, RelayPath: []string{}, CurrentWindow: window},
+		message.UsageUpdate{Proxy: "proxy/p", StartTime: goldenProxyStartTime, Sequence: interval, Counts: counts, ClosedBelow: window},
 	}
 }
 
--- a/internal/storage/frame.go
+++ b/internal/storage/frame.go
@@ -17,8 +17,8 @@
 	// can be read; its frames are not bound to a generation and have no end marker.
 	currentLogFormat = 3
 	oldestLogFormat  = 2
-	// generationBoundLogFormat is the first format version whose frames are bound to their log's generation and end with
-	// frameEndMarker.
+	// generationBoundLogFormat is the first format version whose frames are bound to their log's generation
+	// and end with frameEndMarker.
 	generationBoundLogFormat = 3
 )
 
--- a/internal/storage/machines_golden_test.go
+++ b/internal/storage/machines_golden_test.go
@@ -83,12 +83,12 @@
 				Epoch: test.epoch, Voter: test.holder, Identity: voterSignature(golden, test.identity),
 			})
 			c.Assert(reply, qt.DeepEquals, any(message.LogPositionResponse{
-				Epoch:    test.epoch,
-				Voter:    "2",
-				Identity: voterSignature(golden, expectedConfigStores()[test.disk].Voter.Identity),
-				AtEpoch:  test.atEpoch,
-				AtSeq:    test.seq,
-				Hash:     test.hash,
+				Epoch:         test.epoch,
+				Voter:         "2",
+				Identity:      voterSignature(golden, expectedConfigStores()[test.disk].Voter.Identity),
+				PositionEpoch: test.atEpoch,
+				PositionSeq:   test.seq,
+				Hash:          test.hash,
 			}))
 		})
 	}
@@ -113,7 +113,7 @@
 		log.Configurations[index], previous = entry, entry
 	}
 	c.Assert(log, qt.DeepEquals, message.LogSnapshot{
-		Epoch: 1, Voter: "2", AtEpoch: 1, AtSeq: 8, Configurations: state.Configurations, History: state.History,
+		Epoch: 1, Voter: "2", PositionEpoch: 1, PositionSeq: 8, Configurations: state.Configurations, History: state.History,
 	})
 }
 
@@ -131,7 +131,7 @@
 	digest := sha256.Sum256(entry.Body)
 	machine.Handle(env, senderAddress, message.LogAppendDelta{
 		Epoch: 1, Seq: 9, Voter: "1", Identity: namedReplacement,
-		ConfigName: "main", Version: version, Base: base, Difference: fromHex(c, difference), Digest: digest[:],
+		ConfigName: "main", Version: version, BaseVersion: base, Difference: fromHex(c, difference), Digest: digest[:],
 	})
 	write, isWrite := onlyEffect(c, env).(statemachine.Write)
 	c.Assert(isWrite, qt.IsTrue)
@@ -163,12 +163,12 @@
 				Epoch: test.epoch, Voter: test.holder, Identity: voterSignature(golden, test.identity),
 			})
 			c.Assert(reply, qt.DeepEquals, any(message.UsageReadResponse{
-				Epoch:      test.epoch,
-				Voter:      test.voter,
-				Identity:   voterSignature(golden, state.Voter.Identity),
-				Sealed:     state.Sealed,
-				Reported:   state.Reported,
-				Unreported: state.Usage,
+				Epoch:              test.epoch,
+				Voter:              test.voter,
+				Identity:           voterSignature(golden, state.Voter.Identity),
+				Sealed:             state.Sealed,
+				LastReportedWindow: state.LastReportedWindow,
+				Unreported:         state.Usage,
 			}))
 		})
 	}
@@ -197,8 +197,8 @@
 	machine, env := runningMachine(c, diskNamed(c, "registry-named")), statemachine.NewEnv(1)
 	unreported := unreportedUsage(200_002, 38)
 	machine.Handle(env, proxyAddress, message.UsageUpdate{
-		Proxy: "proxy/p", StartTime: goldenProxyStartTime, Number: 38,
-		Counts: []message.UsageCount{{Window: 200_002, Counts: unreported.Proxies[0].Counts, Open: unreported.Proxies[0].Open}},
+		Proxy: "proxy/p", StartTime: goldenProxyStartTime, Sequence: 38,
+		Counts: []message.UsageCount{{Window: 200_002, Counts: unreported.Proxies[0].Counts, InFlight: unreported.Proxies[0].InFlight}},
 	})
 	write, isWrite := onlyEffect(c, env).(statemachine.Write)
 	c.Assert(isWrite, qt.IsTrue)
