--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -8,30 +8,32 @@
 	"beaconvane/internal/statemachine"
 )
 
-// acceptorState is the state of a granting voter: the vote that it has cast for a tag, and what binds it
-// besides the vote.
+// acceptorState is a voter's state as an acceptor for one tag: the last vote that it cast, and the
+// promises and reservations that restrict its next vote.
 type acceptorState struct {
-	vote            message.Vote
-	voteSynced      bool          // the vote is on disk
-	promisedUntil   time.Duration // no other candidate is granted before
-	holderConfirmed bool          // the candidate voted for has renewed, so it did hold the tag
-	coolDownFrom    time.Duration // when the cool-down of the holder before, vote.PreviousHolder, began
-	// heldUntil is when each voter that cools down held the tag last, at the latest.
-	heldUntil     map[string]time.Duration
-	reservedFor   string // the voter to which the last holder has transferred the tag
-	reservedUntil time.Duration
+	vote              message.Vote
+	voteSynced        bool          // vote is durable
+	promisedUntil     time.Duration // no other candidate is granted before this time
+	holderConfirmed   bool          // vote.Holder has renewed, so it has acquired the tag
+	coolDownStartedAt time.Duration // start of the cool-down of vote.PreviousHolder
+	// lastHeldAt holds, for each voter in cool-down, the latest time at which it may have held the tag.
+	// Only the usage tag uses it.
+	lastHeldAt    map[string]time.Duration
+	reservedFor   string        // voter to which the last holder transferred the tag; "" if none
+	reservedUntil time.Duration // end of the reservation for reservedFor
 }
 
+// newAcceptorState returns the state of an acceptor that has never voted.
 func newAcceptorState(tagName string) acceptorState {
 	return acceptorState{
 		vote:       message.Vote{Tag: tagName},
 		voteSynced: true,
-		heldUntil:  map[string]time.Duration{},
+		lastHeldAt: map[string]time.Duration{},
 	}
 }
 
-// restore takes over a vote whose epoch is higher than that of the acceptor's own. It reports whether
-// it did.
+// restore replaces the acceptor's vote by a stored vote if the stored one has a higher epoch. It reports
+// whether it did.
 func (a *acceptorState) restore(vote message.Vote) bool {
 	if vote.Epoch <= a.vote.Epoch {
 		return false
@@ -40,15 +42,15 @@
 	return true
 }
 
-// begin starts the acceptor's work after a restart, when it can't know what happened since its last
-// vote: the candidate voted for is taken to have held the tag until now.
-func (a *acceptorState) begin(now time.Duration) {
-	a.coolDownFrom = now
+// startVoting prepares the acceptor for voting after a start. The state since its last vote is unknown,
+// so the candidate of that vote is assumed to have held the tag until now.
+func (a *acceptorState) startVoting(now time.Duration) {
+	a.coolDownStartedAt = now
 	a.holderConfirmed = a.vote.Holder != ""
 	a.restartCoolDowns(now)
 }
 
-// votedFor reports whether the vote is for this candidate, with this disk.
+// votedFor reports whether the last vote is for this voter with the disk identity in signature.
 func (a *acceptorState) votedFor(voter, signature string) bool {
 	return a.vote.Holder == voter && a.vote.Identity == quorum.IdentityOf(signature)
 }
@@ -57,18 +59,18 @@
 func (a *acceptorState) renew(now, lease time.Duration) {
 	a.promisedUntil = now + lease
 	if !a.holderConfirmed {
-		a.holderConfirmed, a.coolDownFrom = true, now
+		a.holderConfirmed, a.coolDownStartedAt = true, now
 	}
 }
 
-// changeVote votes for a request. The vote doesn't count before it is synced.
+// changeVote records a vote for the request in memory. The vote must not be granted before it is synced.
 func (a *acceptorState) changeVote(request message.LeaseRequest, now, lease, coolDown time.Duration) {
 	if !a.votedFor(request.Voter, request.Identity) {
 		if a.holderConfirmed {
 			a.startCoolDown(now, coolDown)
 		}
 		a.holderConfirmed = false
-		a.coolDownFrom = now
+		a.coolDownStartedAt = now
 	}
 	a.vote.Epoch = request.Epoch
 	a.vote.Holder = request.Voter
@@ -78,14 +80,15 @@
 	a.reservedFor = ""
 }
 
-// handleRequest answers a candidate or a holder; from is empty when the request is this voter's own.
+// handleRequest answers a request of a candidate or a holder. from is the address of the sender; it is
+// empty for this voter's own request.
 func (m *Manager) handleRequest(env *statemachine.Env, from string, request message.LeaseRequest) {
 	tag, known := m.tags[request.Tag]
 	if !known {
 		return
 	}
 	m.recordOtherHolder(env, tag, request)
-	if !m.mayVote(env.Now, tag, request) {
+	if !m.mayAnswer(env.Now, tag, request) {
 		return
 	}
 	answer := message.LeaseVote{
@@ -97,13 +100,13 @@
 		PreVote:      request.PreVote,
 		HighestEpoch: max(tag.acceptor.vote.Epoch, tag.candidate.highestSeen),
 	}
-	decided := decide(tag, request, decisionInputs{
-		now:      env.Now,
-		accepted: m.quorum.Accepts(request.Voter, request.Identity),
-		precedes: m.precedes(request.Tag, request.Voter),
-		coolDown: m.settings.HolderRest(),
+	decision := decide(tag, request, decisionInputs{
+		now:           env.Now,
+		isMember:      m.quorum.Accepts(request.Voter, request.Identity),
+		hasPrecedence: m.hasPrecedenceOver(request.Tag, request.Voter),
+		coolDown:      m.settings.HolderRest(),
 	})
-	switch decided.action {
+	switch decision.action {
 	case ignore:
 		return
 	case castVote:
@@ -111,41 +114,41 @@
 		return
 	case renew:
 		tag.acceptor.renew(env.Now, m.settings.Lease())
-		tag.candidate.preVotes = 0
+		tag.candidate.preVoteCount = 0
 	case grantPreVote:
 		if from != "" {
-			m.postponePreVote(env, tag)
+			m.abandonPreVote(env, tag)
 		}
 	}
-	answer.Granted = decided.action != refuse
-	answer.Reason = string(decided.reason)
-	m.answer(env, from, answer)
+	answer.Granted = decision.action != refuse
+	answer.Reason = string(decision.reason)
+	m.sendAnswer(env, from, answer)
 }
 
-// mayVote reports whether this voter may answer a request at all. In the wait after a restart it
-// answers only the holder that its disk names.
-func (m *Manager) mayVote(now time.Duration, tag *tagState, request message.LeaseRequest) bool {
-	if !m.quorum.Voting() || m.grantsFrom == notStarted {
+// mayAnswer reports whether this voter may answer a request. During the wait after a start it answers
+// only the holder recorded on its own disk.
+func (m *Manager) mayAnswer(now time.Duration, tag *tagState, request message.LeaseRequest) bool {
+	if !m.quorum.Voting() || m.restartWaitEnd == restartWaitNotStarted {
 		return false
 	}
-	return now >= m.grantsFrom || m.promisedTo(tag, request.Voter, request.Identity) || guardsOff.restartWait
+	return now >= m.restartWaitEnd || m.lastPromisedTo(tag, request.Voter, request.Identity) || guardsOff.restartWait
 }
 
-// promisedTo reports whether the last promise that this disk made was to this very candidate: no
-// promise forgotten in a restart can then forbid to grant it again.
-func (m *Manager) promisedTo(tag *tagState, voter, signature string) bool {
-	return m.votesAreOwn && tag.acceptor.voteSynced && tag.acceptor.votedFor(voter, signature)
+// lastPromisedTo reports whether the last promise recorded on this disk was made to this voter with the
+// disk identity in signature. If so, no promise from before a restart can conflict with granting it again.
+func (m *Manager) lastPromisedTo(tag *tagState, voter, signature string) bool {
+	return m.promisesOnDisk && tag.acceptor.voteSynced && tag.acceptor.votedFor(voter, signature)
 }
 
-// castVote votes for a request and answers it once the vote is synced, unless another vote has been
-// cast by then.
+// castVote votes for a request. It answers the request once the vote is synced, unless the vote has
+// changed in the meantime or the write has failed.
 func (m *Manager) castVote(env *statemachine.Env, from string, tag *tagState, request message.LeaseRequest,
 	answer message.LeaseVote) {
 	acceptor := &tag.acceptor
 	acceptor.changeVote(request, env.Now, m.settings.Lease(), m.settings.HolderRest())
 	answer.Granted = true
 	if guardsOff.syncedVote {
-		m.answer(env, from, answer)
+		m.sendAnswer(env, from, answer)
 	}
 	vote := acceptor.vote
 	m.host.Persist(env, vote, func(env *statemachine.Env, failure error) {
@@ -154,12 +157,13 @@
 		}
 		acceptor.voteSynced = true
 		acceptor.promisedUntil = env.Now + m.settings.Lease()
-		m.answer(env, from, answer)
+		m.sendAnswer(env, from, answer)
 	})
 }
 
-// answer signs an answer, as late as it is sent, and sends it to the candidate.
-func (m *Manager) answer(env *statemachine.Env, to string, answer message.LeaseVote) {
+// sendAnswer sends an answer to the candidate at the address to, or processes it directly if to is empty.
+// It signs the answer at the time of sending, because the signature may change while a vote is synced.
+func (m *Manager) sendAnswer(env *statemachine.Env, to string, answer message.LeaseVote) {
 	answer.Identity = m.quorum.Signature()
 	if to == "" {
 		m.handleVote(env, answer)
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -8,86 +8,89 @@
 	"beaconvane/internal/statemachine"
 )
 
-// candidateState is the state of a voter that asks for votes.
+// candidateState is a voter's state as a candidate for one tag. A holder keeps using its epoch and round.
 type candidateState struct {
-	epoch         int64 // that it asks for and, once granted, holds the tag under
-	spentEpoch    int64 // the last epoch that was held and lost; it is never acquired again
-	highestSeen   int64 // highest epoch that another voter has reported
-	round         round
-	preVote       bool          // the round is a pre-vote
-	preVotes      int           // pre-votes begun since this voter last granted a renewal
-	nextAttemptAt time.Duration // no campaign begins before
-	freeSince     time.Duration // since when no promise has bound this voter; 0 while one does
-
-	heldBefore       bool   // this voter has held the tag, in this life or the one before
-	otherHolder      string // another voter that has claimed the tag since
-	otherHolderSince time.Duration
+	epoch           int64 // epoch that it requests and, once acquired, holds the tag in
+	spentEpoch      int64 // last epoch whose lease was lost; it must not be acquired again
+	highestSeen     int64 // highest epoch reported in the answers to its requests
+	round           round
+	preVote         bool          // round is a pre-vote
+	preVoteCount    int           // pre-votes started since this voter last granted a renewal
+	nextAttemptAt   time.Duration // no campaign starts before this time
+	unpromisedSince time.Duration // first tick that found no promise in force and a campaign allowed; 0 while a promise is in force
+
+	wasHolder        bool          // this voter has held the tag, or its restored vote is for itself
+	otherHolder      string        // voter that has since claimed the tag; "" if none
+	otherHolderSince time.Duration // time of the first such claim by otherHolder
 }
 
-// inPreVote reports whether a pre-vote is under way that goes before those of later voters.
-func (c *candidateState) inPreVote(now time.Duration) bool {
-	return c.preVote && now < c.nextAttemptAt && c.preVotes <= maxPrecedentPreVotes
+// preVoteHasPrecedence reports whether a pre-vote is in progress that takes precedence over pre-votes of
+// lower-ranked voters (see Manager.hasPrecedenceOver).
+func (c *candidateState) preVoteHasPrecedence(now time.Duration) bool {
+	return c.preVote && now < c.nextAttemptAt && c.preVoteCount <= maxPreVotesWithPrecedence
 }
 
-// backOff forbids the next attempt for a random time between wait and twice wait, so that candidates
-// that collided don't collide again.
+// backOff delays the next attempt by a random duration between wait and twice wait, so that candidates
+// whose requests collided don't collide again.
 func (c *candidateState) backOff(env *statemachine.Env, wait time.Duration) {
 	c.nextAttemptAt = env.Now + wait + randomUpTo(env, wait)
 }
 
-// tickCandidate begins a campaign when the tag is free and nothing speaks for another candidate.
+// tickCandidate starts a campaign if no promise is in force and this voter need not defer to another
+// candidate.
 func (m *Manager) tickCandidate(env *statemachine.Env, tag *tagState) {
 	candidate := &tag.candidate
 	if env.Now < tag.acceptor.promisedUntil {
-		candidate.freeSince = 0
+		candidate.unpromisedSince = 0
 		return
 	}
 	if !m.mayCampaign(env.Now, tag) {
 		return
 	}
-	if candidate.freeSince == 0 {
-		candidate.freeSince = env.Now
+	if candidate.unpromisedSince == 0 {
+		candidate.unpromisedSince = env.Now
 	}
-	if m.waitsForFasterDisks(env.Now, tag) || m.coolsDown(env.Now, tag) {
+	if m.defersToFasterDisks(env.Now, tag) || m.inOwnCoolDown(env.Now, tag) {
 		return
 	}
-	if m.postponesForReserved(env, tag) || m.postponesForPreferred(env, tag) {
+	if m.deferToReserved(env, tag) || m.deferToPreferred(env, tag) {
 		return
 	}
-	if !m.enoughPeers() {
+	if !m.knowsMajority() {
 		return
 	}
 	m.campaign(env, tag)
 }
 
-// mayCampaign reports whether this voter may be a candidate now. In the wait after a restart only the
-// holder that its disk names may.
+// mayCampaign reports whether this voter may start a campaign now. During the wait after a start it may
+// do so only if its own disk records itself as the holder.
 func (m *Manager) mayCampaign(now time.Duration, tag *tagState) bool {
-	if now < m.grantsFrom && !m.promisedTo(tag, m.quorum.Voter, m.quorum.State.Identity) {
+	if now < m.restartWaitEnd && !m.lastPromisedTo(tag, m.quorum.Voter, m.quorum.State.Identity) {
 		return false
 	}
 	return now >= tag.candidate.nextAttemptAt && m.callbacks.Eligible(tag.name)
 }
 
-// waitsForFasterDisks reports whether voters with faster disks may still try first.
-func (m *Manager) waitsForFasterDisks(now time.Duration, tag *tagState) bool {
-	return now-tag.candidate.freeSince < min(m.host.WriteLatency()*2, m.settings.Lease())
+// defersToFasterDisks reports whether this voter still leaves the first attempt to voters with faster
+// disks. It waits for two write latencies, but at most for a lease.
+func (m *Manager) defersToFasterDisks(now time.Duration, tag *tagState) bool {
+	return now-tag.candidate.unpromisedSince < min(m.host.WriteLatency()*2, m.settings.Lease())
 }
 
-// coolsDown reports whether this voter held the tag too recently, by its own knowledge, to ask for it
-// again. The other voters may have forgotten.
-func (m *Manager) coolsDown(now time.Duration, tag *tagState) bool {
+// inOwnCoolDown reports whether this voter, by its own records, held the tag too recently to campaign for
+// it again. It doesn't rely on the other voters to refuse, since they may have lost their records.
+func (m *Manager) inOwnCoolDown(now time.Duration, tag *tagState) bool {
 	if tag.name == settings.UsageTag && tag.acceptor.inCoolDown(m.quorum.Voter, now, m.settings.HolderRest()) {
 		return true
 	}
 	candidate := &tag.candidate
-	return candidate.heldBefore && candidate.otherHolder != "" && tag.acceptor.reservedFor != m.quorum.Voter &&
+	return candidate.wasHolder && candidate.otherHolder != "" && tag.acceptor.reservedFor != m.quorum.Voter &&
 		now-candidate.otherHolderSince < m.settings.HolderRest()
 }
 
-// postponesForReserved postpones the campaign, once, when the last holder has transferred the tag to
-// another voter. It reports whether it did.
-func (m *Manager) postponesForReserved(env *statemachine.Env, tag *tagState) bool {
+// deferToReserved postpones the campaign by half a lease if the last holder has transferred the tag to
+// another voter. It does so once per transfer, and reports whether it did.
+func (m *Manager) deferToReserved(env *statemachine.Env, tag *tagState) bool {
 	if !tag.acceptor.reservedAgainst(m.quorum.Voter) {
 		return false
 	}
@@ -96,57 +99,63 @@
 	return true
 }
 
-// postponesForPreferred postpones the first campaign by a part of a lease, so that the preferred voter
-// asks before the others. It reports whether it did.
-func (m *Manager) postponesForPreferred(env *statemachine.Env, tag *tagState) bool {
+// deferToPreferred postpones the first campaign of a voter that isn't the preferred one, so that the
+// preferred voter campaigns first. The delay is random, from a third to two thirds of a lease; if voters
+// are discovered and none is preferred, it is up to a third. It reports whether it postponed the
+// campaign.
+func (m *Manager) deferToPreferred(env *statemachine.Env, tag *tagState) bool {
 	candidate := &tag.candidate
-	first := candidate.epoch <= max(tag.acceptor.vote.Epoch, candidate.highestSeen) && candidate.nextAttemptAt == 0
-	if !first || m.preferred(tag.name) || tag.acceptor.reservedFor != "" || env.Now < m.grantsFrom {
+	firstAttempt := candidate.epoch <= max(tag.acceptor.vote.Epoch, candidate.highestSeen) && candidate.nextAttemptAt == 0
+	if !firstAttempt || m.isPreferred(tag.name) || tag.acceptor.reservedFor != "" || env.Now < m.restartWaitEnd {
 		return false
 	}
-	part := m.settings.Lease() / 3
-	candidate.backOff(env, part)
+	delay := m.settings.Lease() / 3
+	candidate.backOff(env, delay)
 	if m.quorum.Discovered() && m.settings.Active[tag.name] == "" {
-		candidate.nextAttemptAt -= part
+		candidate.nextAttemptAt -= delay
 	}
 	return true
 }
 
-// preferred reports whether the settings prefer this voter for a tag.
-func (m *Manager) preferred(tagName string) bool { return m.settings.Active[tagName] == m.quorum.Voter }
+// isPreferred reports whether this voter is the preferred voter of a tag.
+func (m *Manager) isPreferred(tagName string) bool {
+	return m.settings.Active[tagName] == m.quorum.Voter
+}
 
-// precedes reports whether this voter goes before another when both are candidates at one time.
-func (m *Manager) precedes(tagName, other string) bool {
-	if wanted := m.settings.Active[tagName]; wanted == other || wanted == m.quorum.Voter {
-		return wanted == m.quorum.Voter
+// hasPrecedenceOver reports whether this voter takes precedence over another when both are candidates
+// for a tag. The preferred voter ranks first, then the voters in the order of their names.
+func (m *Manager) hasPrecedenceOver(tagName, other string) bool {
+	if preferred := m.settings.Active[tagName]; preferred == other || preferred == m.quorum.Voter {
+		return preferred == m.quorum.Voter
 	}
 	return m.quorum.Voter < other
 }
 
-// enoughPeers reports whether a majority of voters is known, this one included; without it a pre-vote
-// would only cost time.
-func (m *Manager) enoughPeers() bool { return (len(m.host.Peers())+1)*2 > m.quorum.Size() }
+// knowsMajority reports whether this voter and its known peers form a majority. Without one, a pre-vote
+// can't succeed and would only delay the next attempt.
+func (m *Manager) knowsMajority() bool { return (len(m.host.Peers())+1)*2 > m.quorum.Size() }
 
-// campaign begins a pre-vote for an epoch above all that are known here.
+// campaign starts a pre-vote for an epoch higher than all epochs known to this voter.
 func (m *Manager) campaign(env *statemachine.Env, tag *tagState) {
 	candidate := &tag.candidate
 	candidate.epoch = max(tag.acceptor.vote.Epoch, candidate.highestSeen, candidate.epoch) + 1
 	candidate.preVote = true
-	candidate.preVotes++
+	candidate.preVoteCount++
 	candidate.backOff(env, m.settings.RenewEvery()/2)
 	m.startRound(env, tag)
 }
 
-// requestVote asks for votes, after a majority has granted the pre-vote.
+// requestVote requests votes after a majority has granted the pre-vote.
 func (m *Manager) requestVote(env *statemachine.Env, tag *tagState) {
 	tag.candidate.preVote = false
 	tag.candidate.backOff(env, m.settings.Lease()/2)
 	m.startRound(env, tag)
 }
 
-// postponePreVote ends this voter's own pre-vote, if it makes one, in favour of another candidate's.
-// Rounds are numbered from 1, so no answer that is still on its way counts.
-func (m *Manager) postponePreVote(env *statemachine.Env, tag *tagState) {
+// abandonPreVote ends this voter's own pre-vote, if one is in progress, in favour of the pre-vote of
+// another candidate. It sets the round number to 0: rounds are numbered from 1, so answers still in
+// flight match no round.
+func (m *Manager) abandonPreVote(env *statemachine.Env, tag *tagState) {
 	candidate := &tag.candidate
 	if !candidate.preVote {
 		return
@@ -156,8 +165,9 @@
 	candidate.backOff(env, m.settings.RenewEvery())
 }
 
-// recordOtherHolder records that another voter asks for a tag in earnest, which it does only as its
-// holder or with a majority of pre-votes: it matters to this voter's own cool-down.
+// recordOtherHolder records a vote or renewal request of another voter, for this voter's own cool-down
+// (see inOwnCoolDown). Another voter sends such a request only as the holder of the tag or after a
+// majority has granted its pre-vote.
 func (m *Manager) recordOtherHolder(env *statemachine.Env, tag *tagState, request message.LeaseRequest) {
 	candidate := &tag.candidate
 	if request.PreVote || request.Voter == m.quorum.Voter || request.Voter == candidate.otherHolder {
@@ -168,7 +178,7 @@
 	}
 }
 
-// randomUpTo returns a random duration from 0 up to, but without, limit.
+// randomUpTo returns a random duration in [0, limit).
 func randomUpTo(env *statemachine.Env, limit time.Duration) time.Duration {
 	return time.Duration(env.Random.Int64N(int64(limit)))
 }
--- a/internal/lease/cooldown.go
+++ b/internal/lease/cooldown.go
@@ -10,44 +10,47 @@
 )
 
 // A voter that held a tag may not hold it again within the cool-down (holder_rest_ms in the settings).
-// The platform sees who reports the usage, and wants nobody back within the cool-down, whoever held
-// the tag in between: of the usage tag all holders of the last cool-down are kept. Of the other tags,
-// whose holders nobody sees from outside, only the holder before the last cools down: there a holder
-// matters more than an order.
+// The platform sees which voter reports usage, and requires that no voter reports again within its
+// cool-down, whichever voters held the tag in between. For the usage tag, acceptors therefore record all
+// holders of the last cool-down period. The holders of other tags aren't visible outside the mesh, and
+// having a holder matters more there than the order of holders, so only the previous holder cools down.
 
-// coolDownSeparator stands between the voters in message.Vote.RecentHolders.
+// coolDownSeparator separates the voters in message.Vote.RecentHolders.
 const coolDownSeparator = ","
 
-// inCoolDown reports whether a voter held the tag too recently to hold it again.
+// inCoolDown reports whether a voter held the tag less than coolDown ago, as far as the acceptor records
+// it, and so may not be granted the tag again.
 func (a *acceptorState) inCoolDown(voter string, now, coolDown time.Duration) bool {
-	if voter == a.vote.PreviousHolder && now-a.coolDownFrom < coolDown {
+	if voter == a.vote.PreviousHolder && now-a.coolDownStartedAt < coolDown {
 		return true
 	}
-	heldUntil, known := a.heldUntil[voter]
-	return a.keepsAllHolders() && known && now-heldUntil < coolDown
+	heldAt, known := a.lastHeldAt[voter]
+	return a.tracksAllHolders() && known && now-heldAt < coolDown
 }
 
-// keepsAllHolders reports whether all holders of the last cool-down are kept, not only the former.
-func (a *acceptorState) keepsAllHolders() bool { return a.vote.Tag == settings.UsageTag }
+// tracksAllHolders reports whether the acceptor records all holders of the last cool-down period instead
+// of only the previous holder.
+func (a *acceptorState) tracksAllHolders() bool { return a.vote.Tag == settings.UsageTag }
 
-// startCoolDown writes down that the holder voted for so far holds the tag no longer.
+// startCoolDown records that the holder of the current vote ceases to hold the tag. It is called before
+// the vote changes to another candidate.
 func (a *acceptorState) startCoolDown(now, coolDown time.Duration) {
 	a.vote.PreviousHolder = a.vote.Holder
-	if !a.keepsAllHolders() {
+	if !a.tracksAllHolders() {
 		return
 	}
-	maps.DeleteFunc(a.heldUntil, func(_ string, heldUntil time.Duration) bool { return now-heldUntil >= coolDown })
-	a.heldUntil[a.vote.Holder] = now
-	a.vote.RecentHolders = strings.Join(slices.Sorted(maps.Keys(a.heldUntil)), coolDownSeparator)
+	maps.DeleteFunc(a.lastHeldAt, func(_ string, heldAt time.Duration) bool { return now-heldAt >= coolDown })
+	a.lastHeldAt[a.vote.Holder] = now
+	a.vote.RecentHolders = strings.Join(slices.Sorted(maps.Keys(a.lastHeldAt)), coolDownSeparator)
 }
 
-// restartCoolDowns begins the cool-down of all voters that the vote lists anew, since the vote doesn't
-// say when they held the tag.
+// restartCoolDowns starts a full cool-down for every voter listed in vote.RecentHolders. The vote doesn't
+// record when they held the tag, so now is used as the upper bound.
 func (a *acceptorState) restartCoolDowns(now time.Duration) {
-	a.heldUntil = map[string]time.Duration{}
+	a.lastHeldAt = map[string]time.Duration{}
 	for _, voter := range strings.Split(a.vote.RecentHolders, coolDownSeparator) {
 		if voter != "" {
-			a.heldUntil[voter] = now
+			a.lastHeldAt[voter] = now
 		}
 	}
 }
--- a/internal/lease/cooldown_test.go
+++ b/internal/lease/cooldown_test.go
@@ -9,9 +9,10 @@
 	"beaconvane/internal/settings"
 )
 
-// One voter after the other stops and starts again, faster than the cool-down: no voter holds the
-// usage tag again within its cool-down, whoever held the tag in between.
-func TestNoHolderComesBackWithinItsCoolDown(t *testing.T) {
+// TestNoReacquisitionWithinCoolDown stops and restarts the holders one after another, faster than the
+// cool-down. No voter may hold the usage tag again within its cool-down, even if several other voters have
+// held the tag in between.
+func TestNoReacquisitionWithinCoolDown(t *testing.T) {
 	c := qt.New(t)
 	for round := range 10 {
 		g := newGroupFor(settings.UsageTag, true)
@@ -20,8 +21,8 @@
 			v.settings.Bounds.Lease = 1500
 			v.boot()
 		}
-		last := map[string]time.Duration{}
-		order := []string{}
+		lastHeldAt := map[string]time.Duration{}
+		holders := []string{}
 		for step := range 800 {
 			g.run(100*time.Millisecond, false)
 			now := g.voters[0].env.Now
@@ -29,20 +30,20 @@
 			if holder == "" {
 				continue
 			}
-			if len(order) == 0 || order[len(order)-1] != holder {
-				before, held := last[holder]
-				c.Assert(!held || now-before >= 10*time.Second-200*time.Millisecond, qt.IsTrue,
-					qt.Commentf("round %d: %s held until %v and again at %v, order %v", round, holder, before, now, order))
-				order = append(order, holder)
+			if len(holders) == 0 || holders[len(holders)-1] != holder {
+				previous, heldBefore := lastHeldAt[holder]
+				c.Assert(!heldBefore || now-previous >= 10*time.Second-200*time.Millisecond, qt.IsTrue,
+					qt.Commentf("round %d: %s held until %v and again at %v, order %v", round, holder, previous, now, holders))
+				holders = append(holders, holder)
 			}
-			last[holder] = now
+			lastHeldAt[holder] = now
 			if step%13 == 0 && (step/130)%2 == 0 {
-				v := g.at("a" + holder)
+				v := g.voterAt("a" + holder)
 				v.leases.TransferAll(v.env)
 				g.run(50*time.Millisecond, false)
 				v.boot()
 			}
 		}
-		c.Assert(len(order) > 3, qt.IsTrue, qt.Commentf("%v", order))
+		c.Assert(len(holders) > 3, qt.IsTrue, qt.Commentf("%v", holders))
 	}
 }
--- a/internal/lease/decision.go
+++ b/internal/lease/decision.go
@@ -6,61 +6,61 @@
 	"beaconvane/internal/message"
 )
 
-// action is what a granting voter does about a request.
+// action is what an acceptor does with a request.
 type action int
 
 const (
-	// refuse answers with a reason.
+	// refuse answers with a reason and doesn't grant.
 	refuse action = iota
 	// ignore sends no answer.
 	ignore
-	// renew extends the promise to the holder.
+	// renew extends the promise to the holder and grants.
 	renew
-	// grantPreVote says that a vote would be granted.
+	// grantPreVote answers that a vote would be granted, and changes no vote.
 	grantPreVote
-	// castVote writes a new vote and grants it once it is synced.
+	// castVote writes a new vote and grants once the vote is synced.
 	castVote
 )
 
-// refusal is why a request was refused. Its text travels in message.LeaseVote, and holders of other
-// versions compare it: the texts must not change.
-type refusal string
+// refusalReason is the reason why a request was refused. It is sent in message.LeaseVote, and holders that
+// run other versions compare it, so the texts must not change.
+type refusalReason string
 
 const (
-	refusedNotMember     refusal = "not on the member list"
-	refusedLowerEpoch    refusal = "lower epoch"
-	refusedEpochGiven    refusal = "epoch given to another"
-	refusedEpochInUse    refusal = "epoch in use"
-	refusedHeldByAnother refusal = "another holds it"
-	refusedTransferred   refusal = "handed over to another"
-	refusedCoolDown      refusal = "holder rest"
-	refusedPrecedence    refusal = "goes first here"
+	refusedNotMember         refusalReason = "not on the member list"
+	refusedLowerEpoch        refusalReason = "lower epoch"
+	refusedEpochGranted      refusalReason = "epoch given to another"
+	refusedEpochInUse        refusalReason = "epoch in use"
+	refusedPromisedToAnother refusalReason = "another holds it"
+	refusedTransferred       refusalReason = "handed over to another"
+	refusedCoolDown          refusalReason = "holder rest"
+	refusedPrecedence        refusalReason = "goes first here"
 )
 
-// maxPrecedentPreVotes is how many pre-votes in a row a candidate puts before those of voters that
-// come after it. One that keeps failing lets the others try.
-const maxPrecedentPreVotes = 2
+// maxPreVotesWithPrecedence is the number of consecutive pre-votes for which a candidate takes precedence
+// over lower-ranked voters. After that it lets them try, since its own pre-votes keep failing.
+const maxPreVotesWithPrecedence = 2
 
-// decision is a granting voter's answer to a request.
+// decision is an acceptor's decision on a request.
 type decision struct {
 	action action
-	reason refusal // of a refuse
+	reason refusalReason // set if action is refuse
 }
 
-// decisionInputs are what a decision depends on besides the request and the state of the tag.
+// decisionInputs holds the inputs of a decision other than the request and the state of the tag.
 type decisionInputs struct {
-	now      time.Duration
-	accepted bool          // the candidate is on this voter's member list
-	precedes bool          // this voter goes before the candidate when both try at one time
-	coolDown time.Duration // how long a former holder may not hold the tag again
+	now           time.Duration
+	isMember      bool          // the candidate's signature matches this voter's member list
+	hasPrecedence bool          // this voter ranks before the candidate (see Manager.hasPrecedenceOver)
+	coolDown      time.Duration // minimum time before a former holder may hold the tag again
 }
 
-// decide returns the answer to a request. It changes nothing: Manager.handleRequest carries the
-// decision out.
+// decide returns the decision on a request. It doesn't modify tag; Manager.handleRequest carries out the
+// decision.
 func decide(tag *tagState, request message.LeaseRequest, inputs decisionInputs) decision {
 	acceptor := &tag.acceptor
 	switch {
-	case !inputs.accepted:
+	case !inputs.isMember:
 		return decision{refuse, refusedNotMember}
 	case request.Epoch < acceptor.vote.Epoch && !guardsOff.higherEpoch:
 		return decision{refuse, refusedLowerEpoch}
@@ -68,7 +68,7 @@
 		return decideRenewal(acceptor, request)
 	}
 	if !acceptor.votedFor(request.Voter, request.Identity) {
-		if reason, refused := refuseChange(tag, request, inputs); refused {
+		if reason, refused := checkVoteChange(tag, request, inputs); refused {
 			return decision{refuse, reason}
 		}
 	}
@@ -78,12 +78,12 @@
 	return decision{action: castVote}
 }
 
-// decideRenewal decides on a request for the epoch that was voted for. Only its holder may renew, and
-// only once the vote is synced: the renewal counts as a synced vote.
+// decideRenewal decides on a request for the epoch of the last vote. Only the candidate of that vote may
+// renew, and only once the vote is synced, because the candidate counts a granted renewal as a synced vote.
 func decideRenewal(acceptor *acceptorState, request message.LeaseRequest) decision {
 	switch {
 	case !acceptor.votedFor(request.Voter, request.Identity) && !guardsOff.oneHolder:
-		return decision{refuse, refusedEpochGiven}
+		return decision{refuse, refusedEpochGranted}
 	case request.PreVote:
 		return decision{refuse, refusedEpochInUse}
 	case !acceptor.voteSynced:
@@ -92,17 +92,17 @@
 	return decision{action: renew}
 }
 
-// refuseChange returns why the vote can't pass to another candidate now, if it can't.
-func refuseChange(tag *tagState, request message.LeaseRequest, inputs decisionInputs) (reason refusal, refused bool) {
+// checkVoteChange reports whether changing the vote to another candidate is refused now, and the reason.
+func checkVoteChange(tag *tagState, request message.LeaseRequest, inputs decisionInputs) (reason refusalReason, refused bool) {
 	acceptor := &tag.acceptor
 	switch {
 	case inputs.now < acceptor.promisedUntil && !guardsOff.promise:
-		return refusedHeldByAnother, true
+		return refusedPromisedToAnother, true
 	case acceptor.reservedAgainst(request.Voter) && inputs.now < acceptor.reservedUntil:
 		return refusedTransferred, true
 	case acceptor.inCoolDown(request.Voter, inputs.now, inputs.coolDown):
 		return refusedCoolDown, true
-	case request.PreVote && tag.candidate.inPreVote(inputs.now) && inputs.precedes:
+	case request.PreVote && tag.candidate.preVoteHasPrecedence(inputs.now) && inputs.hasPrecedence:
 		return refusedPrecedence, true
 	}
 	return "", false
--- a/internal/lease/decision_test.go
+++ b/internal/lease/decision_test.go
@@ -11,27 +11,27 @@
 	"beaconvane/internal/settings"
 )
 
-// Times of the decision tests: the vote was cast long before testNow.
+// Times in the decision tests. The vote was cast long before testNow.
 const (
 	testNow      = 100 * time.Second
 	testCoolDown = 3 * time.Second
 )
 
-// votedTag is a tag whose acceptor has voted for voter 1 in epoch 7, with no promise left.
+// votedTag returns a tag whose acceptor has voted for voter 1 in epoch 7 and is bound by no promise.
 func votedTag(name string) *tagState {
 	tag := newTagState(name)
 	tag.acceptor.vote = message.Vote{Tag: name, Epoch: 7, Holder: "1", Identity: "disk of 1"}
 	return tag
 }
 
-// decisionCases are the answers to a request of voter 2 for epoch 8, each with a change to the case
-// in which it is granted.
+// decisionCases holds the expected decisions on a request of voter 2 for epoch 8. Each case changes the
+// base case, in which the vote is cast.
 var decisionCases = map[string]struct {
 	tag    string
 	change func(tag *tagState, request *message.LeaseRequest, inputs *decisionInputs)
 	want   decision
 }{
-	"free": {
+	"free tag": {
 		want: decision{action: castVote},
 	},
 	"pre-vote for a free tag": {
@@ -39,16 +39,16 @@
 		want:   decision{action: grantPreVote},
 	},
 	"not on the member list": {
-		change: func(_ *tagState, _ *message.LeaseRequest, inputs *decisionInputs) { inputs.accepted = false },
+		change: func(_ *tagState, _ *message.LeaseRequest, inputs *decisionInputs) { inputs.isMember = false },
 		want:   decision{refuse, refusedNotMember},
 	},
 	"lower epoch": {
 		change: func(_ *tagState, request *message.LeaseRequest, _ *decisionInputs) { request.Epoch = 6 },
 		want:   decision{refuse, refusedLowerEpoch},
 	},
-	"epoch of another": {
+	"epoch granted to another voter": {
 		change: func(_ *tagState, request *message.LeaseRequest, _ *decisionInputs) { request.Epoch = 7 },
-		want:   decision{refuse, refusedEpochGiven},
+		want:   decision{refuse, refusedEpochGranted},
 	},
 	"renewal": {
 		change: func(_ *tagState, request *message.LeaseRequest, _ *decisionInputs) {
@@ -60,7 +60,7 @@
 		change: func(_ *tagState, request *message.LeaseRequest, _ *decisionInputs) {
 			request.Epoch, request.Voter, request.Identity = 7, "1", "another disk of 1"
 		},
-		want: decision{refuse, refusedEpochGiven},
+		want: decision{refuse, refusedEpochGranted},
 	},
 	"renewal before the vote is synced": {
 		change: func(tag *tagState, request *message.LeaseRequest, _ *decisionInputs) {
@@ -69,7 +69,7 @@
 		},
 		want: decision{action: ignore},
 	},
-	"pre-vote for the epoch that it holds": {
+	"pre-vote for the epoch in use": {
 		change: func(_ *tagState, request *message.LeaseRequest, _ *decisionInputs) {
 			request.Epoch, request.Voter, request.Identity, request.PreVote = 7, "1", "disk of 1", true
 		},
@@ -79,7 +79,7 @@
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
 			tag.acceptor.promisedUntil = testNow + 1
 		},
-		want: decision{refuse, refusedHeldByAnother},
+		want: decision{refuse, refusedPromisedToAnother},
 	},
 	"higher epoch of the holder itself": {
 		change: func(tag *tagState, request *message.LeaseRequest, _ *decisionInputs) {
@@ -88,19 +88,19 @@
 		},
 		want: decision{action: castVote},
 	},
-	"transferred to another": {
+	"reserved for another voter": {
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
 			tag.acceptor.reservedFor, tag.acceptor.reservedUntil = "3", testNow+1
 		},
 		want: decision{refuse, refusedTransferred},
 	},
-	"transferred to the candidate": {
+	"reserved for the candidate": {
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
 			tag.acceptor.reservedFor, tag.acceptor.reservedUntil = "2", testNow+1
 		},
 		want: decision{action: castVote},
 	},
-	"transferred to another that did not come": {
+	"reservation for another voter expired": {
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
 			tag.acceptor.reservedFor, tag.acceptor.reservedUntil = "3", testNow
 		},
@@ -108,84 +108,85 @@
 	},
 	"former holder in its cool-down": {
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
-			tag.acceptor.vote.PreviousHolder, tag.acceptor.coolDownFrom = "2", testNow-testCoolDown+1
+			tag.acceptor.vote.PreviousHolder, tag.acceptor.coolDownStartedAt = "2", testNow-testCoolDown+1
 		},
 		want: decision{refuse, refusedCoolDown},
 	},
 	"former holder after its cool-down": {
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
-			tag.acceptor.vote.PreviousHolder, tag.acceptor.coolDownFrom = "2", testNow-testCoolDown
+			tag.acceptor.vote.PreviousHolder, tag.acceptor.coolDownStartedAt = "2", testNow-testCoolDown
 		},
 		want: decision{action: castVote},
 	},
 	"earlier holder of the usage tag in its cool-down": {
 		tag: settings.UsageTag,
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
-			tag.acceptor.heldUntil["2"] = testNow - testCoolDown + 1
+			tag.acceptor.lastHeldAt["2"] = testNow - testCoolDown + 1
 		},
 		want: decision{refuse, refusedCoolDown},
 	},
 	"earlier holder of another tag": {
 		change: func(tag *tagState, _ *message.LeaseRequest, _ *decisionInputs) {
-			tag.acceptor.heldUntil["2"] = testNow - testCoolDown + 1
+			tag.acceptor.lastHeldAt["2"] = testNow - testCoolDown + 1
 		},
 		want: decision{action: castVote},
 	},
-	"pre-vote beside this voter's own, which goes first": {
+	"pre-vote, this voter's own has precedence": {
 		change: func(tag *tagState, request *message.LeaseRequest, inputs *decisionInputs) {
-			request.PreVote, inputs.precedes = true, true
-			tag.candidate.preVote, tag.candidate.preVotes, tag.candidate.nextAttemptAt = true, 2, testNow+1
+			request.PreVote, inputs.hasPrecedence = true, true
+			tag.candidate.preVote, tag.candidate.preVoteCount, tag.candidate.nextAttemptAt = true, 2, testNow+1
 		},
 		want: decision{refuse, refusedPrecedence},
 	},
-	"pre-vote beside this voter's own, which failed often": {
+	"pre-vote, this voter's own failed too often": {
 		change: func(tag *tagState, request *message.LeaseRequest, inputs *decisionInputs) {
-			request.PreVote, inputs.precedes = true, true
-			tag.candidate.preVote, tag.candidate.preVotes, tag.candidate.nextAttemptAt = true, 3, testNow+1
+			request.PreVote, inputs.hasPrecedence = true, true
+			tag.candidate.preVote, tag.candidate.preVoteCount, tag.candidate.nextAttemptAt = true, 3, testNow+1
 		},
 		want: decision{action: grantPreVote},
 	},
-	"pre-vote beside this voter's own, which comes later": {
+	"pre-vote, this voter's own has no precedence": {
 		change: func(tag *tagState, request *message.LeaseRequest, _ *decisionInputs) {
 			request.PreVote = true
-			tag.candidate.preVote, tag.candidate.preVotes, tag.candidate.nextAttemptAt = true, 1, testNow+1
+			tag.candidate.preVote, tag.candidate.preVoteCount, tag.candidate.nextAttemptAt = true, 1, testNow+1
 		},
 		want: decision{action: grantPreVote},
 	},
 }
 
-// Each request gets its answer, and deciding changes nothing.
+// TestDecide checks the decision on each request, and that decide doesn't modify the tag.
 func TestDecide(t *testing.T) {
-	for name, example := range decisionCases {
+	for name, testCase := range decisionCases {
 		t.Run(name, func(t *testing.T) {
 			tagName := configTag
-			if example.tag != "" {
-				tagName = example.tag
+			if testCase.tag != "" {
+				tagName = testCase.tag
 			}
 			request := message.LeaseRequest{Tag: tagName, Epoch: 8, Voter: "2", Identity: "disk of 2"}
-			inputs := decisionInputs{now: testNow, accepted: true, coolDown: testCoolDown}
-			tag, untouched := votedTag(tagName), votedTag(tagName)
-			if example.change != nil {
-				example.change(tag, &request, &inputs)
-				example.change(untouched, &request, &inputs)
+			inputs := decisionInputs{now: testNow, isMember: true, coolDown: testCoolDown}
+			tag, unchanged := votedTag(tagName), votedTag(tagName)
+			if testCase.change != nil {
+				testCase.change(tag, &request, &inputs)
+				testCase.change(unchanged, &request, &inputs)
 			}
-			qt.Assert(t, decide(tag, request, inputs), qt.Equals, example.want)
-			qt.Assert(t, reflect.DeepEqual(tag, untouched), qt.IsTrue)
+			qt.Assert(t, decide(tag, request, inputs), qt.Equals, testCase.want)
+			qt.Assert(t, reflect.DeepEqual(tag, unchanged), qt.IsTrue)
 		})
 	}
 }
 
-// The texts of refusals travel between processes of different versions.
+// TestRefusalTexts pins the texts of refusal reasons, which processes of different versions exchange and
+// compare.
 func TestRefusalTexts(t *testing.T) {
-	for reason, text := range map[refusal]string{
-		refusedNotMember:     "not on the member list",
-		refusedLowerEpoch:    "lower epoch",
-		refusedEpochGiven:    "epoch given to another",
-		refusedEpochInUse:    "epoch in use",
-		refusedHeldByAnother: "another holds it",
-		refusedTransferred:   "handed over to another",
-		refusedCoolDown:      "holder rest",
-		refusedPrecedence:    "goes first here",
+	for reason, text := range map[refusalReason]string{
+		refusedNotMember:         "not on the member list",
+		refusedLowerEpoch:        "lower epoch",
+		refusedEpochGranted:      "epoch given to another",
+		refusedEpochInUse:        "epoch in use",
+		refusedPromisedToAnother: "another holds it",
+		refusedTransferred:       "handed over to another",
+		refusedCoolDown:          "holder rest",
+		refusedPrecedence:        "goes first here",
 	} {
 		qt.Check(t, string(reason), qt.Equals, text)
 	}
--- a/internal/lease/group_test.go
+++ b/internal/lease/group_test.go
@@ -11,40 +11,42 @@
 	"beaconvane/internal/storage"
 )
 
-// configTag is the tag of tests that don't need another.
+// configTag is the default tag of the tests. Unlike settings.UsageTag, it tracks only the previous holder.
 const configTag = "d"
 
-// voter is a voter with its leases and a disk, without the rest of a core program.
+// voter is a test voter: a Manager with its quorum and a simulated disk. It implements Host and the storage
+// interface of the quorum.
 type voter struct {
-	group    *group
-	name     string
-	address  string
-	settings settings.Settings
-	up       bool
-	env      *statemachine.Env
-	quorum   *quorum.Quorum
-	leases   *Manager
-	state    message.VoterState
-	votes    []message.Vote // as the disk holds them
-	writes   []func()
-	failure  error
+	group       *group
+	name        string
+	address     string
+	settings    settings.Settings
+	running     bool
+	env         *statemachine.Env
+	quorum      *quorum.Quorum
+	leases      *Manager
+	state       message.VoterState
+	votes       []message.Vote // on the simulated disk
+	writes      []func()
+	diskFailure error
 }
 
-// group is three voters for one tag, whose clocks, links and disks the test drives.
+// group is a group of three voters for one tag, whose clocks, network and disks are simulated.
 type group struct {
 	tag    string
 	voters []*voter
 }
 
-// frame is a message on its way between two voters.
-type frame struct {
+// delivery is a message in transit between two voters.
+type delivery struct {
 	from, to string
 	message  any
 }
 
-// newGroup makes a group whose voters are named in the settings, or discovered.
+// newGroup returns a running group for configTag. The voters are discovered or named in the settings.
 func newGroup(discovered bool) *group { return newGroupFor(configTag, discovered) }
 
+// newGroupFor is like newGroup, for a given tag.
 func newGroupFor(tag string, discovered bool) *group {
 	g := &group{tag: tag}
 	names := []string{"1", "2", "3"}
@@ -79,9 +81,9 @@
 	return g
 }
 
-// boot starts the voter, or starts it again, from what its disk holds.
+// boot starts or restarts the voter from the contents of its disk. Pending writes are lost.
 func (v *voter) boot() {
-	v.up, v.writes = true, nil
+	v.running, v.writes = true, nil
 	v.quorum = quorum.New("config-log", v.settings, v, copyState(v.state), func(env *statemachine.Env, newGroup bool) {
 		v.leases.BeginVoting(env, newGroup)
 	})
@@ -101,15 +103,15 @@
 	})
 }
 
-func (v *voter) WriteSnapshot(s *statemachine.Env, then storage.SyncCallback) {
-	v.Persist(s, nil, then)
+func (v *voter) WriteSnapshot(env *statemachine.Env, then storage.SyncCallback) {
+	v.Persist(env, nil, then)
 }
-func (v *voter) Failure() error                                 { return v.failure }
+func (v *voter) Failure() error                                 { return v.diskFailure }
 func (v *voter) WriteLatency() time.Duration                    { return 0 }
 func (v *voter) StateForGrant() []byte                          { return nil }
 func (v *voter) MergeGrantedStates(*statemachine.Env, [][]byte) {}
 func (v *voter) AnnounceVoter(string)                           {}
-func (v *voter) DiscardState(s *statemachine.Env)               { v.leases.Forget(s) }
+func (v *voter) DiscardState(env *statemachine.Env)             { v.leases.Forget(env) }
 func (v *voter) NodeGone(*statemachine.Env, string) bool        { return false }
 func (v *voter) Superseded() bool                               { return false }
 
@@ -123,18 +125,19 @@
 	return peers
 }
 
-// run lets some time pass and returns how much; with untilHeld it stops as soon as a voter holds the
-// tag.
-func (g *group) run(length time.Duration, untilHeld bool) time.Duration {
+// run advances the simulated time by duration and returns the time that has passed. With stopWhenHeld it
+// returns as soon as a voter holds the tag. In each step every running voter ticks and its pending writes
+// complete, and then all messages sent in the step are delivered.
+func (g *group) run(duration time.Duration, stopWhenHeld bool) time.Duration {
 	const step = 5 * time.Millisecond
-	for played := time.Duration(0); played < length; played += step {
-		if untilHeld && g.holder() != "" {
-			return played
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += step {
+		if stopWhenHeld && g.holder() != "" {
+			return elapsed
 		}
-		frames := []frame{}
+		deliveries := []delivery{}
 		for _, v := range g.voters {
 			v.env.Now += step
-			if !v.up {
+			if !v.running {
 				continue
 			}
 			v.leases.Tick(v.env)
@@ -144,22 +147,22 @@
 				write()
 			}
 			for _, effect := range v.env.Drain() {
-				if sent, isSend := effect.(statemachine.Send); isSend {
-					frames = append(frames, frame{v.address, sent.To, sent.Message})
+				if send, isSend := effect.(statemachine.Send); isSend {
+					deliveries = append(deliveries, delivery{v.address, send.To, send.Message})
 				}
 			}
 		}
-		for _, sent := range frames {
-			if to := g.at(sent.to); to.up {
-				to.leases.Handle(to.env, sent.from, sent.message)
+		for _, msg := range deliveries {
+			if to := g.voterAt(msg.to); to.running {
+				to.leases.Handle(to.env, msg.from, msg.message)
 			}
 		}
 	}
-	return length
+	return duration
 }
 
-// at returns the voter with an address.
-func (g *group) at(address string) *voter {
+// voterAt returns the voter with the given address, or nil.
+func (g *group) voterAt(address string) *voter {
 	for _, v := range g.voters {
 		if v.address == address {
 			return v
@@ -168,16 +171,17 @@
 	return nil
 }
 
-// holder returns the name of the voter that holds the tag, or "".
+// holder returns the name of the running voter that holds the tag, or "".
 func (g *group) holder() string {
 	for _, v := range g.voters {
-		if v.up && v.leases.Holding(g.tag, v.env.Now) {
+		if v.running && v.leases.Holding(g.tag, v.env.Now) {
 			return v.name
 		}
 	}
 	return ""
 }
 
+// copyState returns a deep copy of state, so that a restarted voter doesn't share its maps.
 func copyState(state message.VoterState) message.VoterState {
 	state.Proposal, state.MemberList = maps.Clone(state.Proposal), maps.Clone(state.MemberList)
 	return state
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -7,20 +7,20 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Causes of the event lease-lost.
+// Causes in the journal event lease-lost.
 const (
-	lostExpired   = "lease expired"
-	lostNotVoting = "not voting"
-	lostVoter     = "another process has the voter"
+	lostExpired         = "lease expired"
+	lostNotVoting       = "not voting"
+	lostVoterReassigned = "another process has the voter"
 )
 
-// holderState is the state of a voter's own lease. While it holds the tag its epoch is the candidate's.
+// holderState is a voter's state as the holder of one tag. The epoch of the lease is candidateState.epoch.
 type holderState struct {
-	holding     bool
-	acquiredAt  time.Duration
-	expiresAt   time.Duration // counted from the start of the last round that a majority granted
-	renewAt     time.Duration // when the next round begins
-	nextRaiseAt time.Duration // the epoch is raised no sooner than this
+	holding          bool
+	acquiredAt       time.Duration
+	expiresAt        time.Duration // LeaseHeld after the start of the last round that a majority granted
+	renewAt          time.Duration // start of the next renewal round
+	nextEpochRaiseAt time.Duration // the epoch is not raised before this time
 }
 
 // activeAt reports whether the lease is held and has not expired.
@@ -28,22 +28,23 @@
 	return h.holding && (now < h.expiresAt || guardsOff.leaseEnd)
 }
 
-// tickHolder renews the lease when it is time, and ends it when it has expired.
+// tickHolder renews the lease when a renewal is due, and ends the lease when it has expired.
 func (m *Manager) tickHolder(env *statemachine.Env, tag *tagState) {
 	switch {
 	case !tag.holder.activeAt(env.Now):
 		m.loseLease(env, tag, lostExpired)
 		tag.candidate.nextAttemptAt = env.Now + randomUpTo(env, m.settings.Lease())
 	case env.Now >= tag.holder.renewAt:
-		m.returnToPreferred(env, tag)
+		m.failBackToPreferred(env, tag)
 		if tag.holder.holding {
 			m.startRound(env, tag)
 		}
 	}
 }
 
-// RenewNow renews a lease before it is time. While a round is under way it asks for another behind it
-// instead: a round that each caller began anew would never be granted.
+// RenewNow renews a lease before the renewal is due. If a round started less than a quarter of the renewal
+// interval ago and is still pending, it requests a follow-up round instead, because replacing the pending
+// round on every call would prevent any round from being granted.
 func (m *Manager) RenewNow(tagName string, env *statemachine.Env) {
 	tag := m.tags[tagName]
 	current := &tag.candidate.round
@@ -56,30 +57,32 @@
 	}
 }
 
-// completeRound extends the lease after a majority has granted the round, and acquires it if this
-// voter didn't hold it.
+// completeRound processes a round that a majority has granted: it extends the lease, or acquires it if
+// this voter doesn't hold it yet.
 func (m *Manager) completeRound(env *statemachine.Env, tag *tagState) {
-	granted := &tag.candidate.round
-	tag.holder.expiresAt = max(tag.holder.expiresAt, granted.startedAt+m.settings.LeaseHeld())
+	current := &tag.candidate.round
+	tag.holder.expiresAt = max(tag.holder.expiresAt, current.startedAt+m.settings.LeaseHeld())
 	if !tag.holder.holding && env.Now < tag.holder.expiresAt {
 		m.acquireLease(env, tag)
 	}
-	granted.pending = false
-	if granted.followUp && tag.holder.holding {
+	current.pending = false
+	if current.followUp && tag.holder.holding {
 		m.startRound(env, tag)
 	}
 }
 
+// acquireLease makes this voter the holder of a tag.
 func (m *Manager) acquireLease(env *statemachine.Env, tag *tagState) {
 	tag.holder.holding = true
 	tag.holder.acquiredAt = env.Now
-	tag.candidate.heldBefore = true
+	tag.candidate.wasHolder = true
 	tag.candidate.otherHolder = ""
 	env.Event("lease-taken", 0, tag.candidate.epoch, tag.name+" by "+m.quorum.Voter)
 	m.callbacks.OnAcquired(env, tag.name, tag.candidate.epoch)
 }
 
-// loseLease ends this voter's lease, if it holds one. The epoch is spent.
+// loseLease ends this voter's lease, if it holds one, and marks the epoch as spent. cause is the reason in
+// the journal.
 func (m *Manager) loseLease(env *statemachine.Env, tag *tagState, cause string) {
 	if !tag.holder.holding {
 		return
@@ -90,17 +93,17 @@
 	m.callbacks.OnLost(env, tag.name, tag.candidate.epoch)
 }
 
-// handleRefusal raises the holder's epoch when a voter has voted for another candidate or for an epoch
-// that is as high, at most once a lease. A voter that says it is still promised to another is left
-// alone: its promise ends by itself.
+// handleRefusal ends the lease of a holder and campaigns for a higher epoch if the refusing voter has
+// voted in the holder's epoch or a higher one. It does so at most once per lease duration. It ignores
+// voters that are still bound by a promise to another candidate, since that promise expires by itself.
 func (m *Manager) handleRefusal(env *statemachine.Env, tag *tagState, vote message.LeaseVote) {
-	if !tag.holder.holding || vote.HighestEpoch < tag.candidate.epoch || vote.Reason == string(refusedHeldByAnother) {
+	if !tag.holder.holding || vote.HighestEpoch < tag.candidate.epoch || vote.Reason == string(refusedPromisedToAnother) {
 		return
 	}
-	if env.Now < tag.holder.nextRaiseAt || !m.callbacks.Eligible(tag.name) {
+	if env.Now < tag.holder.nextEpochRaiseAt || !m.callbacks.Eligible(tag.name) {
 		return
 	}
-	tag.holder.nextRaiseAt = env.Now + m.settings.Lease()
+	tag.holder.nextEpochRaiseAt = env.Now + m.settings.Lease()
 	m.loseLease(env, tag, "raises its epoch: "+vote.Voter+" has voted otherwise")
 	m.campaign(env, tag)
 }
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -11,49 +11,50 @@
 	"beaconvane/internal/storage"
 )
 
-// notStarted is the value of Manager.grantsFrom before the first voting tick.
-const notStarted time.Duration = -1
+// restartWaitNotStarted is the value of Manager.restartWaitEnd until this voter starts voting.
+const restartWaitNotStarted time.Duration = -1
 
-// recoveryEpochGap is by how much a forced recovery raises the epochs: more than any lost disk can
-// have granted since the last write that is left.
+// recoveryEpochGap is added to the epochs by a forced recovery. It exceeds the number of epochs that lost
+// disks can have granted since the last write that survived.
 const recoveryEpochGap = 1 << 20
 
-// Host is what a Manager needs of the machine that it is a part of.
+// Host is implemented by the machine that contains a Manager and provides its disk and peers.
 type Host interface {
-	// Persist appends a record to the log and calls then when it is synced, or has failed.
+	// Persist appends a record to the log and calls then once the record is synced or the write has failed.
 	Persist(env *statemachine.Env, record any, then storage.SyncCallback)
-	// Failure returns the error of the disk, or nil while it takes writes.
+	// Failure returns the error with which the disk failed, or nil if it accepts writes.
 	Failure() error
-	// WriteLatency returns about how long a synced write takes.
+	// WriteLatency returns the approximate duration of a synced write.
 	WriteLatency() time.Duration
-	// Peers returns the other members of the group that are not known dead.
+	// Peers returns the other members of the group, except those considered dead.
 	Peers() []message.Member
 }
 
-// Callbacks connect a Manager with the machine that it is a part of.
+// Callbacks are the functions through which a Manager consults and notifies the machine that contains it.
 type Callbacks struct {
 	// Eligible reports whether this voter may become a candidate for a tag.
 	Eligible func(tag string) bool
-	// OnAcquired is called when this voter has become the holder of a tag.
+	// OnAcquired is called after this voter has become the holder of a tag.
 	OnAcquired func(env *statemachine.Env, tag string, epoch int64)
-	// OnLost is called when this voter is no longer the holder of a tag.
+	// OnLost is called after this voter has ceased to be the holder of a tag.
 	OnLost func(env *statemachine.Env, tag string, epoch int64)
 }
 
-// Manager runs one voter's part in the leases of all tags of its group.
+// Manager manages one voter's leases, votes and campaigns for all tags of its group. Like the machine that
+// contains it, it is driven by one call at a time.
 type Manager struct {
-	settings    settings.Settings
-	host        Host
-	quorum      *quorum.Quorum
-	tags        map[string]*tagState
-	tagNames    []string      // sorted
-	grantsFrom  time.Duration // when the wait after a start ends; notStarted before it has begun
-	votesAreOwn bool          // this disk wrote the votes itself, with every promise that it made
-	lastRound   int64         // number of the last round of requests
-	callbacks   Callbacks
-}
-
-// tagState is a voter's state for one tag, by role.
+	settings       settings.Settings
+	host           Host
+	quorum         *quorum.Quorum
+	tags           map[string]*tagState
+	tagNames       []string      // sorted
+	restartWaitEnd time.Duration // end of the wait before voting; restartWaitNotStarted before BeginVoting
+	promisesOnDisk bool          // the votes on this disk include every promise that it made
+	lastRound      int64         // number of the last request round, over all tags
+	callbacks      Callbacks
+}
+
+// tagState is a voter's state for one tag, with one field per role.
 type tagState struct {
 	name      string
 	acceptor  acceptorState
@@ -61,7 +62,7 @@
 	holder    holderState
 }
 
-// New returns the manager of the leases of tags. votes are the votes that this voter's disk holds.
+// New returns a Manager for the leases of tags. votes are the votes read from this voter's disk.
 func New(cfg settings.Settings, host Host, group *quorum.Quorum, tags []string, votes []message.Vote,
 	callbacks Callbacks) *Manager {
 	m := &Manager{
@@ -77,27 +78,28 @@
 	}
 	sort.Strings(m.tagNames)
 	m.Restore(votes)
-	m.grantsFrom = notStarted
+	m.restartWaitEnd = restartWaitNotStarted
 	return m
 }
 
+// newTagState returns the state of a tag for which this voter has neither voted nor campaigned.
 func newTagState(name string) *tagState {
 	return &tagState{name: name, acceptor: newAcceptorState(name)}
 }
 
-// Restore takes votes over from the disk or from another voter's grant. Of two votes for one tag the
-// one with the higher epoch counts.
+// Restore adopts votes from the disk or from the state that another voter granted. For each tag it keeps
+// the vote with the higher epoch.
 func (m *Manager) Restore(votes []message.Vote) {
 	for _, vote := range votes {
 		tag, known := m.tags[vote.Tag]
 		if known && tag.acceptor.restore(vote) {
-			tag.candidate.heldBefore = vote.Holder == m.quorum.Voter
+			tag.candidate.wasHolder = vote.Holder == m.quorum.Voter
 		}
 	}
 }
 
-// Votes returns the votes for all tags, as the snapshot on disk and grants to other voters hold them.
-// Their epochs include those that this voter has asked for itself.
+// Votes returns the votes for all tags, for the snapshot on disk and for the state granted to other voters.
+// The epoch of a vote is raised to the epoch that this voter last requested, if that is higher.
 func (m *Manager) Votes() []message.Vote {
 	votes := []message.Vote{}
 	for _, name := range m.tagNames {
@@ -109,26 +111,26 @@
 	return votes
 }
 
-// BeginVoting starts the wait of a full lease before the first vote. A group that is newly founded
-// has made no promise before, so it doesn't wait.
+// BeginVoting starts the wait for a full lease before the first vote. A newly formed group has made no
+// promises, so its voters don't wait.
 func (m *Manager) BeginVoting(env *statemachine.Env, newGroup bool) {
-	m.grantsFrom = env.Now + m.settings.Lease()
+	m.restartWaitEnd = env.Now + m.settings.Lease()
 	if newGroup {
-		m.grantsFrom = env.Now
+		m.restartWaitEnd = env.Now
 	}
 	for _, name := range m.tagNames {
-		m.tags[name].acceptor.begin(env.Now)
+		m.tags[name].acceptor.startVoting(env.Now)
 	}
 }
 
-// Holding reports whether this voter is active for a tag now, by its own clock.
+// Holding reports whether this voter holds a tag at the time now of its own clock.
 func (m *Manager) Holding(tagName string, now time.Duration) bool {
 	tag := m.tags[tagName]
 	return tag != nil && tag.holder.activeAt(now) && !m.quorum.Removed
 }
 
-// HeldUntil returns when this voter's lease of a tag ends unless it is renewed before, by its own
-// clock; 0 where it holds none.
+// HeldUntil returns when this voter's lease of a tag expires unless renewed, by its own clock; 0 if it
+// doesn't hold the tag.
 func (m *Manager) HeldUntil(tagName string) time.Duration {
 	tag := m.tags[tagName]
 	if tag == nil || !tag.holder.holding {
@@ -137,29 +139,29 @@
 	return tag.holder.expiresAt
 }
 
-// Epoch returns the highest epoch that this voter has voted for.
+// Epoch returns the epoch of this voter's last vote for a tag, which is the highest that it has voted for.
 func (m *Manager) Epoch(tagName string) int64 { return m.tags[tagName].acceptor.vote.Epoch }
 
-// Holder returns the voter that this one last voted for.
+// Holder returns the voter for which this voter last voted; "" if it has not voted.
 func (m *Manager) Holder(tagName string) string { return m.tags[tagName].acceptor.vote.Holder }
 
-// ConfirmedSince reports whether a majority has renewed the lease in a round that began at or after
-// since. A linearizable read waits for it; it compares times of the holder's clock only.
+// ConfirmedSince reports whether a majority has granted a round that started at or after since. A
+// linearizable read waits for this. It compares only times of the holder's own clock.
 func (m *Manager) ConfirmedSince(tagName string, since time.Duration) bool {
 	holder := &m.tags[tagName].holder
 	return holder.holding && holder.expiresAt-m.settings.LeaseHeld() >= since
 }
 
-// Tick renews the leases that this voter holds, gives up those that have expired and campaigns for
-// tags that are free.
+// Tick renews the leases that this voter holds, ends those that have expired and campaigns for tags for
+// which no promise is in force. A process that may not vote ends all its leases.
 func (m *Manager) Tick(env *statemachine.Env) {
 	if !m.quorum.Voting() {
 		m.releaseAll(env)
 		return
 	}
-	if m.grantsFrom == notStarted {
+	if m.restartWaitEnd == restartWaitNotStarted {
 		m.BeginVoting(env, false)
-		m.votesAreOwn = true
+		m.promisesOnDisk = true
 	}
 	for _, name := range m.tagNames {
 		tag := m.tags[name]
@@ -171,9 +173,10 @@
 	}
 }
 
-// Handle takes a message of another voter. It returns false when the message is no lease message.
-func (m *Manager) Handle(env *statemachine.Env, from string, received any) bool {
-	switch received := received.(type) {
+// Handle processes a message from the process at the address from. It reports whether msg is a lease
+// message; lease messages of another group are ignored.
+func (m *Manager) Handle(env *statemachine.Env, from string, msg any) bool {
+	switch received := msg.(type) {
 	case message.LeaseRequest:
 		if received.Group == m.quorum.Group {
 			m.handleRequest(env, from, received)
@@ -192,16 +195,16 @@
 	return true
 }
 
-// Forget drops all leases, votes and promises, because another process has this voter now.
+// Forget discards all leases, votes and promises, because the voter has been assigned to another process.
 func (m *Manager) Forget(env *statemachine.Env) {
 	for _, name := range m.tagNames {
-		m.loseLease(env, m.tags[name], lostVoter)
+		m.loseLease(env, m.tags[name], lostVoterReassigned)
 		m.tags[name] = newTagState(name)
 	}
-	m.grantsFrom, m.votesAreOwn = notStarted, false
+	m.restartWaitEnd, m.promisesOnDisk = restartWaitNotStarted, false
 }
 
-// ForceRecover raises all epochs above whatever the lost disks may have granted.
+// ForceRecover raises all epochs above those that lost disks may have granted.
 func (m *Manager) ForceRecover() {
 	for _, tag := range m.tags {
 		tag.acceptor.vote.Epoch += recoveryEpochGap
--- a/internal/lease/metrics.go
+++ b/internal/lease/metrics.go
@@ -6,15 +6,16 @@
 	"beaconvane/internal/metrics"
 )
 
-// Metrics returns the epoch of each tag, and whether this voter holds it.
+// Metrics returns the metrics lease_held (1 if this voter holds the tag at the time now, else 0) and
+// lease_epoch for each tag.
 func (m *Manager) Metrics(now time.Duration) []metrics.Sample {
 	samples := []metrics.Sample{}
 	for _, tag := range m.tagNames {
-		held := 0.0
+		holding := 0.0
 		if m.Holding(tag, now) {
-			held = 1
+			holding = 1
 		}
-		samples = append(samples, metrics.About("lease_held", "tag", tag, held),
+		samples = append(samples, metrics.About("lease_held", "tag", tag, holding),
 			metrics.About("lease_epoch", "tag", tag, float64(m.Epoch(tag))))
 	}
 	return samples
--- a/internal/lease/norace_test.go
+++ b/internal/lease/norace_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// The other half of race_test.go: without the detector every run is played.
 package lease_test
 
-const racing = false
+// raceEnabled reports whether the race detector is enabled; see race_test.go.
+const raceEnabled = false
--- a/internal/lease/race_test.go
+++ b/internal/lease/race_test.go
@@ -1,7 +1,7 @@
 //go:build race
 
-// A walk is one thread: there is nothing for the race detector to find,
-// and it makes the long runs ten times slower. They are run without it.
 package lease_test
 
-const racing = true
+// raceEnabled reports whether the race detector is enabled. Tests skip long walks under it: a walk is
+// single-threaded, so the detector has nothing to find, and it makes the walks ten times slower.
+const raceEnabled = true
--- a/internal/lease/restart_test.go
+++ b/internal/lease/restart_test.go
@@ -10,9 +10,10 @@
 	"beaconvane/internal/settings"
 )
 
-// All voters are killed at one moment and come back. The holder holds the tag again long before a
-// lease has passed, since every voter's disk says that its promise was to this very holder.
-func TestHolderThatComesBackIsGrantedAtOnce(t *testing.T) {
+// TestRestartedHolderIsGrantedWithoutWait restarts all voters at the same time. The holder must reacquire
+// the tag in less than a quarter of a lease, because every voter's disk records that its promise was made
+// to this holder.
+func TestRestartedHolderIsGrantedWithoutWait(t *testing.T) {
 	for name, discovered := range map[string]bool{"voters named in the settings": false, "voters discovered": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -33,9 +34,9 @@
 	}
 }
 
-// The holder does not come back. No voter grants another candidate before a full lease has passed
-// since its own restart.
-func TestRestartedVotersGrantNoOtherBeforeALease(t *testing.T) {
+// TestRestartedVotersWaitALeaseBeforeGrantingAnother restarts all voters except the holder. No voter may
+// grant another candidate until a full lease has passed since its own restart.
+func TestRestartedVotersWaitALeaseBeforeGrantingAnother(t *testing.T) {
 	for name, discovered := range map[string]bool{"voters named in the settings": false, "voters discovered": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -44,7 +45,7 @@
 			holder := g.holder()
 			for _, v := range g.voters {
 				v.boot()
-				v.up = v.name != holder
+				v.running = v.name != holder
 			}
 			elapsed := g.run(10*time.Second, true)
 			c.Assert(g.holder(), qt.Not(qt.Equals), "")
@@ -53,17 +54,18 @@
 	}
 }
 
-// Votes that a voter has from others are no promises of its own, whether it lost its disk or another
-// process had its voter meanwhile: it waits a full lease.
-func TestVotesOfOthersDoNotShortenTheWait(t *testing.T) {
-	for name, lose := range map[string]func(v *voter, votes []message.Vote){
+// TestCopiedVotesDoNotShortenRestartWait restarts a group in which all voters but the holder have only votes
+// copied from another voter, because they lost their disk or their voter was temporarily assigned to
+// another process. Copied votes don't include all promises of the voter, so it must wait a full lease.
+func TestCopiedVotesDoNotShortenRestartWait(t *testing.T) {
+	for name, losePromises := range map[string]func(v *voter, votes []message.Vote){
 		"disk lost": func(v *voter, votes []message.Vote) {
 			v.votes = nil
 			v.boot()
 			v.leases.Restore(votes)
 			v.leases.BeginVoting(v.env, false)
 		},
-		"voter taken over by another process and regained": func(v *voter, votes []message.Vote) {
+		"voter reassigned to another process and back": func(v *voter, votes []message.Vote) {
 			v.boot()
 			v.leases.Tick(v.env)
 			v.leases.Forget(v.env)
@@ -75,13 +77,13 @@
 			c := qt.New(t)
 			g := newGroup(true)
 			g.run(10*time.Second, true)
-			holder := g.at("a" + g.holder())
+			holder := g.voterAt("a" + g.holder())
 			votes := holder.votes
 			for _, v := range g.voters {
 				if v == holder {
 					v.boot()
 				} else {
-					lose(v, votes)
+					losePromises(v, votes)
 				}
 			}
 			elapsed := g.run(10*time.Second, true)
@@ -91,17 +93,18 @@
 	}
 }
 
-// A process of another identity that holds the same voter is another candidate.
-func TestPromiseIsToTheDiskNotToTheVoter(t *testing.T) {
+// TestPromiseBindsToDiskIdentity checks that a process with the same voter but another disk identity counts
+// as another candidate, so that it is granted only after a full lease.
+func TestPromiseBindsToDiskIdentity(t *testing.T) {
 	c := qt.New(t)
 	g := newGroup(false)
 	g.run(10*time.Second, true)
-	holder := g.at("a" + g.holder())
+	holder := g.voterAt("a" + g.holder())
 	memberList := map[string]string{}
 	for _, v := range g.voters {
 		memberList[v.name] = v.state.Identity
 	}
-	memberList[holder.name] = "a newcomer's"
+	memberList[holder.name] = "identity of a new disk"
 	holder.state.Identity = memberList[holder.name]
 	for _, v := range g.voters {
 		v.state.MemberList = memberList
--- a/internal/lease/round.go
+++ b/internal/lease/round.go
@@ -7,17 +7,17 @@
 	"beaconvane/internal/statemachine"
 )
 
-// round is one request to all voters, with the grants that answer it. Candidates ask in rounds, and
-// so do holders that renew.
+// round is one request to all voters and the grants received for it. Candidates request pre-votes and
+// votes in rounds, and holders renew their lease in rounds.
 type round struct {
-	number    int64
+	number    int64 // from 1; 0 matches no answer
 	startedAt time.Duration
-	grants    map[string]string // signatures, by voter
-	pending   bool              // no majority has granted it yet
-	followUp  bool              // another round is wanted as soon as this one is granted
+	grants    map[string]string // signatures by voter
+	pending   bool              // not yet granted by a majority
+	followUp  bool              // start another round as soon as this one is granted
 }
 
-// startRound asks all voters, this one last, for the epoch of the candidate or the holder.
+// startRound starts a round: it requests the candidate's epoch from all voters, from this one last.
 func (m *Manager) startRound(env *statemachine.Env, tag *tagState) {
 	m.lastRound++
 	tag.candidate.round = round{
@@ -41,15 +41,16 @@
 }
 
 // sendToPeers sends a message to the processes of the other voters.
-func (m *Manager) sendToPeers(env *statemachine.Env, sent any) {
+func (m *Manager) sendToPeers(env *statemachine.Env, msg any) {
 	for _, peer := range m.host.Peers() {
 		if peer.Voter != m.quorum.Voter {
-			env.Send(peer.Address, sent)
+			env.Send(peer.Address, msg)
 		}
 	}
 }
 
-// handleVote counts a voter's answer to this voter's own requests.
+// handleVote processes a voter's answer to a request of this voter. Answers for a spent epoch, for
+// another epoch or round, or with a signature that doesn't match the member list don't count as grants.
 func (m *Manager) handleVote(env *statemachine.Env, vote message.LeaseVote) {
 	tag, known := m.tags[vote.Tag]
 	if !known {
--- a/internal/lease/transfer.go
+++ b/internal/lease/transfer.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	// stoppedLeases is for how many leases a voter that stops is no candidate: longer than it runs.
-	stoppedLeases = 1000
-	// freshStatuses is for how many intervals between statuses a voter's last status counts.
-	freshStatuses = 25
+	// stoppedBackOffLeases is the number of lease durations for which a stopping voter doesn't campaign,
+	// more than it needs to stop.
+	stoppedBackOffLeases = 1000
+	// maxStatusAgeIntervals is the maximum age of a usable voter status, in status intervals (DigestEvery).
+	maxStatusAgeIntervals = 25
 )
 
-// reservedAgainst reports whether the last holder has transferred the tag to another voter than voter.
+// reservedAgainst reports whether the last holder has transferred the tag to a voter other than voter.
 func (a *acceptorState) reservedAgainst(voter string) bool {
 	return a.reservedFor != "" && a.reservedFor != voter
 }
 
-// TransferAll transfers every tag that this voter holds to another voter, before this process stops.
+// TransferAll transfers every tag that this voter holds to a successor, and stops this voter from
+// campaigning. It is called before the process stops.
 func (m *Manager) TransferAll(env *statemachine.Env) {
 	for _, name := range m.tagNames {
 		tag := m.tags[name]
 		if tag.holder.holding {
 			m.transferTo(env, tag, m.chooseSuccessor(env, tag))
 		}
-		tag.candidate.nextAttemptAt = env.Now + m.settings.Lease()*stoppedLeases
+		tag.candidate.nextAttemptAt = env.Now + m.settings.Lease()*stoppedBackOffLeases
 	}
 }
 
-// releaseAll ends all leases of a process that may not vote. One whose disk has failed transfers them,
-// so that nobody waits for them to expire.
+// releaseAll ends all leases of a process that may not vote. If the disk has failed, it transfers the
+// leases instead, so that the other voters needn't wait for them to expire.
 func (m *Manager) releaseAll(env *statemachine.Env) {
 	for _, name := range m.tagNames {
 		tag := m.tags[name]
@@ -43,13 +45,13 @@
 	}
 }
 
-// chooseSuccessor returns the voter to which a stopping holder transfers a tag, so that nobody waits
-// for a campaign; "" when there is none. Voters that cool down are passed over, or the tag would go
-// back and forth.
+// chooseSuccessor returns a random voter to which a stopping holder transfers a tag, so that the tag isn't
+// without a holder until another voter campaigns; "" if no voter qualifies. Voters in cool-down are
+// excluded, or the tag would move back and forth.
 func (m *Manager) chooseSuccessor(env *statemachine.Env, tag *tagState) string {
 	successors := []string{}
 	for _, peer := range m.host.Peers() {
-		if m.maySucceed(env.Now, tag, peer) {
+		if m.canBeSuccessor(env.Now, tag, peer) {
 			successors = append(successors, peer.Voter)
 		}
 	}
@@ -59,7 +61,9 @@
 	return successors[env.Random.IntN(len(successors))]
 }
 
-func (m *Manager) maySucceed(now time.Duration, tag *tagState, peer message.Member) bool {
+// canBeSuccessor reports whether a peer is another voter that is alive, may vote, isn't in cool-down and
+// isn't handing over its voter. A peer whose status is unknown is assumed to vote.
+func (m *Manager) canBeSuccessor(now time.Duration, tag *tagState, peer message.Member) bool {
 	if peer.Voter == "" || peer.Voter == m.quorum.Voter || peer.State != message.Alive {
 		return false
 	}
@@ -70,15 +74,15 @@
 	return !known || status.Voting && status.Successor == ""
 }
 
-// returnToPreferred transfers a tag to the voter that the settings prefer, once this voter has held it
-// for a while and the preferred one votes again.
-func (m *Manager) returnToPreferred(env *statemachine.Env, tag *tagState) {
+// failBackToPreferred transfers a tag to the preferred voter once this voter has held the tag for the
+// failback delay (FailbackAfter) and the preferred voter is alive and has recently reported that it votes.
+func (m *Manager) failBackToPreferred(env *statemachine.Env, tag *tagState) {
 	preferred := m.settings.Active[tag.name]
 	if preferred == "" || preferred == m.quorum.Voter || env.Now-tag.holder.acquiredAt < m.settings.FailbackAfter() {
 		return
 	}
 	status, receivedAt, known := m.quorum.LastStatus(preferred)
-	if !known || !status.Voting || env.Now-receivedAt >= m.settings.DigestEvery()*freshStatuses {
+	if !known || !status.Voting || env.Now-receivedAt >= m.settings.DigestEvery()*maxStatusAgeIntervals {
 		return
 	}
 	for _, peer := range m.host.Peers() {
@@ -89,8 +93,8 @@
 	}
 }
 
-// transferTo ends this voter's lease and tells the others to which voter the tag goes; "" leaves it
-// open.
+// transferTo ends this voter's lease and notifies the other voters of the successor. An empty successor
+// leaves the tag to any candidate.
 func (m *Manager) transferTo(env *statemachine.Env, tag *tagState, successor string) {
 	transfer := message.LeaseYield{
 		Group:    m.quorum.Group,
@@ -107,7 +111,7 @@
 }
 
 // handleTransfer releases this voter from its promise to the holder, which has stopped acting, and
-// reserves the tag for the successor.
+// reserves the tag for the successor for half a lease.
 func (m *Manager) handleTransfer(env *statemachine.Env, transfer message.LeaseYield) {
 	tag, known := m.tags[transfer.Tag]
 	if !known || transfer.Epoch != tag.acceptor.vote.Epoch || transfer.Voter != tag.acceptor.vote.Holder {
@@ -120,8 +124,9 @@
 	tag.acceptor.reservedFor = transfer.To
 	tag.acceptor.reservedUntil = env.Now + m.settings.Lease()/2
 	if transfer.To != "" {
-		// The holder itself limits how often it transfers a tag, so no cool-down stands against it.
-		tag.acceptor.coolDownFrom = env.Now - m.settings.HolderRest()
+		// The holder limits how often it transfers a tag, so the cool-down of the previous holder needn't
+		// block the transfer.
+		tag.acceptor.coolDownStartedAt = env.Now - m.settings.HolderRest()
 	}
 	switch {
 	case transfer.To == m.quorum.Voter:
--- a/internal/lease/transfer_test.go
+++ b/internal/lease/transfer_test.go
@@ -10,13 +10,14 @@
 	"beaconvane/internal/settings"
 )
 
-// A stopping holder names its successor, which holds the tag after two exchanges and their writes.
-// Were it left open, the others would wait for half a lease first.
-func TestStoppingHolderNamesItsSuccessor(t *testing.T) {
+// TestStoppingHolderTransfersToSuccessor checks that a stopping holder names a successor, which acquires the
+// tag after two message exchanges (pre-vote and vote) and their writes, in less than an eighth of a lease.
+// Without a named successor the other voters would wait half a lease before they campaign.
+func TestStoppingHolderTransfersToSuccessor(t *testing.T) {
 	c := qt.New(t)
 	g := newGroup(true)
 	g.run(10*time.Second, true)
-	first := g.at("a" + g.holder())
+	first := g.voterAt("a" + g.holder())
 	g.run(4*time.Second, false)
 	first.leases.TransferAll(first.env)
 	elapsed := g.run(10*time.Second, true)
@@ -25,17 +26,18 @@
 	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("%v", elapsed))
 }
 
-// Within the cool-down the tag does not go back to the voter that it came from.
+// TestSuccessorIsNotTheFormerHolder checks that a tag isn't transferred back to its previous holder within
+// the cool-down.
 func TestSuccessorIsNotTheFormerHolder(t *testing.T) {
 	c := qt.New(t)
 	for range 20 {
 		g := newGroup(true)
 		g.run(10*time.Second, true)
-		first := g.at("a" + g.holder())
+		first := g.voterAt("a" + g.holder())
 		g.run(time.Second, false)
 		first.leases.TransferAll(first.env)
 		g.run(10*time.Second, true)
-		second := g.at("a" + g.holder())
+		second := g.voterAt("a" + g.holder())
 		first.boot()
 		g.run(time.Second, false)
 		second.leases.TransferAll(second.env)
@@ -47,14 +49,15 @@
 	}
 }
 
-// A holder whose disk has failed transfers its tags at once.
-func TestHolderWithAFailedDiskTransfersItsTags(t *testing.T) {
+// TestHolderWithFailedDiskTransfersItsTags checks that a holder whose disk fails transfers its tags
+// immediately instead of letting the lease expire.
+func TestHolderWithFailedDiskTransfersItsTags(t *testing.T) {
 	c := qt.New(t)
 	g := newGroup(true)
 	g.run(10*time.Second, true)
-	first := g.at("a" + g.holder())
+	first := g.voterAt("a" + g.holder())
 	g.run(4*time.Second, false)
-	first.failure = errors.New("no space left")
+	first.diskFailure = errors.New("no space left")
 	g.run(25*time.Millisecond, false)
 	elapsed := g.run(10*time.Second, true)
 	c.Assert(g.holder(), qt.Not(qt.Equals), "")
--- a/internal/statemachine/doc.go
+++ b/internal/statemachine/doc.go
@@ -1,16 +1,16 @@
-// Package statemachine defines the shape of all control state: a deterministic state machine that
-// takes commands and returns effects.
+// Package statemachine defines the interface between the control state machines and their drivers.
+// A machine is deterministic: it takes commands and returns effects.
 //
-// A command is a value with an Apply method: a message that has arrived, a tick, a write that has
-// been synced, a request of the process itself. Apply calls one method of a Machine and passes it an
-// Env. The Env holds what a machine may read of the world (the time and a seeded random source) and
-// collects what the machine wants done: each method of Env adds one Effect. A machine never touches
-// a clock, the network, the disk, a goroutine or the global random source, so the same commands in
-// the same order, with the same times and the same seed, give the same effects.
+// A command is a value with an Apply method: a received message, a tick, a completed write or a
+// request from the machine's own process. Apply calls one method of a Machine and passes it an Env.
+// The Env holds all external inputs that a machine may read (the time and a seeded random source)
+// and collects its outputs: each output method of Env adds one Effect. A machine never uses a clock,
+// the network, the disk, a goroutine or the global random source, so the same commands in the same
+// order, with the same times and the same seed, produce the same effects.
 //
 // The driver applies one command at a time and then carries out the effects in order. There are
-// three drivers: package node runs a machine in a process, packages simulation and explore run
-// many of them in a simulated network.
+// three drivers: package node runs one machine in a process; packages simulation and explore run
+// many machines in a simulated network.
 //
 //	env := statemachine.NewEnv(seed)
 //	for len(queue) > 0 {
@@ -29,7 +29,7 @@
 //		}
 //	}
 //
-// An effect is done after the command that asked for it, never during it. A machine that needs the
-// outcome waits for the command that reports it: Synced follows a Write, and Arrived may follow a
-// Send, or may not, since messages can be lost.
+// An effect is carried out after the command that produced it, never during it. A machine that needs
+// the outcome waits for the command that reports it. Synced follows every Write. Arrived may follow a
+// Send, but need not, since messages can be lost.
 package statemachine
--- a/internal/statemachine/effects.go
+++ b/internal/statemachine/effects.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Effect is something that a machine wants done outside itself. Only the types of this package are
-// effects, so a driver's type switch over them can be complete.
+// Effect is an output of a machine that its driver carries out. Only types of this package implement
+// it, so a driver's type switch can cover all of them.
 type Effect interface{ isEffect() }
 
 func (Send) isEffect()     {}
@@ -15,20 +15,21 @@
 func (Probe) isEffect()    {}
 func (Report) isEffect()   {}
 
-// Send is the effect that sends a message by connection; it may be lost.
+// Send is the effect that sends a message over a connection. The message may be lost.
 type Send struct {
 	To      string // address, "ip:port"
 	Message any
 }
 
-// Datagram is the effect that sends a message by UDP; it may be lost.
+// Datagram is the effect that sends a message by UDP. The message may be lost.
 type Datagram struct {
-	To      string
+	To      string // address, "ip:port"
 	Message any
 }
 
-// Write is the effect that appends a record to the log and syncs it or, with Snapshot set, writes
-// the next snapshot slot and empties the log. A Synced command with the same RequestID follows.
+// Write is the effect that appends Record to the log and syncs it or, if Snapshot is set, writes
+// Snapshot to the next slot and truncates the log. The driver then applies a Synced command with the
+// same RequestID.
 type Write struct {
 	RequestID int64
 	Record    []byte
@@ -41,25 +42,25 @@
 	Answer    any
 }
 
-// Publish is the effect that hands an immutable snapshot to the traffic side.
+// Publish is the effect that passes an immutable snapshot to the data plane.
 type Publish struct{ Snapshot any }
 
-// Event is the effect that adds an entry to the journal, which tells operators what the machine did
-// and why.
+// Event is the effect that adds an entry to the journal, the operators' record of what the machine
+// did and why.
 type Event struct {
-	At        time.Duration // by the process clock
+	At        time.Duration // process clock
 	EventName string
-	Code      int // errcode.Code; 0 when nothing failed
+	Code      int // an errcode.Code; 0 if the event is not an error
 	Epoch     int64
 	Cause     string
 }
 
-// Probe is the effect that checks whether an address accepts connections.
+// Probe is the effect that checks whether an upstream accepts connections at an address.
 type Probe struct {
 	Address     string
-	Key         string // names the upstream that is checked
-	Incarnation int64  // of that upstream
+	Key         string // upstream key
+	Incarnation int64  // incarnation of the upstream
 }
 
-// Report is the effect that posts a sealed usage window to the collector.
+// Report is the effect that posts a sealed usage window to the usage collector.
 type Report struct{ Body any }
--- a/internal/statemachine/machine.go
+++ b/internal/statemachine/machine.go
@@ -1,61 +1,62 @@
 package statemachine
 
-// Machine is a deterministic state machine. Its driver calls one method at a time; see the package
-// comment.
+// Machine is a deterministic state machine, as described in the package comment. Its driver calls one
+// method at a time.
 type Machine interface {
-	// Handle takes a message from the process at an address.
+	// Handle processes a message from the process at the address from ("ip:port").
 	Handle(env *Env, from string, message any)
-	// Tick is called once in each tick interval of the settings.
+	// Tick is called once per tick interval, which the settings define.
 	Tick(env *Env)
-	// Synced reports that the write with this request ID is on disk, or why it failed.
+	// Synced is called when the write with this request ID is durable, or with the error that prevented
+	// it.
 	Synced(env *Env, requestID int64, failure error)
-	// Asked takes a question or a notice from the process itself. The machine answers a question by
-	// Env.Reply, during this call or a later one.
+	// Asked processes a request or a notice from the machine's own process. The machine answers a
+	// request with Env.Reply, during this call or a later one.
 	Asked(env *Env, requestID int64, question any)
 }
 
-// Command is one input of a machine: applying it changes the machine's state and adds effects to
-// the Env.
+// Command is one input of a machine. Applying it may change the state of the machine and add effects
+// to the Env.
 type Command interface {
 	Apply(machine Machine, env *Env)
 }
 
-// Arrived is the command for a message from another process.
+// Arrived is the command that delivers a message from another process.
 type Arrived struct {
-	From    string // its address, "ip:port"
+	From    string // address of that process, "ip:port"
 	Message any
 }
 
 // Apply calls Machine.Handle.
 func (c Arrived) Apply(machine Machine, env *Env) { machine.Handle(env, c.From, c.Message) }
 
-// Ticked is the command for the passing of one tick interval.
+// Ticked is the command that marks the end of a tick interval.
 type Ticked struct{}
 
 // Apply calls Machine.Tick.
 func (c Ticked) Apply(machine Machine, env *Env) { machine.Tick(env) }
 
-// Synced is the command that reports a write to be on disk, or failed.
+// Synced is the command that reports the outcome of a write.
 type Synced struct {
 	RequestID int64 // as Env.Append or Env.Compact returned it
-	Failure   error
+	Failure   error // nil if the write is durable
 }
 
 // Apply calls Machine.Synced.
 func (c Synced) Apply(machine Machine, env *Env) { machine.Synced(env, c.RequestID, c.Failure) }
 
-// Asked is the command for a question or a notice from the process itself.
+// Asked is the command that delivers a request or a notice from the machine's own process.
 type Asked struct {
-	RequestID int64 // carried by the Reply; 0 when no answer is wanted
+	RequestID int64 // of the Reply that answers it; 0 for a notice, which has no reply
 	Question  any
 }
 
 // Apply calls Machine.Asked.
 func (c Asked) Apply(machine Machine, env *Env) { machine.Asked(env, c.RequestID, c.Question) }
 
-// ConnectionBroke is the notice, sent as an Asked command, that a control connection which this
-// process had opened has ended, as it does at once when the process at the other end stops.
+// ConnectionBroke is the notice, sent as an Asked command, that a control connection opened by this
+// process has closed. This happens immediately when the remote process stops.
 type ConnectionBroke struct{ Address string }
 
-// SeedsChanged is the notice, sent as an Asked command, that the settings name other seeds now.
+// SeedsChanged is the notice, sent as an Asked command, that a settings reload has changed the seeds.
 type SeedsChanged struct{ Seeds []string }
