--- a/internal/lease/cooldown_test.go
+++ b/internal/lease/cooldown_test.go
@@ -15,35 +15,36 @@
 func TestNoReacquisitionWithinCoolDown(t *testing.T) {
 	c := qt.New(t)
 	for round := range 10 {
-		g := newGroupFor(settings.UsageTag, true)
-		for _, v := range g.voters {
-			v.settings.Bounds.HolderRest = 10000
-			v.settings.Bounds.Lease = 1500
-			v.boot()
+		group := newGroupFor(settings.UsageTag, true)
+		for _, voter := range group.voters {
+			voter.settings.Bounds.HolderRest = 10000
+			voter.settings.Bounds.Lease = 1500
+			voter.boot()
 		}
 		lastHeldAt := map[string]time.Duration{}
 		holders := []string{}
 		for step := range 800 {
-			g.run(100*time.Millisecond, false)
-			now := g.voters[0].env.Now
-			holder := g.holder()
+			group.run(100*time.Millisecond, false)
+			now := group.voters[0].env.Now
+			holder := group.holder()
 			if holder == "" {
 				continue
 			}
 			if len(holders) == 0 || holders[len(holders)-1] != holder {
 				previous, heldBefore := lastHeldAt[holder]
 				c.Assert(!heldBefore || now-previous >= 10*time.Second-200*time.Millisecond, qt.IsTrue,
-					qt.Commentf("round %d: %s held until %v and again at %v, order %v", round, holder, previous, now, holders))
+					qt.Commentf("round %d: voter %s held the tag until %v and again at %v; holders in order: %v",
+						round, holder, previous, now, holders))
 				holders = append(holders, holder)
 			}
 			lastHeldAt[holder] = now
 			if step%13 == 0 && (step/130)%2 == 0 {
-				v := g.voterAt("a" + holder)
-				v.leases.TransferAll(v.env)
-				g.run(50*time.Millisecond, false)
-				v.boot()
+				voter := group.voterAt("a" + holder)
+				voter.leases.TransferAll(voter.env)
+				group.run(50*time.Millisecond, false)
+				voter.boot()
 			}
 		}
-		c.Assert(len(holders) > 3, qt.IsTrue, qt.Commentf("%v", holders))
+		c.Assert(len(holders) > 3, qt.IsTrue, qt.Commentf("too few changes of holder: %v", holders))
 	}
 }
--- a/internal/lease/group_test.go
+++ b/internal/lease/group_test.go
@@ -14,27 +14,27 @@
 // configTag is the default tag of the tests. Unlike settings.UsageTag, it tracks only the previous holder.
 const configTag = "d"
 
-// voter is a test voter: a Manager with its quorum and a simulated disk. It implements Host and the storage
-// interface of the quorum.
-type voter struct {
-	group       *group
-	name        string
-	address     string
-	settings    settings.Settings
-	running     bool
-	env         *statemachine.Env
-	quorum      *quorum.Quorum
-	leases      *Manager
-	state       message.VoterState
-	votes       []message.Vote // on the simulated disk
-	writes      []func()
-	diskFailure error
+// testVoter is a Manager with its quorum and a simulated disk, without the rest of the control machine. It
+// implements Host and the interfaces that the quorum needs.
+type testVoter struct {
+	group         *testGroup
+	name          string
+	address       string
+	settings      settings.Settings
+	running       bool
+	env           *statemachine.Env
+	quorum        *quorum.Quorum
+	leases        *Manager
+	state         message.VoterState
+	votes         []message.Vote // on the simulated disk
+	pendingWrites []func()
+	diskFailure   error
 }
 
-// group is a group of three voters for one tag, whose clocks, network and disks are simulated.
-type group struct {
+// testGroup is a group of three voters for one tag, whose clocks, network and disks are simulated.
+type testGroup struct {
 	tag    string
-	voters []*voter
+	voters []*testVoter
 }
 
 // delivery is a message in transit between two voters.
@@ -44,11 +44,11 @@
 }
 
 // newGroup returns a running group for configTag. The voters are discovered or named in the settings.
-func newGroup(discovered bool) *group { return newGroupFor(configTag, discovered) }
+func newGroup(discovered bool) *testGroup { return newGroupFor(configTag, discovered) }
 
 // newGroupFor is like newGroup, for a given tag.
-func newGroupFor(tag string, discovered bool) *group {
-	g := &group{tag: tag}
+func newGroupFor(tag string, discovered bool) *testGroup {
+	group := &testGroup{tag: tag}
 	names := []string{"1", "2", "3"}
 	memberList := map[string]string{}
 	for index, name := range names {
@@ -65,8 +65,8 @@
 		} else {
 			cfg.Voter = name
 		}
-		v := &voter{
-			group:    g,
+		voter := &testVoter{
+			group:    group,
 			name:     name,
 			address:  "a" + name,
 			settings: cfg,
@@ -75,15 +75,15 @@
 				Identity: memberList[name], Formed: true, Voting: true, Voter: name, MemberList: memberList,
 			},
 		}
-		g.voters = append(g.voters, v)
-		v.boot()
+		group.voters = append(group.voters, voter)
+		voter.boot()
 	}
-	return g
+	return group
 }
 
 // boot starts or restarts the voter from the contents of its disk. Pending writes are lost.
-func (v *voter) boot() {
-	v.running, v.writes = true, nil
+func (v *testVoter) boot() {
+	v.running, v.pendingWrites = true, nil
 	v.quorum = quorum.New("config-log", v.settings, v, copyState(v.state), func(env *statemachine.Env, newGroup bool) {
 		v.leases.BeginVoting(env, newGroup)
 	})
@@ -94,8 +94,8 @@
 	})
 }
 
-func (v *voter) Persist(_ *statemachine.Env, record any, then storage.SyncCallback) {
-	v.writes = append(v.writes, func() {
+func (v *testVoter) Persist(_ *statemachine.Env, record any, then storage.SyncCallback) {
+	v.pendingWrites = append(v.pendingWrites, func() {
 		if vote, isVote := record.(message.Vote); isVote {
 			v.votes = []message.Vote{vote}
 		}
@@ -103,19 +103,19 @@
 	})
 }
 
-func (v *voter) WriteSnapshot(env *statemachine.Env, then storage.SyncCallback) {
+func (v *testVoter) WriteSnapshot(env *statemachine.Env, then storage.SyncCallback) {
 	v.Persist(env, nil, then)
 }
-func (v *voter) Failure() error                                 { return v.diskFailure }
-func (v *voter) WriteLatency() time.Duration                    { return 0 }
-func (v *voter) StateForGrant() []byte                          { return nil }
-func (v *voter) MergeGrantedStates(*statemachine.Env, [][]byte) {}
-func (v *voter) AnnounceVoter(string)                           {}
-func (v *voter) DiscardState(env *statemachine.Env)             { v.leases.Forget(env) }
-func (v *voter) NodeGone(*statemachine.Env, string) bool        { return false }
-func (v *voter) Superseded() bool                               { return false }
-
-func (v *voter) Peers() []message.Member {
+func (v *testVoter) Failure() error                                 { return v.diskFailure }
+func (v *testVoter) WriteLatency() time.Duration                    { return 0 }
+func (v *testVoter) StateForGrant() []byte                          { return nil }
+func (v *testVoter) MergeGrantedStates(*statemachine.Env, [][]byte) {}
+func (v *testVoter) AnnounceVoter(string)                           {}
+func (v *testVoter) DiscardState(env *statemachine.Env)             { v.leases.Forget(env) }
+func (v *testVoter) NodeGone(*statemachine.Env, string) bool        { return false }
+func (v *testVoter) Superseded() bool                               { return false }
+
+func (v *testVoter) Peers() []message.Member {
 	peers := []message.Member{}
 	for _, other := range v.group.voters {
 		if other != v {
@@ -128,27 +128,27 @@
 // run advances the simulated time by duration and returns the time that has passed. With stopWhenHeld it
 // returns as soon as a voter holds the tag. In each step every running voter ticks and its pending writes
 // complete, and then all messages sent in the step are delivered.
-func (g *group) run(duration time.Duration, stopWhenHeld bool) time.Duration {
+func (g *testGroup) run(duration time.Duration, stopWhenHeld bool) time.Duration {
 	const step = 5 * time.Millisecond
 	for elapsed := time.Duration(0); elapsed < duration; elapsed += step {
 		if stopWhenHeld && g.holder() != "" {
 			return elapsed
 		}
 		deliveries := []delivery{}
-		for _, v := range g.voters {
-			v.env.Now += step
-			if !v.running {
+		for _, voter := range g.voters {
+			voter.env.Now += step
+			if !voter.running {
 				continue
 			}
-			v.leases.Tick(v.env)
-			writes := v.writes
-			v.writes = nil
+			voter.leases.Tick(voter.env)
+			writes := voter.pendingWrites
+			voter.pendingWrites = nil
 			for _, write := range writes {
 				write()
 			}
-			for _, effect := range v.env.Drain() {
+			for _, effect := range voter.env.Drain() {
 				if send, isSend := effect.(statemachine.Send); isSend {
-					deliveries = append(deliveries, delivery{v.address, send.To, send.Message})
+					deliveries = append(deliveries, delivery{voter.address, send.To, send.Message})
 				}
 			}
 		}
@@ -162,20 +162,20 @@
 }
 
 // voterAt returns the voter with the given address, or nil.
-func (g *group) voterAt(address string) *voter {
-	for _, v := range g.voters {
-		if v.address == address {
-			return v
+func (g *testGroup) voterAt(address string) *testVoter {
+	for _, voter := range g.voters {
+		if voter.address == address {
+			return voter
 		}
 	}
 	return nil
 }
 
 // holder returns the name of the running voter that holds the tag, or "".
-func (g *group) holder() string {
-	for _, v := range g.voters {
-		if v.running && v.leases.Holding(g.tag, v.env.Now) {
-			return v.name
+func (g *testGroup) holder() string {
+	for _, voter := range g.voters {
+		if voter.running && voter.leases.Holding(g.tag, voter.env.Now) {
+			return voter.name
 		}
 	}
 	return ""
--- a/internal/lease/restart_test.go
+++ b/internal/lease/restart_test.go
@@ -17,19 +17,19 @@
 	for name, discovered := range map[string]bool{"voters named in the settings": false, "voters discovered": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			g := newGroup(discovered)
-			g.run(10*time.Second, true)
-			holder := g.holder()
+			group := newGroup(discovered)
+			group.run(10*time.Second, true)
+			holder := group.holder()
 			c.Assert(holder, qt.Not(qt.Equals), "")
-			g.run(time.Second, false)
-			for _, v := range g.voters {
-				c.Assert(v.votes[0].Holder, qt.Equals, holder)
-				v.boot()
+			group.run(time.Second, false)
+			for _, voter := range group.voters {
+				c.Assert(voter.votes[0].Holder, qt.Equals, holder)
+				voter.boot()
 			}
-			c.Assert(g.holder(), qt.Equals, "")
-			elapsed := g.run(10*time.Second, true)
-			c.Assert(g.holder(), qt.Equals, holder)
-			c.Assert(elapsed < settings.Default().Lease()/4, qt.IsTrue, qt.Commentf("%v", elapsed))
+			c.Assert(group.holder(), qt.Equals, "")
+			elapsed := group.run(10*time.Second, true)
+			c.Assert(group.holder(), qt.Equals, holder)
+			c.Assert(elapsed < settings.Default().Lease()/4, qt.IsTrue, qt.Commentf("holder elected after %v", elapsed))
 		})
 	}
 }
@@ -40,16 +40,16 @@
 	for name, discovered := range map[string]bool{"voters named in the settings": false, "voters discovered": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			g := newGroup(discovered)
-			g.run(10*time.Second, true)
-			holder := g.holder()
-			for _, v := range g.voters {
-				v.boot()
-				v.running = v.name != holder
+			group := newGroup(discovered)
+			group.run(10*time.Second, true)
+			holder := group.holder()
+			for _, voter := range group.voters {
+				voter.boot()
+				voter.running = voter.name != holder
 			}
-			elapsed := g.run(10*time.Second, true)
-			c.Assert(g.holder(), qt.Not(qt.Equals), "")
-			c.Assert(elapsed >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("%v", elapsed))
+			elapsed := group.run(10*time.Second, true)
+			c.Assert(group.holder(), qt.Not(qt.Equals), "")
+			c.Assert(elapsed >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("holder elected after %v", elapsed))
 		})
 	}
 }
@@ -58,37 +58,37 @@
 // copied from another voter, because they lost their disk or their voter was temporarily assigned to
 // another process. Copied votes don't include all promises of the voter, so it must wait a full lease.
 func TestCopiedVotesDoNotShortenRestartWait(t *testing.T) {
-	for name, losePromises := range map[string]func(v *voter, votes []message.Vote){
-		"disk lost": func(v *voter, votes []message.Vote) {
-			v.votes = nil
-			v.boot()
-			v.leases.Restore(votes)
-			v.leases.BeginVoting(v.env, false)
+	for name, losePromises := range map[string]func(voter *testVoter, votes []message.Vote){
+		"disk lost": func(voter *testVoter, votes []message.Vote) {
+			voter.votes = nil
+			voter.boot()
+			voter.leases.Restore(votes)
+			voter.leases.BeginVoting(voter.env, false)
 		},
-		"voter reassigned to another process and back": func(v *voter, votes []message.Vote) {
-			v.boot()
-			v.leases.Tick(v.env)
-			v.leases.Forget(v.env)
-			v.leases.Restore(votes)
-			v.leases.BeginVoting(v.env, false)
+		"voter reassigned to another process and back": func(voter *testVoter, votes []message.Vote) {
+			voter.boot()
+			voter.leases.Tick(voter.env)
+			voter.leases.Forget(voter.env)
+			voter.leases.Restore(votes)
+			voter.leases.BeginVoting(voter.env, false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			g := newGroup(true)
-			g.run(10*time.Second, true)
-			holder := g.voterAt("a" + g.holder())
+			group := newGroup(true)
+			group.run(10*time.Second, true)
+			holder := group.voterAt("a" + group.holder())
 			votes := holder.votes
-			for _, v := range g.voters {
-				if v == holder {
-					v.boot()
+			for _, voter := range group.voters {
+				if voter == holder {
+					voter.boot()
 				} else {
-					losePromises(v, votes)
+					losePromises(voter, votes)
 				}
 			}
-			elapsed := g.run(10*time.Second, true)
-			c.Assert(g.holder(), qt.Not(qt.Equals), "")
-			c.Assert(elapsed >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("%v", elapsed))
+			elapsed := group.run(10*time.Second, true)
+			c.Assert(group.holder(), qt.Not(qt.Equals), "")
+			c.Assert(elapsed >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("holder elected after %v", elapsed))
 		})
 	}
 }
@@ -97,19 +97,19 @@
 // as another candidate, so that it is granted only after a full lease.
 func TestPromiseBindsToDiskIdentity(t *testing.T) {
 	c := qt.New(t)
-	g := newGroup(false)
-	g.run(10*time.Second, true)
-	holder := g.voterAt("a" + g.holder())
+	group := newGroup(false)
+	group.run(10*time.Second, true)
+	holder := group.voterAt("a" + group.holder())
 	memberList := map[string]string{}
-	for _, v := range g.voters {
-		memberList[v.name] = v.state.Identity
+	for _, voter := range group.voters {
+		memberList[voter.name] = voter.state.Identity
 	}
 	memberList[holder.name] = "identity of a new disk"
 	holder.state.Identity = memberList[holder.name]
-	for _, v := range g.voters {
-		v.state.MemberList = memberList
-		v.boot()
+	for _, voter := range group.voters {
+		voter.state.MemberList = memberList
+		voter.boot()
 	}
-	elapsed := g.run(10*time.Second, true)
-	c.Assert(elapsed >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("%v", elapsed))
+	elapsed := group.run(10*time.Second, true)
+	c.Assert(elapsed >= settings.Default().Lease(), qt.IsTrue, qt.Commentf("holder elected after %v", elapsed))
 }
--- a/internal/lease/transfer.go
+++ b/internal/lease/transfer.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// stoppedBackOffLeases is the number of lease durations for which a stopping voter doesn't campaign,
-	// more than it needs to stop.
+	// stoppedBackOffLeases is the number of lease durations for which a stopping voter doesn't campaign.
+	// The process has exited long before they end.
 	stoppedBackOffLeases = 1000
 	// maxStatusAgeIntervals is the maximum age of a usable voter status, in status intervals (DigestEvery).
 	maxStatusAgeIntervals = 25
--- a/internal/lease/transfer_test.go
+++ b/internal/lease/transfer_test.go
@@ -15,15 +15,15 @@
 // Without a named successor the other voters would wait half a lease before they campaign.
 func TestStoppingHolderTransfersToSuccessor(t *testing.T) {
 	c := qt.New(t)
-	g := newGroup(true)
-	g.run(10*time.Second, true)
-	first := g.voterAt("a" + g.holder())
-	g.run(4*time.Second, false)
-	first.leases.TransferAll(first.env)
-	elapsed := g.run(10*time.Second, true)
-	c.Assert(g.holder(), qt.Not(qt.Equals), "")
-	c.Assert(g.holder(), qt.Not(qt.Equals), first.name)
-	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("%v", elapsed))
+	group := newGroup(true)
+	group.run(10*time.Second, true)
+	firstHolder := group.voterAt("a" + group.holder())
+	group.run(4*time.Second, false)
+	firstHolder.leases.TransferAll(firstHolder.env)
+	elapsed := group.run(10*time.Second, true)
+	c.Assert(group.holder(), qt.Not(qt.Equals), "")
+	c.Assert(group.holder(), qt.Not(qt.Equals), firstHolder.name)
+	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("holder elected after %v", elapsed))
 }
 
 // TestSuccessorIsNotTheFormerHolder checks that a tag isn't transferred back to its previous holder within
@@ -31,20 +31,20 @@
 func TestSuccessorIsNotTheFormerHolder(t *testing.T) {
 	c := qt.New(t)
 	for range 20 {
-		g := newGroup(true)
-		g.run(10*time.Second, true)
-		first := g.voterAt("a" + g.holder())
-		g.run(time.Second, false)
-		first.leases.TransferAll(first.env)
-		g.run(10*time.Second, true)
-		second := g.voterAt("a" + g.holder())
-		first.boot()
-		g.run(time.Second, false)
-		second.leases.TransferAll(second.env)
-		c.Assert(g.holder(), qt.Equals, "")
-		elapsed := g.run(settings.Default().HolderRest()-time.Second*3/2, true)
-		if g.holder() != "" {
-			c.Assert(g.holder(), qt.Not(qt.Equals), first.name, qt.Commentf("after %v", elapsed))
+		group := newGroup(true)
+		group.run(10*time.Second, true)
+		firstHolder := group.voterAt("a" + group.holder())
+		group.run(time.Second, false)
+		firstHolder.leases.TransferAll(firstHolder.env)
+		group.run(10*time.Second, true)
+		secondHolder := group.voterAt("a" + group.holder())
+		firstHolder.boot()
+		group.run(time.Second, false)
+		secondHolder.leases.TransferAll(secondHolder.env)
+		c.Assert(group.holder(), qt.Equals, "")
+		elapsed := group.run(settings.Default().HolderRest()-time.Second*3/2, true)
+		if group.holder() != "" {
+			c.Assert(group.holder(), qt.Not(qt.Equals), firstHolder.name, qt.Commentf("held again after %v", elapsed))
 		}
 	}
 }
@@ -53,14 +53,14 @@
 // immediately instead of letting the lease expire.
 func TestHolderWithFailedDiskTransfersItsTags(t *testing.T) {
 	c := qt.New(t)
-	g := newGroup(true)
-	g.run(10*time.Second, true)
-	first := g.voterAt("a" + g.holder())
-	g.run(4*time.Second, false)
-	first.diskFailure = errors.New("no space left")
-	g.run(25*time.Millisecond, false)
-	elapsed := g.run(10*time.Second, true)
-	c.Assert(g.holder(), qt.Not(qt.Equals), "")
-	c.Assert(g.holder(), qt.Not(qt.Equals), first.name)
-	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("%v", elapsed))
+	group := newGroup(true)
+	group.run(10*time.Second, true)
+	firstHolder := group.voterAt("a" + group.holder())
+	group.run(4*time.Second, false)
+	firstHolder.diskFailure = errors.New("no space left")
+	group.run(25*time.Millisecond, false)
+	elapsed := group.run(10*time.Second, true)
+	c.Assert(group.holder(), qt.Not(qt.Equals), "")
+	c.Assert(group.holder(), qt.Not(qt.Equals), firstHolder.name)
+	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("holder elected after %v", elapsed))
 }
