--- a/internal/lease/restart_test.go
+++ b/internal/lease/restart_test.go
@@ -10,10 +10,10 @@
 	"beaconvane/internal/settings"
 )
 
-// TestRestartedHolderIsGrantedWithoutWait restarts all voters at the same time. The holder must reacquire
+// TestHolderThatComesBackIsGrantedAtOnce restarts all voters at the same time. The holder must reacquire
 // the tag in less than a quarter of a lease, because every voter's disk records that its promise was made
 // to this holder.
-func TestRestartedHolderIsGrantedWithoutWait(t *testing.T) {
+func TestHolderThatComesBackIsGrantedAtOnce(t *testing.T) {
 	for name, discovered := range map[string]bool{"voters named in the settings": false, "voters discovered": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestRestartedVotersWaitALeaseBeforeGrantingAnother restarts all voters except the holder. No voter may
+// TestRestartedVotersGrantNoOtherBeforeALease restarts all voters except the holder. No voter may
 // grant another candidate until a full lease has passed since its own restart.
-func TestRestartedVotersWaitALeaseBeforeGrantingAnother(t *testing.T) {
+func TestRestartedVotersGrantNoOtherBeforeALease(t *testing.T) {
 	for name, discovered := range map[string]bool{"voters named in the settings": false, "voters discovered": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -54,10 +54,10 @@
 	}
 }
 
-// TestCopiedVotesDoNotShortenRestartWait restarts a group in which all voters but the holder have only votes
+// TestVotesOfOthersDoNotShortenTheWait restarts a group in which all voters but the holder have only votes
 // copied from another voter, because they lost their disk or their voter was temporarily assigned to
 // another process. Copied votes don't include all promises of the voter, so it must wait a full lease.
-func TestCopiedVotesDoNotShortenRestartWait(t *testing.T) {
+func TestVotesOfOthersDoNotShortenTheWait(t *testing.T) {
 	for name, losePromises := range map[string]func(voter *testVoter, votes []message.Vote){
 		"disk lost": func(voter *testVoter, votes []message.Vote) {
 			voter.votes = nil
--- a/internal/statemachine/env.go
+++ b/internal/statemachine/env.go
@@ -14,7 +14,7 @@
 // concurrent use.
 type Env struct {
 	Now           time.Duration // process clock: monotonic, starts at 0
-	Wall          time.Duration // time since the Unix epoch; only for usage windows, safety must not depend on it
+	Wall          time.Duration // wall clock, since 1970 UTC; only for usage windows, safety must not depend on it
 	Random        *rand.Rand
 	effects       []Effect
 	lastRequestID int64
