--- a/internal/configstore/catchup.go
+++ b/internal/configstore/catchup.go
@@ -30,7 +30,7 @@
 	}
 	m.backoff.nextAt = env.Now + m.backoff.pause
 	env.Event(eventSnapshotRequested, 0, m.log.epoch, "behind the holder")
-	env.Send(holderAddress, m.snapshotRequest(m.leases.Epoch(settings.ConfigLogTag)))
+	env.Send(holderAddress, m.snapshotRequest(m.leases.Epoch(settings.ConfigLogLease)))
 }
 
 // snapshotRequest asks for a whole log.
@@ -43,8 +43,8 @@
 	return message.LogSnapshot{
 		Epoch:          epoch,
 		Voter:          m.quorum.Voter,
-		AtEpoch:        m.log.epoch,
-		AtSeq:          m.log.seq,
+		PositionEpoch:  m.log.epoch,
+		PositionSeq:    m.log.seq,
 		Configurations: m.encoder.encode(m.log.entries()),
 		History:        m.log.history.entries,
 	}
@@ -53,10 +53,10 @@
 // wantsSnapshot reports whether a log that came is the one that was asked for, and newer than this
 // voter's.
 func (m *Machine) wantsSnapshot(snapshot message.LogSnapshot) bool {
-	if snapshot.Epoch != m.leases.Epoch(settings.ConfigLogTag) {
+	if snapshot.Epoch != m.leases.Epoch(settings.ConfigLogLease) {
 		return false
 	}
-	if !m.log.position().before(position{epoch: snapshot.AtEpoch, seq: snapshot.AtSeq}) {
+	if !m.log.position().before(position{epoch: snapshot.PositionEpoch, seq: snapshot.PositionSeq}) {
 		return false
 	}
 	switch m.leadership.phase {
@@ -81,8 +81,8 @@
 		return
 	}
 	m.log.replace(message.ConfigStoreState{
-		Epoch:          snapshot.AtEpoch,
-		Seq:            snapshot.AtSeq,
+		Epoch:          snapshot.PositionEpoch,
+		Seq:            snapshot.PositionSeq,
 		Configurations: entries,
 		History:        snapshot.History,
 	})
@@ -104,7 +104,7 @@
 // keepsUp reports whether a voter has confirmed the whole log, with the disk that the quorum knows it by.
 func (m *Machine) keepsUp(voter string) bool {
 	last, known := m.leadership.followers[voter]
-	return known && last.match >= m.log.seq && m.quorum.Accepts(voter, last.identity)
+	return known && last.match >= m.log.seq && m.quorum.VerifySignature(voter, last.identity)
 }
 
 // remindLaggards tells the end of the log to the voters that have not confirmed it. Nothing else would
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -50,7 +50,7 @@
 	}
 	return &stubserver.StubServer{
 		Announcement: announcement,
-		Proxies:      []string{servingProxy.Outside, next.Outside},
+		Proxies:      []string{servingProxy.HTTPAddress, next.HTTPAddress},
 		Work:         service.Work,
 		Keys:         f.keys(),
 		Base:         f.Base,
@@ -89,14 +89,14 @@
 
 // Leave makes an upstream announce that it leaves, and records when.
 func (f *Fleet) Leave(upstream *stubserver.StubServer) {
-	upstream.Change(func(announcement *backend.Announcement) { announcement.Leaving = true })
+	upstream.Change(func(announcement *backend.Announcement) { announcement.Draining = true })
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.leaving = append(f.leaving, checker.Leaving{
-		Service:  upstream.Announcement.Service,
-		Instance: upstream.Announcement.Instance,
-		Life:     upstream.Announcement.Incarnation,
-		At:       f.since(),
+	f.leaving = append(f.leaving, checker.DrainStart{
+		Service:     upstream.Announcement.Service,
+		Instance:    upstream.Announcement.Instance,
+		Incarnation: upstream.Announcement.Incarnation,
+		At:          f.since(),
 	})
 }
 
--- a/internal/golden/proxy_api_test.go
+++ b/internal/golden/proxy_api_test.go
@@ -28,7 +28,7 @@
 func (standInProxy) Handle(*statemachine.Env, string, any)  {}
 func (standInProxy) Tick(*statemachine.Env)                 {}
 func (standInProxy) Synced(*statemachine.Env, int64, error) {}
-func (standInProxy) Asked(env *statemachine.Env, requestID int64, question any) {
+func (standInProxy) HandleRequest(env *statemachine.Env, requestID int64, question any) {
 	switch question.(type) {
 	case proxy.ReadStatus:
 		env.Reply(requestID, proxy.Status{AgesMS: map[string]int64{"topic": 11}, Configurations: map[string]int64{"main": 12},
@@ -56,7 +56,7 @@
 func TestProxyPaths(t *testing.T) {
 	c := qt.New(t)
 	cfg := standInSettings()
-	cfg.Proof = settings.ProofTarget // no guard connection to the upstream
+	cfg.TargetProof = settings.ProofTarget // no guard connection to the upstream
 	paths, _ := proxyAPI(c, cfg)
 	handler := paths.Handler()
 	text := strings.Builder{}
--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -26,7 +26,7 @@
 // newAcceptorState returns the state of an acceptor that has never voted.
 func newAcceptorState(tagName string) acceptorState {
 	return acceptorState{
-		vote:       message.Vote{Tag: tagName},
+		vote:       message.Vote{LeaseName: tagName},
 		voteSynced: true,
 		lastHeldAt: map[string]time.Duration{},
 	}
@@ -52,7 +52,7 @@
 
 // votedFor reports whether the last vote is for this voter with the disk identity in signature.
 func (a *acceptorState) votedFor(voter, signature string) bool {
-	return a.vote.Holder == voter && a.vote.Identity == quorum.IdentityOf(signature)
+	return a.vote.Holder == voter && a.vote.Identity == quorum.SignatureIdentity(signature)
 }
 
 // renew extends the promise to the holder.
@@ -74,7 +74,7 @@
 	}
 	a.vote.Epoch = request.Epoch
 	a.vote.Holder = request.Voter
-	a.vote.Identity = quorum.IdentityOf(request.Identity)
+	a.vote.Identity = quorum.SignatureIdentity(request.Identity)
 	a.voteSynced = false
 	a.promisedUntil = now + lease
 	a.reservedFor = ""
@@ -83,7 +83,7 @@
 // handleRequest answers a request of a candidate or a holder. from is the address of the sender; it is
 // empty for this voter's own request.
 func (m *Manager) handleRequest(env *statemachine.Env, from string, request message.LeaseRequest) {
-	tag, known := m.tags[request.Tag]
+	tag, known := m.tags[request.LeaseName]
 	if !known {
 		return
 	}
@@ -93,7 +93,7 @@
 	}
 	answer := message.LeaseVote{
 		Group:        request.Group,
-		Tag:          request.Tag,
+		LeaseName:    request.LeaseName,
 		Epoch:        request.Epoch,
 		Round:        request.Round,
 		Voter:        m.quorum.Voter,
@@ -102,9 +102,9 @@
 	}
 	decision := decide(tag, request, decisionInputs{
 		now:           env.Now,
-		isMember:      m.quorum.Accepts(request.Voter, request.Identity),
-		hasPrecedence: m.hasPrecedenceOver(request.Tag, request.Voter),
-		coolDown:      m.settings.HolderRest(),
+		isMember:      m.quorum.VerifySignature(request.Voter, request.Identity),
+		hasPrecedence: m.hasPrecedenceOver(request.LeaseName, request.Voter),
+		coolDown:      m.settings.HolderCooldown(),
 	})
 	switch decision.action {
 	case ignore:
@@ -145,7 +145,7 @@
 func (m *Manager) castVote(env *statemachine.Env, from string, tag *tagState, request message.LeaseRequest,
 	answer message.LeaseVote) {
 	acceptor := &tag.acceptor
-	acceptor.changeVote(request, env.Now, m.settings.Lease(), m.settings.HolderRest())
+	acceptor.changeVote(request, env.Now, m.settings.Lease(), m.settings.HolderCooldown())
 	answer.Granted = true
 	if guardsOff.syncedVote {
 		m.sendAnswer(env, from, answer)
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -80,12 +80,12 @@
 // inOwnCoolDown reports whether this voter, by its own records, held the tag too recently to campaign for
 // it again. It doesn't rely on the other voters to refuse, since they may have lost their records.
 func (m *Manager) inOwnCoolDown(now time.Duration, tag *tagState) bool {
-	if tag.name == settings.UsageTag && tag.acceptor.inCoolDown(m.quorum.Voter, now, m.settings.HolderRest()) {
+	if tag.name == settings.UsageLease && tag.acceptor.inCoolDown(m.quorum.Voter, now, m.settings.HolderCooldown()) {
 		return true
 	}
 	candidate := &tag.candidate
 	return candidate.wasHolder && candidate.otherHolder != "" && tag.acceptor.reservedFor != m.quorum.Voter &&
-		now-candidate.otherHolderSince < m.settings.HolderRest()
+		now-candidate.otherHolderSince < m.settings.HolderCooldown()
 }
 
 // deferToReserved postpones the campaign by half a lease if the last holder has transferred the tag to
@@ -111,7 +111,7 @@
 	}
 	delay := m.settings.Lease() / 3
 	candidate.backOff(env, delay)
-	if m.quorum.Discovered() && m.settings.Active[tag.name] == "" {
+	if m.quorum.DiscoversVoters() && m.settings.PreferredHolders[tag.name] == "" {
 		candidate.nextAttemptAt -= delay
 	}
 	return true
@@ -119,13 +119,13 @@
 
 // isPreferred reports whether this voter is the preferred voter of a tag.
 func (m *Manager) isPreferred(tagName string) bool {
-	return m.settings.Active[tagName] == m.quorum.Voter
+	return m.settings.PreferredHolders[tagName] == m.quorum.Voter
 }
 
 // hasPrecedenceOver reports whether this voter takes precedence over another when both are candidates
 // for a tag. The preferred voter ranks first, then the voters in the order of their names.
 func (m *Manager) hasPrecedenceOver(tagName, other string) bool {
-	if preferred := m.settings.Active[tagName]; preferred == other || preferred == m.quorum.Voter {
+	if preferred := m.settings.PreferredHolders[tagName]; preferred == other || preferred == m.quorum.Voter {
 		return preferred == m.quorum.Voter
 	}
 	return m.quorum.Voter < other
@@ -173,7 +173,7 @@
 	if request.PreVote || request.Voter == m.quorum.Voter || request.Voter == candidate.otherHolder {
 		return
 	}
-	if request.Epoch >= tag.acceptor.vote.Epoch && m.quorum.Accepts(request.Voter, request.Identity) {
+	if request.Epoch >= tag.acceptor.vote.Epoch && m.quorum.VerifySignature(request.Voter, request.Identity) {
 		candidate.otherHolder, candidate.otherHolderSince = request.Voter, env.Now
 	}
 }
--- a/internal/lease/cooldown.go
+++ b/internal/lease/cooldown.go
@@ -30,7 +30,7 @@
 
 // tracksAllHolders reports whether the acceptor records all holders of the last cool-down period instead
 // of only the previous holder.
-func (a *acceptorState) tracksAllHolders() bool { return a.vote.Tag == settings.UsageTag }
+func (a *acceptorState) tracksAllHolders() bool { return a.vote.LeaseName == settings.UsageLease }
 
 // startCoolDown records that the holder of the current vote ceases to hold the tag. It is called before
 // the vote changes to another candidate.
--- a/internal/lease/cooldown_test.go
+++ b/internal/lease/cooldown_test.go
@@ -15,9 +15,9 @@
 func TestNoReacquisitionWithinCoolDown(t *testing.T) {
 	c := qt.New(t)
 	for round := range 10 {
-		group := newGroupFor(settings.UsageTag, true)
+		group := newGroupFor(settings.UsageLease, true)
 		for _, voter := range group.voters {
-			voter.settings.Bounds.HolderRest = 10000
+			voter.settings.Bounds.HolderCooldown = 10000
 			voter.settings.Bounds.Lease = 1500
 			voter.boot()
 		}
--- a/internal/lease/group_test.go
+++ b/internal/lease/group_test.go
@@ -11,7 +11,7 @@
 	"beaconvane/internal/storage"
 )
 
-// configTag is the default tag of the tests. Unlike settings.UsageTag, it tracks only the previous holder.
+// configTag is the default tag of the tests. Unlike settings.UsageLease, it tracks only the previous holder.
 const configTag = "d"
 
 // testVoter is a Manager with its quorum and a simulated disk, without the rest of the control machine. It
@@ -112,7 +112,7 @@
 func (v *testVoter) MergeGrantedStates(*statemachine.Env, [][]byte) {}
 func (v *testVoter) AnnounceVoter(string)                           {}
 func (v *testVoter) DiscardState(env *statemachine.Env)             { v.leases.Forget(env) }
-func (v *testVoter) NodeGone(*statemachine.Env, string) bool        { return false }
+func (v *testVoter) NodeDeadOrLeft(*statemachine.Env, string) bool  { return false }
 func (v *testVoter) Superseded() bool                               { return false }
 
 func (v *testVoter) Peers() []message.Member {
@@ -174,7 +174,7 @@
 // holder returns the name of the running voter that holds the tag, or "".
 func (g *testGroup) holder() string {
 	for _, voter := range g.voters {
-		if voter.running && voter.leases.Holding(g.tag, voter.env.Now) {
+		if voter.running && voter.leases.IsHolder(g.tag, voter.env.Now) {
 			return voter.name
 		}
 	}
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -18,7 +18,7 @@
 type holderState struct {
 	holding          bool
 	acquiredAt       time.Duration
-	expiresAt        time.Duration // LeaseHeld after the start of the last round that a majority granted
+	expiresAt        time.Duration // HolderLease after the start of the last round that a majority granted
 	renewAt          time.Duration // start of the next renewal round
 	nextEpochRaiseAt time.Duration // the epoch is not raised before this time
 }
@@ -61,7 +61,7 @@
 // this voter doesn't hold it yet.
 func (m *Manager) completeRound(env *statemachine.Env, tag *tagState) {
 	current := &tag.candidate.round
-	tag.holder.expiresAt = max(tag.holder.expiresAt, current.startedAt+m.settings.LeaseHeld())
+	tag.holder.expiresAt = max(tag.holder.expiresAt, current.startedAt+m.settings.HolderLease())
 	if !tag.holder.holding && env.Now < tag.holder.expiresAt {
 		m.acquireLease(env, tag)
 	}
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -91,7 +91,7 @@
 // the vote with the higher epoch.
 func (m *Manager) Restore(votes []message.Vote) {
 	for _, vote := range votes {
-		tag, known := m.tags[vote.Tag]
+		tag, known := m.tags[vote.LeaseName]
 		if known && tag.acceptor.restore(vote) {
 			tag.candidate.wasHolder = vote.Holder == m.quorum.Voter
 		}
@@ -123,15 +123,15 @@
 	}
 }
 
-// Holding reports whether this voter holds a tag at the time now of its own clock.
-func (m *Manager) Holding(tagName string, now time.Duration) bool {
+// IsHolder reports whether this voter holds a tag at the time now of its own clock.
+func (m *Manager) IsHolder(tagName string, now time.Duration) bool {
 	tag := m.tags[tagName]
 	return tag != nil && tag.holder.activeAt(now) && !m.quorum.Removed
 }
 
-// HeldUntil returns when this voter's lease of a tag expires unless renewed, by its own clock; 0 if it
+// LeaseExpiry returns when this voter's lease of a tag expires unless renewed, by its own clock; 0 if it
 // doesn't hold the tag.
-func (m *Manager) HeldUntil(tagName string) time.Duration {
+func (m *Manager) LeaseExpiry(tagName string) time.Duration {
 	tag := m.tags[tagName]
 	if tag == nil || !tag.holder.holding {
 		return 0
@@ -149,7 +149,7 @@
 // linearizable read waits for this. It compares only times of the holder's own clock.
 func (m *Manager) ConfirmedSince(tagName string, since time.Duration) bool {
 	holder := &m.tags[tagName].holder
-	return holder.holding && holder.expiresAt-m.settings.LeaseHeld() >= since
+	return holder.holding && holder.expiresAt-m.settings.HolderLease() >= since
 }
 
 // Tick renews the leases that this voter holds, ends those that have expired and campaigns for tags for
--- a/internal/lease/metrics.go
+++ b/internal/lease/metrics.go
@@ -12,7 +12,7 @@
 	samples := []metrics.Sample{}
 	for _, tag := range m.tagNames {
 		holding := 0.0
-		if m.Holding(tag, now) {
+		if m.IsHolder(tag, now) {
 			holding = 1
 		}
 		samples = append(samples, metrics.About("lease_held", "tag", tag, holding),
--- a/internal/lease/refusals_golden_test.go
+++ b/internal/lease/refusals_golden_test.go
@@ -33,7 +33,7 @@
 // newRequest returns a signed lease request of a voter.
 func newRequest(candidate *testVoter, leaseTag string, epoch int64) message.LeaseRequest {
 	return message.LeaseRequest{
-		Group: "config-log", Tag: leaseTag, Epoch: epoch, Voter: candidate.name, Identity: candidate.quorum.Signature(),
+		Group: "config-log", LeaseName: leaseTag, Epoch: epoch, Voter: candidate.name, Identity: candidate.quorum.Signature(),
 	}
 }
 
@@ -84,12 +84,12 @@
 		{"handed over to another", configTag, func(c *qt.C, group *testGroup) string {
 			acceptor, holder := group.nonHolders()[0], group.voterAt("a"+group.holder())
 			acceptor.leases.Handle(acceptor.env, holder.address, message.LeaseYield{
-				Group: "config-log", Tag: configTag, Epoch: acceptor.leases.Epoch(configTag),
-				Voter: holder.name, Identity: holder.quorum.Signature(), To: acceptor.name,
+				Group: "config-log", LeaseName: configTag, Epoch: acceptor.leases.Epoch(configTag),
+				Voter: holder.name, Identity: holder.quorum.Signature(), Successor: acceptor.name,
 			})
 			return sendRequest(c, acceptor, newRequest(group.nonHolders()[1], configTag, epoch))
 		}},
-		{"holder rest", settings.UsageTag, func(c *qt.C, group *testGroup) string {
+		{"holder rest", settings.UsageLease, func(c *qt.C, group *testGroup) string {
 			firstHolder := group.voterAt("a" + group.holder())
 			group.run(time.Second, false)
 			firstHolder.leases.TransferAll(firstHolder.env)
@@ -102,10 +102,10 @@
 				acceptor = group.nonHolders()[1]
 			}
 			acceptor.leases.Handle(acceptor.env, secondHolder.address, message.LeaseYield{
-				Group: "config-log", Tag: settings.UsageTag, Epoch: acceptor.leases.Epoch(settings.UsageTag),
+				Group: "config-log", LeaseName: settings.UsageLease, Epoch: acceptor.leases.Epoch(settings.UsageLease),
 				Voter: secondHolder.name, Identity: secondHolder.quorum.Signature(),
 			})
-			return sendRequest(c, acceptor, newRequest(firstHolder, settings.UsageTag, epoch))
+			return sendRequest(c, acceptor, newRequest(firstHolder, settings.UsageLease, epoch))
 		}},
 		{"goes first here", configTag, func(c *qt.C, group *testGroup) string {
 			holder := group.voterAt("a" + group.holder())
@@ -145,10 +145,10 @@
 			holder, other := group.voterAt("a"+group.holder()), group.nonHolders()[0]
 			epoch := holder.leases.Epoch(configTag)
 			holder.leases.Handle(holder.env, other.address, message.LeaseVote{
-				Group: "config-log", Tag: configTag, Epoch: epoch, Voter: other.name, Identity: other.quorum.Signature(),
+				Group: "config-log", LeaseName: configTag, Epoch: epoch, Voter: other.name, Identity: other.quorum.Signature(),
 				HighestEpoch: epoch, Reason: reason,
 			})
-			c.Assert(holder.leases.Holding(configTag, holder.env.Now), qt.Equals, !raises)
+			c.Assert(holder.leases.IsHolder(configTag, holder.env.Now), qt.Equals, !raises)
 		})
 	}
 }
@@ -157,7 +157,7 @@
 // and separated by commas, and that voters listed in a vote on disk are refused after a restart.
 func TestVoteRecordsVotersInCoolDown(t *testing.T) {
 	c := qt.New(t)
-	group := newGroupFor(settings.UsageTag, false)
+	group := newGroupFor(settings.UsageLease, false)
 	untilRenewed := settings.Default().RenewEvery() + 100*time.Millisecond
 	for range 2 {
 		group.run(10*time.Second, true)
@@ -174,12 +174,12 @@
 
 	acceptor := group.voterAt("a3")
 	acceptor.votes = []message.Vote{{
-		Tag: settings.UsageTag, Epoch: 50, Holder: "3", Identity: acceptor.state.Identity, PreviousHolder: "2", RecentHolders: "1,2",
+		LeaseName: settings.UsageLease, Epoch: 50, Holder: "3", Identity: acceptor.state.Identity, PreviousHolder: "2", RecentHolders: "1,2",
 	}}
 	acceptor.boot()
 	group.voterAt("a1").running, group.voterAt("a2").running = false, false
 	group.run(acceptor.settings.Lease()+100*time.Millisecond, false)
 	for _, address := range []string{"a1", "a2"} {
-		c.Check(sendRequest(c, acceptor, newRequest(group.voterAt(address), settings.UsageTag, 100)), qt.Equals, "holder rest")
+		c.Check(sendRequest(c, acceptor, newRequest(group.voterAt(address), settings.UsageLease, 100)), qt.Equals, "holder rest")
 	}
 }
--- a/internal/lease/round.go
+++ b/internal/lease/round.go
@@ -28,13 +28,13 @@
 	}
 	tag.holder.renewAt = env.Now + m.settings.RenewEvery()
 	request := message.LeaseRequest{
-		Group:    m.quorum.Group,
-		Tag:      tag.name,
-		Epoch:    tag.candidate.epoch,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		Round:    m.lastRound,
-		PreVote:  tag.candidate.preVote,
+		Group:     m.quorum.Group,
+		LeaseName: tag.name,
+		Epoch:     tag.candidate.epoch,
+		Voter:     m.quorum.Voter,
+		Identity:  m.quorum.Signature(),
+		Round:     m.lastRound,
+		PreVote:   tag.candidate.preVote,
 	}
 	m.sendToPeers(env, request)
 	m.handleRequest(env, "", request)
@@ -52,7 +52,7 @@
 // handleVote processes a voter's answer to a request of this voter. Answers for a spent epoch, for
 // another epoch or round, or with a signature that doesn't match the member list don't count as grants.
 func (m *Manager) handleVote(env *statemachine.Env, vote message.LeaseVote) {
-	tag, known := m.tags[vote.Tag]
+	tag, known := m.tags[vote.LeaseName]
 	if !known {
 		return
 	}
@@ -61,7 +61,7 @@
 	if vote.Epoch != candidate.epoch || vote.Epoch <= candidate.spentEpoch && !guardsOff.spentEpoch {
 		return
 	}
-	if !m.quorum.Accepts(vote.Voter, vote.Identity) {
+	if !m.quorum.VerifySignature(vote.Voter, vote.Identity) {
 		return
 	}
 	if !vote.Granted {
--- a/internal/lease/transfer.go
+++ b/internal/lease/transfer.go
@@ -67,7 +67,7 @@
 	if peer.Voter == "" || peer.Voter == m.quorum.Voter || peer.State != message.Alive {
 		return false
 	}
-	if tag.acceptor.inCoolDown(peer.Voter, now, m.settings.HolderRest()) {
+	if tag.acceptor.inCoolDown(peer.Voter, now, m.settings.HolderCooldown()) {
 		return false
 	}
 	status, _, known := m.quorum.LastStatus(peer.Voter)
@@ -77,7 +77,7 @@
 // failBackToPreferred transfers a tag to the preferred voter once this voter has held the tag for the
 // failback delay (FailbackAfter) and the preferred voter is alive and has recently reported that it votes.
 func (m *Manager) failBackToPreferred(env *statemachine.Env, tag *tagState) {
-	preferred := m.settings.Active[tag.name]
+	preferred := m.settings.PreferredHolders[tag.name]
 	if preferred == "" || preferred == m.quorum.Voter || env.Now-tag.holder.acquiredAt < m.settings.FailbackAfter() {
 		return
 	}
@@ -97,12 +97,12 @@
 // leaves the tag to any candidate.
 func (m *Manager) transferTo(env *statemachine.Env, tag *tagState, successor string) {
 	transfer := message.LeaseYield{
-		Group:    m.quorum.Group,
-		Tag:      tag.name,
-		Epoch:    tag.candidate.epoch,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		To:       successor,
+		Group:     m.quorum.Group,
+		LeaseName: tag.name,
+		Epoch:     tag.candidate.epoch,
+		Voter:     m.quorum.Voter,
+		Identity:  m.quorum.Signature(),
+		Successor: successor,
 	}
 	m.loseLease(env, tag, "transferred to "+successor)
 	tag.candidate.nextAttemptAt = env.Now + m.settings.Lease()*2
@@ -113,23 +113,23 @@
 // handleTransfer releases this voter from its promise to the holder, which has stopped acting, and
 // reserves the tag for the successor for half a lease.
 func (m *Manager) handleTransfer(env *statemachine.Env, transfer message.LeaseYield) {
-	tag, known := m.tags[transfer.Tag]
+	tag, known := m.tags[transfer.LeaseName]
 	if !known || transfer.Epoch != tag.acceptor.vote.Epoch || transfer.Voter != tag.acceptor.vote.Holder {
 		return
 	}
-	if !m.quorum.Accepts(transfer.Voter, transfer.Identity) {
+	if !m.quorum.VerifySignature(transfer.Voter, transfer.Identity) {
 		return
 	}
 	tag.acceptor.promisedUntil = 0
-	tag.acceptor.reservedFor = transfer.To
+	tag.acceptor.reservedFor = transfer.Successor
 	tag.acceptor.reservedUntil = env.Now + m.settings.Lease()/2
-	if transfer.To != "" {
+	if transfer.Successor != "" {
 		// The holder limits how often it transfers a tag, so the cool-down of the previous holder needn't
 		// block the transfer.
-		tag.acceptor.coolDownStartedAt = env.Now - m.settings.HolderRest()
+		tag.acceptor.coolDownStartedAt = env.Now - m.settings.HolderCooldown()
 	}
 	switch {
-	case transfer.To == m.quorum.Voter:
+	case transfer.Successor == m.quorum.Voter:
 		tag.candidate.nextAttemptAt = env.Now
 	case transfer.Voter != m.quorum.Voter:
 		tag.candidate.nextAttemptAt = env.Now + m.settings.Lease()/2
--- a/internal/lease/transfer_test.go
+++ b/internal/lease/transfer_test.go
@@ -42,7 +42,7 @@
 		group.run(time.Second, false)
 		secondHolder.leases.TransferAll(secondHolder.env)
 		c.Assert(group.holder(), qt.Equals, "")
-		elapsed := group.run(settings.Default().HolderRest()-time.Second*3/2, true)
+		elapsed := group.run(settings.Default().HolderCooldown()-time.Second*3/2, true)
 		if group.holder() != "" {
 			c.Assert(group.holder(), qt.Not(qt.Equals), firstHolder.name, qt.Commentf("held again after %v", elapsed))
 		}
--- a/internal/registry/heartbeats.go
+++ b/internal/registry/heartbeats.go
@@ -87,9 +87,9 @@
 		return
 	}
 	env.Send(from, message.HeartbeatResponse{
-		Registry: m.membership.Self().Name,
-		Sealed:   m.usage.sealed.lowestUnsealed(),
-		Newer:    m.distribution.NewerThan(batch.Positions),
+		Registry:       m.membership.Self().Name,
+		SealedBelow:    m.usage.sealed.lowestUnsealed(),
+		NewerPositions: m.distribution.NewerThan(batch.Positions),
 	})
 	for _, ended := range batch.Deregistrations {
 		m.heartbeats.recordDeregistration(ended.Service+"/"+ended.Instance, ended.Incarnation, env.Now)
--- a/internal/registry/persistence.go
+++ b/internal/registry/persistence.go
@@ -9,7 +9,7 @@
 // settings are ignored.
 func (m *Machine) restoreRoster(saved []message.RosterSnapshot) {
 	for _, snapshot := range saved {
-		if replica, known := m.zones[snapshot.Tag]; known {
+		if replica, known := m.zones[snapshot.Zone]; known {
 			replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 		}
 	}
@@ -37,17 +37,17 @@
 // snapshot encodes the state of the machine.
 func (m *Machine) snapshot() []byte {
 	state := message.RegistryState{
-		Voter:          m.quorum.State,
-		Votes:          m.leases.Votes(),
-		Slices:         []message.RosterSnapshot{},
-		Sealed:         m.usage.sealed.list(),
-		Reported:       m.usage.sealed.reported,
-		KnownAddresses: m.membership.KnownAddresses(),
-		Usage:          m.usage.counts.unsealed(),
+		Voter:              m.quorum.State,
+		Votes:              m.leases.Votes(),
+		Slices:             []message.RosterSnapshot{},
+		Sealed:             m.usage.sealed.list(),
+		LastReportedWindow: m.usage.sealed.reported,
+		KnownAddresses:     m.membership.KnownAddresses(),
+		Usage:              m.usage.counts.unsealed(),
 	}
 	for _, zone := range m.settings.Zones {
 		slice := m.zones[zone].slice
-		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Position: slice.Position, Registrations: slice.List()})
+		state.Slices = append(state.Slices, message.RosterSnapshot{Zone: zone, Position: slice.Position, Registrations: slice.List()})
 	}
 	body, err := message.Encode(state)
 	if err != nil {
@@ -59,7 +59,7 @@
 }
 
 // StateForGrant returns the state that this voter sends with its grant. StateForGrant,
-// MergeGrantedStates and the methods of quorum.Core implement quorum.Host.
+// MergeGrantedStates and the methods of quorum.ControlBase implement quorum.Host.
 func (m *Machine) StateForGrant() []byte { return m.snapshot() }
 
 // MergeGrantedStates merges the states of the voters that granted this process its voter. States
@@ -75,9 +75,9 @@
 		for _, sealed := range state.Sealed {
 			m.usage.sealed.merge(sealed)
 		}
-		m.usage.sealed.advanceReported(state.Reported)
+		m.usage.sealed.advanceReported(state.LastReportedWindow)
 		for _, snapshot := range state.Slices {
-			if replica, known := m.zones[snapshot.Tag]; known && replica.slice.Position.Before(snapshot.Position) {
+			if replica, known := m.zones[snapshot.Zone]; known && replica.slice.Position.Before(snapshot.Position) {
 				replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 			}
 		}
@@ -99,13 +99,13 @@
 	return m.snapshot()
 }
 
-// compactWhenDue writes a disk snapshot, at most once per HolderRest, after a zone snapshot was
+// compactWhenDue writes a disk snapshot, at most once per HolderCooldown, after a zone snapshot was
 // received or an epoch was started: neither is in the log.
 func (m *Machine) compactWhenDue(env *statemachine.Env) {
 	if !m.replication.snapshotDue || env.Now < m.replication.nextSnapshotAt {
 		return
 	}
 	m.replication.snapshotDue = false
-	m.replication.nextSnapshotAt = env.Now + m.settings.HolderRest()
+	m.replication.nextSnapshotAt = env.Now + m.settings.HolderCooldown()
 	m.WriteSnapshot(env, func(*statemachine.Env, error) {})
 }
--- a/internal/registry/proxies.go
+++ b/internal/registry/proxies.go
@@ -42,7 +42,7 @@
 	windows := []int64{}
 	for _, name := range p.names() {
 		if report := p[name]; report.receivedAt >= since {
-			windows = append(windows, report.batch.Window)
+			windows = append(windows, report.batch.CurrentWindow)
 		}
 	}
 	return windows
--- a/internal/registry/reconcile.go
+++ b/internal/registry/reconcile.go
@@ -59,7 +59,7 @@
 		return
 	}
 	env.Send(registration.ServingProxyAddress, message.ProbeRequest{
-		Tag:         zone,
+		Zone:        zone,
 		Epoch:       m.zones[zone].slice.Position.Epoch,
 		Service:     registration.Service,
 		Instance:    registration.Instance,
@@ -137,9 +137,9 @@
 	desired := heartbeat.Registration
 	newIncarnation := !registered || current.Incarnation < desired.Incarnation
 	switch {
-	case !newIncarnation && current.State == message.StateLeaving:
-		desired.State = message.StateLeaving
-	case desired.State == message.StateLeaving:
+	case !newIncarnation && current.State == message.StateDraining:
+		desired.State = message.StateDraining
+	case desired.State == message.StateDraining:
 		// Draining does not depend on the result of a probe.
 	case heartbeat.ProbeResult != message.ProbeAnswered && (newIncarnation || current.State == message.StateCreated):
 		desired.State = message.StateCreated
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -9,15 +9,15 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Requests from the HTTP API to the machine. Each is answered by an Answer.
+// Requests from the HTTP API to the machine. Each is answered by an OperatorResponse.
 type (
 	// WriteConfiguration requests the commit of a version of a configuration.
 	WriteConfiguration struct {
-		ConfigName string
-		Version    int64
-		Body       []byte
-		Packed     []byte // Body compressed by package delta; nil: not compressed yet
-		Check      message.ContentCheck
+		ConfigName     string
+		Version        int64
+		Body           []byte
+		CompressedBody []byte // Body compressed by package delta; nil: not compressed yet
+		Check          message.ContentCheck
 	}
 	// ReadConfiguration requests a version of a configuration (0: the current one), or with List
 	// the list of its versions.
@@ -52,8 +52,8 @@
 	return message.ContentCheck{Done: true, TooLarge: tooLarge, Faults: faults}
 }
 
-// Asked handles a request of the HTTP API or a notification of the process.
-func (m *Machine) Asked(env *statemachine.Env, requestID int64, received any) {
+// HandleRequest handles a request of the HTTP API or a notification of the process.
+func (m *Machine) HandleRequest(env *statemachine.Env, requestID int64, received any) {
 	switch request := received.(type) {
 	case WriteConfiguration:
 		m.requests.write(env, requestID, request)
@@ -75,8 +75,8 @@
 		m.usage.handleDelivered(env, request.Window)
 	case statemachine.SeedsChanged:
 		m.membership.SetSeeds(request.Seeds)
-	case statemachine.ConnectionBroke:
-		m.distribution.ConnectionBroke(env, request.Address)
+	case statemachine.ConnectionClosed:
+		m.distribution.HandleConnectionClosed(env, request.Address)
 	case Stop:
 		m.stop(env, requestID)
 	}
@@ -90,7 +90,7 @@
 }
 
 // readiness reports whether this process is ready, or else why not.
-func (m *Machine) readiness(env *statemachine.Env) Answer {
+func (m *Machine) readiness(env *statemachine.Env) OperatorResponse {
 	switch {
 	case m.Failure() != nil:
 		return answerCode(errcode.DiskFault, "")
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -10,7 +10,7 @@
 var memberStateNames = [...]string{"alive", "suspect", "dead", "left"}
 
 // status describes this registry, and the members, relays and leases as it sees them.
-func (m *Machine) status(env *statemachine.Env) Answer {
+func (m *Machine) status(env *statemachine.Env) OperatorResponse {
 	parent, path, moves := m.distribution.Parent()
 	return answerJSON(errcode.OK, statusAnswer{
 		Node:           m.settings.Node,
@@ -51,7 +51,7 @@
 		leases[name] = leaseAnswer{
 			Epoch:    m.leases.Epoch(name),
 			Holder:   m.leases.Holder(name),
-			HeldHere: m.leases.Holding(name, env.Now),
+			HeldHere: m.leases.IsHolder(name, env.Now),
 		}
 	}
 	return leases
@@ -92,7 +92,7 @@
 	relays := map[string]relayAnswer{}
 	for name, report := range m.proxies {
 		relays[name] = relayAnswer{
-			Path:           report.batch.Path,
+			Path:           report.batch.RelayPath,
 			Ready:          report.batch.Ready,
 			HeartbeatAgeMS: (env.Now - report.receivedAt).Milliseconds(),
 		}
@@ -102,7 +102,7 @@
 
 // roster lists the registrations by zone. Its code is BusyStale if the slice of any zone is not
 // current here.
-func (m *Machine) roster(env *statemachine.Env) Answer {
+func (m *Machine) roster(env *statemachine.Env) OperatorResponse {
 	answer := rosterAnswer{Slices: map[string][]registrationAnswer{}, AgesMS: map[string]int64{}}
 	code := errcode.OK
 	for _, zone := range m.settings.Zones {
--- a/internal/registry/usage_sealing.go
+++ b/internal/registry/usage_sealing.go
@@ -148,10 +148,10 @@
 	u.sealer.sentAt = env.Now
 	for _, peer := range u.core.Peers() {
 		env.Send(peer.Address, message.UsageSeal{
-			Voter:    u.quorum.Voter,
-			Identity: u.quorum.Signature(),
-			Sealed:   *u.sealer.proposal,
-			Reported: u.sealed.reported,
+			Voter:              u.quorum.Voter,
+			Identity:           u.quorum.Signature(),
+			Sealed:             *u.sealer.proposal,
+			LastReportedWindow: u.sealed.reported,
 		})
 	}
 }
@@ -173,22 +173,22 @@
 // mayAnswer reports whether this process votes and recognizes the sender as the holder of its
 // voter.
 func (u *usageManager) mayAnswer(voter, identity string) bool {
-	return u.quorum.Voting() && u.quorum.Accepts(voter, identity)
+	return u.quorum.Voting() && u.quorum.VerifySignature(voter, identity)
 }
 
 // handleRead answers the read of a holder, if this process is a voter, with the values and counts
 // that it has.
 func (u *usageManager) handleRead(env *statemachine.Env, from string, read message.UsageRead) {
-	if read.Epoch != u.leases.Epoch(settings.UsageTag) || !u.mayAnswer(read.Voter, read.Identity) {
+	if read.Epoch != u.leases.Epoch(settings.UsageLease) || !u.mayAnswer(read.Voter, read.Identity) {
 		return
 	}
 	env.Send(from, message.UsageReadResponse{
-		Epoch:      read.Epoch,
-		Voter:      u.quorum.Voter,
-		Identity:   u.quorum.Signature(),
-		Sealed:     u.sealed.latest(),
-		Reported:   u.sealed.reported,
-		Unreported: u.counts.unsealed(),
+		Epoch:              read.Epoch,
+		Voter:              u.quorum.Voter,
+		Identity:           u.quorum.Signature(),
+		Sealed:             u.sealed.latest(),
+		LastReportedWindow: u.sealed.reported,
+		Unreported:         u.counts.unsealed(),
 	})
 }
 
@@ -200,7 +200,7 @@
 	for _, value := range response.Sealed {
 		u.sealed.merge(value)
 	}
-	u.sealed.advanceReported(response.Reported)
+	u.sealed.advanceReported(response.LastReportedWindow)
 	u.counts.merge(response.Unreported)
 	u.sealer.readBy[response.Voter] = response.Identity
 	u.finishRead()
@@ -209,10 +209,10 @@
 // handleSeal records a holder's proposal, if this process is a voter, and acknowledges it once it
 // is synced.
 func (u *usageManager) handleSeal(env *statemachine.Env, from string, seal message.UsageSeal) {
-	if seal.Sealed.Epoch < u.leases.Epoch(settings.UsageTag) || !u.mayAnswer(seal.Voter, seal.Identity) {
+	if seal.Sealed.Epoch < u.leases.Epoch(settings.UsageLease) || !u.mayAnswer(seal.Voter, seal.Identity) {
 		return
 	}
-	u.sealed.advanceReported(seal.Reported)
+	u.sealed.advanceReported(seal.LastReportedWindow)
 	u.sealed.merge(seal.Sealed)
 	confirmation := message.UsageSealResponse{
 		Voter:    u.quorum.Voter,
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -37,7 +37,7 @@
 		Body:       body,
 		Check:      registry.CheckConfiguration(registryNode.settings, body),
 	}, func(answer any) {
-		given := mustBe[registry.Answer](answer)
+		given := mustBe[registry.OperatorResponse](answer)
 		code := given.Code
 		operation.answer, operation.to, operation.answered = configLogAnswer{code: code}, w.now, true
 		w.mark("put %d answered %s", version, code)
@@ -109,7 +109,7 @@
 		lose := step.Do == "put-and-kill-disk"
 		w.write(version, tenants[:w.tenants], body, func(code errcode.Code) {
 			if code == errcode.OK {
-				if machine := w.holder(settings.ConfigLogTag); machine != "" {
+				if machine := w.holder(settings.ConfigLogLease); machine != "" {
 					w.restart(w.machineNodes(machine), lose, step.For)
 				}
 			}
--- a/internal/statemachine/env.go
+++ b/internal/statemachine/env.go
@@ -31,7 +31,7 @@
 // Datagram sends a message by UDP to the address to ("ip:port").
 func (e *Env) Datagram(to string, message any) { e.add(Datagram{to, message}) }
 
-// Reply answers the Asked command with this request ID.
+// Reply answers the LocalRequest command with this request ID.
 func (e *Env) Reply(requestID int64, answer any) { e.add(Reply{requestID, answer}) }
 
 // Publish passes a snapshot to the data plane. The snapshot must not be modified afterwards.
--- a/internal/statemachine/machine.go
+++ b/internal/statemachine/machine.go
@@ -10,9 +10,9 @@
 	// Synced is called when the write with this request ID is durable, or with the error that prevented
 	// it.
 	Synced(env *Env, requestID int64, failure error)
-	// Asked processes a request or a notice from the machine's own process. The machine answers a
+	// HandleRequest processes a request or a notice from the machine's own process. The machine answers a
 	// request with Env.Reply, during this call or a later one.
-	Asked(env *Env, requestID int64, question any)
+	HandleRequest(env *Env, requestID int64, request any)
 }
 
 // Command is one input of a machine. Applying it may change the state of the machine and add effects
@@ -45,18 +45,20 @@
 // Apply calls Machine.Synced.
 func (c Synced) Apply(machine Machine, env *Env) { machine.Synced(env, c.RequestID, c.Failure) }
 
-// Asked is the command that delivers a request or a notice from the machine's own process.
-type Asked struct {
+// LocalRequest is the command that delivers a request or a notice from the machine's own process.
+type LocalRequest struct {
 	RequestID int64 // of the Reply that answers it; 0 for a notice, which has no reply
-	Question  any
+	Request   any
 }
 
-// Apply calls Machine.Asked.
-func (c Asked) Apply(machine Machine, env *Env) { machine.Asked(env, c.RequestID, c.Question) }
+// Apply calls Machine.HandleRequest.
+func (c LocalRequest) Apply(machine Machine, env *Env) {
+	machine.HandleRequest(env, c.RequestID, c.Request)
+}
 
-// ConnectionBroke is the notice, sent as an Asked command, that a control connection opened by this
+// ConnectionClosed is the notice, sent as a LocalRequest command, that a control connection opened by this
 // process has closed. This happens immediately when the remote process stops.
-type ConnectionBroke struct{ Address string }
+type ConnectionClosed struct{ Address string }
 
-// SeedsChanged is the notice, sent as an Asked command, that a settings reload has changed the seeds.
+// SeedsChanged is the notice, sent as a LocalRequest command, that a settings reload has changed the seeds.
 type SeedsChanged struct{ Seeds []string }
--- a/internal/storage/disks_golden_test.go
+++ b/internal/storage/disks_golden_test.go
@@ -118,13 +118,13 @@
 	cfg.Address = goldenAddress(number)
 	cfg.Voters = goldenVoters
 	cfg.ConfigNames = goldenConfigNames
-	cfg.Active = map[string]string{"east": "1", "west": "2", settings.UsageTag: "3", settings.ConfigLogTag: "1"}
+	cfg.PreferredHolders = map[string]string{"east": "1", "west": "2", settings.UsageLease: "3", settings.ConfigLogLease: "1"}
 	for other := range goldenVoters {
 		cfg.Seeds = append(cfg.Seeds, goldenAddress(other))
 	}
 	if discovered {
 		cfg.VoterCount = int64(len(goldenVoters))
-		cfg.Found = true
+		cfg.Bootstrap = true
 	} else {
 		cfg.Voter = goldenVoters[number]
 	}
@@ -264,15 +264,15 @@
 		return state
 	case "registry-discovered":
 		state := expectedRegistries()[golden.name]
-		state.Votes[0] = message.Vote{Tag: "east", Epoch: 1, Holder: "1", Identity: discoveredFirst}
+		state.Votes[0] = message.Vote{LeaseName: "east", Epoch: 1, Holder: "1", Identity: discoveredFirst}
 		return state
 	case "registry-named":
 		state := expectedRegistries()[golden.name]
-		state.Votes[0] = message.Vote{Tag: "east", Epoch: 1, Holder: "1", Identity: namedFirst}
+		state.Votes[0] = message.Vote{LeaseName: "east", Epoch: 1, Holder: "1", Identity: namedFirst}
 		return state
 	case "registry-settled":
 		state := expectedRegistries()[golden.name]
-		state.Reported = 200_003
+		state.LastReportedWindow = 200_003
 		return state
 	}
 	c.Fatalf("nothing is expected of %s", golden.name)
--- a/internal/stubserver/stubserver.go
+++ b/internal/stubserver/stubserver.go
@@ -19,8 +19,8 @@
 // IDHeader has the load generator's own id of a request.
 const IDHeader = "X-Loadgen-Id"
 
-// MarkHeader marks an answer as that of one run.
-const MarkHeader = "X-Run"
+// ResponseMarkHeader marks an answer as that of one run.
+const ResponseMarkHeader = "X-Run"
 
 // StubServer is one stand-in upstream. Its exported fields are set before Start.
 type StubServer struct {
@@ -36,14 +36,14 @@
 
 	lock           sync.Mutex
 	faults         Faults
-	runs           []checker.Ran
+	runs           []checker.Execution
 	running        int
 	mostRunning    int
 	listener       net.Listener
 	announceClient *http.Client
 	callClient     *http.Client // for calls; a new connection for each, so that none is sent twice
 	stop           context.CancelFunc
-	calls          []checker.Asked
+	calls          []checker.CallerRequest
 	servingProxy   string // the proxy that took the last announcement
 }
 
@@ -81,24 +81,24 @@
 }
 
 // Runs returns the runs so far.
-func (u *StubServer) Runs() []checker.Ran {
+func (u *StubServer) Runs() []checker.Execution {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	return append([]checker.Ran{}, u.runs...)
+	return append([]checker.Execution{}, u.runs...)
 }
 
-// Most returns the highest number of requests that ran at one time.
-func (u *StubServer) Most() int {
+// MaxRunning returns the highest number of requests that ran at one time.
+func (u *StubServer) MaxRunning() int {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return u.mostRunning
 }
 
-// Asked returns the requests to other upstreams so far.
-func (u *StubServer) Asked() []checker.Asked {
+// Requests returns the requests to other upstreams so far.
+func (u *StubServer) Requests() []checker.CallerRequest {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	return append([]checker.Asked{}, u.calls...)
+	return append([]checker.CallerRequest{}, u.calls...)
 }
 
 // since returns the time since the base of the record.
