--- a/internal/lease/refusals_golden_test.go
+++ b/internal/lease/refusals_golden_test.go
@@ -174,7 +174,8 @@
 
 	acceptor := group.voterAt("a3")
 	acceptor.votes = []message.Vote{{
-		LeaseName: settings.UsageLease, Epoch: 50, Holder: "3", Identity: acceptor.state.Identity, PreviousHolder: "2", RecentHolders: "1,2",
+		LeaseName: settings.UsageLease, Epoch: 50, Holder: "3", Identity: acceptor.state.Identity,
+		PreviousHolder: "2", RecentHolders: "1,2",
 	}}
 	acceptor.boot()
 	group.voterAt("a1").running, group.voterAt("a2").running = false, false
