--- a/internal/configstore/decision_test.go
+++ b/internal/configstore/decision_test.go
@@ -87,7 +87,7 @@
 	return errcode.Code(all[0].Code)
 }
 
-func TestWritesInRisingMode(t *testing.T) {
+func TestWritesRising(t *testing.T) {
 	c := qt.New(t)
 	store := newSingleVoterStore(c, settings.WritesRising)
 	c.Assert(store.writeCode(c, 5, document("")), qt.Equals, errcode.OK)
@@ -102,7 +102,7 @@
 	c.Assert(current.Version, qt.Equals, int64(8))
 }
 
-func TestWritesInHighestMode(t *testing.T) {
+func TestWritesHighest(t *testing.T) {
 	c := qt.New(t)
 	store := newSingleVoterStore(c, settings.WritesHighest)
 	c.Assert(store.writeCode(c, 5, document("")), qt.Equals, errcode.OK)
@@ -126,7 +126,7 @@
 }
 
 // A write with a lower number than the write in flight is acknowledged only after that is committed.
-func TestLowerVersionWaitsForWriteInFlight(t *testing.T) {
+func TestOlderNumberWaitsForTheWriteInFlight(t *testing.T) {
 	c := qt.New(t)
 	store := newSingleVoterStore(c, settings.WritesHighest)
 	c.Assert(store.writeCode(c, 1, document("")), qt.Equals, errcode.OK)
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -102,7 +102,7 @@
 // A crash may leave any subset of the sectors of the last append, since a disk may write sectors in any
 // order. Open then returns all earlier records, and the log can be appended to. If an intact frame follows
 // the torn one, Open must fail.
-func TestSectorsWrittenOutOfOrder(t *testing.T) {
+func TestSectorsOutOfOrder(t *testing.T) {
 	c := qt.New(t)
 	disk := newPopulatedDirectory(c)
 	committedBytes := len(disk.files[logName])
