--- a/internal/quorum/bootstrap_test.go
+++ b/internal/quorum/bootstrap_test.go
@@ -10,12 +10,14 @@
 	"beaconvane/internal/statemachine"
 )
 
-func TestFounding(t *testing.T) {
+// A group must be formed exactly if there are enough processes for its voters; a process beyond that number becomes a
+// standby, which must not sign.
+func TestBootstrapByProcessCount(t *testing.T) {
 	c := qt.New(t)
-	for _, made := range []struct {
-		machines int
-		count    int64
-		wanted   map[string]string
+	for _, testCase := range []struct {
+		processes int
+		count     int64
+		expected  map[string]string
 	}{
 		{1, 1, map[string]string{"1": "n1"}},
 		{2, 3, map[string]string{}},
@@ -23,27 +25,27 @@
 		{4, 3, map[string]string{"1": "n1", "2": "n2", "3": "n3"}},
 		{5, 5, map[string]string{"1": "n1", "2": "n2", "3": "n3", "4": "n4", "5": "n5"}},
 	} {
-		group, processes := founded(c, made.machines, made.count)
-		c.Check(group.voters(), qt.DeepEquals, made.wanted, qt.Commentf("%d of %d", made.machines, made.count))
-		if made.machines > int(made.count) {
-			last := processes[made.machines-1]
+		group, processes := newFormedCluster(c, testCase.processes, testCase.count)
+		c.Check(group.voters(), qt.DeepEquals, testCase.expected, qt.Commentf("%d of %d", testCase.processes, testCase.count))
+		if testCase.processes > int(testCase.count) {
+			last := processes[testCase.processes-1]
 			group.run(5 * time.Second)
-			c.Check(last.quorum.Standby(last.machineEnv), qt.IsTrue)
+			c.Check(last.quorum.Standby(last.env), qt.IsTrue)
 			c.Check(last.quorum.Signature(), qt.Equals, "")
 			c.Check(last.quorum.Voter, qt.Equals, "")
 		}
 	}
 }
 
-// Four founders for three voters hear of each other in any order, over cuts, and are
-// killed in between: one group, and in the end always one.
-func TestFoundingIsOnce(t *testing.T) {
+// Four founders for three voters are isolated and killed at random during the bootstrap. They must never form two
+// groups, and must have formed one three seconds after the last isolation ends.
+func TestBootstrapFormsOneGroup(t *testing.T) {
 	c := qt.New(t)
 	for seed := range 200 {
-		group := newFleet(c, 3)
+		group := newCluster(c, 3)
 		processes := []*process{}
 		for number := range 4 {
-			processes = append(processes, group.join(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true))
+			processes = append(processes, group.addProcess(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true))
 		}
 		random := statemachine.NewEnv(uint64(seed)).Random
 		for range 30 {
@@ -55,7 +57,7 @@
 				group.kill(chosen, false)
 				chosen.boot(false)
 			}
-			group.run(time.Duration(1+random.IntN(10)) * 2 * step)
+			group.run(time.Duration(1+random.IntN(10)) * 2 * tickInterval)
 		}
 		clear(group.isolated)
 		group.run(3 * time.Second)
--- a/internal/quorum/claim_test.go
+++ b/internal/quorum/claim_test.go
@@ -13,22 +13,23 @@
 	"beaconvane/internal/statemachine"
 )
 
-func TestWipedFindsItsVoterByName(t *testing.T) {
+// A process that lost its disk must take its voter back under a new identity, with the states of a majority.
+func TestWipedDiskReclaimsVoterByNodeName(t *testing.T) {
 	c := qt.New(t)
 	for _, count := range []int64{3, 5} {
-		group, processes := founded(c, int(count), count)
+		group, processes := newFormedCluster(c, int(count), count)
 		for _, p := range processes {
-			p.replicatedState = "kept by " + p.node
+			p.replicatedState = "state of " + p.node
 		}
-		old := processes[1].quorum.State.Identity
+		oldIdentity := processes[1].quorum.State.Identity
 		group.kill(processes[1], true)
 		group.run(time.Second)
 		processes[1].boot(false)
 		group.run(time.Second)
 		c.Assert(group.voters()["2"], qt.Equals, "n2")
-		c.Assert(processes[1].quorum.State.Identity, qt.Not(qt.Equals), old)
-		c.Assert(len(processes[1].merged) >= int(count)/2+1, qt.IsTrue)
-		c.Assert(processes[1].announced, qt.Equals, "2")
+		c.Assert(processes[1].quorum.State.Identity, qt.Not(qt.Equals), oldIdentity)
+		c.Assert(len(processes[1].mergedStates) >= int(count)/2+1, qt.IsTrue)
+		c.Assert(processes[1].announcedVoter, qt.Equals, "2")
 		group.run(time.Second)
 		for _, p := range processes {
 			c.Assert(p.quorum.State.MemberList, qt.DeepEquals, processes[0].quorum.State.MemberList)
@@ -36,11 +37,12 @@
 	}
 }
 
-func TestNewcomerTakesOnlyADeadVoter(t *testing.T) {
+// A process without a voter must claim one only after its holder is dead, not while it is alive or suspected.
+func TestClaimOnlyAfterHolderIsDead(t *testing.T) {
 	c := qt.New(t)
 	for _, count := range []int64{3, 5} {
-		group, processes := founded(c, int(count), count)
-		newcomer := group.join("fresh", "b1", false)
+		group, processes := newFormedCluster(c, int(count), count)
+		newcomer := group.addProcess("fresh", "b1", false)
 		before := maps.Clone(processes[0].quorum.State.MemberList)
 		for _, state := range []int64{message.Alive, message.Suspect} {
 			group.memberState["n3"] = state
@@ -54,7 +56,8 @@
 		c.Assert(group.voters()["3"], qt.Equals, "fresh")
 		c.Assert(group.voters(), qt.HasLen, int(count))
 
-		// The old one comes back with its disk: nobody takes its word, and it is a spare.
+		// The former holder restarts with its old disk and considers itself a voter. Its signatures must not count, and
+		// it must become a standby once it learns of its replacement.
 		group.memberState["n3"] = message.Alive
 		processes[2].replicatedState = "old"
 		processes[2].boot(false)
@@ -64,11 +67,11 @@
 		group.run(4 * time.Second)
 		c.Assert(processes[2].quorum.Voting(), qt.IsFalse)
 		c.Assert(processes[2].quorum.Removed, qt.IsFalse)
-		c.Assert(processes[2].discarded, qt.Equals, 1)
-		c.Assert(processes[2].quorum.Standby(processes[2].machineEnv), qt.IsTrue)
+		c.Assert(processes[2].discardCount, qt.Equals, 1)
+		c.Assert(processes[2].quorum.Standby(processes[2].env), qt.IsTrue)
 		c.Assert(group.voters()["3"], qt.Equals, "fresh")
 
-		// And takes the next voter that falls free.
+		// The standby must claim the next vacant voter.
 		group.kill(processes[0], true)
 		group.memberState["n1"] = message.Left
 		group.run(5 * time.Second)
@@ -76,16 +79,17 @@
 	}
 }
 
-// A claim sent straight to the granters, past the newcomer's own judgement.
+// A claim on the voter of a live holder is sent to a granter directly, without the checks that a claimant makes. The
+// granter must refuse it.
 func TestClaimOnALivingVoterIsRefused(t *testing.T) {
 	c := qt.New(t)
 	for _, state := range []int64{message.Alive, message.Suspect} {
-		group, processes := founded(c, 3, 3)
+		group, processes := newFormedCluster(c, 3, 3)
 		group.memberState["n3"] = state
-		claim := message.VoterClaim{Group: "config-log", Voter: "3", Identity: NewIdentity(7, 1, 2, "thief")}
-		processes[0].quorum.Handle(processes[0].machineEnv, "b9", claim)
+		claim := message.VoterClaim{Group: "config-log", Voter: "3", Identity: NewIdentity(7, 1, 2, "other")}
+		processes[0].quorum.Handle(processes[0].env, "b9", claim)
 		refused := false
-		for _, effect := range processes[0].machineEnv.Drain() {
+		for _, effect := range processes[0].env.Drain() {
 			if sent, isSend := effect.(statemachine.Send); isSend {
 				grant, isGrant := sent.Message.(message.VoterGrant)
 				refused = refused || isGrant && grant.Refused
@@ -96,15 +100,15 @@
 	}
 }
 
-// A claim waits while a granter is away, and is made whole when it is back.
-func TestHalfMadeClaimWaits(t *testing.T) {
+// A claim must wait while one of the granters that it needs is down, and succeed after that granter has restarted.
+func TestPartlyGrantedClaimWaitsForGranter(t *testing.T) {
 	c := qt.New(t)
-	group, processes := founded(c, 3, 3)
+	group, processes := newFormedCluster(c, 3, 3)
 	group.kill(processes[2], false)
 	group.memberState["n3"] = message.Dead
-	newcomer := group.join("fresh", "b1", false)
+	newcomer := group.addProcess("fresh", "b1", false)
 	for range 200 {
-		group.run(step)
+		group.run(tickInterval)
 		if parseIdentity(processes[0].quorum.State.MemberList["3"]).node == "fresh" || newcomer.quorum.State.Voter != "" {
 			break
 		}
@@ -119,19 +123,20 @@
 	c.Assert(group.voters(), qt.HasLen, 3)
 }
 
-// Two newcomers after one voter, and two after two voters.
-func TestRivalNewcomers(t *testing.T) {
+// More processes than there are vacant voters claim at the same time: two for one vacancy, and three for two. Each
+// voter must end up with exactly one holder.
+func TestConcurrentClaims(t *testing.T) {
 	c := qt.New(t)
 	for _, count := range []int64{3, 5} {
 		for seed := range 10 {
-			group, processes := founded(c, int(count), count)
-			gone := int(count) / 2
-			for index := range gone {
+			group, processes := newFormedCluster(c, int(count), count)
+			lostVoters := int(count) / 2
+			for index := range lostVoters {
 				group.kill(processes[index], true)
 				group.memberState[processes[index].node] = message.Dead
 			}
-			for number := range gone + 1 {
-				group.join(fmt.Sprintf("fresh%d", number), fmt.Sprintf("b%d", number+seed*7), false)
+			for number := range lostVoters + 1 {
+				group.addProcess(fmt.Sprintf("fresh%d", number), fmt.Sprintf("b%d", number+seed*7), false)
 			}
 			group.run(12 * time.Second)
 			c.Assert(group.voters(), qt.HasLen, int(count), qt.Commentf("%d voters, seed %d: %v", count, seed, group.events))
@@ -141,27 +146,28 @@
 	}
 }
 
+// A process whose node name belongs to a later process must not claim that node's voter.
 func TestSupersededNameClaimsNothing(t *testing.T) {
 	c := qt.New(t)
-	group, processes := founded(c, 3, 3)
+	group, processes := newFormedCluster(c, 3, 3)
 	group.kill(processes[2], true)
-	twin := group.join("n3", "b3", false)
-	twin.superseded = true
+	duplicate := group.addProcess("n3", "b3", false)
+	duplicate.superseded = true
 	group.run(4 * time.Second)
-	c.Assert(twin.quorum.Voting(), qt.IsFalse)
+	c.Assert(duplicate.quorum.Voting(), qt.IsFalse)
 	c.Assert(parseIdentity(processes[0].quorum.State.MemberList["3"]).node, qt.Equals, "n3")
 	c.Assert(parseIdentity(processes[0].quorum.State.MemberList["3"]).edition, qt.Equals, uint64(0))
 }
 
-// Two grants on two member lists are not one decision.
+// Grants of two voters with different member lists must not form a majority.
 func TestGrantsOfTwoMemberListsDoNotAddUp(t *testing.T) {
 	c := qt.New(t)
-	group, processes := founded(c, 3, 3)
+	group, processes := newFormedCluster(c, 3, 3)
 	group.kill(processes[2], true)
 	processes[2].boot(false)
 	newcomer := processes[2].quorum
-	for newcomer.State.Voter == "" || newcomer.writing {
-		group.run(step)
+	for newcomer.State.Voter == "" || newcomer.blockedOnWrite {
+		group.run(tickInterval)
 		c.Assert(newcomer.Voting(), qt.IsFalse)
 	}
 	memberList := maps.Clone(processes[0].quorum.State.MemberList)
@@ -169,7 +175,7 @@
 	other := maps.Clone(memberList)
 	other["2"] = NewIdentity(3, 1, 1, "n2")
 	grant := func(voter string, memberList map[string]string) {
-		newcomer.Handle(processes[2].machineEnv, "a"+voter, message.VoterGrant{
+		newcomer.Handle(processes[2].env, "a"+voter, message.VoterGrant{
 			Group:      "config-log",
 			Voter:      voter,
 			Identity:   memberList[voter],
--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// logLimit is the number of bytes of log after which a snapshot replaces it.
-	logLimit = 1 << 20
-	// latencyWeight is the inverse weight of one write in the smoothed latency.
-	latencyWeight = 4
-	// unknownGoneFactor is how many times the span of suspicion a process must have been up before a node that it
-	// never heard of is gone to it.
-	unknownGoneFactor = 2
+	// maxLogBytes is the log size above which a snapshot replaces the log.
+	maxLogBytes = 1 << 20
+	// latencySmoothing is the inverse weight of one write in the moving average of the write latency.
+	latencySmoothing = 4
+	// unknownNodeSuspectPeriods is the uptime, in periods of SuspectFor, after which this process treats a node
+	// that is not in its membership as dead.
+	unknownNodeSuspectPeriods = 2
 )
 
-// Core is what the two control programs share around the quorum and the leases: the disk, the peers, a graceful
-// departure, and the addresses saved for the next start. A program's machine embeds it.
+// Core contains what the state machines of the two control programs, registry and configuration store, share
+// in addition to the quorum and the leases: writes to disk, the list of peers, graceful departure, and the peer addresses saved
+// for the next start. The state machine of each program embeds it.
 type Core struct {
 	settings   settings.Settings
 	role       string
@@ -33,88 +34,91 @@
 
 	started        bool
 	startedAt      time.Duration
-	writeLatency   time.Duration // smoothed
+	writeLatency   time.Duration // exponential moving average
 	savedAddresses []string
 	nextSaveAt     time.Duration
 }
 
-// NewCore makes the shared part; snapshot gives the machine's whole state; empty says that the disk has never
-// held one.
+// NewCore returns a Core for a role. snapshot encodes the complete state of the embedding state machine. empty
+// reports that the disk has never stored a snapshot. UseVoters must be called before any other method that needs
+// the quorum.
 func NewCore(cfg settings.Settings, role string, members *membership.Membership, snapshot func() []byte, empty bool) *Core {
 	return &Core{
 		settings:   cfg,
 		role:       role,
 		membership: members,
-		writer:     storage.NewWriter(logLimit, snapshot, empty),
+		writer:     storage.NewWriter(maxLogBytes, snapshot, empty),
 	}
 }
 
-// UseVoters sets the quorum, which is made after the core that it writes through.
+// UseVoters sets the quorum. It is separate from NewCore because the quorum writes to disk through the Core, which
+// must exist first.
 func (c *Core) UseVoters(quorum *Quorum) { c.quorum = quorum }
 
-// Persist appends a record and calls then once it is synced.
-func (c *Core) Persist(env *statemachine.Env, record any, then storage.SyncCallback) {
-	began := env.Now
+// Persist appends a record to the log and calls onSynced once the record is synced or its write has failed.
+func (c *Core) Persist(env *statemachine.Env, record any, onSynced storage.SyncCallback) {
+	requestedAt := env.Now
 	c.writer.Persist(env, record, func(env *statemachine.Env, failure error) {
-		c.writeLatency += (env.Now - began - c.writeLatency) / latencyWeight
-		then(env, failure)
+		c.writeLatency += (env.Now - requestedAt - c.writeLatency) / latencySmoothing
+		onSynced(env, failure)
 	})
 }
 
-// WriteLatency is about how long a write takes, waiting included.
+// WriteLatency returns the moving average of the time from a write request to its sync, queueing included.
 func (c *Core) WriteLatency() time.Duration { return c.writeLatency }
 
-// WriteSnapshot writes the machine's whole state.
-func (c *Core) WriteSnapshot(env *statemachine.Env, then storage.SyncCallback) {
-	c.writer.Compact(env, then)
+// WriteSnapshot writes a snapshot of the complete state, which replaces the log. It calls onSynced once the
+// snapshot is synced or its write has failed.
+func (c *Core) WriteSnapshot(env *statemachine.Env, onSynced storage.SyncCallback) {
+	c.writer.Compact(env, onSynced)
 }
 
-// Failure is the error of the first write that failed; nil for none.
+// Failure returns the error of the first write that failed, or nil.
 func (c *Core) Failure() error { return c.writer.Failure() }
 
-// Synced says that the write of a request id is on disk, or that it failed.
+// Synced reports the completion of the write with the given request ID; failure is nil once the write is synced.
 func (c *Core) Synced(env *statemachine.Env, requestID int64, failure error) {
 	c.writer.Synced(env, requestID, failure)
 }
 
-// Peers lists the other members of the role, dead ones aside. Where voters are discovered, the quorum knows who
-// holds which, and the membership does not.
+// Peers returns the other members of the role that are alive or suspected. With discovered voters, the voter of each
+// peer comes from the quorum, because the membership does not know which process holds which voter.
 func (c *Core) Peers() []message.Member {
 	peers := c.membership.Alive(c.role)
 	if c.quorum != nil && c.quorum.Discovered() {
 		for index := range peers {
-			peers[index].Voter = c.quorum.voterAt(peers[index].Address)
+			peers[index].Voter = c.quorum.voterAtAddress(peers[index].Address)
 		}
 	}
 	return peers
 }
 
-// AnnounceVoter tells the members which voter this process holds.
+// AnnounceVoter publishes through the membership which voter this process holds; "" means none.
 func (c *Core) AnnounceVoter(voter string) { c.membership.SetVoter(voter) }
 
-// Superseded says whether a later process with this node's name runs at another address.
+// Superseded reports whether a later process with this node's name runs at another address.
 func (c *Core) Superseded() bool { return c.membership.Superseded() }
 
-// NodeGone says that a node is dead or has left. One that was never heard of is gone only to a process that has
-// been up, among others, for long enough to have heard of it.
+// NodeGone reports whether a node is dead or has left. A node that is missing from the membership counts as dead
+// only once this process has joined other nodes and has been up long enough to have learned of it if it were alive.
 func (c *Core) NodeGone(env *statemachine.Env, nodeName string) bool {
 	member, known := c.membership.Find(c.role + "/" + nodeName)
 	if known {
 		return member.State >= message.Dead
 	}
-	upFor := env.Now - c.startedAt
-	return c.started && upFor > c.settings.SuspectFor()*unknownGoneFactor && c.membership.Joined()
+	uptime := env.Now - c.startedAt
+	return c.started && uptime > c.settings.SuspectFor()*unknownNodeSuspectPeriods && c.membership.Joined()
 }
 
-// Maintain does the regular work of a tick: it goes on with a departure, saves the addresses of the members, and
-// leaves the membership once this process's voter was given to another disk.
+// Maintain does the periodic work of a tick: it advances a departure, saves the addresses of the members, and
+// leaves the membership once removed is set, which means that another disk holds this process's voter.
 func (c *Core) Maintain(env *statemachine.Env, removed bool) {
 	if !c.started {
 		c.started, c.startedAt = true, env.Now
 	}
 	c.advanceDeparture(env)
 	if removed && !c.membership.HasLeft() {
-		// Nobody should look here for the voter any more.
+		// The others must stop addressing this process as the holder of its voter.
 		c.membership.Leave(env)
 	}
 	if env.Now < c.nextSaveAt || removed || c.writer.Failure() != nil {
@@ -124,8 +128,8 @@
 	c.saveAddresses(env)
 }
 
-// saveAddresses writes the members' addresses to disk, so that the next start finds the others even if every
-// seed was replaced meanwhile.
+// saveAddresses writes the members' addresses to disk if they have changed, so that the next start finds the
+// others even if every seed was replaced in the meantime.
 func (c *Core) saveAddresses(env *statemachine.Env) {
 	addresses := c.membership.KnownAddresses()
 	if len(addresses) == 0 || slices.Equal(addresses, c.savedAddresses) {
--- a/internal/quorum/departure.go
+++ b/internal/quorum/departure.go
@@ -6,15 +6,15 @@
 	"beaconvane/internal/statemachine"
 )
 
-// departure is a graceful stop under way. The request for it is answered when the process may end.
+// departure is a graceful stop in progress. The request for it is answered when the process may exit.
 type departure struct {
 	requestID int64
 	answer    any
-	deadline  time.Duration // the process ends then, also if its voter isn't handed over
+	deadline  time.Duration // when the process may exit even if its voter has not been handed over
 }
 
-// Depart begins a graceful stop: the voter is handed over to another process, where there is one, before the
-// members are told that this node leaves. The answer goes out when the process may end.
+// Depart begins a graceful stop. The voter is first handed over to another process, if one is eligible, for at most
+// HandOverLimit; then this node leaves the membership and the answer is sent, after which the process may exit.
 func (c *Core) Depart(env *statemachine.Env, requestID int64, answer any) {
 	c.departure = &departure{requestID: requestID, answer: answer, deadline: env.Now}
 	if c.quorum.handOver(env) {
@@ -23,6 +23,7 @@
 	c.advanceDeparture(env)
 }
 
+// advanceDeparture completes a departure once the voter is handed over or the deadline has passed.
 func (c *Core) advanceDeparture(env *statemachine.Env) {
 	if c.departure == nil {
 		return
--- a/internal/quorum/discovered.go
+++ b/internal/quorum/discovered.go
@@ -7,12 +7,12 @@
 	"beaconvane/internal/statemachine"
 )
 
-// votingFreshIntervals is how many status intervals a voter counts as voting after its last status. It is
-// longer than steadyIntervals.
-const votingFreshIntervals = 15
+// votingRecentIntervals is the number of status intervals for which a voter counts as voting after its last status.
+// It is greater than steadyStateIntervals, so that a voter in a stable group counts without interruption.
+const votingRecentIntervals = 15
 
-// discoveredVoters is the design in which the settings only count the voters. The processes form the group
-// (bootstrap), and a process without a voter may come to hold one (claim) or give its own up (handover).
+// discoveredVoters is the voterSet in which the settings give only the number of voters. The processes form the
+// group (bootstrap), a process without a voter can claim one (claim), and a voter can be handed over (handover).
 //
 // docs/control-safety.md proves that any two decisions of the group share a voter that knows the earlier one.
 type discoveredVoters struct {
@@ -21,9 +21,11 @@
 	bootstrap      bootstrapState
 	claim          claimState
 	handover       handoverState
-	discardOnStart bool // the disk holds the state of a voter that was handed over
+	discardOnStart bool // the restored state is that of a voter which was handed over
 }
 
+// newDiscoveredVoters resumes from the restored state. If the member list of a formed group gives this process's voter
+// to another identity, it drops the restored state and resumes without a voter.
 func newDiscoveredVoters(replica *Replica) *discoveredVoters {
 	d := &discoveredVoters{
 		Replica: replica,
@@ -38,7 +40,7 @@
 		return d
 	}
 	if d.State.MemberList[d.State.Voter] != d.State.Identity {
-		// It had handed its voter over before it ended, and is a newcomer now.
+		// This process handed its voter over before it stopped. The first tick gives it a new identity.
 		d.discardOnStart = true
 		d.State = message.VoterState{Proposal: map[string]string{}, MemberList: map[string]string{}}
 		d.setMemberList(d.State.MemberList)
@@ -49,13 +51,14 @@
 	return d
 }
 
-// names lists the voters of the member list once it is known, and before that as many as the settings count.
-func (d *discoveredVoters) names() []string {
+// voterNames returns the voters of the member list. Before this process has a member list, it returns the voters of
+// the longest list received from others, or the names derived from the voter count in the settings.
+func (d *discoveredVoters) voterNames() []string {
 	names := memberList(d.State.MemberList).voters()
 	for _, received := range d.statuses {
-		told := memberList(received.status.MemberList)
-		if !d.State.Formed && len(told) > len(names) {
-			names = told.voters()
+		reported := memberList(received.status.MemberList)
+		if !d.State.Formed && len(reported) > len(names) {
+			names = reported.voters()
 		}
 	}
 	if len(names) == 0 {
@@ -64,39 +67,41 @@
 	return names
 }
 
-// majority is how many voters decide, and how many grants a newcomer needs.
-func (d *discoveredVoters) majority() int { return len(d.names())/2 + 1 }
+// majority returns the number of voters that is needed for a decision, and of grants that is needed for a claim.
+func (d *discoveredVoters) majority() int { return len(d.voterNames())/2 + 1 }
 
+// tick creates an identity if there is none. When a status is due, it advances the bootstrap and the claim, and sends
+// the status.
 func (d *discoveredVoters) tick(env *statemachine.Env) {
 	if d.State.Identity == "" {
 		if d.discardOnStart {
 			d.discardOnStart = false
 			d.transfer.DiscardState(env)
 		}
-		d.startAnew(env, d.settings.Found && !d.settings.NonVoter)
+		d.resetWithNewIdentity(env, d.settings.Found && !d.settings.NonVoter)
 		return
 	}
 	if d.retired() {
 		return
 	}
 	d.expediteStatusAfterMismatch(env)
-	if env.Now < d.nextStatusAt || d.writing {
+	if env.Now < d.nextStatusAt || d.blockedOnWrite {
 		return
 	}
 	d.nextStatusAt = env.Now + d.settings.DigestEvery()
-	if d.Voting() && d.othersVoting(env) {
-		d.nextStatusAt = env.Now + d.settings.DigestEvery()*steadyIntervals
+	if d.Voting() && d.allOthersVoting(env) {
+		d.nextStatusAt = env.Now + d.settings.DigestEvery()*steadyStateIntervals
 	}
 	d.advanceBootstrap(env)
 	d.advanceClaim(env)
-	if !d.writing {
+	if !d.blockedOnWrite {
 		d.sendStatuses(env)
 	}
 }
 
-// startAnew begins as a process that holds no voter, with a new identity. founder says that it takes part in
-// forming the group.
-func (d *discoveredVoters) startAnew(env *statemachine.Env, founder bool) {
+// resetWithNewIdentity replaces the state by that of a process without a voter, under a new identity. founder
+// reports whether this process takes part in forming the group.
+func (d *discoveredVoters) resetWithNewIdentity(env *statemachine.Env, founder bool) {
 	d.State = message.VoterState{
 		Identity:           d.newIdentity(env, 0),
 		Founder:            founder,
@@ -107,23 +112,24 @@
 	d.Voter = ""
 	d.proposalSynced = false
 	d.list.pendingWrites = 0
-	d.writing = true
-	d.finishSnapshot(env, func(*statemachine.Env) {})
+	d.blockedOnWrite = true
+	d.writeBlockingSnapshot(env, func(*statemachine.Env) {})
 	env.Event(eventIdentityMade, 0, 0, d.settings.Node)
 }
 
-// newIdentity makes an identity of this process with an edition.
+// newIdentity returns a new identity of this process with an edition.
 func (d *discoveredVoters) newIdentity(env *statemachine.Env, edition uint64) string {
 	first, second := env.Random.Uint64(), env.Random.Uint64()
-	made := identity{
+	created := identity{
 		edition: edition,
 		random:  formatRandom(first, second),
 		node:    d.settings.Node,
 		zone:    d.settings.Zone,
 	}
-	return made.String()
+	return created.String()
 }
 
+// sendStatuses sends the status, and the claim if there is one, to all peers.
 func (d *discoveredVoters) sendStatuses(env *statemachine.Env) {
 	for _, peer := range d.directory.Peers() {
 		env.Send(peer.Address, d.fullStatus(env, true))
@@ -133,11 +139,11 @@
 	}
 }
 
-// fullStatus is what this process tells of itself. While a newer member list is being written it does not
-// claim to know a formed group.
+// fullStatus returns the status that this process sends to the others. While a newer member list is being written,
+// the status does not report a formed group.
 func (d *discoveredVoters) fullStatus(env *statemachine.Env, wantsReply bool) message.VoterStatus {
 	status := d.status(wantsReply)
-	status.FreeVoters = d.vacancies(env)
+	status.FreeVoters = d.vacantVoters(env)
 	status.Successor = d.handover.successor
 	if d.list.pendingWrites > 0 {
 		status.Formed = false
@@ -146,13 +152,14 @@
 	return status
 }
 
-// vacancies lists the voters whose holders are gone, as far as this process knows.
-func (d *discoveredVoters) vacancies(env *statemachine.Env) []string {
+// vacantVoters returns the voters whose holders are dead or have left by this process's membership. A process that
+// does not vote reports none.
+func (d *discoveredVoters) vacantVoters(env *statemachine.Env) []string {
 	vacant := []string{}
 	if !d.Voting() || d.list.pendingWrites > 0 {
 		return vacant
 	}
-	for _, voter := range d.names() {
+	for _, voter := range d.voterNames() {
 		holder := parseIdentity(d.State.MemberList[voter])
 		if voter != d.Voter && d.directory.NodeGone(env, holder.node) {
 			vacant = append(vacant, voter)
@@ -161,20 +168,22 @@
 	return vacant
 }
 
-// othersVoting says that every other voter was heard to vote, not long ago.
-func (d *discoveredVoters) othersVoting(env *statemachine.Env) bool {
-	for _, voter := range d.names() {
+// allOthersVoting reports whether the last status of every other voter says that it votes, and is at most
+// votingRecentIntervals status intervals old.
+func (d *discoveredVoters) allOthersVoting(env *statemachine.Env) bool {
+	for _, voter := range d.voterNames() {
 		if voter == d.Voter {
 			continue
 		}
 		received, known := d.statuses[voter]
-		if !known || !received.status.Voting || env.Now-received.at > d.settings.DigestEvery()*votingFreshIntervals {
+		if !known || !received.status.Voting || env.Now-received.receivedAt > d.settings.DigestEvery()*votingRecentIntervals {
 			return false
 		}
 	}
 	return true
 }
 
+// handle ignores this process's own statuses, and grants that are not for its current claim.
 func (d *discoveredVoters) handle(env *statemachine.Env, from string, msg any) {
 	switch received := msg.(type) {
 	case message.VoterStatus:
@@ -184,14 +193,16 @@
 	case message.VoterClaim:
 		d.handleClaim(env, from, received)
 	case message.VoterGrant:
-		if received.To == d.State.Identity && !d.State.Formed && !d.writing {
+		if received.To == d.State.Identity && !d.State.Formed && !d.blockedOnWrite {
 			d.handleGrant(env, received)
 		}
 	}
 }
 
+// handleStatus replies to a status if the sender requests that, and records it for the bootstrap or, if the sender's
+// group is formed, as the status of a voter.
 func (d *discoveredVoters) handleStatus(env *statemachine.Env, from string, status message.VoterStatus) {
-	if d.State.Identity == "" || d.writing || d.retired() {
+	if d.State.Identity == "" || d.blockedOnWrite || d.retired() {
 		return
 	}
 	if status.Successor == d.settings.Node {
@@ -206,37 +217,37 @@
 	}
 	sender := parseIdentity(status.Identity).node
 	if !status.Formed {
-		d.bootstrap.candidates[sender] = receivedStatus{from: from, status: status, at: env.Now}
+		d.bootstrap.candidates[sender] = receivedStatus{address: from, status: status, receivedAt: env.Now}
 		d.advanceBootstrap(env)
 		return
 	}
 	delete(d.bootstrap.candidates, sender)
-	if d.recordVoter(env, from, status) {
+	if d.recordVoterStatus(env, from, status) {
 		d.followFormedGroup(env, status)
 	}
 }
 
-// recordVoter keeps the status of a voter of the formed group; false when the sender is not, or no longer, the
-// holder of its voter.
-func (d *discoveredVoters) recordVoter(env *statemachine.Env, from string, status message.VoterStatus) bool {
+// recordVoterStatus stores the status of a voter of the formed group. It returns false if the sender does not hold,
+// or no longer holds, its voter.
+func (d *discoveredVoters) recordVoterStatus(env *statemachine.Env, from string, status message.VoterStatus) bool {
 	if d.State.Formed {
-		if !d.joinMemberList(env, status.MemberList) || d.State.MemberList[status.Voter] != status.Identity {
+		if !d.mergeMemberList(env, status.MemberList) || d.State.MemberList[status.Voter] != status.Identity {
 			return false
 		}
 	} else if last, known := d.statuses[status.Voter]; known && last.status.Identity > status.Identity {
 		return false
 	}
-	d.statuses[status.Voter] = receivedStatus{from: from, status: status, at: env.Now}
+	d.statuses[status.Voter] = receivedStatus{address: from, status: status, receivedAt: env.Now}
 	return true
 }
 
-// recentVoters joins the member lists of the voters that were heard recently, and lists the statuses of those
-// that vote and hold their voter by the joined list.
-func (d *discoveredVoters) recentVoters(env *statemachine.Env) (list memberList, voting []message.VoterStatus) {
+// recentVotingStatuses merges the member lists in the recent statuses of voters, and returns the merged list with the
+// statuses of those senders that vote and hold their voter by it.
+func (d *discoveredVoters) recentVotingStatuses(env *statemachine.Env) (list memberList, voting []message.VoterStatus) {
 	list = memberList{}
-	names := d.names()
+	names := d.voterNames()
 	for _, voter := range names {
-		if received, known := d.statuses[voter]; known && d.recent(env, received) {
+		if received, known := d.statuses[voter]; known && d.isRecent(env, received) {
 			for member, holder := range received.status.MemberList {
 				list[member] = max(list[member], holder)
 			}
@@ -244,17 +255,19 @@
 	}
 	for _, voter := range names {
 		received, known := d.statuses[voter]
-		if known && d.recent(env, received) && received.status.Voting && list[voter] == received.status.Identity {
+		if known && d.isRecent(env, received) && received.status.Voting && list[voter] == received.status.Identity {
 			voting = append(voting, received.status)
 		}
 	}
 	return list, voting
 }
 
+// standby reports whether this process neither holds nor claims a voter, while a majority of voters has recently
+// sent a status that says that the sender votes.
 func (d *discoveredVoters) standby(env *statemachine.Env) bool {
 	if d.State.Formed || d.State.Voter != "" {
 		return false
 	}
-	_, voting := d.recentVoters(env)
+	_, voting := d.recentVotingStatuses(env)
 	return len(voting) >= d.majority()
 }
--- a/internal/quorum/discovered_bootstrap.go
+++ b/internal/quorum/discovered_bootstrap.go
@@ -10,32 +10,33 @@
 	"beaconvane/internal/statemachine"
 )
 
-// stableIntervals is for how many status intervals the candidates must have been the same before a proposal.
-const stableIntervals = 2
+// stableFounderIntervals is the number of status intervals for which the set of founders must have been unchanged
+// before a proposal.
+const stableFounderIntervals = 2
 
-// spreadInsufficient is the cause that an operator reads.
-const spreadInsufficient = "the machines that were heard don't allow the spread over zones that the settings want"
+// spreadInsufficientCause is the cause of eventSpreadInsufficient in the journal.
+const spreadInsufficientCause = "the machines that were heard don't allow the spread over zones that the settings want"
 
-// bootstrapState is what a process knows that takes part in forming the group.
+// bootstrapState is what a process has received from others about the bootstrap of the group.
 type bootstrapState struct {
-	candidates     map[string]receivedStatus // processes without a voter, by node
-	nonVoters      map[string]bool           // addresses of processes that never vote
-	nodes          string                    // of the last choice of voters, for comparison
-	nodesChangedAt time.Duration
+	candidates        map[string]receivedStatus // last status of each process without a formed group, by node
+	nonVoters         map[string]bool           // addresses of processes that never hold a voter
+	founderNodes      string                    // sorted names of the recent founders, to detect changes
+	foundersChangedAt time.Duration
 }
 
-// advanceBootstrap forms the group when all members of this process's proposal hold the same one. It makes a
-// new proposal when there is none, or when one of its members has moved on to another: that member will never
-// hold this one, so no group is formed by it.
+// advanceBootstrap forms the group once all members of this process's proposal have synced the same proposal. It
+// makes a new proposal if there is none, or if a member has synced a different one in the same or a later round:
+// that member will not return to this proposal, so it can no longer form a group.
 func (d *discoveredVoters) advanceBootstrap(env *statemachine.Env) {
 	proposed := len(d.State.Proposal) > 0
-	if d.State.Formed || !d.State.Founder || d.writing || proposed && !d.proposalSynced {
+	if d.State.Formed || !d.State.Founder || d.blockedOnWrite || proposed && !d.proposalSynced {
 		return
 	}
 	if proposed {
 		matching, superseded := d.countProposals()
 		if matching == len(d.State.Proposal) {
-			d.form(env, d.State.Proposal)
+			d.formGroup(env, d.State.Proposal)
 			return
 		}
 		if !superseded {
@@ -48,8 +49,8 @@
 	}
 }
 
-// countProposals counts the members of this process's proposal that hold the same one in the same round, itself
-// included. superseded says that one of them holds another, in this round or a later one.
+// countProposals returns how many members of this process's proposal, itself included, have synced the same proposal
+// in the same round. superseded reports whether a member has a different proposal in this round, or any in a later one.
 func (d *discoveredVoters) countProposals() (matching int, superseded bool) {
 	matching = 1
 	for _, member := range d.State.Proposal {
@@ -68,26 +69,27 @@
 	return matching, superseded
 }
 
-// nextProposal is the member list that this process would form the group with. ready is false while there are
-// not enough candidates, they changed lately, or this process is not chosen itself.
+// nextProposal returns the member list that this process would propose. ready is false while there are too few
+// founders, the set of founders has changed recently, the anchor is unknown, this process is not among the chosen
+// voters, or founders in other zones may still appear.
 func (d *discoveredVoters) nextProposal(env *statemachine.Env) (list memberList, ready bool) {
 	founders := d.recentFounders(env)
 	nodes := strings.Join(slices.Sorted(maps.Keys(founders)), " ")
-	if nodes != d.bootstrap.nodes {
-		d.bootstrap.nodes, d.bootstrap.nodesChangedAt = nodes, env.Now
+	if nodes != d.bootstrap.founderNodes {
+		d.bootstrap.founderNodes, d.bootstrap.foundersChangedAt = nodes, env.Now
 	}
-	unchangedFor := env.Now - d.bootstrap.nodesChangedAt
+	unchangedFor := env.Now - d.bootstrap.foundersChangedAt
 	anchor, anchorKnown := d.anchor(env)
 	count := len(d.settings.Voters)
-	if len(founders) < count || !anchorKnown || unchangedFor < d.settings.DigestEvery()*stableIntervals {
+	if len(founders) < count || !anchorKnown || unchangedFor < d.settings.DigestEvery()*stableFounderIntervals {
 		return nil, false
 	}
 	chosen := d.placement().choose(slices.Collect(maps.Values(founders)), anchor, count)
 	if !slices.Contains(chosen, d.State.Identity) {
 		return nil, false
 	}
-	if !d.placement().survivesWorstLoss(chosen) && unchangedFor < d.settings.TakeOver() {
-		// Processes in other zones may still come.
+	if !d.placement().survivesWorstCaseLoss(chosen) && unchangedFor < d.settings.TakeOver() {
+		// Wait up to TakeOver for founders in other zones.
 		return nil, false
 	}
 	list = memberList{}
@@ -97,20 +99,20 @@
 	return list, true
 }
 
-// recentFounders is the identities, by node, of the processes that take part in forming the group.
+// recentFounders returns the identities, by node, of this process and of all founders with a recent status.
 func (d *discoveredVoters) recentFounders(env *statemachine.Env) map[string]string {
 	identities := map[string]string{d.settings.Node: d.State.Identity}
 	for nodeName, received := range d.bootstrap.candidates {
-		if received.status.Founder && d.recent(env, received) && nodeName != d.settings.Node {
+		if received.status.Founder && d.isRecent(env, received) && nodeName != d.settings.Node {
 			identities[nodeName] = received.status.Identity
 		}
 	}
 	return identities
 }
 
-// anchor is the identity that every proposal has to name: that of the first process of the settings' anchors
-// that may vote; "" without anchors. It makes any two proposals share a member, so that two groups are never
-// formed.
+// anchor returns the identity that every proposal must contain: that of the first process among the settings'
+// anchors that may vote, or "" if the settings have no anchors. With an anchor any two proposals share a member, so
+// that two groups are never formed. known is false until the anchor has sent a status.
 func (d *discoveredVoters) anchor(env *statemachine.Env) (anchor string, known bool) {
 	for _, address := range d.settings.Anchors {
 		if address == d.settings.Address {
@@ -123,41 +125,43 @@
 	return "", len(d.settings.Anchors) == 0
 }
 
+// founderAt returns the identity of the founder with a recent status from an address.
 func (d *discoveredVoters) founderAt(env *statemachine.Env, address string) (founder string, known bool) {
 	for _, received := range d.bootstrap.candidates {
-		if received.from == address && received.status.Founder && d.recent(env, received) {
+		if received.address == address && received.status.Founder && d.isRecent(env, received) {
 			return received.status.Identity, true
 		}
 	}
 	return "", false
 }
 
-// nextRound is the round of a proposal: the highest that was heard, where others propose the same list in it,
-// and else one more.
+// nextRound returns the round for a proposal of this process: the highest round received, if it is later than this
+// process's own and another process proposes the same list in it, and otherwise the highest round plus one.
 func (d *discoveredVoters) nextRound(list memberList) int64 {
 	own := d.State.Round
-	highest, same := own, false
+	highest, sameProposal := own, false
 	for _, received := range d.bootstrap.candidates {
 		status := received.status
 		switch {
 		case status.Round > highest:
-			highest, same = status.Round, maps.Equal(status.Proposal, list)
+			highest, sameProposal = status.Round, maps.Equal(status.Proposal, list)
 		case status.Round == highest && highest > own:
-			same = same || maps.Equal(status.Proposal, list)
+			sameProposal = sameProposal || maps.Equal(status.Proposal, list)
 		}
 	}
-	if !same {
+	if !sameProposal {
 		highest++
 	}
 	return highest
 }
 
+// propose writes a proposal to disk, and sends it to the others once it is synced.
 func (d *discoveredVoters) propose(env *statemachine.Env, list memberList) {
 	round := d.nextRound(list)
 	d.State.Proposal, d.State.Round, d.proposalSynced = list, round, false
-	env.Event(eventProposed, 0, round, d.bootstrap.nodes)
-	if !d.placement().survivesWorstLoss(list.identities()) {
-		env.Event(eventSpreadInsufficient, 0, round, spreadInsufficient)
+	env.Event(eventProposed, 0, round, d.bootstrap.founderNodes)
+	if !d.placement().survivesWorstCaseLoss(list.identities()) {
+		env.Event(eventSpreadInsufficient, 0, round, spreadInsufficientCause)
 	}
 	d.storage.Persist(env, d.State, func(env *statemachine.Env, failure error) {
 		if failure == nil && d.State.Round == round && maps.Equal(list, d.State.Proposal) {
@@ -168,24 +172,25 @@
 	})
 }
 
-// followFormedGroup ends this process's part in the bootstrap when a group was formed. If that group has the
-// voter of this process's proposal, it was formed by that proposal; else it was formed without this process,
-// which is a newcomer from then on.
+// followFormedGroup ends the bootstrap of a founder that learns of a formed group. If the group's member list has
+// this process's identity for the voter that its proposal assigns to it, the group was formed from that proposal, and
+// this process joins it. Otherwise the group was formed without this process, which continues without a voter.
 func (d *discoveredVoters) followFormedGroup(env *statemachine.Env, status message.VoterStatus) {
 	if d.State.Formed || !d.State.Founder {
 		return
 	}
 	for voter, holder := range d.State.Proposal {
 		if d.proposalSynced && holder == d.State.Identity && status.MemberList[voter] == holder {
-			d.form(env, d.State.Proposal)
+			d.formGroup(env, d.State.Proposal)
 			return
 		}
 	}
 	env.Event(eventFormedWithout, 0, 0, d.settings.Node)
-	d.startAnew(env, false)
+	d.resetWithNewIdentity(env, false)
 }
 
-func (d *discoveredVoters) form(env *statemachine.Env, list memberList) {
+// formGroup begins to vote in a new group with a member list that contains this process.
+func (d *discoveredVoters) formGroup(env *statemachine.Env, list memberList) {
 	d.State.Formed, d.State.Voting = true, true
 	d.setMemberList(maps.Clone(list))
 	for voter, holder := range list {
@@ -196,6 +201,7 @@
 	d.startVoting(env, true, d.announceVoter)
 }
 
+// announceVoter publishes this process's voter through the membership, and sends statuses on the next tick.
 func (d *discoveredVoters) announceVoter(env *statemachine.Env) {
 	d.directory.AnnounceVoter(d.Voter)
 	d.nextStatusAt = env.Now
--- a/internal/quorum/discovered_claim.go
+++ b/internal/quorum/discovered_claim.go
@@ -9,18 +9,18 @@
 	"beaconvane/internal/statemachine"
 )
 
-// claimState is what a process without a voter knows of the vacancies, and of its own claim.
+// claimState holds what a process without a voter knows about vacant voters and its own claim.
 type claimState struct {
-	vacantSince map[string]time.Duration // by voter: when a majority first said that its holder is gone
+	vacantSince map[string]time.Duration // by voter: when a majority first reported that its holder is dead or has left
 	predecessor string                   // the identity that this process's claim replaces
 }
 
-// advanceClaim claims a voter when one is to be had, and drops a claim that another process has overtaken.
+// advanceClaim claims a voter if one is available, and drops a claim that a later identity has superseded.
 func (d *discoveredVoters) advanceClaim(env *statemachine.Env) {
-	if d.State.Formed || d.State.Founder || d.writing || d.settings.NonVoter || d.leaving() || d.directory.Superseded() {
+	if d.State.Formed || d.State.Founder || d.blockedOnWrite || d.settings.NonVoter || d.leaving() || d.directory.Superseded() {
 		return
 	}
-	list, voting := d.recentVoters(env)
+	list, voting := d.recentVotingStatuses(env)
 	if d.State.Voter != "" {
 		if list[d.State.Voter] > d.State.Identity {
 			d.dropClaim(env, "another came first")
@@ -31,19 +31,19 @@
 		return
 	}
 	if voter := d.chooseVoter(env, list, voting); voter != "" {
-		d.makeClaim(env, voter, list[voter])
+		d.startClaim(env, voter, list[voter])
 	}
 }
 
-// chooseVoter picks the voter to claim: one recorded for this node or handed over to it, and else any whose
-// holder is gone; "" for none.
+// chooseVoter returns the voter to claim: one that the member list records for this node, or whose holder hands it
+// over to this node, and otherwise a random voter whose holder is dead or has left. It returns "" if there is none.
 func (d *discoveredVoters) chooseVoter(env *statemachine.Env, list memberList, voting []message.VoterStatus) string {
 	reserved, vacant := "", []string{}
-	for _, voter := range d.names() {
+	for _, voter := range d.voterNames() {
 		if d.vacancyConfirmed(env, voter, voting) && d.placement().keepsSpread(list, voter, d.settings.Zone) {
 			vacant = append(vacant, voter)
 		}
-		if parseIdentity(list[voter]).node == d.settings.Node || d.offeredToThisNode(env, voter, list[voter]) {
+		if parseIdentity(list[voter]).node == d.settings.Node || d.handedOverToThisNode(env, voter, list[voter]) {
 			reserved = voter
 		}
 	}
@@ -53,7 +53,7 @@
 	return reserved
 }
 
-// vacancyConfirmed says that a majority has reported the voter vacant for as long as a claim has to wait.
+// vacancyConfirmed reports whether a majority has reported a voter as vacant for at least ClaimAfter.
 func (d *discoveredVoters) vacancyConfirmed(env *statemachine.Env, voter string, voting []message.VoterStatus) bool {
 	reports := 0
 	for _, status := range voting {
@@ -73,38 +73,40 @@
 	return env.Now-since >= d.settings.ClaimAfter()
 }
 
-func (d *discoveredVoters) makeClaim(env *statemachine.Env, voter, holder string) {
+// startClaim claims a voter with a new identity, whose edition is one more than the holder's. The claim is sent
+// once it is synced.
+func (d *discoveredVoters) startClaim(env *statemachine.Env, voter, holder string) {
 	edition := parseIdentity(holder).edition + 1
 	d.claim.predecessor = holder
 	d.State.Voter, d.State.Identity = voter, d.newIdentity(env, edition)
 	d.grants = map[string]message.VoterGrant{}
 	d.claim.vacantSince = map[string]time.Duration{}
-	d.writing = true
+	d.blockedOnWrite = true
 	env.Event(eventClaimed, 0, int64(edition), voter)
 	d.storage.Persist(env, d.State, func(env *statemachine.Env, failure error) {
-		d.writing = failure != nil
+		d.blockedOnWrite = failure != nil
 		d.nextStatusAt = env.Now
 	})
 }
 
-// dropClaim gives a claim up. If some member lists have it already, they record the voter for this node, which
-// claims it again before any other.
+// dropClaim abandons the claim. Member lists that already contain it record the voter for this node, which then
+// prefers that voter for its next claim.
 func (d *discoveredVoters) dropClaim(env *statemachine.Env, cause string) {
 	env.Event(eventClaimDropped, 0, 0, d.State.Voter+": "+cause)
 	d.State.Voter, d.grants = "", map[string]message.VoterGrant{}
-	d.writing = true
-	d.storage.Persist(env, d.State, func(_ *statemachine.Env, failure error) { d.writing = failure != nil })
+	d.blockedOnWrite = true
+	d.storage.Persist(env, d.State, func(_ *statemachine.Env, failure error) { d.blockedOnWrite = failure != nil })
 }
 
-// handleGrant collects grants. With those of a majority on one member list this process takes over the
-// granters' states, and becomes a voter once all is written.
+// handleGrant collects grants. Once a majority has granted the claim on the same member list, this process merges
+// the granters' states, and becomes a voter when the result is synced.
 func (d *discoveredVoters) handleGrant(env *statemachine.Env, grant message.VoterGrant) {
 	if grant.Refused {
 		d.dropClaim(env, "refused by "+grant.Voter)
 		return
 	}
 	d.grants[grant.Voter] = grant
-	states := d.statesGrantedWith(grant.MemberList)
+	states := d.statesFromMatchingGrants(grant.MemberList)
 	enough := len(states) >= d.majority() || guardsOff.enoughGrants
 	if !enough || grant.MemberList[d.State.Voter] != d.State.Identity {
 		return
@@ -119,10 +121,10 @@
 	d.startVoting(env, false, d.announceVoter)
 }
 
-// statesGrantedWith lists the states told with the valid grants on one member list.
-func (d *discoveredVoters) statesGrantedWith(list memberList) [][]byte {
+// statesFromMatchingGrants returns the states in those valid grants whose member list equals list.
+func (d *discoveredVoters) statesFromMatchingGrants(list memberList) [][]byte {
 	states := [][]byte{}
-	for _, voter := range d.names() {
+	for _, voter := range d.voterNames() {
 		grant, granted := d.grants[voter]
 		sameList := maps.Equal(grant.MemberList, list) || guardsOff.grantsAlike
 		if granted && sameList && d.validGranter(voter, grant) {
@@ -132,8 +134,8 @@
 	return states
 }
 
-// validGranter says that a grant is of the member that holds a voter by the granted list, or, for the voter
-// claimed, of the holder that this process replaces.
+// validGranter reports whether a grant for a voter is from the voter's holder: by the granted member list or, for the
+// claimed voter, the holder that this process replaces.
 func (d *discoveredVoters) validGranter(voter string, grant message.VoterGrant) bool {
 	if voter == d.State.Voter {
 		return d.claim.predecessor != "" && grant.Identity == d.claim.predecessor
--- a/internal/quorum/doc.go
+++ b/internal/quorum/doc.go
@@ -1,13 +1,13 @@
-// Package quorum keeps the voters of a group of control processes (the registries are one group, the
+// Package quorum manages the voters of a group of control processes (the registries form one group, the
 // configuration stores another) and lets a new process replace a lost or leaving voter.
 //
-// A group has 2f+1 voters. Each is a numbered place, held by the disk of one process; the disk has a
-// random identity, made when it was empty, and the member list says which identity holds which voter.
-// Every vote, acknowledgement and grant carries the sender's signature, and counts only if it agrees with
-// the receiver's member list at the moment of counting.
+// A group has 2f+1 voters. A voter is a named slot in the group, held by the disk of one process. The disk
+// has a random identity, created while the disk was empty, and the member list maps each voter to the identity
+// that holds it. Every vote, acknowledgement and grant carries the sender's signature, and counts only if it
+// matches the receiver's member list at the moment of counting.
 //
-// There are two designs, each an implementation of voterSet. With staticVoters the settings name the three
-// voters and each process knows its own. With discoveredVoters the settings give only their number; the
-// processes form the group themselves, and a process without a voter claims one whose holder is gone or is
-// leaving. docs/control-safety.md argues why either is safe.
+// voterSet has two implementations. With staticVoters the settings name the three voters and assign one to
+// each process. With discoveredVoters the settings give only the number of voters: the processes form the
+// group themselves, and a process without a voter claims one whose holder is dead, has left or is leaving.
+// docs/control-safety.md argues why both are safe.
 package quorum
--- a/internal/quorum/events.go
+++ b/internal/quorum/events.go
@@ -1,6 +1,6 @@
 package quorum
 
-// Events of the journal.
+// Names of the events that this package writes to the journal.
 const (
 	eventIdentityMade       = "voter-identity-made"
 	eventIdentityDropped    = "voter-identity-dropped"
--- a/internal/quorum/export_test.go
+++ b/internal/quorum/export_test.go
@@ -2,5 +2,5 @@
 
 import "beaconvane/internal/safeguard"
 
-// WithoutGuard runs something with one rule switched off.
+// WithoutGuard calls do with one rule switched off.
 func WithoutGuard(name string, do func()) { safeguard.WithoutField(&guardsOff, name, do) }
--- a/internal/quorum/guards.go
+++ b/internal/quorum/guards.go
@@ -1,18 +1,19 @@
 package quorum
 
-// guards are the rules that keep the promises of docs/control-safety.md. A test of this package may switch one
-// off at a time, to show that the exploration finds what goes wrong without it. No setting and no other package
-// reaches them. A field that is true switches its rule off.
+// guards disables single rules on which the guarantees of docs/control-safety.md depend. A field that is true
+// switches its rule off. A test of this package disables one rule at a time, to show that the exploration finds the
+// resulting violation. No setting and no other package can access the fields.
 type guards struct {
-	oneList      bool // signatures count only with the very same member list
-	writtenList  bool // nothing is signed or counted while a newer list is written
-	majority     bool // more than half of the voters decide
-	enoughGrants bool // a newcomer needs f+1 grants
-	grantsAlike  bool // these grants are on one member list
-	grantedState bool // a newcomer takes the state that its granters tell
-	vacated      bool // only a holder that is gone, or names its successor, is replaced
-	writtenGrant bool // a granter writes the newer list before it grants
-	writtenStand bool // a newcomer writes its state before it votes
+	oneList      bool // signatures count only if their member list is identical to the receiver's
+	writtenList  bool // a process signs and counts nothing while it writes a newer member list
+	majority     bool // a decision needs acknowledgements from more than half of the voters
+	enoughGrants bool // a claimant needs f+1 grants
+	grantsAlike  bool // the grants of a claim must have identical member lists
+	grantedState bool // a claimant merges the states of its granters before it votes
+	vacated      bool // only a holder that is dead, has left, claims again or names the claimant as successor is replaced
+	writtenGrant bool // a granter syncs the newer member list before it sends the grant
+	writtenStand bool // a new voter syncs its state before it votes
 }
 
+// guardsOff holds the rules that are switched off; none are outside tests.
 var guardsOff guards
--- a/internal/quorum/guards_test.go
+++ b/internal/quorum/guards_test.go
@@ -11,45 +11,46 @@
 	"beaconvane/internal/quorum"
 )
 
-// lost are the rules that a lost or rewritten acknowledged version may break first.
-const lost = "durable one-content no-false-refusal linearizable"
+// lostVersionRules are the checker's rules of which one is violated first when an acknowledged version is lost or
+// overwritten.
+const lostVersionRules = "durable one-content no-false-refusal linearizable"
 
-// mostWalks is how many walks may pass before a fault is found.
-const mostWalks = 2000
+// maxWalks is the number of walks after which the search for a violation fails.
+const maxWalks = 2000
 
-var three = explore.Options{Voters: 3, Rounds: 200, Faults: 10}
+var threeVoters = explore.Options{Voters: 3, Rounds: 200, Faults: 10}
 
-// noContact looks behind the rule that is broken first.
-func noContact(options explore.Options) explore.Options {
+// exceptContactRule excludes the contact rule, which is violated first and would hide the others.
+func exceptContactRule(options explore.Options) explore.Options {
 	options.Except = []string{"contact"}
 	return options
 }
 
-// without lists the guards that the walks miss when they are off: what is explored, the
-// first seed, and the rules of which one must be broken.
-var without = map[string]struct {
+// guardCases lists, by guard, the exploration that must find a violation while the guard is off: its options, its
+// first seed, and the rules of which one must be violated.
+var guardCases = map[string]struct {
 	options explore.Options
 	seed    uint64
 	rules   string
 }{
-	"majority":     {noContact(three), 1, lost + " one-holder-an-epoch"},
-	"enoughGrants": {three, 1, lost},
-	"grantedState": {three, 1, lost},
+	"majority":     {exceptContactRule(threeVoters), 1, lostVersionRules + " one-holder-an-epoch"},
+	"enoughGrants": {threeVoters, 1, lostVersionRules},
+	"grantedState": {threeVoters, 1, lostVersionRules},
 }
 
-// With any of these guards off the exploration finds a broken promise; with all of them
-// on, TestWalksKeepAllPromises of the exploration finds none.
+// The exploration must find a violation with any of these guards off. TestWalksKeepAllPromises in internal/explore
+// shows that it finds none with all guards on.
 func TestExplorationMissesGuards(t *testing.T) {
-	if racing {
-		t.Skip("each walk is one thread; run without -race")
+	if raceEnabled {
+		t.Skip("every walk runs in a single goroutine; run this test without -race")
 	}
-	for name, missed := range without {
+	for name, guardCase := range guardCases {
 		t.Run(name, func(t *testing.T) {
 			quorum.WithoutGuard(name, func() {
-				found, walks, broken := explore.Find(missed.options, missed.seed, mostWalks, runtime.GOMAXPROCS(0))
-				qt.Assert(t, broken, qt.IsTrue, qt.Commentf("nothing found in %d walks", walks))
+				found, walks, violated := explore.Find(guardCase.options, guardCase.seed, maxWalks, runtime.GOMAXPROCS(0))
+				qt.Assert(t, violated, qt.IsTrue, qt.Commentf("no violation found in %d walks", walks))
 				t.Logf("found after %d walks, %d actions: %s", walks, len(found.Plan.Actions), found.Violation)
-				qt.Assert(t, strings.Fields(missed.rules), qt.Any(qt.Equals), found.Violation.Rule)
+				qt.Assert(t, strings.Fields(guardCase.rules), qt.Any(qt.Equals), found.Violation.Rule)
 			})
 		})
 	}
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -10,14 +10,15 @@
 
 // handoverState is the planned replacement of this process's voter.
 //
-// A voter that is told to stop names a successor in its status and goes on voting. The successor claims the
-// voter as that of a lost node is claimed, and the leaving voter may be one of the granters. So a further loss in
-// the middle leaves a majority (docs/control-safety.md).
+// A voter that is asked to stop names a successor in its status and continues to vote. The successor claims the voter
+// in the same way as that of a lost node, and the leaving voter may be one of the granters. A majority is therefore
+// left if another voter is lost during the handover (docs/control-safety.md).
 type handoverState struct {
-	successor string              // the node that is to take the voter; "" while this process doesn't leave
-	released  *message.VoterGrant // the grant to the successor, once it is synced
+	successor string              // the node that is to take the voter over; "" unless this process is leaving
+	released  *message.VoterGrant // the grant to the successor, once the new member list is synced
 }
 
+// handOver names the first eligible successor. It returns false if this process does not vote or there is none.
 func (d *discoveredVoters) handOver(env *statemachine.Env) bool {
 	if d.leaving() {
 		return true
@@ -35,47 +36,50 @@
 	return true
 }
 
-// handedOver says that the successor's claim is on this voter's member list, or that another's list has it.
+// handedOver reports whether this process has granted its voter to the successor, or has learned from another's
+// member list that its voter was replaced.
 func (d *discoveredVoters) handedOver() bool {
 	return d.leaving() && (d.handover.released != nil || !d.State.Formed)
 }
 
+// leaving reports whether a handover has begun.
 func (d *discoveredVoters) leaving() bool { return d.handover.successor != "" }
 
-// retired says that this process has given its vote away; what it would tell of itself is of no use.
+// retired reports whether this process has released its voter. A retired process sends and processes no statuses.
 func (d *discoveredVoters) retired() bool {
 	return d.leaving() && !d.Voting() && d.list.pendingWrites > 0
 }
 
-// eligibleSuccessors lists the nodes without a voter that were heard recently, by name.
+// eligibleSuccessors returns, sorted by name, the live nodes that have recently sent a status, hold no voter, take no
+// part in the bootstrap, and would keep the spread of voters over zones and regions.
 func (d *discoveredVoters) eligibleSuccessors(env *statemachine.Env) []string {
 	nodes := []string{}
 	for _, nodeName := range slices.Sorted(maps.Keys(d.bootstrap.candidates)) {
 		received := d.bootstrap.candidates[nodeName]
 		status := received.status
 		zone := parseIdentity(status.Identity).zone
-		free := status.Voter == "" && !status.Founder
-		spread := d.placement().keepsSpread(d.State.MemberList, d.Voter, zone)
-		if free && spread && d.recent(env, received) && !d.directory.NodeGone(env, nodeName) {
+		withoutVoter := status.Voter == "" && !status.Founder
+		keepsSpread := d.placement().keepsSpread(d.State.MemberList, d.Voter, zone)
+		if withoutVoter && keepsSpread && d.isRecent(env, received) && !d.directory.NodeGone(env, nodeName) {
 			nodes = append(nodes, nodeName)
 		}
 	}
 	return nodes
 }
 
-// handsOverTo says that the holder of a voter last named a node as its successor.
-func (d *discoveredVoters) handsOverTo(voter, holder, nodeName string) bool {
+// namesSuccessor reports whether the last status of a voter's holder names a node as its successor.
+func (d *discoveredVoters) namesSuccessor(voter, holder, nodeName string) bool {
 	received, known := d.statuses[voter]
 	return known && received.status.Identity == holder && received.status.Successor == nodeName
 }
 
-// offeredToThisNode says that the holder of a voter hands it over to this node now.
-func (d *discoveredVoters) offeredToThisNode(env *statemachine.Env, voter, holder string) bool {
-	return d.recent(env, d.statuses[voter]) && d.handsOverTo(voter, holder, d.settings.Node)
+// handedOverToThisNode reports whether a recent status of a voter's holder names this node as its successor.
+func (d *discoveredVoters) handedOverToThisNode(env *statemachine.Env, voter, holder string) bool {
+	return d.isRecent(env, d.statuses[voter]) && d.namesSuccessor(voter, holder, d.settings.Node)
 }
 
-// releaseVoter grants the claim on this leaving process's own voter, if it is its successor's. The newer list is
-// written before the grant is sent, and the process never signs again.
+// releaseVoter grants the successor's claim on the voter of this leaving process, and ignores every other claim. The
+// newer list is synced before the grant is sent, and this process never signs again.
 func (d *discoveredVoters) releaseVoter(env *statemachine.Env, to string, claim message.VoterClaim) {
 	if released := d.handover.released; released != nil {
 		if released.To == claim.Identity {
@@ -86,7 +90,7 @@
 	if !d.mayRelease(claim) {
 		return
 	}
-	list := memberList(d.State.MemberList).with(d.Voter, claim.Identity)
+	list := memberList(d.State.MemberList).withHolder(d.Voter, claim.Identity)
 	grant := message.VoterGrant{
 		Group:      d.Group,
 		Voter:      d.Voter,
@@ -97,7 +101,7 @@
 	}
 	d.setMemberList(list)
 	d.State.Voting = false
-	d.list.pendingWrites++ // never taken back: this process signs and counts nothing any more
+	d.list.pendingWrites++ // never decremented, so that this process signs and counts nothing from now on
 	d.storage.Persist(env, d.State, func(env *statemachine.Env, failure error) {
 		if failure != nil {
 			return
@@ -109,6 +113,7 @@
 	})
 }
 
+// mayRelease reports whether a claim on this process's voter is from its successor and has a later identity.
 func (d *discoveredVoters) mayRelease(claim message.VoterClaim) bool {
 	if !d.Voting() || d.list.pendingWrites > 0 {
 		return false
--- a/internal/quorum/handover_test.go
+++ b/internal/quorum/handover_test.go
@@ -1,4 +1,4 @@
-// A voter that leaves by plan, and losses in the middle of it.
+// Tests of planned handovers, with and without further losses.
 
 package quorum
 
@@ -13,92 +13,94 @@
 	"beaconvane/internal/message"
 )
 
-// leaving is a group with a newcomer, whose last voter has begun to hand over.
-func leaving(c *qt.C, count int64) (*fleet, []*process, *process) {
-	group, processes := founded(c, int(count), count)
+// newLeavingCluster returns a formed cluster with a standby process, whose last voter has begun its handover.
+func newLeavingCluster(c *qt.C, count int64) (*cluster, []*process, *process) {
+	group, processes := newFormedCluster(c, int(count), count)
 	for _, p := range processes {
-		p.replicatedState = "kept by " + p.node
+		p.replicatedState = "state of " + p.node
 	}
-	newcomer := group.join("fresh", "b1", false)
+	newcomer := group.addProcess("fresh", "b1", false)
 	group.run(time.Second)
-	last := processes[count-1]
-	c.Assert(last.quorum.handOver(last.machineEnv), qt.IsTrue)
+	leavingProcess := processes[count-1]
+	c.Assert(leavingProcess.quorum.handOver(leavingProcess.env), qt.IsTrue)
 	return group, processes, newcomer
 }
 
+// A handover must complete within 400 ms of simulated time, after which the former holder neither votes nor signs.
 func TestLeavingVoterHandsOver(t *testing.T) {
 	c := qt.New(t)
 	for _, count := range []int64{3, 5} {
-		group, processes, newcomer := leaving(c, count)
-		last := processes[count-1]
+		group, processes, newcomer := newLeavingCluster(c, count)
+		leavingProcess := processes[count-1]
 		group.run(400 * time.Millisecond)
-		c.Assert(last.quorum.handedOver(), qt.IsTrue)
-		c.Assert(last.quorum.Voting(), qt.IsFalse)
-		c.Assert(last.quorum.Signature(), qt.Equals, "")
+		c.Assert(leavingProcess.quorum.handedOver(), qt.IsTrue)
+		c.Assert(leavingProcess.quorum.Voting(), qt.IsFalse)
+		c.Assert(leavingProcess.quorum.Signature(), qt.Equals, "")
 		c.Assert(newcomer.quorum.Voting(), qt.IsTrue)
 		c.Assert(group.voters(), qt.HasLen, int(count))
 	}
 }
 
-func TestNothingIsHandedOverWithoutANewcomer(t *testing.T) {
+// Without an eligible successor a voter must not begin a handover, and must continue to vote.
+func TestNoHandoverWithoutSuccessor(t *testing.T) {
 	c := qt.New(t)
-	_, processes := founded(c, 3, 3)
-	c.Assert(processes[2].quorum.handOver(processes[2].machineEnv), qt.IsFalse)
+	_, processes := newFormedCluster(c, 3, 3)
+	c.Assert(processes[2].quorum.handOver(processes[2].env), qt.IsFalse)
 	c.Assert(processes[2].quorum.Voting(), qt.IsTrue)
 }
 
-// Another voter is lost for good at any moment of the hand-over: the newcomer stands by
-// the grant of the leaving one, and a majority is left.
+// Another voter is lost permanently after each number of ticks of a handover. The successor must still complete its
+// claim, with the grant of the leaving voter, so that a majority is left.
 func TestLossInTheMiddleOfAHandOver(t *testing.T) {
 	c := qt.New(t)
-	reached, byLeaving := 0, 0
+	lossesDuringClaim, grantsByLeavingVoter := 0, 0
 	for steps := range 12 {
-		group, processes, newcomer := leaving(c, 3)
-		group.run(time.Duration(steps) * step)
+		group, processes, newcomer := newLeavingCluster(c, 3)
+		group.run(time.Duration(steps) * tickInterval)
 		if newcomer.quorum.State.Voter != "" && !newcomer.quorum.Voting() {
-			reached++
+			lossesDuringClaim++
 		}
 		group.kill(processes[1], true)
 		group.memberState["n2"] = message.Dead
 		group.run(3 * time.Second)
 		voters := group.voters()
-		c.Assert(len(voters) >= 2, qt.IsTrue, qt.Commentf("lost after %d steps: %v %v", steps, voters, group.events))
-		c.Assert(voters["3"], qt.Equals, "fresh", qt.Commentf("lost after %d steps", steps))
-		if slices.Contains(newcomer.merged, "kept by n3") {
-			byLeaving++
+		c.Assert(len(voters) >= 2, qt.IsTrue, qt.Commentf("lost after %d ticks: %v %v", steps, voters, group.events))
+		c.Assert(voters["3"], qt.Equals, "fresh", qt.Commentf("lost after %d ticks", steps))
+		if slices.Contains(newcomer.mergedStates, "state of n3") {
+			grantsByLeavingVoter++
 		}
 		first, second := processes[0].quorum, newcomer.quorum
 		acks := map[string]string{"1": first.Signature(), "3": second.Signature()}
-		c.Assert(first.Majority(acks), qt.IsTrue, qt.Commentf("lost after %d steps", steps))
+		c.Assert(first.Majority(acks), qt.IsTrue, qt.Commentf("lost after %d ticks", steps))
 	}
-	c.Assert(reached > 0, qt.IsTrue, qt.Commentf("the loss never came in the middle"))
-	c.Assert(byLeaving > 0, qt.IsTrue, qt.Commentf("no newcomer stood by the leaving voter's grant"))
+	c.Assert(lossesDuringClaim > 0, qt.IsTrue, qt.Commentf("no loss occurred during the successor's claim"))
+	c.Assert(grantsByLeavingVoter > 0, qt.IsTrue, qt.Commentf("no successor used the leaving voter's grant"))
 }
 
-// A released voter that is started again on its disk is a newcomer and forgets what it held.
-func TestReleasedVoterComesBackAsNewcomer(t *testing.T) {
+// A process that released its voter and is restarted with its disk must discard the voter's state and become a standby.
+func TestReleasedVoterRestartsWithoutVoter(t *testing.T) {
 	c := qt.New(t)
-	group, processes, _ := leaving(c, 3)
+	group, processes, _ := newLeavingCluster(c, 3)
 	group.run(time.Second)
 	group.kill(processes[2], false)
 	group.run(time.Second)
 	processes[2].boot(false)
 	group.run(2 * time.Second)
 	c.Assert(processes[2].quorum.Voting(), qt.IsFalse)
-	c.Assert(processes[2].discarded, qt.Equals, 1)
-	c.Assert(processes[2].quorum.Standby(processes[2].machineEnv), qt.IsTrue)
+	c.Assert(processes[2].discardCount, qt.Equals, 1)
+	c.Assert(processes[2].quorum.Standby(processes[2].env), qt.IsTrue)
 	c.Assert(group.voters()["3"], qt.Equals, "fresh")
 }
 
-// A claim on the voter of a living holder is granted to its successor only.
+// While a live holder hands its voter over, only a claim of the successor it has named may be granted.
 func TestOnlyTheSuccessorIsGranted(t *testing.T) {
 	c := qt.New(t)
-	group, processes, newcomer := leaving(c, 3)
+	group, processes, newcomer := newLeavingCluster(c, 3)
 	group.isolated["b1"] = true
 	group.run(400 * time.Millisecond)
-	claim := message.VoterClaim{Group: "config-log", Voter: "3", Identity: NewIdentity(7, 1, 2, "thief")}
+	claim := message.VoterClaim{Group: "config-log", Voter: "3", Identity: NewIdentity(7, 1, 2, "other")}
 	for _, p := range processes {
-		p.quorum.Handle(p.machineEnv, "b9", claim)
+		p.quorum.Handle(p.env, "b9", claim)
 		group.deliver()
 		c.Assert(parseIdentity(p.quorum.State.MemberList["3"]).node, qt.Equals, "n3", qt.Commentf(fmt.Sprint(p.node)))
 	}
--- a/internal/quorum/host.go
+++ b/internal/quorum/host.go
@@ -6,39 +6,40 @@
 	"beaconvane/internal/storage"
 )
 
-// Storage is the disk of the process.
+// Storage writes to the disk of the process.
 type Storage interface {
-	// Persist appends a record and calls then once it is synced.
-	Persist(env *statemachine.Env, record any, then storage.SyncCallback)
-	// WriteSnapshot writes the process's whole state and calls then once it is synced.
-	WriteSnapshot(env *statemachine.Env, then storage.SyncCallback)
-	// Failure is the error of the first write that failed; nil for none.
+	// Persist appends a record to the log and calls onSynced once the record is synced or its write has failed.
+	Persist(env *statemachine.Env, record any, onSynced storage.SyncCallback)
+	// WriteSnapshot writes the process's complete state and calls onSynced once it is synced or the write has failed.
+	WriteSnapshot(env *statemachine.Env, onSynced storage.SyncCallback)
+	// Failure returns the error of the first write that failed, or nil.
 	Failure() error
 }
 
-// Directory knows the processes of the group from the membership.
+// Directory gives the quorum access to the membership protocol's view of the group's processes.
 type Directory interface {
-	// Peers lists the other processes of the group that are not known to be dead.
+	// Peers returns the other processes of the group that are neither dead nor have left.
 	Peers() []message.Member
-	// NodeGone says that a node is dead or has left.
+	// NodeGone reports whether a node is dead or has left.
 	NodeGone(env *statemachine.Env, nodeName string) bool
-	// Superseded says that a later process with this node's name runs at another address.
+	// Superseded reports whether a later process with this node's name runs at another address.
 	Superseded() bool
-	// AnnounceVoter tells the members which voter this process holds; "" for none.
+	// AnnounceVoter publishes which voter this process holds; "" means none.
 	AnnounceVoter(voter string)
 }
 
-// StateTransfer carries the replicated state of the group from the voters that grant a claim to the claimant.
+// StateTransfer encodes, merges and discards the replicated state of the group, which the voters that grant a claim
+// send to the claimant.
 type StateTransfer interface {
-	// StateForGrant encodes all that this voter has acknowledged.
+	// StateForGrant encodes the state that this voter has acknowledged, for a grant.
 	StateForGrant() []byte
-	// MergeGrantedStates takes over the states of the granters.
+	// MergeGrantedStates merges the states that the granters sent into this process's state.
 	MergeGrantedStates(env *statemachine.Env, states [][]byte)
-	// DiscardState drops the state of a voter that another process holds now.
+	// DiscardState drops the state of this process's former voter, which another process holds now.
 	DiscardState(env *statemachine.Env)
 }
 
-// Host is the machine around the quorum.
+// Host is the state machine that embeds the quorum.
 type Host interface {
 	Storage
 	Directory
--- a/internal/quorum/identity_test.go
+++ b/internal/quorum/identity_test.go
@@ -6,10 +6,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The texts of identities are on disks and in messages of other versions.
+// The text format of identities is fixed, because it is stored on disks and exchanged with other versions.
 func TestIdentityTexts(t *testing.T) {
 	c := qt.New(t)
-	for _, tried := range []struct {
+	for _, testCase := range []struct {
 		text   string
 		parsed identity
 	}{
@@ -17,14 +17,14 @@
 		{"00000007~12@n1\x1eeast", identity{edition: 7, random: "12", node: "n1", zone: "east"}},
 		{"123456789~zz@n2", identity{edition: 123456789, random: "zz", node: "n2"}},
 	} {
-		c.Check(parseIdentity(tried.text), qt.Equals, tried.parsed)
-		c.Check(tried.parsed.String(), qt.Equals, tried.text)
+		c.Check(parseIdentity(testCase.text), qt.Equals, testCase.parsed)
+		c.Check(testCase.parsed.String(), qt.Equals, testCase.text)
 	}
 	c.Check(NewIdentity(7, 1, 38, "n1"), qt.Equals, "00000007~112@n1")
 }
 
-// The identity of a voter that the settings name has no parts.
-func TestIdentityWithoutParts(t *testing.T) {
+// The identity of a static voter is a random text without edition, node and zone.
+func TestStaticIdentityHasNoFields(t *testing.T) {
 	c := qt.New(t)
 	for _, text := range []string{"", "3w5e11264sgsf1c9y2ndrsc0b"} {
 		parsed := parseIdentity(text)
@@ -34,6 +34,7 @@
 	}
 }
 
+// The text format of signatures is fixed for the same reason as that of identities.
 func TestSignatureTexts(t *testing.T) {
 	c := qt.New(t)
 	signed := signature{identity: "00000000~12@n1\x1eeast", digest: "abc"}
@@ -43,17 +44,19 @@
 	c.Check(IdentityOf(signed.identity), qt.Equals, signed.identity)
 }
 
-func TestMemberListsJoin(t *testing.T) {
+// Merging keeps the later holder of each voter, and the digest of a given list never changes, because it is part of
+// signatures that other versions compare.
+func TestMemberListMerge(t *testing.T) {
 	c := qt.New(t)
 	list := memberList{"1": "00000000~a@n1", "2": "00000001~b@n2"}
 	c.Check(list.digest(), qt.Equals, "b7sy1b6p6wpf")
 
-	joined, grown := list.join(memberList{"1": "00000001~c@n3", "2": "00000000~b@n2"})
-	c.Check(grown, qt.IsTrue)
-	c.Check(joined, qt.DeepEquals, memberList{"1": "00000001~c@n3", "2": "00000001~b@n2"})
-	c.Check(joined.digest(), qt.Not(qt.Equals), list.digest())
+	merged, changed := list.merge(memberList{"1": "00000001~c@n3", "2": "00000000~b@n2"})
+	c.Check(changed, qt.IsTrue)
+	c.Check(merged, qt.DeepEquals, memberList{"1": "00000001~c@n3", "2": "00000001~b@n2"})
+	c.Check(merged.digest(), qt.Not(qt.Equals), list.digest())
 
-	same, grown := joined.join(list)
-	c.Check(grown, qt.IsFalse)
-	c.Check(same, qt.DeepEquals, joined)
+	same, changed := merged.merge(list)
+	c.Check(changed, qt.IsFalse)
+	c.Check(same, qt.DeepEquals, merged)
 }
--- a/internal/quorum/memberlist.go
+++ b/internal/quorum/memberlist.go
@@ -8,16 +8,16 @@
 	"strconv"
 )
 
-// memberList says which identity holds each voter.
+// memberList maps each voter of a group to the identity that holds it.
 type memberList map[string]string
 
-// voters lists the voters by name.
+// voters returns the voters in the order of their names.
 func (l memberList) voters() []string { return slices.Sorted(maps.Keys(l)) }
 
-// identities lists the holders, in no order.
+// identities returns the holders in no particular order.
 func (l memberList) identities() []string { return slices.Collect(maps.Values(l)) }
 
-// digest is a hash of the whole list.
+// digest returns a hash of all voters and holders of the list.
 func (l memberList) digest() string {
 	hash := fnv.New64a()
 	for _, voter := range l.voters() {
@@ -26,21 +26,21 @@
 	return strconv.FormatUint(hash.Sum64(), randomBase)
 }
 
-// with is a copy in which a voter has another holder.
-func (l memberList) with(voter, holder string) memberList {
+// withHolder returns a copy of the list in which a voter has another holder.
+func (l memberList) withHolder(voter, holder string) memberList {
 	changed := maps.Clone(l)
 	changed[voter] = holder
 	return changed
 }
 
-// join is a copy that has, for each voter, the later holder of the two lists; grown says that the other list
-// had a later one.
-func (l memberList) join(other memberList) (joined memberList, grown bool) {
-	joined = maps.Clone(l)
+// merge returns a copy that has, for each voter, the later holder of the two lists. changed reports whether the
+// other list had a later holder of any voter.
+func (l memberList) merge(other memberList) (merged memberList, changed bool) {
+	merged = maps.Clone(l)
 	for voter, holder := range other {
-		if holder > joined[voter] {
-			joined[voter], grown = holder, true
+		if holder > merged[voter] {
+			merged[voter], changed = holder, true
 		}
 	}
-	return joined, grown
+	return merged, changed
 }
--- a/internal/quorum/metrics.go
+++ b/internal/quorum/metrics.go
@@ -4,7 +4,7 @@
 	"beaconvane/internal/metrics"
 )
 
-// Metrics are the figures of this process's voter and disk.
+// Metrics returns the metrics of this process's voter and disk.
 func (c *Core) Metrics() []metrics.Sample {
 	state := c.quorum.State
 	return []metrics.Sample{
--- a/internal/quorum/norace_test.go
+++ b/internal/quorum/norace_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// The other half of race_test.go: without the detector every run is played.
+// Without the race detector no test is skipped; see race_test.go.
 package quorum_test
 
-const racing = false
+const raceEnabled = false
--- a/internal/quorum/placement.go
+++ b/internal/quorum/placement.go
@@ -8,91 +8,99 @@
 	"beaconvane/internal/settings"
 )
 
-// placement chooses where voters stand, so that a majority is left after the loss of the zones and regions that
-// the settings tolerate. An identity names its node and its zone.
+// placement distributes voters over zones and regions, so that a majority is left after the loss of as many zones or
+// regions as the settings tolerate. Nodes and zones are taken from the identities.
 type placement struct {
 	tolerated settings.Tolerated
-	regions   map[string]string // by zone
+	regions   map[string]string // region of each zone
 }
 
+// placement returns the placement rules of the settings.
 func (d *discoveredVoters) placement() placement {
 	return placement{tolerated: d.settings.Tolerated, regions: d.settings.Regions}
 }
 
-// choose picks the identities of a new group's voters: the anchor, and others so that regions and zones have
-// voters in like numbers, by node where several are as good. The result is ordered by node.
+// choose selects the identities of a new group's voters: the anchor, and others such that the voters are distributed
+// evenly over regions and zones. Ties are broken by the order of node names. The result is sorted by node.
 func (p placement) choose(identities []string, anchor string, count int) []string {
-	rest := slices.Clone(identities)
-	sortByNode(rest)
+	remaining := slices.Clone(identities)
+	sortByNode(remaining)
 	chosen := []string{}
-	take := func(index int) {
-		chosen = append(chosen, rest[index])
-		rest = slices.Delete(rest, index, index+1)
+	selectAt := func(index int) {
+		chosen = append(chosen, remaining[index])
+		remaining = slices.Delete(remaining, index, index+1)
 	}
-	if index := slices.Index(rest, anchor); index >= 0 {
-		take(index)
+	if index := slices.Index(remaining, anchor); index >= 0 {
+		selectAt(index)
 	}
-	for len(chosen) < count && len(rest) > 0 {
-		take(p.leastCrowded(rest, chosen))
+	for len(chosen) < count && len(remaining) > 0 {
+		selectAt(p.leastOccupied(remaining, chosen))
 	}
 	sortByNode(chosen)
 	return chosen
 }
 
+// sortByNode sorts identities by the names of their nodes.
 func sortByNode(identities []string) {
-	slices.SortFunc(identities, func(one, other string) int {
-		return strings.Compare(parseIdentity(one).node, parseIdentity(other).node)
+	slices.SortFunc(identities, func(left, right string) int {
+		return strings.Compare(parseIdentity(left).node, parseIdentity(right).node)
 	})
 }
 
-// leastCrowded is the index of the first candidate whose region and zone have the fewest chosen voters.
-func (p placement) leastCrowded(candidates, chosen []string) int {
+// leastOccupied returns the index of the first candidate whose region, and then zone, has the fewest chosen voters.
+func (p placement) leastOccupied(candidates, chosen []string) int {
 	best := 0
 	for index := range candidates {
-		if p.crowding(chosen, candidates[index]).before(p.crowding(chosen, candidates[best])) {
+		if p.occupancyAround(chosen, candidates[index]).lessThan(p.occupancyAround(chosen, candidates[best])) {
 			best = index
 		}
 	}
 	return best
 }
 
-// crowding is how many chosen voters stand in a candidate's region and zone already.
-type crowding struct{ region, zone int }
+// occupancy is the number of voters that are already chosen in a candidate's region and in its zone.
+type occupancy struct{ region, zone int }
 
-func (c crowding) before(other crowding) bool {
-	if c.region != other.region {
-		return c.region < other.region
+// lessThan compares by region first and by zone second.
+func (o occupancy) lessThan(other occupancy) bool {
+	if o.region != other.region {
+		return o.region < other.region
 	}
-	return c.zone < other.zone
+	return o.zone < other.zone
 }
 
-func (p placement) crowding(chosen []string, candidate string) crowding {
-	counted := crowding{}
+// occupancyAround counts the chosen voters in the candidate's zone and, if the settings tolerate the loss of regions,
+// in its region.
+func (p placement) occupancyAround(chosen []string, candidate string) occupancy {
+	counts := occupancy{}
 	for _, identity := range chosen {
 		if p.tolerated.Regions > 0 && p.regionOf(identity) == p.regionOf(candidate) {
-			counted.region++
+			counts.region++
 		}
 		if zoneOf(identity) == zoneOf(candidate) {
-			counted.zone++
+			counts.zone++
 		}
 	}
-	return counted
+	return counts
 }
 
+// zoneOf returns the zone within the text of an identity.
 func zoneOf(text string) string { return parseIdentity(text).zone }
 
+// regionOf returns the region of an identity's zone.
 func (p placement) regionOf(identity string) string { return p.regions[zoneOf(identity)] }
 
-// worstLoss is how many of some voters are lost with the zones, or the regions, that the settings tolerate to
-// be lost at once.
-func (p placement) worstLoss(identities []string) int {
-	inZones := largestGroups(identities, zoneOf, p.tolerated.Zones)
-	inRegions := largestGroups(identities, p.regionOf, p.tolerated.Regions)
+// worstCaseLoss returns the largest number of the given voters that can be lost together with as many zones, or as
+// many regions, as the settings tolerate.
+func (p placement) worstCaseLoss(identities []string) int {
+	inZones := sumOfLargestGroups(identities, zoneOf, p.tolerated.Zones)
+	inRegions := sumOfLargestGroups(identities, p.regionOf, p.tolerated.Regions)
 	return max(inZones, inRegions)
 }
 
-// largestGroups adds up the sizes of as many of the largest groups by a key.
-func largestGroups(identities []string, key func(identity string) string, groups int64) int {
+// sumOfLargestGroups groups identities by a key and returns the total size of the largest groups. The parameter groups
+// is the number of groups that are added up.
+func sumOfLargestGroups(identities []string, key func(identity string) string, groups int64) int {
 	counts := map[string]int{}
 	for _, identity := range identities {
 		counts[key(identity)]++
@@ -106,15 +114,15 @@
 	return total
 }
 
-// survivesWorstLoss says that a majority of some voters is left after the worst loss.
-func (p placement) survivesWorstLoss(identities []string) bool {
-	return (len(identities)-p.worstLoss(identities))*2 > len(identities)
+// survivesWorstCaseLoss reports whether a majority of the given voters is left after the worst-case loss.
+func (p placement) survivesWorstCaseLoss(identities []string) bool {
+	return (len(identities)-p.worstCaseLoss(identities))*2 > len(identities)
 }
 
-// keepsSpread says that a voter may move to a zone: a majority is left after the worst loss with it there, or no
-// fewer than before.
+// keepsSpread reports whether a voter may move to a zone: after the move a majority survives the worst-case loss, or
+// the worst-case loss is no greater than before.
 func (p placement) keepsSpread(list memberList, voter, zone string) bool {
 	before := list.identities()
-	after := list.with(voter, identity{zone: zone}.String()).identities()
-	return p.survivesWorstLoss(after) || p.worstLoss(after) <= p.worstLoss(before)
+	after := list.withHolder(voter, identity{zone: zone}.String()).identities()
+	return p.survivesWorstCaseLoss(after) || p.worstCaseLoss(after) <= p.worstCaseLoss(before)
 }
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -6,41 +6,42 @@
 	"beaconvane/internal/statemachine"
 )
 
-// voterSet is a design of keeping the voters of a group.
+// voterSet decides which process holds which voter of a group, and whose signatures count.
 type voterSet interface {
-	// tick does what is due: it sends statuses, forms the group, or claims a voter.
+	// tick sends statuses, forms the group or claims a voter, whichever is due.
 	tick(env *statemachine.Env)
-	// handle takes a VoterStatus, VoterClaim or VoterGrant of this group.
+	// handle processes a VoterStatus, VoterClaim or VoterGrant of this group.
 	handle(env *statemachine.Env, from string, msg any)
-	// names lists the voters of the group.
-	names() []string
-	// signature is what this process signs with; "" while it must not sign.
+	// voterNames returns the names of the group's voters.
+	voterNames() []string
+	// signature returns this process's signature, or "" while it must not sign.
 	signature() string
-	// accepts says that a signature is that of the member that holds a voter.
+	// accepts reports whether a signature is valid for the current holder of a voter.
 	accepts(voter, signature string) bool
-	// counts says that an acknowledgement with this signature counts towards a majority.
-	counts(voter, signature string) bool
-	// standby says that the group is complete and this process holds no voter in it.
+	// countsTowardsMajority reports whether an acknowledgement of a voter with this signature counts.
+	countsTowardsMajority(voter, signature string) bool
+	// standby reports whether a majority of voters is voting while this process neither holds nor claims a voter.
 	standby(env *statemachine.Env) bool
-	// handOver begins the planned replacement of this voter; false when nobody can take it.
+	// handOver begins the planned replacement of this voter. It returns false if this process does not vote or no
+	// other process can take the voter over.
 	handOver(env *statemachine.Env) bool
-	// handedOver says that another process holds this voter now.
+	// handedOver reports whether another process has replaced this one as the holder of its voter.
 	handedOver() bool
-	// pendingListWrites counts the member lists that are not on disk yet.
+	// pendingListWrites returns the number of member lists whose write is not synced yet.
 	pendingListWrites() int
 }
 
-// Quorum is the voters of a group as one process knows them, and the process's own part among them.
+// Quorum is one process's view of the voters of its group, and of the voter that it holds itself.
 type Quorum struct {
 	*Replica
 	voters voterSet
 }
 
-// New restores a quorum from what the disk held. An empty state gets a random identity on the first tick.
-// beginVoting is called each time that this process becomes a voter; fresh says that the group was just
-// formed, so that nobody has voted before.
+// New returns a Quorum with the state that was read from disk. If that state is empty, the first tick creates a
+// random identity. beginVoting is called each time this process becomes a voter; its argument newGroup reports
+// that the group has just been formed, so that no vote precedes this one.
 func New(group string, cfg settings.Settings, host Host, state message.VoterState,
-	beginVoting func(env *statemachine.Env, fresh bool)) *Quorum {
+	beginVoting func(env *statemachine.Env, newGroup bool)) *Quorum {
 	replica := newReplica(group, cfg, host, state, beginVoting)
 	if cfg.VoterCount > 0 {
 		return &Quorum{Replica: replica, voters: newDiscoveredVoters(replica)}
@@ -48,13 +49,15 @@
 	return &Quorum{Replica: replica, voters: &staticVoters{Replica: replica}}
 }
 
-// Discovered says that the settings only count the voters, and the processes find who holds them.
+// Discovered reports whether the settings give only the number of voters, and the processes agree among themselves
+// which of them hold one.
 func (q *Quorum) Discovered() bool { return q.settings.VoterCount > 0 }
 
-// Tick sends statuses, forms the group, or claims a voter, as is due.
+// Tick sends statuses, forms the group or claims a voter, whichever is due.
 func (q *Quorum) Tick(env *statemachine.Env) { q.voters.tick(env) }
 
-// Handle takes a message about voters; it returns false for any other.
+// Handle processes a VoterStatus, VoterClaim or VoterGrant, and ignores those of other groups. It returns false
+// for any other type of message.
 func (q *Quorum) Handle(env *statemachine.Env, from string, msg any) bool {
 	group, isVoterMessage := groupOf(msg)
 	if !isVoterMessage {
@@ -66,6 +69,7 @@
 	return true
 }
 
+// groupOf returns the group that a VoterStatus, VoterClaim or VoterGrant belongs to.
 func groupOf(msg any) (group string, isVoterMessage bool) {
 	switch received := msg.(type) {
 	case message.VoterStatus:
@@ -78,53 +82,55 @@
 	return "", false
 }
 
-// VoterNames lists the voters of the group.
-func (q *Quorum) VoterNames() []string { return q.voters.names() }
+// VoterNames returns the names of the group's voters.
+func (q *Quorum) VoterNames() []string { return q.voters.voterNames() }
 
-// Size is the number of voters of the group.
-func (q *Quorum) Size() int { return len(q.voters.names()) }
+// Size returns the number of voters in the group.
+func (q *Quorum) Size() int { return len(q.voters.voterNames()) }
 
-// Signature is what this voter signs its votes, requests and acknowledgements with; "" while it must not
-// sign.
+// Signature returns the signature for this voter's votes, requests and acknowledgements, or "" while it must not
+// sign any.
 func (q *Quorum) Signature() string { return q.voters.signature() }
 
-// Accepts says that a signature is that of the member that holds a voter, by the member list as it is now.
+// Accepts reports whether a signature is valid for the holder of a voter by the current member list.
 func (q *Quorum) Accepts(voter, signature string) bool { return q.voters.accepts(voter, signature) }
 
-// Majority says whether the acknowledgements that still count, given as signatures by voter, are of more
-// than half of the voters.
+// Majority reports whether more than half of the voters have acknowledged. acks maps voters to the signatures of
+// their acknowledgements; those that do not match the current member list are not counted.
 func (q *Quorum) Majority(acks map[string]string) bool {
 	count := 0
 	for voter, signature := range acks {
-		if q.voters.counts(voter, signature) {
+		if q.voters.countsTowardsMajority(voter, signature) {
 			count++
 		}
 	}
 	return count*2 > q.Size() || guardsOff.majority && count > 0
 }
 
-// voterAt is the voter that is held at an address, as last heard; "" for none.
-func (q *Quorum) voterAt(address string) string {
-	for _, voter := range q.voters.names() {
-		if received, known := q.statuses[voter]; known && received.from == address {
+// voterAtAddress returns the voter whose last status came from an address, or "" if there is none.
+func (q *Quorum) voterAtAddress(address string) string {
+	for _, voter := range q.voters.voterNames() {
+		if received, known := q.statuses[voter]; known && received.address == address {
 			return voter
 		}
 	}
 	return ""
 }
 
-// Standby says whether the group is complete and this process holds no voter in it.
+// Standby reports whether a majority of voters is voting while this process neither holds nor claims a voter. It is
+// always false with static voters.
 func (q *Quorum) Standby(env *statemachine.Env) bool { return q.voters.standby(env) }
 
-// handOver begins the planned replacement of this voter; false when there is nobody to hand over to, or
-// nothing to hand over. After true the caller waits for handedOver.
+// handOver begins the planned replacement of this voter. It returns false if this process does not vote or no
+// other process can take the voter over; after true the caller waits for handedOver.
 func (q *Quorum) handOver(env *statemachine.Env) bool { return q.voters.handOver(env) }
 
-// handedOver says that another process has this voter: this one votes no more and may end.
+// handedOver reports whether another process has replaced this one as the holder of its voter. This process no
+// longer votes then, and may exit.
 func (q *Quorum) handedOver() bool { return q.voters.handedOver() }
 
-// ForceRecover marks every other voter vacant. An operator does this, by a command on the stopped
-// survivor's disk, after a majority of the disks was lost.
+// ForceRecover marks every other voter vacant. It is called by an operator's command on the disk of a stopped
+// survivor, after a majority of the disks was lost.
 func (q *Quorum) ForceRecover() {
 	list := map[string]string{}
 	for voter, holder := range q.State.MemberList {
--- a/internal/quorum/race_test.go
+++ b/internal/quorum/race_test.go
@@ -1,7 +1,7 @@
 //go:build race
 
-// A walk is one thread: there is nothing for the race detector to find,
-// and it makes the long runs ten times slower. They are run without it.
+// Every walk runs in a single goroutine, so that the race detector can find nothing in it, and the detector makes the
+// long tests ten times slower. They are skipped when it is enabled.
 package quorum_test
 
-const racing = true
+const raceEnabled = true
--- a/internal/quorum/replica.go
+++ b/internal/quorum/replica.go
@@ -10,45 +10,49 @@
 )
 
 const (
-	// freshIntervals is how many status intervals a received status counts as recent.
-	freshIntervals = 5
-	// steadyIntervals is how many status intervals pass between statuses while all voters vote.
-	steadyIntervals = 10
+	// recentIntervals is the number of status intervals for which a received status counts as recent.
+	recentIntervals = 5
+	// steadyStateIntervals is the number of status intervals between two statuses while the group is stable: this
+	// voter votes and, with discovered voters, all others do too.
+	steadyStateIntervals = 10
 )
 
-// receivedStatus is what a process told of itself last.
+// receivedStatus is the last status received from another process.
 type receivedStatus struct {
-	from   string // its address
-	status message.VoterStatus
-	at     time.Duration
+	address    string // of the sender
+	status     message.VoterStatus
+	receivedAt time.Duration
 }
 
-// Replica is this process as a member of its group: what its disk holds, and what the others told. Both
-// designs share it.
+// Replica is this process's state as a member of its group: the persistent state, and the last statuses and grants
+// received from the others. Both implementations of voterSet embed it.
 type Replica struct {
+	// Group is the name of the group in messages: the role of its processes.
 	Group string
-	// Voter is the voter that this process holds; "" for none.
+	// Voter is the voter that this process holds, or "" if it holds none.
 	Voter string
-	// State is what the disk holds, or is about to hold. Only this package changes it.
+	// State is the persistent state, including changes whose writes are not synced yet. Only this package changes it.
 	State message.VoterState
-	// Removed says that another disk was given this process's voter, which the settings name.
+	// Removed reports that another disk holds the voter that the settings assign to this process. It is used with
+	// static voters only.
 	Removed bool
 
 	settings    settings.Settings
 	storage     Storage
 	directory   Directory
 	transfer    StateTransfer
-	beginVoting func(env *statemachine.Env, fresh bool)
+	beginVoting func(env *statemachine.Env, newGroup bool)
 
-	statuses       map[string]receivedStatus     // of the others, by voter
-	grants         map[string]message.VoterGrant // for this process's claim, by granter's voter
+	statuses       map[string]receivedStatus     // last status of each other voter
+	grants         map[string]message.VoterGrant // for this process's claim, by the granter's voter
 	nextStatusAt   time.Duration
 	proposalSynced bool
-	writing        bool // a write is under way on which everything waits, or it failed
+	blockedOnWrite bool // a write that must be synced before any further step is in progress or has failed
 }
 
+// newReplica returns a Replica with the state that was read from disk.
 func newReplica(group string, cfg settings.Settings, host Host, state message.VoterState,
-	beginVoting func(env *statemachine.Env, fresh bool)) *Replica {
+	beginVoting func(env *statemachine.Env, newGroup bool)) *Replica {
 	if state.MemberList == nil {
 		state.MemberList = map[string]string{}
 	}
@@ -70,32 +74,32 @@
 	}
 }
 
-// Voting says that this process may vote; one whose disk has failed may not.
+// Voting reports whether this process may vote. A process whose disk has failed may not.
 func (r *Replica) Voting() bool {
-	return r.State.Voting && !r.Removed && !r.writing && r.storage.Failure() == nil
+	return r.State.Voting && !r.Removed && !r.blockedOnWrite && r.storage.Failure() == nil
 }
 
-// AddressOf is where the process that holds a voter was last heard from.
-func (r *Replica) AddressOf(voter string) string { return r.statuses[voter].from }
+// AddressOf returns the address from which the holder of a voter last sent a status, or "" if none was received.
+func (r *Replica) AddressOf(voter string) string { return r.statuses[voter].address }
 
-// LastStatus is what the holder of a voter last told of itself, and when it was received.
-func (r *Replica) LastStatus(voter string) (status message.VoterStatus, at time.Duration, known bool) {
+// LastStatus returns the last status of the holder of a voter and when it was received.
+func (r *Replica) LastStatus(voter string) (status message.VoterStatus, receivedAt time.Duration, known bool) {
 	last, known := r.statuses[voter]
-	return last.status, last.at, known
+	return last.status, last.receivedAt, known
 }
 
-// recent says that a status was received not long ago.
-func (r *Replica) recent(env *statemachine.Env, received receivedStatus) bool {
-	return env.Now-received.at <= r.settings.DigestEvery()*freshIntervals
+// isRecent reports whether a status was received within the last recentIntervals status intervals.
+func (r *Replica) isRecent(env *statemachine.Env, received receivedStatus) bool {
+	return env.Now-received.receivedAt <= r.settings.DigestEvery()*recentIntervals
 }
 
-// status is what this process tells of itself.
+// status returns the status that this process sends to the others. It omits state that is not synced yet.
 func (r *Replica) status(wantsReply bool) message.VoterStatus {
 	status := message.VoterStatus{
 		Group:      r.Group,
 		Voter:      r.Voter,
 		Identity:   r.State.Identity,
-		Formed:     r.State.Formed && !r.writing,
+		Formed:     r.State.Formed && !r.blockedOnWrite,
 		Voting:     r.Voting(),
 		Proposal:   map[string]string{},
 		MemberList: map[string]string{},
@@ -108,38 +112,39 @@
 	if r.proposalSynced {
 		status.Proposal = maps.Clone(r.State.Proposal)
 	}
-	if !r.writing {
+	if !r.blockedOnWrite {
 		status.MemberList = maps.Clone(r.State.MemberList)
 	}
 	return status
 }
 
-// startVoting writes the whole state, announces the voter, and only then votes. fresh says that the group was
-// just formed.
-func (r *Replica) startVoting(env *statemachine.Env, fresh bool, announce func(env *statemachine.Env)) {
-	r.writing = !guardsOff.writtenStand
-	r.finishSnapshot(env, func(env *statemachine.Env) {
+// startVoting writes a snapshot, and once that is synced calls announce and begins to vote. newGroup reports that
+// the group has just been formed.
+func (r *Replica) startVoting(env *statemachine.Env, newGroup bool, announce func(env *statemachine.Env)) {
+	r.blockedOnWrite = !guardsOff.writtenStand
+	r.writeBlockingSnapshot(env, func(env *statemachine.Env) {
 		eventName := eventRecovered
-		if fresh {
+		if newGroup {
 			eventName = eventGroupFormed
 		}
 		env.Event(eventName, 0, 0, r.Voter)
 		announce(env)
-		r.beginVoting(env, fresh)
+		r.beginVoting(env, newGroup)
 	})
 }
 
-// finishSnapshot writes the whole state, which ends the write on which everything waits.
-func (r *Replica) finishSnapshot(env *statemachine.Env, then func(env *statemachine.Env)) {
+// writeBlockingSnapshot writes a snapshot. Once it is synced, it clears blockedOnWrite and calls onSynced; if the
+// write fails, blockedOnWrite stays set.
+func (r *Replica) writeBlockingSnapshot(env *statemachine.Env, onSynced func(env *statemachine.Env)) {
 	r.storage.WriteSnapshot(env, func(env *statemachine.Env, failure error) {
-		r.writing = failure != nil
+		r.blockedOnWrite = failure != nil
 		if failure == nil {
-			then(env)
+			onSynced(env)
 		}
 	})
 }
 
-// sendGrant lets a claimant have its voter and tells it this voter's state.
+// sendGrant grants a claim and sends this voter's state to the claimant.
 func (r *Replica) sendGrant(env *statemachine.Env, to string, claim message.VoterClaim) {
 	env.Send(to, message.VoterGrant{
 		Group:      r.Group,
--- a/internal/quorum/restore.go
+++ b/internal/quorum/restore.go
@@ -8,19 +8,19 @@
 	"beaconvane/internal/message"
 )
 
-// Restored is the part of the state on disk that the two control programs have in common.
+// Restored is the state on disk that the two control programs have in common.
 type Restored struct {
 	Voter message.VoterState
 	Votes []message.Vote
 }
 
-// Replay reads the records of the log behind the snapshot, oldest first. It takes the common ones and hands each
-// other to own.
-func (r *Restored) Replay(records [][]byte, members *membership.Membership, own func(record any)) error {
+// Replay decodes the log records written after the snapshot, oldest first. It applies the record types that both
+// control programs share and passes every other record to handleOther.
+func (r *Restored) Replay(records [][]byte, members *membership.Membership, handleOther func(record any)) error {
 	for _, record := range records {
 		decoded, err := message.Decode(record)
 		if err != nil {
-			return corrupt(err)
+			return diskCorruptError(err)
 		}
 		switch restored := decoded.(type) {
 		case message.VoterState:
@@ -30,13 +30,13 @@
 		case message.KnownAddresses:
 			members.AddKnownAddresses(restored.Addresses)
 		default:
-			own(decoded)
+			handleOther(decoded)
 		}
 	}
 	return nil
 }
 
-// DecodeSnapshot reads a control program's snapshot, which is a T; without one it returns a zero T.
+// DecodeSnapshot decodes a control program's snapshot, which must be a T. It returns a zero T if snapshot is nil.
 func DecodeSnapshot[T any](snapshot []byte) (T, error) {
 	var empty T
 	if snapshot == nil {
@@ -44,16 +44,16 @@
 	}
 	decoded, err := message.Decode(snapshot)
 	if err != nil {
-		return empty, corrupt(err)
+		return empty, diskCorruptError(err)
 	}
 	state, isState := decoded.(T)
 	if !isState {
-		return empty, corrupt(fmt.Errorf("a slot holds a %T", decoded))
+		return empty, diskCorruptError(fmt.Errorf("snapshot has type %T, expected %T", decoded, empty))
 	}
 	return state, nil
 }
 
-// corrupt wraps what is wrong with the content of a disk.
-func corrupt(err error) error {
+// diskCorruptError wraps an error about the content of the disk with the code DiskCorrupt.
+func diskCorruptError(err error) error {
 	return errcode.Wrap("quorum.restore", errcode.DiskCorrupt, fmt.Errorf("unreadable record: %w", err))
 }
--- a/internal/quorum/static.go
+++ b/internal/quorum/static.go
@@ -6,37 +6,43 @@
 	"beaconvane/internal/statemachine"
 )
 
-// staticVoters is the design in which the settings name the voters, and which of them this process is.
+// staticVoters is the voterSet in which the settings name the voters and assign one to each process.
 //
-// All form the group together, once, when each reports an empty disk and has proposed, on disk, the same
-// member list. A voter that lost its disk claims its place anew: both others first write the new identity
-// to disk, which voids the acknowledgements of the old one, also those under way, and then grant the claim.
-// Only with both grants does it vote. The old disk, if it comes back, is on nobody's member list.
+// The group is formed once, by all voters together, when each of them has reported an empty disk and has synced a
+// proposal of the same member list. A voter that has lost its disk claims its voter again with a new identity. Both
+// other voters first write the new identity to disk, which invalidates every acknowledgement of the old identity,
+// including those in flight, and then grant the claim. The claimant votes only after it has received both grants.
+// If the old disk is started again, no member list contains its identity.
 type staticVoters struct {
 	*Replica
 }
 
-func (v *staticVoters) names() []string { return v.settings.Voters }
+func (v *staticVoters) voterNames() []string { return v.settings.Voters }
 
+// signature returns the identity alone, without a digest of the member list.
 func (v *staticVoters) signature() string { return v.State.Identity }
 
+// accepts reports whether a signature is the identity that holds a voter by the member list of the formed group.
 func (v *staticVoters) accepts(voter, signature string) bool {
 	return v.State.Formed && signature != "" && v.State.MemberList[voter] == signature
 }
 
-func (v *staticVoters) counts(voter, signature string) bool { return v.accepts(voter, signature) }
+func (v *staticVoters) countsTowardsMajority(voter, signature string) bool {
+	return v.accepts(voter, signature)
+}
 
+// tick creates an identity if there is none, and sends a status or a claim to the other voters when one is due.
 func (v *staticVoters) tick(env *statemachine.Env) {
 	if v.State.Identity == "" {
-		v.makeIdentity(env)
+		v.createIdentity(env)
 		return
 	}
-	if env.Now < v.nextStatusAt || v.writing {
+	if env.Now < v.nextStatusAt || v.blockedOnWrite {
 		return
 	}
 	v.nextStatusAt = env.Now + v.settings.DigestEvery()
 	if v.Voting() {
-		v.nextStatusAt = env.Now + v.settings.DigestEvery()*steadyIntervals
+		v.nextStatusAt = env.Now + v.settings.DigestEvery()*steadyStateIntervals
 	}
 	for _, peer := range v.directory.Peers() {
 		if peer.Voter == v.Voter {
@@ -50,15 +56,17 @@
 	}
 }
 
-func (v *staticVoters) makeIdentity(env *statemachine.Env) {
+// createIdentity gives this process a new identity and writes it to disk, together with an empty member list.
+func (v *staticVoters) createIdentity(env *statemachine.Env) {
 	v.State.Identity = randomIdentity(env)
 	clear(v.State.MemberList)
 	clear(v.State.Proposal)
-	v.writing = true
-	v.finishSnapshot(env, func(*statemachine.Env) {})
+	v.blockedOnWrite = true
+	v.writeBlockingSnapshot(env, func(*statemachine.Env) {})
 	env.Event(eventIdentityMade, 0, 0, v.Voter)
 }
 
+// handle ignores statuses and claims for this process's own voter, and grants for another identity.
 func (v *staticVoters) handle(env *statemachine.Env, from string, msg any) {
 	switch received := msg.(type) {
 	case message.VoterStatus:
@@ -76,8 +84,10 @@
 	}
 }
 
+// handleStatus replies to a status if the sender requests that, and records it unless another identity holds the
+// sender's voter.
 func (v *staticVoters) handleStatus(env *statemachine.Env, from string, status message.VoterStatus) {
-	if v.State.Identity == "" || v.writing {
+	if v.State.Identity == "" || v.blockedOnWrite {
 		return
 	}
 	if status.WantsReply {
@@ -86,7 +96,7 @@
 	if v.State.Formed && !v.accepts(status.Voter, status.Identity) {
 		return
 	}
-	v.statuses[status.Voter] = receivedStatus{from: from, status: status, at: env.Now}
+	v.statuses[status.Voter] = receivedStatus{address: from, status: status, receivedAt: env.Now}
 	if status.Formed {
 		v.handleFormed(env, status)
 		return
@@ -94,18 +104,19 @@
 	v.advanceBootstrap(env)
 }
 
-// handleFormed takes the member list of a voter that knows a formed group.
+// handleFormed processes the member list of a voter whose group is formed. It completes the bootstrap if the list
+// is the one proposed by this process, and stops this process from voting if another identity holds its voter.
 func (v *staticVoters) handleFormed(env *statemachine.Env, status message.VoterStatus) {
 	switch {
-	case v.completesProposal(status.MemberList):
-		v.form(env, status.MemberList)
+	case v.formedFromProposal(status.MemberList):
+		v.formGroup(env, status.MemberList)
 	case status.MemberList[v.Voter] != v.State.Identity && v.State.Voting && !v.Removed:
 		v.Removed = true
 		env.Event(eventRemoved, int(errcode.VoterShutOut), 0, v.Voter+" by the member list of "+status.Voter)
 	}
 }
 
-// Where the settings name the voters, no process stands by and no voter is handed over.
+// Static voters have no standby processes, and their voters are never handed over.
 
 func (v *staticVoters) standby(*statemachine.Env) bool { return false }
 
--- a/internal/quorum/static_replacement.go
+++ b/internal/quorum/static_replacement.go
@@ -8,8 +8,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// mustClaim says that this process is a newcomer: it never voted, and a formed group has another identity
-// for its voter, or it knows a formed group itself.
+// mustClaim reports whether this process has to claim its voter: it has never voted with this identity, and either
+// a formed group lists another identity for its voter or its own state contains a formed group.
 func (v *staticVoters) mustClaim() bool {
 	if v.State.Voting {
 		return false
@@ -22,12 +22,14 @@
 	return v.State.Formed
 }
 
+// handleClaim replaces the holder of a voter by the claimant and grants the claim once the new member list is
+// synced. It refuses an identity that has already been replaced.
 func (v *staticVoters) handleClaim(env *statemachine.Env, from string, claim message.VoterClaim) {
 	if !v.Voting() {
 		return
 	}
 	if slices.Contains(v.State.ReplacedIdentities, claim.Identity) {
-		v.refuse(env, from, claim)
+		v.sendRefusal(env, from, claim)
 		return
 	}
 	holder := v.State.MemberList[claim.Voter]
@@ -42,7 +44,8 @@
 		delete(v.statuses, claim.Voter)
 		env.Event(eventReplaced, 0, 0, claim.Voter)
 	}
-	// Where the list has the claimant already, its write may be under way; a write behind it keeps the order.
+	// If the list already contains the claimant, the write of that list may still be in progress; another write
+	// queued after it completes later, so the grant is never sent before the list is synced.
 	v.storage.Persist(env, v.State, func(env *statemachine.Env, failure error) {
 		if failure == nil && v.accepts(claim.Voter, claim.Identity) {
 			v.sendGrant(env, from, claim)
@@ -50,7 +53,8 @@
 	})
 }
 
-func (v *staticVoters) refuse(env *statemachine.Env, to string, claim message.VoterClaim) {
+// sendRefusal tells a claimant that its identity can never be granted the voter.
+func (v *staticVoters) sendRefusal(env *statemachine.Env, to string, claim message.VoterClaim) {
 	env.Send(to, message.VoterGrant{
 		Group:      v.Group,
 		Voter:      v.Voter,
@@ -61,8 +65,8 @@
 	})
 }
 
-// otherReplacementPending says that another voter is being replaced. Of two voters that were given up one is
-// replaced first, so that the second newcomer has two to read.
+// otherReplacementPending reports whether another voter is being replaced. Two voters that ForceRecover has marked
+// vacant are replaced one after the other, so that the second claimant merges the states of two voters.
 func (v *staticVoters) otherReplacementPending(claimed string) bool {
 	for _, voter := range v.settings.Voters {
 		holder := v.State.MemberList[voter]
@@ -77,8 +81,10 @@
 	return false
 }
 
+// handleGrant collects grants. Once every voter that is not vacant has granted the claim on consistent member
+// lists, this process merges the states of the granters and begins to vote.
 func (v *staticVoters) handleGrant(env *statemachine.Env, grant message.VoterGrant) {
-	if v.State.Voting || v.writing {
+	if v.State.Voting || v.blockedOnWrite {
 		return
 	}
 	if grant.Refused {
@@ -86,7 +92,7 @@
 		return
 	}
 	v.grants[grant.Voter] = grant
-	list, states, complete := v.grantedList()
+	list, states, complete := v.listFromGrants()
 	if !complete || !v.grantersAgree(list) {
 		return
 	}
@@ -95,7 +101,8 @@
 	v.startVoting(env, false, func(*statemachine.Env) {})
 }
 
-// handleRefusal takes another identity where nothing rests on this one yet, since it never voted.
+// handleRefusal drops the refused identity if its state contains no formed group: such an identity has never voted,
+// so the next tick can create another. Otherwise it sets Removed, which prevents this process from voting.
 func (v *staticVoters) handleRefusal(env *statemachine.Env, grant message.VoterGrant) {
 	if !v.State.Formed {
 		env.Event(eventIdentityDropped, 0, 0, v.Voter)
@@ -108,9 +115,9 @@
 	v.Removed = true
 }
 
-// grantedList is the member list by the grants, and the states told with them; complete says that each other
-// voter has granted or was given up.
-func (v *staticVoters) grantedList() (list memberList, states [][]byte, complete bool) {
+// listFromGrants returns the member list that results from the grants, and the granters' states. complete reports
+// whether each other voter has granted the claim or is marked vacant.
+func (v *staticVoters) listFromGrants() (list memberList, states [][]byte, complete bool) {
 	list = memberList{v.Voter: v.State.Identity}
 	for _, voter := range slices.Sorted(slices.Values(v.settings.Voters)) {
 		if voter == v.Voter {
@@ -121,7 +128,7 @@
 		case granted:
 			list[voter] = grant.Identity
 			states = append(states, grant.State)
-		case v.givenUp(voter):
+		case v.markedVacant(voter):
 			list[voter] = ""
 		default:
 			return nil, nil, false
@@ -130,8 +137,8 @@
 	return list, states, true
 }
 
-// grantersAgree says that the granters' member lists have each other. A granter whose list has not is dropped:
-// one of them is not who it was.
+// grantersAgree reports whether the member list of each granter contains the identities of all other granters. It
+// drops the first grant whose list does not: one of the granters has been replaced in the meantime.
 func (v *staticVoters) grantersAgree(list memberList) bool {
 	for _, grant := range v.grants {
 		for _, voter := range v.settings.Voters {
@@ -144,8 +151,9 @@
 	return true
 }
 
-// givenUp says that by a granter's member list an operator has given the voter up.
-func (v *staticVoters) givenUp(voter string) bool {
+// markedVacant reports whether a granter's member list has no holder for a voter, because an operator's forced
+// recovery (ForceRecover) has marked it vacant.
+func (v *staticVoters) markedVacant(voter string) bool {
 	for _, grant := range v.grants {
 		if holder, listed := grant.MemberList[voter]; listed && holder == "" {
 			return true
