--- a/internal/quorum/bootstrap_test.go
+++ b/internal/quorum/bootstrap_test.go
@@ -28,11 +28,11 @@
 		group, processes := newFormedCluster(c, testCase.processes, testCase.count)
 		c.Check(group.voters(), qt.DeepEquals, testCase.expected, qt.Commentf("%d of %d", testCase.processes, testCase.count))
 		if testCase.processes > int(testCase.count) {
-			last := processes[testCase.processes-1]
+			standby := processes[testCase.processes-1]
 			group.run(5 * time.Second)
-			c.Check(last.quorum.Standby(last.env), qt.IsTrue)
-			c.Check(last.quorum.Signature(), qt.Equals, "")
-			c.Check(last.quorum.Voter, qt.Equals, "")
+			c.Check(standby.quorum.Standby(standby.env), qt.IsTrue)
+			c.Check(standby.quorum.Signature(), qt.Equals, "")
+			c.Check(standby.quorum.Voter, qt.Equals, "")
 		}
 	}
 }
--- a/internal/quorum/claim_test.go
+++ b/internal/quorum/claim_test.go
@@ -42,12 +42,12 @@
 	c := qt.New(t)
 	for _, count := range []int64{3, 5} {
 		group, processes := newFormedCluster(c, int(count), count)
-		newcomer := group.addProcess("fresh", "b1", false)
+		claimant := group.addProcess("fresh", "b1", false)
 		before := maps.Clone(processes[0].quorum.State.MemberList)
 		for _, state := range []int64{message.Alive, message.Suspect} {
 			group.memberState["n3"] = state
 			group.run(6 * time.Second)
-			c.Assert(newcomer.quorum.Voting(), qt.IsFalse)
+			c.Assert(claimant.quorum.Voting(), qt.IsFalse)
 			c.Assert(processes[0].quorum.State.MemberList, qt.DeepEquals, before)
 		}
 		group.kill(processes[2], false)
@@ -106,17 +106,17 @@
 	group, processes := newFormedCluster(c, 3, 3)
 	group.kill(processes[2], false)
 	group.memberState["n3"] = message.Dead
-	newcomer := group.addProcess("fresh", "b1", false)
+	claimant := group.addProcess("fresh", "b1", false)
 	for range 200 {
 		group.run(tickInterval)
-		if parseIdentity(processes[0].quorum.State.MemberList["3"]).node == "fresh" || newcomer.quorum.State.Voter != "" {
+		if parseIdentity(processes[0].quorum.State.MemberList["3"]).node == "fresh" || claimant.quorum.State.Voter != "" {
 			break
 		}
 	}
-	c.Assert(newcomer.quorum.State.Voter, qt.Equals, "3")
+	c.Assert(claimant.quorum.State.Voter, qt.Equals, "3")
 	group.kill(processes[1], false)
 	group.run(5 * time.Second)
-	c.Assert(newcomer.quorum.Voting(), qt.IsFalse)
+	c.Assert(claimant.quorum.Voting(), qt.IsFalse)
 	processes[1].boot(false)
 	group.run(time.Second)
 	c.Assert(group.voters()["3"], qt.Equals, "fresh")
@@ -165,29 +165,29 @@
 	group, processes := newFormedCluster(c, 3, 3)
 	group.kill(processes[2], true)
 	processes[2].boot(false)
-	newcomer := processes[2].quorum
-	for newcomer.State.Voter == "" || newcomer.blockedOnWrite {
+	claimant := processes[2].quorum
+	for claimant.State.Voter == "" || claimant.blockedOnWrite {
 		group.run(tickInterval)
-		c.Assert(newcomer.Voting(), qt.IsFalse)
+		c.Assert(claimant.Voting(), qt.IsFalse)
 	}
-	memberList := maps.Clone(processes[0].quorum.State.MemberList)
-	memberList["3"] = newcomer.State.Identity
-	other := maps.Clone(memberList)
+	list := maps.Clone(processes[0].quorum.State.MemberList)
+	list["3"] = claimant.State.Identity
+	other := maps.Clone(list)
 	other["2"] = NewIdentity(3, 1, 1, "n2")
-	grant := func(voter string, memberList map[string]string) {
-		newcomer.Handle(processes[2].env, "a"+voter, message.VoterGrant{
+	grant := func(voter string, list map[string]string) {
+		claimant.Handle(processes[2].env, "a"+voter, message.VoterGrant{
 			Group:      "config-log",
 			Voter:      voter,
-			Identity:   memberList[voter],
-			To:         newcomer.State.Identity,
-			MemberList: memberList,
+			Identity:   list[voter],
+			To:         claimant.State.Identity,
+			MemberList: list,
 			State:      []byte{},
 		})
 	}
-	newcomer.grants = map[string]message.VoterGrant{}
+	claimant.grants = map[string]message.VoterGrant{}
 	grant("1", other)
-	grant("2", memberList)
-	c.Assert(newcomer.State.Formed, qt.IsFalse)
-	grant("1", memberList)
-	c.Assert(newcomer.State.Formed, qt.IsTrue)
+	grant("2", list)
+	c.Assert(claimant.State.Formed, qt.IsFalse)
+	grant("1", list)
+	c.Assert(claimant.State.Formed, qt.IsTrue)
 }
--- a/internal/quorum/cluster_test.go
+++ b/internal/quorum/cluster_test.go
@@ -27,7 +27,7 @@
 	test        *qt.C
 	voterCount  int64
 	processes   map[string]*process // by address
-	order       []string            // addresses in the order of the processes' start
+	addresses   []string            // addresses in the order of the processes' start
 	deliveries  []delivery
 	isolated    map[string]bool // addresses whose messages, sent or received, are dropped
 	partition   map[string]int  // partition number by address; messages between different partitions are dropped
@@ -55,20 +55,26 @@
 
 // newCluster returns a cluster without processes.
 func newCluster(c *qt.C, voterCount int64) *cluster {
-	return &cluster{test: c, voterCount: voterCount, processes: map[string]*process{}, isolated: map[string]bool{}, memberState: map[string]int64{}}
+	return &cluster{
+		test:        c,
+		voterCount:  voterCount,
+		processes:   map[string]*process{},
+		isolated:    map[string]bool{},
+		memberState: map[string]int64{},
+	}
 }
 
 // addProcess starts a process with the default settings.
-func (f *cluster) addProcess(nodeName, address string, founder bool) *process {
-	return f.addConfiguredProcess(nodeName, address, founder, nil)
+func (c *cluster) addProcess(nodeName, address string, founder bool) *process {
+	return c.addConfiguredProcess(nodeName, address, founder, nil)
 }
 
 // addConfiguredProcess starts a process whose settings configure has changed.
-func (f *cluster) addConfiguredProcess(nodeName, address string, founder bool, configure func(cfg *settings.Settings)) *process {
-	p := &process{cluster: f, node: nodeName, address: address, configure: configure}
-	f.processes[address] = p
-	f.order = append(f.order, address)
-	f.memberState[nodeName] = message.Alive
+func (c *cluster) addConfiguredProcess(nodeName, address string, founder bool, configure func(cfg *settings.Settings)) *process {
+	p := &process{cluster: c, node: nodeName, address: address, configure: configure}
+	c.processes[address] = p
+	c.addresses = append(c.addresses, address)
+	c.memberState[nodeName] = message.Alive
 	p.boot(founder)
 	return p
 }
@@ -130,7 +136,7 @@
 
 func (p *process) Peers() []message.Member {
 	peers := []message.Member{}
-	for _, address := range p.cluster.order {
+	for _, address := range p.cluster.addresses {
 		if address != p.address {
 			peers = append(peers, message.Member{Name: "config-log/" + p.cluster.processes[address].node, Address: address})
 		}
@@ -139,24 +145,24 @@
 }
 
 // run advances the time by ticks. Each tick is followed by four rounds of writes and deliveries.
-func (f *cluster) run(duration time.Duration) {
+func (c *cluster) run(duration time.Duration) {
 	for range int(duration / tickInterval) {
-		for _, address := range f.order {
-			if p := f.processes[address]; p.running {
+		for _, address := range c.addresses {
+			if p := c.processes[address]; p.running {
 				p.env.Now += tickInterval
 				p.quorum.Tick(p.env)
 			}
 		}
 		for range 4 {
-			f.deliver()
+			c.deliver()
 		}
 	}
 }
 
 // deliver completes the pending writes of all processes, and then delivers the messages that they have sent.
-func (f *cluster) deliver() {
-	for _, address := range f.order {
-		p := f.processes[address]
+func (c *cluster) deliver() {
+	for _, address := range c.addresses {
+		p := c.processes[address]
 		writes := p.pendingWrites
 		p.pendingWrites = nil
 		for _, write := range writes {
@@ -167,29 +173,29 @@
 		for _, effect := range p.env.Drain() {
 			switch output := effect.(type) {
 			case statemachine.Send:
-				f.deliveries = append(f.deliveries, delivery{p.address, output.To, output.Message})
+				c.deliveries = append(c.deliveries, delivery{p.address, output.To, output.Message})
 			case statemachine.Event:
-				f.events = append(f.events, p.node+" "+output.EventName)
+				c.events = append(c.events, p.node+" "+output.EventName)
 			}
 		}
 	}
-	inFlight := f.deliveries
-	f.deliveries = nil
+	inFlight := c.deliveries
+	c.deliveries = nil
 	for _, sent := range inFlight {
-		to, known := f.processes[sent.to]
-		if known && to.running && f.processes[sent.from].running && f.connected(sent.from, sent.to) {
+		to, known := c.processes[sent.to]
+		if known && to.running && c.processes[sent.from].running && c.connected(sent.from, sent.to) {
 			to.quorum.Handle(to.env, sent.from, sent.message)
 		}
 	}
 }
 
 // connected reports whether messages between two addresses are delivered.
-func (f *cluster) connected(from, to string) bool {
-	return !f.isolated[from] && !f.isolated[to] && f.partition[from] == f.partition[to]
+func (c *cluster) connected(from, to string) bool {
+	return !c.isolated[from] && !c.isolated[to] && c.partition[from] == c.partition[to]
 }
 
 // kill stops a process without a handover. With wipeDisk it also loses the content of its disk.
-func (f *cluster) kill(p *process, wipeDisk bool) {
+func (c *cluster) kill(p *process, wipeDisk bool) {
 	p.running = false
 	if wipeDisk {
 		p.disk = nil
@@ -197,10 +203,10 @@
 }
 
 // voters returns the node that holds each voter. If a voter has several voting holders, their names are concatenated.
-func (f *cluster) voters() map[string]string {
+func (c *cluster) voters() map[string]string {
 	holders := map[string]string{}
-	for _, address := range f.order {
-		if p := f.processes[address]; p.running && p.quorum.Voting() {
+	for _, address := range c.addresses {
+		if p := c.processes[address]; p.running && p.quorum.Voting() {
 			holders[p.quorum.Voter] = holders[p.quorum.Voter] + p.node
 		}
 	}
@@ -209,11 +215,11 @@
 
 // newFormedCluster returns a cluster of founders that has run for a second, long enough to form the group.
 func newFormedCluster(c *qt.C, processCount int, voterCount int64) (*cluster, []*process) {
-	f := newCluster(c, voterCount)
+	formed := newCluster(c, voterCount)
 	processes := []*process{}
 	for number := range processCount {
-		processes = append(processes, f.addProcess(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true))
+		processes = append(processes, formed.addProcess(fmt.Sprintf("n%d", number+1), fmt.Sprintf("a%d", number+1), true))
 	}
-	f.run(time.Second)
-	return f, processes
+	formed.run(time.Second)
+	return formed, processes
 }
--- a/internal/quorum/discovered.go
+++ b/internal/quorum/discovered.go
@@ -14,7 +14,7 @@
 // discoveredVoters is the voterSet in which the settings give only the number of voters. The processes form the
 // group (bootstrap), a process without a voter can claim one (claim), and a voter can be handed over (handover).
 //
-// docs/control-safety.md proves that any two decisions of the group share a voter that knows the earlier one.
+// docs/control-safety.md proves that any two decisions of the group share a voter whose state includes the earlier one.
 type discoveredVoters struct {
 	*Replica
 	list           listState
@@ -114,7 +114,7 @@
 	d.list.pendingWrites = 0
 	d.blockedOnWrite = true
 	d.writeBlockingSnapshot(env, func(*statemachine.Env) {})
-	env.Event(eventIdentityMade, 0, 0, d.settings.Node)
+	env.Event(eventIdentityCreated, 0, 0, d.settings.Node)
 }
 
 // newIdentity returns a new identity of this process with an edition.
--- a/internal/quorum/discovered_bootstrap.go
+++ b/internal/quorum/discovered_bootstrap.go
@@ -185,7 +185,7 @@
 			return
 		}
 	}
-	env.Event(eventFormedWithout, 0, 0, d.settings.Node)
+	env.Event(eventGroupFormedWithout, 0, 0, d.settings.Node)
 	d.resetWithNewIdentity(env, false)
 }
 
--- a/internal/quorum/discovered_memberlist.go
+++ b/internal/quorum/discovered_memberlist.go
@@ -90,7 +90,7 @@
 // handleVoterReplaced discards the state of this process's voter, which another identity holds now, and continues
 // without a voter under a new identity.
 func (d *discoveredVoters) handleVoterReplaced(env *statemachine.Env, holder string) {
-	env.Event(eventLost, 0, 0, d.Voter+" to "+parseIdentity(holder).node)
+	env.Event(eventVoterLost, 0, 0, d.Voter+" to "+parseIdentity(holder).node)
 	d.directory.AnnounceVoter("")
 	d.transfer.DiscardState(env)
 	d.statuses = map[string]receivedStatus{}
--- a/internal/quorum/guards_test.go
+++ b/internal/quorum/guards_test.go
@@ -18,6 +18,7 @@
 // maxWalks is the number of walks after which the search for a violation fails.
 const maxWalks = 2000
 
+// threeVoters explores a group of three voters.
 var threeVoters = explore.Options{Voters: 3, Rounds: 200, Faults: 10}
 
 // exceptContactRule excludes the contact rule, which is violated first and would hide the others.
--- a/internal/quorum/handover_test.go
+++ b/internal/quorum/handover_test.go
@@ -19,24 +19,24 @@
 	for _, p := range processes {
 		p.replicatedState = "state of " + p.node
 	}
-	newcomer := group.addProcess("fresh", "b1", false)
+	successor := group.addProcess("fresh", "b1", false)
 	group.run(time.Second)
 	leavingProcess := processes[count-1]
 	c.Assert(leavingProcess.quorum.handOver(leavingProcess.env), qt.IsTrue)
-	return group, processes, newcomer
+	return group, processes, successor
 }
 
 // A handover must complete within 400 ms of simulated time, after which the former holder neither votes nor signs.
 func TestLeavingVoterHandsOver(t *testing.T) {
 	c := qt.New(t)
 	for _, count := range []int64{3, 5} {
-		group, processes, newcomer := newLeavingCluster(c, count)
+		group, processes, successor := newLeavingCluster(c, count)
 		leavingProcess := processes[count-1]
 		group.run(400 * time.Millisecond)
 		c.Assert(leavingProcess.quorum.handedOver(), qt.IsTrue)
 		c.Assert(leavingProcess.quorum.Voting(), qt.IsFalse)
 		c.Assert(leavingProcess.quorum.Signature(), qt.Equals, "")
-		c.Assert(newcomer.quorum.Voting(), qt.IsTrue)
+		c.Assert(successor.quorum.Voting(), qt.IsTrue)
 		c.Assert(group.voters(), qt.HasLen, int(count))
 	}
 }
@@ -54,24 +54,24 @@
 func TestLossInTheMiddleOfAHandOver(t *testing.T) {
 	c := qt.New(t)
 	lossesDuringClaim, grantsByLeavingVoter := 0, 0
-	for steps := range 12 {
-		group, processes, newcomer := newLeavingCluster(c, 3)
-		group.run(time.Duration(steps) * tickInterval)
-		if newcomer.quorum.State.Voter != "" && !newcomer.quorum.Voting() {
+	for ticks := range 12 {
+		group, processes, successor := newLeavingCluster(c, 3)
+		group.run(time.Duration(ticks) * tickInterval)
+		if successor.quorum.State.Voter != "" && !successor.quorum.Voting() {
 			lossesDuringClaim++
 		}
 		group.kill(processes[1], true)
 		group.memberState["n2"] = message.Dead
 		group.run(3 * time.Second)
 		voters := group.voters()
-		c.Assert(len(voters) >= 2, qt.IsTrue, qt.Commentf("lost after %d ticks: %v %v", steps, voters, group.events))
-		c.Assert(voters["3"], qt.Equals, "fresh", qt.Commentf("lost after %d ticks", steps))
-		if slices.Contains(newcomer.mergedStates, "state of n3") {
+		c.Assert(len(voters) >= 2, qt.IsTrue, qt.Commentf("lost after %d ticks: %v %v", ticks, voters, group.events))
+		c.Assert(voters["3"], qt.Equals, "fresh", qt.Commentf("lost after %d ticks", ticks))
+		if slices.Contains(successor.mergedStates, "state of n3") {
 			grantsByLeavingVoter++
 		}
-		first, second := processes[0].quorum, newcomer.quorum
+		first, second := processes[0].quorum, successor.quorum
 		acks := map[string]string{"1": first.Signature(), "3": second.Signature()}
-		c.Assert(first.Majority(acks), qt.IsTrue, qt.Commentf("lost after %d ticks", steps))
+		c.Assert(first.Majority(acks), qt.IsTrue, qt.Commentf("lost after %d ticks", ticks))
 	}
 	c.Assert(lossesDuringClaim > 0, qt.IsTrue, qt.Commentf("no loss occurred during the successor's claim"))
 	c.Assert(grantsByLeavingVoter > 0, qt.IsTrue, qt.Commentf("no successor used the leaving voter's grant"))
@@ -95,7 +95,7 @@
 // While a live holder hands its voter over, only a claim of the successor it has named may be granted.
 func TestOnlyTheSuccessorIsGranted(t *testing.T) {
 	c := qt.New(t)
-	group, processes, newcomer := newLeavingCluster(c, 3)
+	group, processes, successor := newLeavingCluster(c, 3)
 	group.isolated["b1"] = true
 	group.run(400 * time.Millisecond)
 	claim := message.VoterClaim{Group: "config-log", Voter: "3", Identity: NewIdentity(7, 1, 2, "other")}
@@ -106,5 +106,5 @@
 	}
 	group.isolated["b1"] = false
 	group.run(time.Second)
-	c.Assert(newcomer.quorum.Voting(), qt.IsTrue)
+	c.Assert(successor.quorum.Voting(), qt.IsTrue)
 }
--- a/internal/quorum/memberlist_test.go
+++ b/internal/quorum/memberlist_test.go
@@ -15,9 +15,9 @@
 func TestOldAckDoesNotCountWithNewOnes(t *testing.T) {
 	c := qt.New(t)
 	group, processes := newFormedCluster(c, 5, 5)
-	holder := processes[1].quorum
-	acks := map[string]string{"1": processes[0].quorum.Signature(), "2": holder.Signature()}
-	c.Assert(holder.Majority(acks), qt.IsFalse)
+	collector := processes[1].quorum
+	acks := map[string]string{"1": processes[0].quorum.Signature(), "2": collector.Signature()}
+	c.Assert(collector.Majority(acks), qt.IsFalse)
 	group.kill(processes[0], true)
 	group.memberState["n1"] = message.Dead
 	group.isolated["a2"] = true
@@ -25,22 +25,23 @@
 	group.run(5 * time.Second)
 	c.Assert(group.voters()["1"], qt.Equals, "fresh")
 	acks["3"] = processes[2].quorum.Signature()
-	c.Assert(holder.Majority(acks), qt.IsFalse, qt.Commentf("acknowledgements of the former holder of 1, of 2 itself, and of 3 with the newer member list"))
+	c.Assert(collector.Majority(acks), qt.IsFalse,
+		qt.Commentf("acknowledgements of the former holder of 1, of 2 itself, and of 3 with the newer member list"))
 	acks["4"] = processes[3].quorum.Signature()
-	c.Assert(holder.Majority(acks), qt.IsFalse)
+	c.Assert(collector.Majority(acks), qt.IsFalse)
 	c.Assert(processes[2].quorum.Accepts("2", acks["2"]), qt.IsFalse,
 		qt.Commentf("a request signed with the older member list must not be accepted"))
 
 	group.isolated["a2"] = false
 	group.run(time.Second)
-	c.Assert(holder.State.MemberList, qt.DeepEquals, processes[2].quorum.State.MemberList)
-	c.Assert(holder.Majority(acks), qt.IsTrue, qt.Commentf("acknowledgements of 2, 3 and 4 with the same member list"))
+	c.Assert(collector.State.MemberList, qt.DeepEquals, processes[2].quorum.State.MemberList)
+	c.Assert(collector.Majority(acks), qt.IsTrue, qt.Commentf("acknowledgements of 2, 3 and 4 with the same member list"))
 	delete(acks, "4")
-	c.Assert(holder.Majority(acks), qt.IsFalse, qt.Commentf("the acknowledgement of the former holder of 1 must not count"))
+	c.Assert(collector.Majority(acks), qt.IsFalse, qt.Commentf("the acknowledgement of the former holder of 1 must not count"))
 }
 
-// A process must sign and accept nothing while it writes a newer member list. After a crash during the write it has
-// the older list again, and no decision may have relied on the newer one.
+// A process must sign and accept nothing while it writes a newer member list: a crash during the write brings back the
+// older list, so that no decision may have relied on the newer one by then.
 func TestNothingIsSignedWhileAMemberListIsWritten(t *testing.T) {
 	c := qt.New(t)
 	_, processes := newFormedCluster(c, 3, 3)
--- a/internal/quorum/placement_test.go
+++ b/internal/quorum/placement_test.go
@@ -17,10 +17,10 @@
 )
 
 // formedGroups returns the number of distinct member lists among the voting processes.
-func (f *cluster) formedGroups() int {
+func (c *cluster) formedGroups() int {
 	groups := map[string]bool{}
-	for _, address := range f.order {
-		if p := f.processes[address]; p.running && p.quorum.Voting() {
+	for _, address := range c.addresses {
+		if p := c.processes[address]; p.running && p.quorum.Voting() {
 			groups[memberList(p.quorum.State.MemberList).digest()] = true
 		}
 	}
@@ -46,19 +46,24 @@
 		for number := range testCase.processes {
 			address := fmt.Sprintf("a%d", number+1)
 			group.partition[address] = number * 2 / testCase.processes
-			group.addConfiguredProcess(fmt.Sprintf("n%d", number+1), address, true, func(cfg *settings.Settings) { cfg.Anchors = testCase.anchors })
+			group.addConfiguredProcess(fmt.Sprintf("n%d", number+1), address, true, func(cfg *settings.Settings) {
+				cfg.Anchors = testCase.anchors
+			})
 		}
 		group.run(4 * time.Second)
-		c.Check(group.formedGroups() <= 1, qt.IsTrue, qt.Commentf("%d processes, %d voters: %v", testCase.processes, testCase.voters, group.events))
+		c.Check(group.formedGroups() <= 1, qt.IsTrue,
+			qt.Commentf("%d processes, %d voters: %v", testCase.processes, testCase.voters, group.events))
 		clear(group.partition)
 		group.run(4 * time.Second)
-		c.Check(group.formedGroups(), qt.Equals, 1, qt.Commentf("%d processes, %d voters: %v", testCase.processes, testCase.voters, group.events))
+		c.Check(group.formedGroups(), qt.Equals, 1,
+			qt.Commentf("%d processes, %d voters: %v", testCase.processes, testCase.voters, group.events))
 		c.Check(group.voters(), qt.HasLen, int(testCase.voters))
 	}
 }
 
 // newZonedCluster returns a cluster in which process number k+1 is in zones[k], after six seconds.
-func newZonedCluster(c *qt.C, voters int64, zones []string, tolerated settings.Tolerated, regions map[string]string) (*cluster, []*process) {
+func newZonedCluster(c *qt.C, voters int64, zones []string, tolerated settings.Tolerated,
+	regions map[string]string) (*cluster, []*process) {
 	group := newCluster(c, voters)
 	processes := []*process{}
 	for number, zone := range zones {
@@ -78,10 +83,10 @@
 }
 
 // votersPerZone returns the number of voting processes in each zone.
-func (f *cluster) votersPerZone() map[string]int {
+func (c *cluster) votersPerZone() map[string]int {
 	counts := map[string]int{}
-	for _, address := range f.order {
-		if p := f.processes[address]; p.running && p.quorum.Voting() {
+	for _, address := range c.addresses {
+		if p := c.processes[address]; p.running && p.quorum.Voting() {
 			counts[p.quorum.settings.Zone]++
 		}
 	}
@@ -192,12 +197,12 @@
 		group, processes := newFormedCluster(c, 3, 3)
 		group.kill(processes[2], true)
 		group.memberState["n3"] = message.Dead
-		newcomer := group.addConfiguredProcess("fresh", "b1", false, func(cfg *settings.Settings) {
+		claimant := group.addConfiguredProcess("fresh", "b1", false, func(cfg *settings.Settings) {
 			cfg.VoterCount, cfg.Voters = configuredCount, settings.VoterNames(configuredCount)
 		})
 		group.run(6 * time.Second)
 		c.Assert(group.voters(), qt.HasLen, 3, qt.Commentf("settings count %d: %v", configuredCount, group.events))
-		c.Assert(newcomer.quorum.Majority(map[string]string{newcomer.quorum.Voter: newcomer.quorum.Signature()}), qt.IsFalse)
+		c.Assert(claimant.quorum.Majority(map[string]string{claimant.quorum.Voter: claimant.quorum.Signature()}), qt.IsFalse)
 	}
 }
 
--- a/internal/quorum/static.go
+++ b/internal/quorum/static.go
@@ -63,7 +63,7 @@
 	clear(v.State.Proposal)
 	v.blockedOnWrite = true
 	v.writeBlockingSnapshot(env, func(*statemachine.Env) {})
-	env.Event(eventIdentityMade, 0, 0, v.Voter)
+	env.Event(eventIdentityCreated, 0, 0, v.Voter)
 }
 
 // handle ignores statuses and claims for this process's own voter, and grants for another identity.
