--- a/internal/api/announcements.go
+++ b/internal/api/announcements.go
@@ -109,8 +109,8 @@
 	case message.StateReady:
 	case message.StateWarming:
 		announcement.Warming = true
-	case message.StateLeaving:
-		announcement.Leaving = true
+	case message.StateDraining:
+		announcement.Draining = true
 	default:
 		return announcement, errAnnouncedState
 	}
--- a/internal/backend/cancel_test.go
+++ b/internal/backend/cancel_test.go
@@ -63,7 +63,7 @@
 }
 
 func repeatableOrNot(id string, once bool) message.Forward {
-	return message.Forward{ID: id, Name: id, Service: "pay", Instance: "one", Incarnation: 1, Method: http.MethodGet, Path: "/pay",
+	return message.Forward{ID: id, AttemptName: id, Service: "pay", Instance: "one", Incarnation: 1, Method: http.MethodGet, Path: "/pay",
 		Headers: []message.HeaderLine{}, Body: []byte{}, Remaining: int64(time.Hour), MaxResponseBytes: 1000, AtMostOnce: once}
 }
 
@@ -110,7 +110,7 @@
 func TestWithdrawTellsWhatMayBeBrokenOff(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
-	cfg.Proof = settings.ProofTarget
+	cfg.TargetProof = settings.ProofTarget
 	serving := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	_, _, _ = serving.Announce(0, Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "a:1", Zone: "d", Slots: 2})
 	c.Assert(serving.HandleForward(0, repeatableOrNot("repeatable", false)), qt.HasLen, 1)
--- a/internal/configstore/leadership.go
+++ b/internal/configstore/leadership.go
@@ -32,13 +32,13 @@
 
 // canServe reports whether this voter may answer clients now.
 func (m *Machine) canServe(now time.Duration) bool {
-	return m.leadership.phase == serving && m.leases.Holding(settings.ConfigLogTag, now)
+	return m.leadership.phase == serving && m.leases.IsHolder(settings.ConfigLogLease, now)
 }
 
 // step sends again what the phase waits for. Messages are repeated until they are answered, since any of
 // them may be lost.
 func (m *Machine) step(env *statemachine.Env) {
-	if m.leadership.phase != following && !m.leases.Holding(settings.ConfigLogTag, env.Now) {
+	if m.leadership.phase != following && !m.leases.IsHolder(settings.ConfigLogLease, env.Now) {
 		return
 	}
 	m.sendConfirmedResponses(env)
@@ -87,12 +87,12 @@
 // recommitMessage asks a voter to take the log that ends at a position into this term.
 func (m *Machine) recommitMessage(at position) message.LogRecommit {
 	return message.LogRecommit{
-		Epoch:    m.leadership.term,
-		Voter:    m.quorum.Voter,
-		Identity: m.quorum.Signature(),
-		AtEpoch:  at.epoch,
-		AtSeq:    at.seq,
-		Hash:     at.hash,
+		Epoch:         m.leadership.term,
+		Voter:         m.quorum.Voter,
+		Identity:      m.quorum.Signature(),
+		PositionEpoch: at.epoch,
+		PositionSeq:   at.seq,
+		Hash:          at.hash,
 	}
 }
 
--- a/internal/configstore/responses.go
+++ b/internal/configstore/responses.go
@@ -23,8 +23,8 @@
 // request came.
 func (m *Machine) respondConfirmed(env *statemachine.Env, response pendingResponse) {
 	m.responses = append(m.responses, response)
-	if !m.leases.ConfirmedSince(settings.ConfigLogTag, response.receivedAt) {
-		m.leases.RenewNow(settings.ConfigLogTag, env)
+	if !m.leases.ConfirmedSince(settings.ConfigLogLease, response.receivedAt) {
+		m.leases.RenewNow(settings.ConfigLogLease, env)
 	}
 	m.sendConfirmedResponses(env)
 }
@@ -36,7 +36,7 @@
 	}
 	waiting := []pendingResponse{}
 	for _, response := range m.responses {
-		if !m.leases.ConfirmedSince(settings.ConfigLogTag, response.receivedAt) && !guardsOff.confirmedAnswers {
+		if !m.leases.ConfirmedSince(settings.ConfigLogLease, response.receivedAt) && !guardsOff.confirmedAnswers {
 			waiting = append(waiting, response)
 			continue
 		}
@@ -54,7 +54,7 @@
 		response.Body = []byte{}
 	}
 	if len(response.Body) > compressAbove {
-		response.Body, response.Packed = m.encoder.compress(response.Body), true
+		response.Body, response.Compressed = m.encoder.compress(response.Body), true
 	}
 	if response.Versions == nil {
 		response.Versions = []int64{}
--- a/internal/golden/registry_api_test.go
+++ b/internal/golden/registry_api_test.go
@@ -34,12 +34,12 @@
 func (m *standIn) Handle(*statemachine.Env, string, any)  {}
 func (m *standIn) Tick(*statemachine.Env)                 {}
 func (m *standIn) Synced(*statemachine.Env, int64, error) {}
-func (m *standIn) Asked(env *statemachine.Env, requestID int64, question any) {
+func (m *standIn) HandleRequest(env *statemachine.Env, requestID int64, question any) {
 	env.Event("an-event", 4003, 7, "a cause")
 	if m.silent {
 		return
 	}
-	env.Reply(requestID, registry.Answer{Code: m.code, Body: []byte(`{"asked":"` + asked(question) + `"}`)})
+	env.Reply(requestID, registry.OperatorResponse{Code: m.code, Body: []byte(`{"asked":"` + asked(question) + `"}`)})
 }
 
 // asked returns a question as text that no renaming of its type changes.
@@ -82,7 +82,7 @@
 	cfg.Limits.Configuration = 200
 	// Without ticks no event of a late control thread gets into the journal.
 	const hour = 3_600_000
-	cfg.Bounds.ConfigurationInForce, cfg.Bounds.HolderRest, cfg.Bounds.CatchUp, cfg.Bounds.Restore = hour, hour*2, hour*2, hour*10
+	cfg.Bounds.ConfigurationInForce, cfg.Bounds.HolderCooldown, cfg.Bounds.CatchUp, cfg.Bounds.Restore = hour, hour*2, hour*2, hour*10
 	return cfg
 }
 
--- a/internal/quorum/cluster_test.go
+++ b/internal/quorum/cluster_test.go
@@ -82,7 +82,7 @@
 // boot starts or restarts the process with what its disk holds.
 func (p *process) boot(founder bool) {
 	cfg := settings.Default()
-	cfg.Node, cfg.VoterCount, cfg.Voters, cfg.Found = p.node, p.cluster.voterCount, settings.VoterNames(p.cluster.voterCount), founder
+	cfg.Node, cfg.VoterCount, cfg.Voters, cfg.Bootstrap = p.node, p.cluster.voterCount, settings.VoterNames(p.cluster.voterCount), founder
 	cfg.Address = p.address
 	if p.configure != nil {
 		p.configure(&cfg)
@@ -130,7 +130,7 @@
 	}
 }
 
-func (p *process) NodeGone(_ *statemachine.Env, nodeName string) bool {
+func (p *process) NodeDeadOrLeft(_ *statemachine.Env, nodeName string) bool {
 	return p.cluster.memberState[nodeName] >= message.Dead
 }
 
--- a/internal/quorum/departure.go
+++ b/internal/quorum/departure.go
@@ -14,17 +14,17 @@
 }
 
 // Depart begins a graceful stop. The voter is first handed over to another process, if one is eligible, for at most
-// HandOverLimit; then this node leaves the membership and the answer is sent, after which the process may exit.
-func (c *Core) Depart(env *statemachine.Env, requestID int64, answer any) {
+// HandoverTimeout; then this node leaves the membership and the answer is sent, after which the process may exit.
+func (c *ControlBase) Depart(env *statemachine.Env, requestID int64, answer any) {
 	c.departure = &departure{requestID: requestID, answer: answer, deadline: env.Now}
 	if c.quorum.handOver(env) {
-		c.departure.deadline = env.Now + c.settings.HandOverLimit()
+		c.departure.deadline = env.Now + c.settings.HandoverTimeout()
 	}
 	c.advanceDeparture(env)
 }
 
 // advanceDeparture completes a departure once the voter is handed over or the deadline has passed.
-func (c *Core) advanceDeparture(env *statemachine.Env) {
+func (c *ControlBase) advanceDeparture(env *statemachine.Env) {
 	if c.departure == nil {
 		return
 	}
--- a/internal/quorum/discovered.go
+++ b/internal/quorum/discovered.go
@@ -78,7 +78,7 @@
 			d.discardOnStart = false
 			d.transfer.DiscardState(env)
 		}
-		d.resetWithNewIdentity(env, d.settings.Found && !d.settings.NonVoter)
+		d.resetWithNewIdentity(env, d.settings.Bootstrap && !d.settings.NonVoter)
 		return
 	}
 	if d.retired() {
@@ -161,7 +161,7 @@
 	}
 	for _, voter := range d.voterNames() {
 		holder := parseIdentity(d.State.MemberList[voter])
-		if voter != d.Voter && d.directory.NodeGone(env, holder.node) {
+		if voter != d.Voter && d.directory.NodeDeadOrLeft(env, holder.node) {
 			vacant = append(vacant, voter)
 		}
 	}
@@ -187,13 +187,13 @@
 func (d *discoveredVoters) handle(env *statemachine.Env, from string, msg any) {
 	switch received := msg.(type) {
 	case message.VoterStatus:
-		if IdentityOf(received.Identity) != d.State.Identity {
+		if SignatureIdentity(received.Identity) != d.State.Identity {
 			d.handleStatus(env, from, received)
 		}
 	case message.VoterClaim:
 		d.handleClaim(env, from, received)
 	case message.VoterGrant:
-		if received.To == d.State.Identity && !d.State.Formed && !d.blockedOnWrite {
+		if received.Claimant == d.State.Identity && !d.State.Formed && !d.blockedOnWrite {
 			d.handleGrant(env, received)
 		}
 	}
--- a/internal/quorum/discovered_bootstrap.go
+++ b/internal/quorum/discovered_bootstrap.go
@@ -88,8 +88,8 @@
 	if !slices.Contains(chosen, d.State.Identity) {
 		return nil, false
 	}
-	if !d.placement().survivesWorstCaseLoss(chosen) && unchangedFor < d.settings.TakeOver() {
-		// Wait up to TakeOver for founders in other zones.
+	if !d.placement().survivesWorstCaseLoss(chosen) && unchangedFor < d.settings.LeaseTakeover() {
+		// Wait up to LeaseTakeover for founders in other zones.
 		return nil, false
 	}
 	list = memberList{}
--- a/internal/quorum/discovered_grant.go
+++ b/internal/quorum/discovered_grant.go
@@ -41,7 +41,7 @@
 // claimant as its successor.
 func (d *discoveredVoters) holderReplaceable(env *statemachine.Env, holder string, claim message.VoterClaim) bool {
 	claimant, holderNode := parseIdentity(claim.Identity).node, parseIdentity(holder).node
-	if claimant == holderNode || d.directory.NodeGone(env, holderNode) {
+	if claimant == holderNode || d.directory.NodeDeadOrLeft(env, holderNode) {
 		return true
 	}
 	return d.namesSuccessor(claim.Voter, holder, claimant)
@@ -69,7 +69,7 @@
 		Group:      d.Group,
 		Voter:      d.Voter,
 		Identity:   d.State.Identity,
-		To:         claim.Identity,
+		Claimant:   claim.Identity,
 		Refused:    true,
 		MemberList: maps.Clone(d.State.MemberList),
 		State:      []byte{},
--- a/internal/quorum/handover.go
+++ b/internal/quorum/handover.go
@@ -60,7 +60,7 @@
 		zone := parseIdentity(status.Identity).zone
 		withoutVoter := status.Voter == "" && !status.Founder
 		keepsSpread := d.placement().keepsSpread(d.State.MemberList, d.Voter, zone)
-		if withoutVoter && keepsSpread && d.isRecent(env, received) && !d.directory.NodeGone(env, nodeName) {
+		if withoutVoter && keepsSpread && d.isRecent(env, received) && !d.directory.NodeDeadOrLeft(env, nodeName) {
 			nodes = append(nodes, nodeName)
 		}
 	}
@@ -82,7 +82,7 @@
 // newer list is synced before the grant is sent, and this process never signs again.
 func (d *discoveredVoters) releaseVoter(env *statemachine.Env, to string, claim message.VoterClaim) {
 	if released := d.handover.released; released != nil {
-		if released.To == claim.Identity {
+		if released.Claimant == claim.Identity {
 			env.Send(to, *released)
 		}
 		return
@@ -95,7 +95,7 @@
 		Group:      d.Group,
 		Voter:      d.Voter,
 		Identity:   d.State.Identity,
-		To:         claim.Identity,
+		Claimant:   claim.Identity,
 		MemberList: maps.Clone(list),
 		State:      d.transfer.StateForGrant(),
 	}
--- a/internal/quorum/host.go
+++ b/internal/quorum/host.go
@@ -20,8 +20,8 @@
 type Directory interface {
 	// Peers returns the other processes of the group that are neither dead nor have left.
 	Peers() []message.Member
-	// NodeGone reports whether a node is dead or has left.
-	NodeGone(env *statemachine.Env, nodeName string) bool
+	// NodeDeadOrLeft reports whether a node is dead or has left.
+	NodeDeadOrLeft(env *statemachine.Env, nodeName string) bool
 	// Superseded reports whether a later process with this node's name runs at another address.
 	Superseded() bool
 	// AnnounceVoter publishes which voter this process holds; "" means none.
--- a/internal/quorum/identity.go
+++ b/internal/quorum/identity.go
@@ -80,5 +80,5 @@
 // String returns the text of the signature that messages carry.
 func (s signature) String() string { return s.identity + digestSeparator + s.digest }
 
-// IdentityOf returns the identity within the text of a signature.
-func IdentityOf(signature string) string { return parseSignature(signature).identity }
+// SignatureIdentity returns the identity within the text of a signature.
+func SignatureIdentity(signature string) string { return parseSignature(signature).identity }
--- a/internal/quorum/memberlist_test.go
+++ b/internal/quorum/memberlist_test.go
@@ -29,7 +29,7 @@
 		qt.Commentf("acknowledgements of the former holder of 1, of 2 itself, and of 3 with the newer member list"))
 	acks["4"] = processes[3].quorum.Signature()
 	c.Assert(collector.Majority(acks), qt.IsFalse)
-	c.Assert(processes[2].quorum.Accepts("2", acks["2"]), qt.IsFalse,
+	c.Assert(processes[2].quorum.VerifySignature("2", acks["2"]), qt.IsFalse,
 		qt.Commentf("a request signed with the older member list must not be accepted"))
 
 	group.isolated["a2"] = false
@@ -58,11 +58,11 @@
 		MemberList: newer,
 	})
 	c.Assert(p.quorum.Signature(), qt.Equals, "")
-	c.Assert(p.quorum.Accepts("2", signed), qt.IsFalse)
+	c.Assert(p.quorum.VerifySignature("2", signed), qt.IsFalse)
 	for _, write := range p.pendingWrites {
 		write()
 	}
 	c.Assert(p.quorum.Signature(), qt.Not(qt.Equals), oldSignature)
-	c.Assert(p.quorum.Accepts("2", signed), qt.IsTrue)
+	c.Assert(p.quorum.VerifySignature("2", signed), qt.IsTrue)
 	c.Assert(memberList(p.disk.MemberList), qt.DeepEquals, newer)
 }
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -49,9 +49,9 @@
 	return &Quorum{Replica: replica, voters: &staticVoters{Replica: replica}}
 }
 
-// Discovered reports whether the settings give only the number of voters, and the processes agree among themselves
+// DiscoversVoters reports whether the settings give only the number of voters, and the processes agree among themselves
 // which of them hold one.
-func (q *Quorum) Discovered() bool { return q.settings.VoterCount > 0 }
+func (q *Quorum) DiscoversVoters() bool { return q.settings.VoterCount > 0 }
 
 // Tick sends statuses, forms the group or claims a voter, whichever is due.
 func (q *Quorum) Tick(env *statemachine.Env) { q.voters.tick(env) }
@@ -92,8 +92,10 @@
 // sign any.
 func (q *Quorum) Signature() string { return q.voters.signature() }
 
-// Accepts reports whether a signature is valid for the holder of a voter by the current member list.
-func (q *Quorum) Accepts(voter, signature string) bool { return q.voters.accepts(voter, signature) }
+// VerifySignature reports whether a signature is valid for the holder of a voter by the current member list.
+func (q *Quorum) VerifySignature(voter, signature string) bool {
+	return q.voters.accepts(voter, signature)
+}
 
 // Majority reports whether more than half of the voters have acknowledged. acks maps voters to the signatures of
 // their acknowledgements; those that do not match the current member list are not counted.
--- a/internal/quorum/restore.go
+++ b/internal/quorum/restore.go
@@ -8,15 +8,15 @@
 	"beaconvane/internal/message"
 )
 
-// Restored is the state on disk that the two control programs have in common.
-type Restored struct {
+// RestoredState is the state on disk that the two control programs have in common.
+type RestoredState struct {
 	Voter message.VoterState
 	Votes []message.Vote
 }
 
 // Replay decodes the log records written after the snapshot, oldest first. It applies the record types that both
 // control programs share and passes every other record to handleOther.
-func (r *Restored) Replay(records [][]byte, members *membership.Membership, handleOther func(record any)) error {
+func (r *RestoredState) Replay(records [][]byte, members *membership.Membership, handleOther func(record any)) error {
 	for _, record := range records {
 		decoded, err := message.Decode(record)
 		if err != nil {
--- a/internal/quorum/static_replacement.go
+++ b/internal/quorum/static_replacement.go
@@ -59,7 +59,7 @@
 		Group:      v.Group,
 		Voter:      v.Voter,
 		Identity:   v.State.Identity,
-		To:         claim.Identity,
+		Claimant:   claim.Identity,
 		Refused:    true,
 		MemberList: map[string]string{},
 	})
--- a/internal/registry/persistence.go
+++ b/internal/registry/persistence.go
@@ -5,16 +5,17 @@
 	"beaconvane/internal/statemachine"
 )
 
-// restoreRoster takes the roster of the snapshot.
+// restoreRoster restores the copies of the zones from the disk snapshot. Zones that are not in the
+// settings are ignored.
 func (m *Machine) restoreRoster(saved []message.RosterSnapshot) {
 	for _, snapshot := range saved {
-		if replica, known := m.zones[snapshot.Tag]; known {
+		if replica, known := m.zones[snapshot.Zone]; known {
 			replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 		}
 	}
 }
 
-// replay takes a record of the log on disk.
+// replay applies a record of the log on disk.
 func (m *Machine) replay(record any) {
 	switch saved := record.(type) {
 	case message.RosterChange:
@@ -22,44 +23,47 @@
 			replica.slice.Append(saved.Position.Epoch, saved.Registration, saved.Removed, saved.Cause)
 		}
 	case message.UsageSealed:
-		m.usage.sealed.learn(saved)
+		m.usage.sealed.merge(saved)
 	case message.UnreportedUsage:
 		m.usage.counts.restore(saved)
 	case message.UsageReported:
-		m.usage.sealed.learnReported(saved.Window)
+		m.usage.sealed.advanceReported(saved.Window)
 	}
 }
 
-// Snapshot is the whole state, as a slot of the disk holds it.
+// Snapshot returns the encoded state of the machine, as a slot on the disk stores it.
 func (m *Machine) Snapshot() []byte { return m.snapshot() }
 
+// snapshot encodes the state of the machine.
 func (m *Machine) snapshot() []byte {
 	state := message.RegistryState{
-		Voter:          m.quorum.State,
-		Votes:          m.leases.Votes(),
-		Slices:         []message.RosterSnapshot{},
-		Sealed:         m.usage.sealed.list(),
-		Reported:       m.usage.sealed.reported,
-		KnownAddresses: m.membership.KnownAddresses(),
-		Usage:          m.usage.counts.unsealed(),
+		Voter:              m.quorum.State,
+		Votes:              m.leases.Votes(),
+		Slices:             []message.RosterSnapshot{},
+		Sealed:             m.usage.sealed.list(),
+		LastReportedWindow: m.usage.sealed.reported,
+		KnownAddresses:     m.membership.KnownAddresses(),
+		Usage:              m.usage.counts.unsealed(),
 	}
 	for _, zone := range m.settings.Zones {
 		slice := m.zones[zone].slice
-		state.Slices = append(state.Slices, message.RosterSnapshot{Tag: zone, Position: slice.Position, Registrations: slice.List()})
+		state.Slices = append(state.Slices, message.RosterSnapshot{Zone: zone, Position: slice.Position, Registrations: slice.List()})
 	}
 	body, err := message.Encode(state)
 	if err != nil {
-		// Programming error: the type is one of the message kinds, and any value of it can be encoded.
-		panic("registry: snapshot: " + err.Error())
+		// Unreachable unless message.RegistryState is not registered as a message kind: any value
+		// of a registered kind can be encoded.
+		panic("registry: cannot encode the snapshot: " + err.Error())
 	}
 	return body
 }
 
-// StateForGrant is the state that this voter hands to one which asks for its grant. With
-// MergeGrantedStates and the methods of quorum.Core it makes the machine a quorum.Host.
+// StateForGrant returns the state that this voter sends with its grant. StateForGrant,
+// MergeGrantedStates and the methods of quorum.ControlBase implement quorum.Host.
 func (m *Machine) StateForGrant() []byte { return m.snapshot() }
 
-// MergeGrantedStates takes what the granters of this voter know.
+// MergeGrantedStates merges the states of the voters that granted this process its voter. States
+// that can't be decoded are skipped.
 func (m *Machine) MergeGrantedStates(_ *statemachine.Env, states [][]byte) {
 	for _, body := range states {
 		decoded, err := message.Decode(body)
@@ -69,39 +73,39 @@
 		}
 		m.leases.Restore(state.Votes)
 		for _, sealed := range state.Sealed {
-			m.usage.sealed.learn(sealed)
+			m.usage.sealed.merge(sealed)
 		}
-		m.usage.sealed.learnReported(state.Reported)
+		m.usage.sealed.advanceReported(state.LastReportedWindow)
 		for _, snapshot := range state.Slices {
-			if replica, known := m.zones[snapshot.Tag]; known && replica.slice.Position.Before(snapshot.Position) {
+			if replica, known := m.zones[snapshot.Zone]; known && replica.slice.Position.Before(snapshot.Position) {
 				replica.slice.Replace(snapshot.Position, snapshot.Registrations)
 			}
 		}
 	}
 }
 
-// DiscardState drops what rested on a voter that is now held by another process. The roster stays, as
-// what was heard in updates.
+// DiscardState discards the state that belongs to the voter, after another process was given it.
+// The roster is kept, as if it had been received in updates.
 func (m *Machine) DiscardState(env *statemachine.Env) {
 	m.leases.Forget(env)
-	m.usage.forget()
+	m.usage.discardVoterState()
 }
 
-// ForceRecover gives up the other voters and returns the snapshot to be written. An operator does
-// so on the stopped survivor when the disks of two voters are lost.
+// ForceRecover removes the other voters from the group and returns the snapshot to be written. An
+// operator uses it on the stopped survivor after the disks of two voters are lost.
 func (m *Machine) ForceRecover() []byte {
 	m.quorum.ForceRecover()
 	m.leases.ForceRecover()
 	return m.snapshot()
 }
 
-// compactWhenDue writes a snapshot after whole copies were pulled, at most once in HolderRest.
-// What was pulled is not in the log.
+// compactWhenDue writes a disk snapshot, at most once per HolderCooldown, after a zone snapshot was
+// received or an epoch was started: neither is in the log.
 func (m *Machine) compactWhenDue(env *statemachine.Env) {
 	if !m.replication.snapshotDue || env.Now < m.replication.nextSnapshotAt {
 		return
 	}
 	m.replication.snapshotDue = false
-	m.replication.nextSnapshotAt = env.Now + m.settings.HolderRest()
+	m.replication.nextSnapshotAt = env.Now + m.settings.HolderCooldown()
 	m.WriteSnapshot(env, func(*statemachine.Env, error) {})
 }
