--- a/internal/quorum/core.go
+++ b/internal/quorum/core.go
@@ -16,9 +16,9 @@
 	maxLogBytes = 1 << 20
 	// latencySmoothing is the inverse weight of one write in the moving average of the write latency.
 	latencySmoothing = 4
-	// unknownNodeSuspectPeriods is the uptime, in periods of SuspicionTimeout, after which this process treats a node
-	// that is not in its membership as dead.
-	unknownNodeSuspectPeriods = 2
+	// unknownNodeSuspicionTimeouts is the uptime, in multiples of SuspicionTimeout, after which this process treats a
+	// node that is not in its membership as dead.
+	unknownNodeSuspicionTimeouts = 2
 )
 
 // ControlBase contains what the state machines of the two control programs, registry and configuration store, share
@@ -107,7 +107,7 @@
 		return member.State >= message.Dead
 	}
 	uptime := env.Now - c.startedAt
-	return c.started && uptime > c.settings.SuspicionTimeout()*unknownNodeSuspectPeriods && c.membership.Joined()
+	return c.started && uptime > c.settings.SuspicionTimeout()*unknownNodeSuspicionTimeouts && c.membership.Joined()
 }
 
 // Maintain does the periodic work of a tick: it advances a departure, saves the addresses of the members, and
