--- a/internal/api/announcements.go
+++ b/internal/api/announcements.go
@@ -18,14 +18,14 @@
 	"beaconvane/internal/settings"
 )
 
-// Limits of announcements.
+// Limits of an announcement: its body and names in bytes, its slots as a count.
 const (
 	maxAnnouncementBytes = 16 << 10
 	maxNameBytes         = 128
 	maxSlots             = 1 << 20
 )
 
-// What is wrong with an announcement, as the upstream is told.
+// Validation errors of announcements. Their texts are sent to the upstream.
 var (
 	errAnnouncedName        = fmt.Errorf("service and instance want a name without slash or white space, at most %d bytes", maxNameBytes)
 	errAnnouncedIncarnation = errors.New("incarnation wants a number above 0")
@@ -60,15 +60,15 @@
 	WriteCode(out, errcode.OK, "")
 }
 
-// refusesAnnouncements reports whether upstreams have to announce to another proxy. A proxy that
-// stops still accepts announcements for its linger time.
+// refusesAnnouncements reports whether upstreams have to announce to another proxy. A stopping proxy
+// still accepts announcements during its linger time.
 func (p *Proxy) refusesAnnouncements() bool {
 	return p.closed.Load() || p.stopping.Load() && p.settings.Linger() == 0
 }
 
-// announceNamed accepts an announcement whose instance is named by the path, and whose state by a
-// word. Unknown fields are ignored. Such an instance never comes back under the same name, so there
-// is no incarnation.
+// announceNamed accepts an announcement that names its instance in the path and carries a "state"
+// field. Unknown fields are ignored. The name of such an instance is never reused, so the
+// announcement has no incarnation number.
 func (p *Proxy) announceNamed(out http.ResponseWriter, in *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(out, in.Body, maxAnnouncementBytes))
 	if err != nil {
@@ -91,13 +91,14 @@
 	WriteCode(out, errcode.OK, "")
 }
 
-// announcedState is the state of a named instance, which stands beside the fields of
-// backend.Announcement.
+// announcedState holds the "state" field of a named instance's announcement, which is sent in the
+// same JSON object as the fields of backend.Announcement.
 type announcedState struct {
 	State string `json:"state"`
 }
 
-// parseNamedAnnouncement reads the body of an announcement of a named instance.
+// parseNamedAnnouncement decodes the announcement of a named instance. It sets the incarnation to 1
+// and translates the state to the Warming and Draining flags.
 func parseNamedAnnouncement(instance string, body []byte) (backend.Announcement, error) {
 	announcement, state := backend.Announcement{}, announcedState{}
 	if err := errors.Join(json.Unmarshal(body, &announcement), json.Unmarshal(body, &state)); err != nil {
@@ -117,7 +118,7 @@
 	return announcement, nil
 }
 
-// checkAnnouncement returns what is wrong with an announcement; nil when it is valid.
+// checkAnnouncement returns the first validation error of an announcement, or nil.
 func checkAnnouncement(cfg settings.Settings, announcement backend.Announcement) error {
 	host, port, err := net.SplitHostPort(announcement.Address)
 	switch {
@@ -137,31 +138,32 @@
 	return nil
 }
 
+// validName reports whether name is nonempty, within maxNameBytes, and free of slashes and white space.
 func validName(name string) bool {
 	return name != "" && len(name) <= maxNameBytes && !strings.ContainsAny(name, "/ \t\r\n")
 }
 
-// signOffNamed ends the instance that the path names.
+// signOffNamed deregisters the instance that the path names.
 func (p *Proxy) signOffNamed(out http.ResponseWriter, in *http.Request) {
 	p.pipeline.RetireInstance(mux.Vars(in)["instance"])
 	WriteCode(out, errcode.OK, "")
 }
 
-// signOffRequest is the body by which an upstream ends its incarnation.
+// signOffRequest is the request body with which an upstream deregisters one of its incarnations.
 type signOffRequest struct {
 	Service     string `json:"service"`
 	Instance    string `json:"instance"`
 	Incarnation int64  `json:"incarnation"`
 }
 
-// signOff ends one incarnation of an instance.
+// signOff deregisters one incarnation of an instance.
 func (p *Proxy) signOff(out http.ResponseWriter, in *http.Request) {
-	end := signOffRequest{}
-	if err := json.NewDecoder(http.MaxBytesReader(out, in.Body, maxAnnouncementBytes)).Decode(&end); err != nil {
+	request := signOffRequest{}
+	if err := json.NewDecoder(http.MaxBytesReader(out, in.Body, maxAnnouncementBytes)).Decode(&request); err != nil {
 		WriteCode(out, errcode.AnnounceBad, err.Error())
 		return
 	}
-	if !p.pipeline.Deregister(end.Service, end.Instance, end.Incarnation) {
+	if !p.pipeline.Deregister(request.Service, request.Instance, request.Incarnation) {
 		WriteCode(out, errcode.AnnounceUnknown, "")
 		return
 	}
--- a/internal/api/announcements_test.go
+++ b/internal/api/announcements_test.go
@@ -9,7 +9,8 @@
 	"beaconvane/internal/settings"
 )
 
-func TestAnnouncementsAreChecked(t *testing.T) {
+// checkAnnouncement accepts a valid announcement and names the field that is invalid.
+func TestCheckAnnouncement(t *testing.T) {
 	cfg := settings.Settings{Zones: []string{"north"}}
 	good := backend.Announcement{Service: "dispatch", Instance: "d1", Incarnation: 1, Address: "10.0.0.1:80", Zone: "north", Slots: 1}
 	for name, change := range map[string]func(a *backend.Announcement){
@@ -34,7 +35,8 @@
 	}
 }
 
-func TestNamedAnnouncementsHaveAState(t *testing.T) {
+// The state of a named announcement is required; unknown fields are ignored.
+func TestParseNamedAnnouncement(t *testing.T) {
 	for body, want := range map[string]backend.Announcement{
 		`{"state":"ready"}`:               {Instance: "d1", Incarnation: 1},
 		`{"state":"warming","unknown":1}`: {Instance: "d1", Incarnation: 1, Warming: true},
--- a/internal/api/caller_timeouts.go
+++ b/internal/api/caller_timeouts.go
@@ -12,30 +12,31 @@
 	"beaconvane/internal/frontend"
 )
 
-// The HTTP server is given fixed timeouts that no limit reaches. callerConn recognises by them what
-// the server waits for, and puts the limit that is in force at that moment in their place.
+// The HTTP server is configured with placeholder timeouts longer than any configured limit. From the
+// deadline that the server sets, callerConn recognises whether the server waits for a header or for the
+// next request, and substitutes the limit currently in force.
 const (
 	serverHeadTimeout = 100 * time.Hour
 	serverIdleTimeout = 200 * time.Hour
-	timeoutTolerance  = 10 * time.Hour // a deadline that is nearer than a timeout less this is another one
+	timeoutTolerance  = 10 * time.Hour // a deadline matches a placeholder if at least the placeholder minus this remains
 )
 
-// maxCallerHeadBytes is how much the server reads of a request's header before the configuration's
-// own limit is looked at.
+// maxCallerHeadBytes is the server's limit for a request's header. The limit of the configuration is
+// checked afterwards, by the frontend.
 const maxCallerHeadBytes = 1 << 20
 
-// CallerTimeouts are the limits for callers' connections that are in force. They change with the
-// configuration while connections are open.
+// CallerTimeouts provides the timeouts currently in force for callers' connections. They change with
+// the configuration while connections are open.
 type CallerTimeouts interface {
-	// IdleTime is how long a connection may be idle before and between requests.
+	// IdleTime returns how long a connection may be idle before and between requests.
 	IdleTime() time.Duration
-	// HeadTime is how long a request's header may take.
+	// HeadTime returns how long receiving a request's header may take.
 	HeadTime() time.Duration
 }
 
-// UseCallerTimeouts makes the server follow the limits in force for idle connections and for
-// headers. Bodies and answers have no limit here, since the deadline of each request bounds them. It
-// is called before Serve.
+// UseCallerTimeouts applies the given timeouts to idle connections and to request headers. Reading a
+// body and writing a response have no timeout here, since the deadline of each request bounds them.
+// UseCallerTimeouts must be called before Serve.
 func (s *Server) UseCallerTimeouts(timeouts CallerTimeouts) {
 	s.server.ReadTimeout, s.server.ReadHeaderTimeout, s.server.IdleTimeout = 0, serverHeadTimeout, serverIdleTimeout
 	s.server.MaxHeaderBytes = maxCallerHeadBytes
@@ -44,23 +45,23 @@
 	}
 	inner := s.server.Handler
 	s.server.Handler = http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
-		conn, known := in.Context().Value(frontend.ArrivalKey{}).(*callerConn)
-		if known {
-			conn.beginRequest()
-			defer conn.endRequest()
+		callerConnection, isCallerConn := in.Context().Value(frontend.ArrivalKey{}).(*callerConn)
+		if isCallerConn {
+			callerConnection.beginRequest()
+			defer callerConnection.endRequest()
 		}
 		inner.ServeHTTP(out, in)
 	})
 	s.wrapListener = func(listener net.Listener) net.Listener { return callerListener{listener, timeouts} }
 }
 
-// callerListener accepts connections as callerConn.
+// callerListener wraps each accepted connection in a callerConn.
 type callerListener struct {
 	net.Listener
 	timeouts CallerTimeouts
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and wraps it.
 func (l callerListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -69,42 +70,44 @@
 	return &callerConn{Conn: conn, timeouts: l.timeouts}, nil
 }
 
-// The frontend finds the time of arrival by a type assertion.
+// The frontend obtains the arrival time of a request by a type assertion to frontend.Arrival.
 var _ frontend.Arrival = (*callerConn)(nil)
 
-// callerConn is a caller's connection. It replaces the server's fixed timeouts by the limits in
-// force, lets a connection stay idle for longer when the limit was raised meanwhile, and knows when
-// the first byte of the present request arrived.
+// callerConn is a caller's connection. It replaces the server's placeholder timeouts by the timeouts in
+// force, extends the idle deadline when the idle timeout was raised meanwhile, and records when the
+// first byte of the current request arrived.
 type callerConn struct {
 	net.Conn
 	timeouts CallerTimeouts
 
-	lock            sync.Mutex
-	idleSince       time.Time // zero: no request is awaited
-	handlingSince   time.Time // of the present request; zero: none is handled
-	nextArrivedAt   time.Time // the next request's first byte, which came while this one was handled
-	firstReadAt     time.Time // since the last answer
-	lastReadAt      time.Time
-	requestReadFrom time.Time // when the present request's first byte arrived
+	lock             sync.Mutex
+	idleSince        time.Time // start of the wait for a request; zero while the server does not wait for one
+	handlingSince    time.Time // when the handler of the current request started; zero while none runs
+	nextArrivedAt    time.Time // arrival of the next request's first byte, if it arrived during the current request
+	firstReadAt      time.Time // first read since the last response; zero if there was none
+	lastReadAt       time.Time
+	requestArrivedAt time.Time // arrival of the current request's first byte
 }
 
-// SetReadDeadline sets a deadline by the limit in force where the server asks for one of its fixed
-// timeouts.
+// SetReadDeadline sets the read deadline. A deadline that stems from one of the server's placeholder
+// timeouts is replaced by one computed from the timeout in force.
 func (c *callerConn) SetReadDeadline(deadline time.Time) error {
-	return c.Conn.SetReadDeadline(c.deadlineInForce(deadline))
+	return c.Conn.SetReadDeadline(c.effectiveDeadline(deadline))
 }
 
-func (c *callerConn) deadlineInForce(deadline time.Time) time.Time {
-	left := time.Until(deadline)
+// effectiveDeadline returns the deadline to set where the server asks for the given one.
+func (c *callerConn) effectiveDeadline(deadline time.Time) time.Time {
+	remaining := time.Until(deadline)
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	beforeFirstRequest := c.lastReadAt.IsZero()
 	c.idleSince = time.Time{}
 	switch {
-	case deadline.IsZero() || left < serverHeadTimeout-timeoutTolerance:
+	case deadline.IsZero() || remaining < serverHeadTimeout-timeoutTolerance:
 		return deadline
-	case left > serverIdleTimeout-timeoutTolerance || beforeFirstRequest:
-		// A new connection may be idle before its first request, too.
+	case remaining > serverIdleTimeout-timeoutTolerance || beforeFirstRequest:
+		// The server sets the header timeout on a new connection, which may also be idle before its
+		// first request.
 		c.idleSince = time.Now()
 		return c.idleSince.Add(c.timeouts.IdleTime())
 	default:
@@ -112,13 +115,13 @@
 	}
 }
 
-// Read reads from the connection and notes when bytes arrived. An idle connection whose limit was
-// raised waits on.
-func (c *callerConn) Read(into []byte) (int, error) {
+// Read reads from the connection and records when bytes arrived. If an idle connection reaches its
+// deadline after the idle timeout was raised, Read continues to wait until the extended deadline.
+func (c *callerConn) Read(buffer []byte) (int, error) {
 	for {
-		size, err := c.Conn.Read(into)
+		size, err := c.Conn.Read(buffer)
 		if size > 0 {
-			c.noteRead(len(into) == 1)
+			c.noteRead(len(buffer) == 1)
 		}
 		if size > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !c.extendIdle() {
 			return size, err
@@ -126,8 +129,8 @@
 	}
 }
 
-// extendIdle reports whether the limit has grown since the connection became idle, and then sets
-// the later deadline.
+// extendIdle sets a later read deadline if the idle timeout was raised since the connection became
+// idle, and reports whether it did.
 func (c *callerConn) extendIdle() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -138,8 +141,8 @@
 	return time.Now().Before(deadline) && c.Conn.SetReadDeadline(deadline) == nil
 }
 
-// noteRead notes the time of a read. While a request is handled the server reads a single byte ahead,
-// which belongs to the next one.
+// noteRead records the time of a read. While a request is handled, the server reads a single byte
+// ahead, which belongs to the next request.
 func (c *callerConn) noteRead(singleByte bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -152,31 +155,31 @@
 	}
 }
 
-// beginRequest notes that a request's header is complete and its handling begins.
+// beginRequest records that a request's header is complete and that its handler starts.
 func (c *callerConn) beginRequest() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	switch {
 	case !c.nextArrivedAt.IsZero():
-		c.requestReadFrom = c.nextArrivedAt
+		c.requestArrivedAt = c.nextArrivedAt
 	case !c.firstReadAt.IsZero():
-		c.requestReadFrom = c.firstReadAt
+		c.requestArrivedAt = c.firstReadAt
 	default:
-		c.requestReadFrom = c.lastReadAt // it was read together with the request before it
+		c.requestArrivedAt = c.lastReadAt // the request was read together with the previous one
 	}
 	c.handlingSince, c.nextArrivedAt, c.firstReadAt = time.Now(), time.Time{}, time.Time{}
 }
 
-// endRequest notes that the answer is written.
+// endRequest records that the handler of the current request has returned.
 func (c *callerConn) endRequest() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.handlingSince, c.firstReadAt = time.Time{}, time.Time{}
 }
 
-// ArrivedAt returns when the first byte of the present request arrived.
+// ArrivedAt returns when the first byte of the current request arrived.
 func (c *callerConn) ArrivedAt() time.Time {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	return c.requestReadFrom
+	return c.requestArrivedAt
 }
--- a/internal/api/common_routes.go
+++ b/internal/api/common_routes.go
@@ -9,17 +9,18 @@
 	"beaconvane/internal/node"
 )
 
-// processCounters is the body of a core program's counters.
+// processCounters is the response body of the counters route of a core program.
 type processCounters struct {
 	Process map[string]int64 `json:"process"`
 }
 
-// journalResponse is the body of the journal.
+// journalResponse is the response body of the journal route.
 type journalResponse struct {
 	Entries []node.Entry `json:"entries"`
 }
 
-// addCommonRoutes adds the paths that every program has; counters returns the body of one of them.
+// addCommonRoutes adds the routes that every program serves: live, counters and journal. The counters
+// function returns the response body of the counters route.
 func addCommonRoutes(router *mux.Router, prefix string, process *node.Node, counters func() any) {
 	router.HandleFunc(prefix+"/live", func(out http.ResponseWriter, _ *http.Request) {
 		WriteCode(out, errcode.OK, "live")
--- a/internal/api/configurations.go
+++ b/internal/api/configurations.go
@@ -16,7 +16,8 @@
 	"beaconvane/internal/routeconfig"
 )
 
-// readBody reads a configuration. It answers one that is too large, and returns false.
+// readBody reads a configuration from the request body. If the body exceeds the size limit or can't be
+// read, it responds with ConfigurationTooLarge and returns false.
 func (h *registryHandler) readBody(out http.ResponseWriter, in *http.Request) (body []byte, complete bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(out, in.Body, h.settings.Limits.Configuration+1))
 	if err != nil {
@@ -26,7 +27,8 @@
 	return body, true
 }
 
-// write commits a configuration. It is checked and compressed here, off the control goroutine.
+// write commits a configuration. Checking and compressing it here keeps this work off the control
+// goroutine.
 func (h *registryHandler) write(out http.ResponseWriter, in *http.Request) {
 	body, complete := h.readBody(out, in)
 	if !complete {
@@ -41,10 +43,10 @@
 	})
 }
 
-// inForce answers once a version is in force on every proxy, or when the caller's time (wait_ms) is
-// up, with the names of the proxies that lack it.
-func (h *registryHandler) inForce(out http.ResponseWriter, in *http.Request) {
-	limited, cancel := context.WithTimeout(in.Context(), h.inForceWait(in))
+// awaitInForce responds once a version is in force on every proxy or the caller's wait time (wait_ms)
+// has passed. In the latter case the response names the proxies that lack the version.
+func (h *registryHandler) awaitInForce(out http.ResponseWriter, in *http.Request) {
+	waitCtx, cancel := context.WithTimeout(in.Context(), h.inForceTimeout(in))
 	defer cancel()
 	ticker := time.NewTicker(h.settings.TickEvery())
 	defer ticker.Stop()
@@ -52,11 +54,11 @@
 	for {
 		answer, err := node.RequestAs[registry.OperatorResponse](in.Context(), h.process, request)
 		if err != nil {
-			WriteCode(out, errcode.Internal, noReply)
+			WriteCode(out, errcode.Internal, noReplyDetail)
 			return
 		}
 		everywhere := gjson.GetBytes(answer.Body, "everywhere").Bool()
-		if everywhere || limited.Err() != nil {
+		if everywhere || waitCtx.Err() != nil {
 			if !everywhere && answer.Code == errcode.OK {
 				answer.Code = errcode.ConfigurationLacking
 			}
@@ -64,14 +66,15 @@
 			return
 		}
 		select {
-		case <-limited.Done():
+		case <-waitCtx.Done():
 		case <-ticker.C:
 		}
 	}
 }
 
-// inForceWait returns how long the caller wants to wait, within the stopping time of the process.
-func (h *registryHandler) inForceWait(in *http.Request) time.Duration {
+// inForceTimeout returns the caller's wait time (wait_ms), at most the grace period of the process. It
+// returns the default of the settings if wait_ms is absent or invalid.
+func (h *registryHandler) inForceTimeout(in *http.Request) time.Duration {
 	milliseconds, err := strconv.ParseInt(in.URL.Query().Get("wait_ms"), 10, 64)
 	if err != nil || milliseconds < 0 {
 		return h.settings.InForceWait()
@@ -79,14 +82,14 @@
 	return min(time.Duration(milliseconds)*time.Millisecond, h.settings.Grace())
 }
 
-// checkResponse is the body of an answer to a check.
+// checkResponse is the response body of a configuration check.
 type checkResponse struct {
 	Code   errcode.Code `json:"code"`
 	Faults []string     `json:"faults"`
 	Result string       `json:"result"`
 }
 
-// check lists the faults of a configuration and writes nothing.
+// check responds with the faults of a configuration without storing it.
 func (h *registryHandler) check(out http.ResponseWriter, in *http.Request) {
 	body, complete := h.readBody(out, in)
 	if !complete {
--- a/internal/api/connection_limit.go
+++ b/internal/api/connection_limit.go
@@ -6,30 +6,30 @@
 	"sync"
 )
 
-// connectionLimit bounds how many connections are open at once. A new connection above the limit
-// closes the one that has been idle longest, or is closed itself where none is idle. The server has
-// read no request on an idle connection, so that a caller may safely repeat what it has sent on one.
+// connectionLimit bounds the number of open connections. When a new connection exceeds the limit, the
+// connection that has been idle longest is closed, or the new one if none is idle. The server has not
+// read a request from an idle connection, so a caller may safely retry a request that it sent on one.
 type connectionLimit struct {
-	most int
-	lock sync.Mutex
-	open map[net.Conn]bool
-	idle connectionQueue
+	maxOpen int
+	lock    sync.Mutex
+	open    map[net.Conn]bool
+	idle    connectionQueue
 }
 
-func newConnectionLimit(most int) *connectionLimit {
-	return &connectionLimit{most: most, open: map[net.Conn]bool{}, idle: newConnectionQueue()}
+// newConnectionLimit returns a limit of maxOpen connections.
+func newConnectionLimit(maxOpen int) *connectionLimit {
+	return &connectionLimit{maxOpen: maxOpen, open: map[net.Conn]bool{}, idle: newConnectionQueue()}
 }
 
-// stateChanged is the server's ConnState hook.
+// stateChanged is the ConnState hook of the HTTP server.
 func (l *connectionLimit) stateChanged(conn net.Conn, state http.ConnState) {
-	if surplus := l.update(conn, state); surplus != nil {
-		surplus.Close()
+	if evicted := l.update(conn, state); evicted != nil {
+		evicted.Close()
 	}
 }
 
-// update takes over a connection's new state, and returns the connection that is to be closed, or
-// nil.
-func (l *connectionLimit) update(conn net.Conn, state http.ConnState) (surplus net.Conn) {
+// update records a connection's new state and returns the connection that the caller must close, or nil.
+func (l *connectionLimit) update(conn net.Conn, state http.ConnState) (evicted net.Conn) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.idle.remove(conn)
@@ -40,20 +40,21 @@
 		delete(l.open, conn)
 	case http.StateNew:
 		l.open[conn] = true
-		return l.surplus(conn)
+		return l.evict(conn)
 	}
 	return nil
 }
 
-// surplus returns the connection that has to go for a new one.
-func (l *connectionLimit) surplus(newest net.Conn) net.Conn {
-	if len(l.open) <= l.most {
+// evict removes the connection that must be closed in favour of newConn, and returns it. It returns nil
+// if the limit is not exceeded. The caller must hold l.lock.
+func (l *connectionLimit) evict(newConn net.Conn) net.Conn {
+	if len(l.open) <= l.maxOpen {
 		return nil
 	}
 	longestIdle, found := l.idle.first()
 	if !found {
-		delete(l.open, newest)
-		return newest
+		delete(l.open, newConn)
+		return newConn
 	}
 	l.idle.remove(longestIdle)
 	delete(l.open, longestIdle)
--- a/internal/api/connection_limit_test.go
+++ b/internal/api/connection_limit_test.go
@@ -14,9 +14,9 @@
 	"beaconvane/internal/goroutine"
 )
 
-// ask sends a request on a connection and reads the answer; an error where the other side
-// has closed it.
-func ask(conn net.Conn) error {
+// roundTrip sends a request on a connection and reads the response. It returns an error if the server
+// has closed the connection.
+func roundTrip(conn net.Conn) error {
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		return err
@@ -30,8 +30,8 @@
 	return err
 }
 
-// Callers that open new connections, and leave the old ones idle, don't use up the file descriptors of
-// the process: the connection that has been idle longest is closed for the newest.
+// Guards against callers that exhaust the process's file descriptors by opening connections and leaving
+// them idle: the connection that has been idle longest is closed in favour of the new one.
 func TestRestingConnectionsMakeRoom(t *testing.T) {
 	c := qt.New(t)
 	group := goroutine.New()
@@ -41,8 +41,8 @@
 	address := listener.Addr().String()
 	listener.Close()
 	server := NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) { out.WriteHeader(http.StatusOK) }))
-	const most, callers = 8, 40
-	server.LimitConnections(most)
+	const maxOpen, callers = 8, 40
+	server.LimitConnections(maxOpen)
 	c.Assert(server.Serve(group, address), qt.IsNil)
 	defer server.server.Close()
 	conns := []net.Conn{}
@@ -50,16 +50,16 @@
 		conn, err := net.Dial("tcp", address)
 		c.Assert(err, qt.IsNil)
 		defer conn.Close()
-		c.Assert(ask(conn), qt.IsNil)
+		c.Assert(roundTrip(conn), qt.IsNil)
 		conns = append(conns, conn)
-		time.Sleep(5 * time.Millisecond) // the server notices that it is idle
+		time.Sleep(5 * time.Millisecond) // lets the server mark the connection idle
 	}
 	served := 0
 	for _, conn := range conns {
-		if ask(conn) == nil {
+		if roundTrip(conn) == nil {
 			served++
 		}
 	}
-	c.Assert(served <= most, qt.IsTrue, qt.Commentf("%d of %d connections are open", served, callers))
-	c.Assert(served >= most/2, qt.IsTrue, qt.Commentf("%d of %d connections are open", served, callers))
+	c.Assert(served <= maxOpen, qt.IsTrue, qt.Commentf("%d of %d connections are open", served, callers))
+	c.Assert(served >= maxOpen/2, qt.IsTrue, qt.Commentf("%d of %d connections are open", served, callers))
 }
--- a/internal/api/connection_queue.go
+++ b/internal/api/connection_queue.go
@@ -5,29 +5,31 @@
 	"net"
 )
 
-// connectionQueue is an ordered set of connections, the one that was added first in front.
+// connectionQueue is a set of connections in the order in which they were added.
 type connectionQueue struct {
-	order  *list.List // of net.Conn
-	places map[net.Conn]*list.Element
+	connections *list.List // of net.Conn
+	elements    map[net.Conn]*list.Element
 }
 
+// newConnectionQueue returns an empty queue.
 func newConnectionQueue() connectionQueue {
-	return connectionQueue{order: list.New(), places: map[net.Conn]*list.Element{}}
+	return connectionQueue{connections: list.New(), elements: map[net.Conn]*list.Element{}}
 }
 
-func (q connectionQueue) push(conn net.Conn) { q.places[conn] = q.order.PushBack(conn) }
+// push appends a connection, which must not be in the queue.
+func (q connectionQueue) push(conn net.Conn) { q.elements[conn] = q.connections.PushBack(conn) }
 
-// remove takes a connection out, wherever it stands; one that isn't there is no error.
+// remove removes a connection. It does nothing if the connection is not in the queue.
 func (q connectionQueue) remove(conn net.Conn) {
-	if place, found := q.places[conn]; found {
-		q.order.Remove(place)
-		delete(q.places, conn)
+	if element, found := q.elements[conn]; found {
+		q.connections.Remove(element)
+		delete(q.elements, conn)
 	}
 }
 
-// first returns the connection in front.
+// first returns the connection that was added first, without removing it.
 func (q connectionQueue) first() (conn net.Conn, found bool) {
-	front := q.order.Front()
+	front := q.connections.Front()
 	if front == nil {
 		return nil, false
 	}
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -7,62 +7,64 @@
 	"strings"
 
 	"beaconvane/internal/goroutine"
-	figures "beaconvane/internal/metrics"
+	meshmetrics "beaconvane/internal/metrics"
 	"beaconvane/internal/node"
 )
 
-// heapMetric is the runtime's figure of the memory in use.
+// heapMetric names the runtime metric of the heap memory that objects occupy.
 const heapMetric = "/memory/classes/heap/objects:bytes"
 
-// eventCounter begins the name of a counter of events.
-const eventCounter = "event_"
+// eventCounterPrefix is the prefix of the names of event counters.
+const eventCounterPrefix = "event_"
 
-// NewMetricsHandler serves the figures of a process as text, on every path. While the control
-// machine doesn't answer in time the page has the process's own figures only, and says so.
-func NewMetricsHandler(process *node.Node, group *goroutine.Group, more func() []figures.Sample) http.Handler {
+// NewMetricsHandler returns a handler that serves the metrics of a process as text, on every path. If
+// the control machine doesn't reply within statusTimeout, the page omits its metrics and sets
+// control_answers to 0. The function extraSamples may be nil.
+func NewMetricsHandler(process *node.Node, group *goroutine.Group, extraSamples func() []meshmetrics.Sample) http.Handler {
 	router := newRouter()
 	router.PathPrefix("/").Methods(http.MethodGet).HandlerFunc(func(out http.ResponseWriter, _ *http.Request) {
 		samples := append(processSamples(process), controlSamples(process, group)...)
-		if more != nil {
-			samples = append(samples, more()...)
+		if extraSamples != nil {
+			samples = append(samples, extraSamples()...)
 		}
 		out.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_ = figures.Write(out, samples) // a reader that has gone needs no answer
+		_ = meshmetrics.Write(out, samples) // fails only if the client has disconnected
 	})
 	return router
 }
 
-// processSamples returns the counters of the process and the memory that it uses.
-func processSamples(process *node.Node) []figures.Sample {
+// processSamples returns the counters and the heap size of the process.
+func processSamples(process *node.Node) []meshmetrics.Sample {
 	heap := []metrics.Sample{{Name: heapMetric}}
 	metrics.Read(heap)
-	samples := []figures.Sample{figures.Of("heap_bytes", float64(heap[0].Value.Uint64()))}
+	samples := []meshmetrics.Sample{meshmetrics.Of("heap_bytes", float64(heap[0].Value.Uint64()))}
 	for name, count := range process.Counters() {
-		if event, isEvent := strings.CutPrefix(name, eventCounter); isEvent {
-			samples = append(samples, figures.About("events_total", "event", event, float64(count)))
+		if event, isEvent := strings.CutPrefix(name, eventCounterPrefix); isEvent {
+			samples = append(samples, meshmetrics.About("events_total", "event", event, float64(count)))
 			continue
 		}
-		samples = append(samples, figures.Of(name, float64(count)))
+		samples = append(samples, meshmetrics.Of(name, float64(count)))
 	}
 	return samples
 }
 
-// controlSamples returns the figures of the control machine, and whether it replied in time.
-func controlSamples(process *node.Node, group *goroutine.Group) []figures.Sample {
-	limited, cancel := context.WithTimeout(group.Context, statusTimeout)
+// controlSamples returns the metrics of the control machine, and a flag that tells whether it replied
+// in time.
+func controlSamples(process *node.Node, group *goroutine.Group) []meshmetrics.Sample {
+	ctx, cancel := context.WithTimeout(group.Context, statusTimeout)
 	defer cancel()
-	samples, err := node.RequestAs[[]figures.Sample](limited, process, figures.Read{})
-	return append(samples, figures.Flag("control_answers", err == nil))
+	samples, err := node.RequestAs[[]meshmetrics.Sample](ctx, process, meshmetrics.Read{})
+	return append(samples, meshmetrics.Flag("control_answers", err == nil))
 }
 
-// Metrics returns the figures of the proxy's traffic side.
-func (p *Proxy) Metrics() []figures.Sample {
+// Metrics returns the metrics of the proxy's data plane.
+func (p *Proxy) Metrics() []meshmetrics.Sample {
 	results, retries := p.frontend.ResultCounts()
 	running, pending := p.backend.Running()
-	return append(figures.Counts("answers_total", "code", results),
-		figures.Of("retries_total", float64(retries)),
-		figures.Of("upstreams_running", float64(running)),
-		figures.Of("upstreams_pending", float64(pending)),
-		figures.Of("requests_inside", float64(p.pipeline.InFlight())),
-		figures.Flag("ready", p.isReady()))
+	return append(meshmetrics.Counts("answers_total", "code", results),
+		meshmetrics.Of("retries_total", float64(retries)),
+		meshmetrics.Of("upstreams_running", float64(running)),
+		meshmetrics.Of("upstreams_pending", float64(pending)),
+		meshmetrics.Of("requests_inside", float64(p.pipeline.InFlight())),
+		meshmetrics.Flag("ready", p.isReady()))
 }
--- a/internal/api/metrics_test.go
+++ b/internal/api/metrics_test.go
@@ -14,20 +14,21 @@
 	"beaconvane/internal/settings"
 )
 
-// A process whose control machine doesn't reply still shows its own figures, and that it doesn't.
-func TestMetricsPageOfAStandingControlThread(t *testing.T) {
+// The metrics page of a process whose control machine doesn't reply has the process's own metrics and
+// control_answers 0.
+func TestMetricsWithUnresponsiveControlThread(t *testing.T) {
 	c := qt.New(t)
 	group := goroutine.New()
 	process := node.New(settings.Default(), message.RoleRegistry, group)
 	group.Stop(0)
 	page := httptest.NewRecorder()
-	more := func() []metrics.Sample { return []metrics.Sample{metrics.Flag("ready", true)} }
-	handler := NewMetricsHandler(process, group, more)
+	extraSamples := func() []metrics.Sample { return []metrics.Sample{metrics.Flag("ready", true)} }
+	handler := NewMetricsHandler(process, group, extraSamples)
 	handler.ServeHTTP(page, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	c.Assert(page.Code, qt.Equals, http.StatusOK)
 	c.Assert(page.Header().Get("Content-Type"), qt.Contains, "text/plain")
-	wanted := []string{"beaconvane_control_answers 0\n", "beaconvane_ready 1\n", "beaconvane_control_queue ", "beaconvane_heap_bytes "}
-	for _, line := range wanted {
+	wantLines := []string{"beaconvane_control_answers 0\n", "beaconvane_ready 1\n", "beaconvane_control_queue ", "beaconvane_heap_bytes "}
+	for _, line := range wantLines {
 		c.Check(page.Body.String(), qt.Contains, line)
 	}
 }
--- a/internal/api/proxy_handler.go
+++ b/internal/api/proxy_handler.go
@@ -17,10 +17,10 @@
 	"beaconvane/internal/settings"
 )
 
-// proxyPrefix begins the paths that are the proxy's own; all others are callers'.
+// proxyPrefix is the prefix of the proxy's own paths. All other paths belong to callers.
 const proxyPrefix = "/beacon"
 
-// statusTimeout is how long the counters wait for the control machine.
+// statusTimeout bounds the wait for the control machine's status and metrics.
 const statusTimeout = time.Second
 
 // Proxy serves the proxy's own paths: readiness, counters, and the announcements of upstreams.
@@ -41,17 +41,17 @@
 	return &Proxy{settings: cfg, process: process, goroutines: goroutines, frontend: front, backend: back, pipeline: pipeline}
 }
 
-// BeginStop makes the proxy answer that it isn't ready. Announcements are still accepted for the
-// linger time of the settings.
+// BeginStop makes the readiness route report that the proxy is not ready. Announcements are still
+// accepted until Close if the settings give a linger time.
 func (p *Proxy) BeginStop() { p.stopping.Store(true) }
 
-// Close refuses announcements from now on.
+// Close makes the proxy refuse announcements.
 func (p *Proxy) Close() { p.closed.Store(true) }
 
-// Handler serves the proxy's own paths only.
+// Handler returns a handler of the proxy's own paths only.
 func (p *Proxy) Handler() http.Handler { return p.router() }
 
-// HandlerWithCallers serves the proxy's own paths, and hands all others to the callers' handler.
+// HandlerWithCallers returns a handler of the proxy's own paths that passes all other requests to callers.
 func (p *Proxy) HandlerWithCallers(callers http.Handler) http.Handler {
 	router := p.router()
 	router.NotFoundHandler = callers
@@ -67,12 +67,15 @@
 	router.HandleFunc(proxyPrefix+"/announce/{instance}", p.announceNamed).Methods(http.MethodPost)
 	router.HandleFunc(proxyPrefix+"/signoff/{instance}", p.signOffNamed).Methods(http.MethodPost)
 	router.HandleFunc(proxyPrefix+"/signoff", p.signOff).Methods(http.MethodPost)
-	router.PathPrefix(proxyPrefix + "/").HandlerFunc(noRoute)
-	router.MethodNotAllowedHandler = http.HandlerFunc(noRoute)
+	router.PathPrefix(proxyPrefix + "/").HandlerFunc(writeNoRoute)
+	router.MethodNotAllowedHandler = http.HandlerFunc(writeNoRoute)
 	return router
 }
 
-func noRoute(out http.ResponseWriter, _ *http.Request) { WriteCode(out, errcode.RequestNoRoute, "") }
+// writeNoRoute responds with RequestNoRoute.
+func writeNoRoute(out http.ResponseWriter, _ *http.Request) {
+	WriteCode(out, errcode.RequestNoRoute, "")
+}
 
 func (p *Proxy) isReady() bool { return !p.stopping.Load() && p.frontend.Ready(p.goroutines.Now()) }
 
@@ -84,18 +87,19 @@
 	WriteCode(out, errcode.OK, "ready")
 }
 
-// proxyCounters is the body of a proxy's counters.
+// proxyCounters is the response body of the counters route of a proxy.
 type proxyCounters struct {
-	Answers             map[string]int64 `json:"answers"` // finished requests by the name of their code
+	Answers             map[string]int64 `json:"answers"` // finished requests by result code name
 	Control             *proxy.Status    `json:"control,omitempty"`
-	InFlight            int64            `json:"inside"` // callers' requests that are being served
+	InFlight            int64            `json:"inside"` // callers' requests in flight
 	Process             map[string]int64 `json:"process"`
 	Retries             int64            `json:"retries"`
-	ServingProxyPending int              `json:"serving_proxy_pending"` // queued for the upstreams beside this proxy
-	ServingProxyRunning int              `json:"serving_proxy_running"` // running on the upstreams beside this proxy
+	ServingProxyPending int              `json:"serving_proxy_pending"` // requests queued for the upstreams that this proxy serves
+	ServingProxyRunning int              `json:"serving_proxy_running"` // requests running on the upstreams that this proxy serves
 }
 
-// counters returns the counters; those of the control machine are left out while it does not reply.
+// counters returns the counters of the proxy. The control machine's status is omitted if it does not
+// reply within statusTimeout.
 func (p *Proxy) counters() proxyCounters {
 	results, retries := p.frontend.ResultCounts()
 	running, pending := p.backend.Running()
@@ -107,9 +111,9 @@
 		ServingProxyPending: pending,
 		ServingProxyRunning: running,
 	}
-	limited, cancel := context.WithTimeout(p.goroutines.Context, statusTimeout)
+	ctx, cancel := context.WithTimeout(p.goroutines.Context, statusTimeout)
 	defer cancel()
-	if status, err := node.RequestAs[proxy.Status](limited, p.process, proxy.ReadStatus{}); err == nil {
+	if status, err := node.RequestAs[proxy.Status](ctx, p.process, proxy.ReadStatus{}); err == nil {
 		counters.Control = &status
 	}
 	return counters
--- a/internal/api/registry_handler.go
+++ b/internal/api/registry_handler.go
@@ -14,19 +14,19 @@
 	"beaconvane/internal/settings"
 )
 
-// controlSlack is how late the control machine may be with its replies.
+// controlSlack is added to the operator timeout to allow for a delayed reply of the control machine.
 const controlSlack = 100 * time.Millisecond
 
-// noReply is the detail of an answer when the control machine did not reply in time.
-const noReply = "no answer from the control thread"
+// noReplyDetail is the detail of the response if the control machine did not reply in time.
+const noReplyDetail = "no answer from the control thread"
 
-// registryHandler serves the paths of a registry.
+// registryHandler serves the HTTP API of a registry.
 type registryHandler struct {
 	settings settings.Settings
 	process  *node.Node
 }
 
-// NewRegistryHandler returns the handler of a registry's HTTP address.
+// NewRegistryHandler returns the handler of a registry's HTTP API.
 func NewRegistryHandler(cfg settings.Settings, process *node.Node) http.Handler {
 	handler := &registryHandler{settings: cfg, process: process}
 	router := newRouter()
@@ -55,7 +55,7 @@
 	get("/v1/configurations/{configuration}/status", func(in *http.Request) any {
 		return registry.ReadConfigurationStatus{ConfigName: configName(in)}
 	})
-	router.HandleFunc("/v1/configurations/{configuration}/{version:[0-9]+}/in-force", h.inForce).Methods(http.MethodGet)
+	router.HandleFunc("/v1/configurations/{configuration}/{version:[0-9]+}/in-force", h.awaitInForce).Methods(http.MethodGet)
 	get("/v1/configurations/{configuration}/{version:[0-9]+}", func(in *http.Request) any {
 		return registry.ReadConfiguration{ConfigName: configName(in), Version: pathNumber(in, "version")}
 	})
@@ -63,42 +63,43 @@
 	router.HandleFunc("/v1/configurations/{configuration}", h.write).Methods(http.MethodPut)
 }
 
-// configName returns the configuration that the path names.
+// configName returns the name of the configuration in the path.
 func configName(in *http.Request) string { return mux.Vars(in)["configuration"] }
 
-// pathNumber returns a number of the path: 0 when the path has none of that name, and the greatest
-// number in the place of one that is out of range.
+// pathNumber returns the value of a numeric path variable. It returns 0 if the path has no such
+// variable, and the greatest int64 if the value is out of range.
 func pathNumber(in *http.Request, name string) int64 {
-	value, _ := strconv.ParseInt(mux.Vars(in)[name], 10, 64) // the routes let digits through only
+	value, _ := strconv.ParseInt(mux.Vars(in)[name], 10, 64) // the route patterns match digits only
 	return value
 }
 
-// forward returns a handler that hands a request to the machine and writes its reply.
+// forward returns a handler that sends a request to the control machine and writes its reply.
 func (h *registryHandler) forward(request func(in *http.Request) any) http.HandlerFunc {
 	return func(out http.ResponseWriter, in *http.Request) { h.serve(out, in, request(in)) }
 }
 
-// serve hands a request to the machine and writes its reply. Without a reply the caller is told what
-// that means: a write may have been committed, a read has found no holder of the lease.
+// serve sends a request to the control machine and writes its reply. Without a reply in time, the
+// result code depends on the request: ConfigurationUnsure for a write, which may have been committed,
+// and ConfigurationNoHolder for a read, which found no lease holder.
 func (h *registryHandler) serve(out http.ResponseWriter, in *http.Request, request any) {
 	write, isWrite := request.(registry.WriteConfiguration)
 	_, isRead := request.(registry.ReadConfiguration)
-	limited, cancel := context.WithTimeout(in.Context(), h.settings.OperatorTimeout(len(write.Body))+controlSlack)
+	ctx, cancel := context.WithTimeout(in.Context(), h.settings.OperatorTimeout(len(write.Body))+controlSlack)
 	defer cancel()
-	answer, err := node.RequestAs[registry.OperatorResponse](limited, h.process, request)
+	answer, err := node.RequestAs[registry.OperatorResponse](ctx, h.process, request)
 	switch {
 	case err == nil:
 		writeResponse(out, answer)
 	case isWrite:
-		WriteCode(out, errcode.ConfigurationUnsure, noReply)
+		WriteCode(out, errcode.ConfigurationUnsure, noReplyDetail)
 	case isRead:
-		WriteCode(out, errcode.ConfigurationNoHolder, noReply)
+		WriteCode(out, errcode.ConfigurationNoHolder, noReplyDetail)
 	default:
-		WriteCode(out, errcode.Internal, noReply)
+		WriteCode(out, errcode.Internal, noReplyDetail)
 	}
 }
 
-// writeResponse writes the machine's reply, whose body is JSON already.
+// writeResponse writes the control machine's reply, whose body is already encoded as JSON.
 func writeResponse(out http.ResponseWriter, answer registry.OperatorResponse) {
 	setCodeHeaders(out, answer.Code)
 	out.Header().Set("Content-Type", "application/json")
--- a/internal/api/response.go
+++ b/internal/api/response.go
@@ -9,23 +9,24 @@
 	"beaconvane/internal/frontend"
 )
 
-// retryAfterSeconds is what a 503 answer, with which nothing was done yet, tells the caller.
+// retryAfterSeconds is the Retry-After header of a 503 response. Such a request had no effect and may be
+// retried.
 const retryAfterSeconds = "1"
 
-// codeResponse is the body of an answer that is only a result code.
+// codeResponse is the body of a response that consists of a result code and a detail.
 type codeResponse struct {
 	Code   errcode.Code `json:"code"`
 	Detail string       `json:"detail"`
 	Result string       `json:"result"`
 }
 
-// WriteCode answers with a result code: its HTTP status, its header and a JSON body.
+// WriteCode responds with a result code: its HTTP status, its headers and a JSON body.
 func WriteCode(out http.ResponseWriter, code errcode.Code, detail string) {
 	setCodeHeaders(out, code)
 	writeJSON(out, code.Status(), codeResponse{Code: code, Detail: detail, Result: code.String()})
 }
 
-// setCodeHeaders sets the header fields of a refusal; an answer with the code OK has none.
+// setCodeHeaders sets the header fields of a result code. OK has none.
 func setCodeHeaders(out http.ResponseWriter, code errcode.Code) {
 	if code == errcode.OK {
 		return
@@ -36,7 +37,8 @@
 	}
 }
 
-// writeJSON answers with a body as JSON. A failure is not reported: the caller has gone.
+// writeJSON responds with a body encoded as JSON. A write error is ignored, since it means that the
+// caller has disconnected.
 func writeJSON(out http.ResponseWriter, status int, body any) {
 	out.Header().Set("Content-Type", "application/json")
 	out.WriteHeader(status)
--- a/internal/api/response_test.go
+++ b/internal/api/response_test.go
@@ -11,6 +11,7 @@
 	"beaconvane/internal/errcode"
 )
 
+// Each result code sets its status, headers and JSON body.
 func TestCodeAnswers(t *testing.T) {
 	for code, want := range map[errcode.Code]struct {
 		status     int
@@ -39,7 +40,7 @@
 // Upstreams accept acknowledgements of at most 4 KiB, header included.
 func TestAcknowledgementsAreSmall(t *testing.T) {
 	c := qt.New(t)
-	const mostAcknowledgement = 4 << 10
+	const maxAcknowledgementBytes = 4 << 10
 	for code := range errcode.Entries {
 		out := httptest.NewRecorder()
 		WriteCode(out, code, "")
@@ -47,6 +48,6 @@
 		for name, values := range out.Header() {
 			size += len(name) + len(strings.Join(values, "")) + len(": \r\n")
 		}
-		c.Check(size < mostAcknowledgement, qt.IsTrue, qt.Commentf("%s: %d", code, size))
+		c.Check(size < maxAcknowledgementBytes, qt.IsTrue, qt.Commentf("%s: %d", code, size))
 	}
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,7 +1,7 @@
-// Package api is the HTTP interface of the programs: the registry's towards operators and
-// platforms, and the proxy's towards upstreams and whoever watches it. Handlers read the HTTP request,
-// hand a request to the control machine through package node, and write its reply; they decide
-// nothing themselves. Callers' requests are served by package frontend.
+// Package api is the HTTP interface of the programs: the registry's for operators and platforms, and
+// the proxy's for upstreams and monitoring. Handlers parse the HTTP request, send a request to the
+// control machine through package node, and write its reply; they contain no decision logic. Callers'
+// requests are served by package frontend.
 package api
 
 import (
@@ -16,7 +16,7 @@
 	"beaconvane/internal/goroutine"
 )
 
-// Limits of the HTTP servers.
+// Timeouts and the header size limit of the HTTP servers.
 const (
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 30 * time.Second
@@ -24,13 +24,13 @@
 	maxHeaderBytes    = 64 << 10
 )
 
-// Server is one HTTP server of a process.
+// Server is an HTTP server of a process, which may listen at several addresses.
 type Server struct {
 	server       *http.Server
-	wrapListener func(listener net.Listener) net.Listener // nil: as it is
+	wrapListener func(listener net.Listener) net.Listener // nil: the listener is used unwrapped
 }
 
-// NewServer returns a server that serves one handler for every path.
+// NewServer returns a server that passes every request to handler.
 func NewServer(handler http.Handler) *Server {
 	return &Server{server: &http.Server{
 		Handler:           handler,
@@ -41,20 +41,19 @@
 	}}
 }
 
-// LimitConnections lets at most so many connections be open at once, so that callers that open one
-// after the other leave file descriptors for the connections between processes. It is called before
-// Serve.
-func (s *Server) LimitConnections(most int) {
-	s.server.ConnState = newConnectionLimit(most).stateChanged
+// LimitConnections limits the number of open connections to maxOpen, so that callers can't exhaust the
+// file descriptors needed for connections between processes. It must be called before Serve.
+func (s *Server) LimitConnections(maxOpen int) {
+	s.server.ConnState = newConnectionLimit(maxOpen).stateChanged
 }
 
-// newRouter returns a router that takes paths as they come, without cleaning or decoding.
+// newRouter returns a router that matches paths as received, without cleaning or decoding them.
 func newRouter() *mux.Router {
 	return mux.NewRouter().SkipClean(true).UseEncodedPath()
 }
 
-// Serve listens at each address and serves in goroutines of the group. An address that can't be
-// bound is an error with the code ConnectionLost.
+// Serve listens at each address and serves in goroutines of the group. It returns an error with the
+// code ConnectionLost if an address can't be bound.
 func (s *Server) Serve(group *goroutine.Group, addresses ...string) error {
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp", address)
@@ -65,11 +64,11 @@
 			listener = s.wrapListener(listener)
 		}
 		group.Go("api.serve", func(context.Context) {
-			_ = s.server.Serve(listener) // returns when Shutdown is called, with http.ErrServerClosed
+			_ = s.server.Serve(listener) // returns http.ErrServerClosed after Shutdown
 		})
 	}
 	return nil
 }
 
-// Shutdown stops listening and waits for the requests that are being served.
+// Shutdown stops listening and waits until the requests in flight have finished or ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error { return s.server.Shutdown(ctx) }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli is the command line of the programs: it reads flags and settings, builds a program
-// from its parts, runs it until a signal, and has the operators' commands. The programs' HTTP
-// interface is package api.
+// Package cli is the command line of the programs: it reads flags and settings, assembles a program,
+// runs it until a signal, and provides the operators' commands. The programs' HTTP interface is
+// package api.
 package cli
 
 import (
@@ -20,40 +20,40 @@
 // Version is the product's version.
 const Version = "0.1.0"
 
-// Program describes one of the three daemons.
+// Program describes one of the three daemons: proxy, registry or configuration store.
 type Program struct {
 	Role        string // message.RoleProxy, message.RoleRegistry or message.RoleConfigStore
 	Short       string // one line for the help text
 	Module      fx.Option
-	AddCommands func(root *cobra.Command) // adds subcommands; nil for none
-	Platform    Platform                  // the adapter to the users' platform; nil for none
+	AddCommands func(root *cobra.Command) // adds subcommands; may be nil
+	Platform    Platform                  // adapter to the users' platform; may be nil
 }
 
-// Platform is the port to the users' platform: where the settings are, and how callers, upstreams
-// and the collector of usage reports speak there.
+// Platform abstracts the users' platform: where its settings come from, and the protocols of its
+// callers, its upstreams and its collector of usage reports.
 type Platform interface {
 	// Load reads the settings of a role.
 	Load(role string) (settings.Settings, error)
-	// Callers is the protocol towards callers.
+	// Callers returns the protocol towards callers.
 	Callers() frontend.Protocol
-	// Upstreams is the protocol towards upstreams.
+	// Upstreams returns the protocol towards upstreams.
 	Upstreams() backend.Protocol
-	// SetReportHeaders adds to a usage report's header who sends it under which epoch.
+	// SetReportHeaders adds the sending node and its epoch to the header of a usage report.
 	SetReportHeaders(header http.Header, nodeName string, epoch int64)
 }
 
-// Protocols are the protocols that a process was started with.
+// Protocols holds the protocols of a process, which depend on the platform.
 type Protocols struct {
 	Callers          frontend.Protocol
 	Upstreams        backend.Protocol
-	SetReportHeaders func(header http.Header, nodeName string, epoch int64) // nil: nothing is added
+	SetReportHeaders func(header http.Header, nodeName string, epoch int64) // nil: no headers are added
 }
 
-// loader reads the settings, at the start and again while the process runs.
-type loader func() (settings.Settings, error)
+// settingsLoader loads the settings. It is called at the start and on each reload.
+type settingsLoader func() (settings.Settings, error)
 
-// overridingFlags are the settings that the command line may give over the file, with their help.
-var overridingFlags = map[string]string{
+// overrideFlags maps the flags that override a setting of the file to their help texts.
+var overrideFlags = map[string]string{
 	"node":      "name of this node",
 	"voter":     "voter of this core node",
 	"zone":      "zone of this machine",
@@ -66,17 +66,17 @@
 	"found":     "true: this start, on an empty disk, may found the core group",
 }
 
-// options are a daemon's flags.
+// options holds the flags of a daemon.
 type options struct {
 	configPath string
 	checkOnly  bool
 	onPlatform bool
-	overrides  map[string]*string // by flag name
+	overrides  map[string]*string // flag values by flag name
 }
 
-// Main runs a program's command line. It ends the process with status 1 on an error.
+// Main runs a program's command line. On an error it exits with status 1.
 func Main(program Program) {
-	given := &options{overrides: map[string]*string{}}
+	opts := &options{overrides: map[string]*string{}}
 	root := &cobra.Command{
 		Use:           program.Role,
 		Short:         program.Short,
@@ -84,9 +84,9 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
-		RunE:          func(command *cobra.Command, _ []string) error { return given.run(program, command) },
+		RunE:          func(command *cobra.Command, _ []string) error { return opts.run(program, command) },
 	}
-	given.addFlags(program, root)
+	opts.addFlags(program, root)
 	if program.AddCommands != nil {
 		program.AddCommands(root)
 	}
@@ -96,18 +96,19 @@
 	}
 }
 
+// addFlags defines the flags of a daemon.
 func (o *options) addFlags(program Program, root *cobra.Command) {
 	root.Flags().StringVar(&o.configPath, "config", "", "settings file (JSON)")
 	if program.Platform != nil {
 		root.Flags().BoolVar(&o.onPlatform, "platform", false, "run on the users' platform, with the settings that it gives")
 	}
 	root.Flags().BoolVar(&o.checkOnly, "check", false, "check the settings and end")
-	for name, help := range overridingFlags {
+	for name, help := range overrideFlags {
 		o.overrides[name] = root.Flags().String(name, "", help+" (over the file)")
 	}
 }
 
-// run loads the settings and, unless they are only checked, serves until a signal.
+// run loads the settings and serves until a signal. With --check it only validates the settings.
 func (o *options) run(program Program, command *cobra.Command) error {
 	load, protocols := o.source(program, command)
 	hangups := notifyHangups()
@@ -117,14 +118,15 @@
 		return err
 	}
 	if o.checkOnly {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return nil
 	}
 	return serve(program, cfg, protocols, load, hangups)
 }
 
-// source returns where the settings come from, and the protocols that belong to them.
-func (o *options) source(program Program, command *cobra.Command) (loader, Protocols) {
+// source returns the loader of the settings and the protocols of the process: those of the platform
+// with --platform, otherwise the settings file with overrides and the native protocols.
+func (o *options) source(program Program, command *cobra.Command) (settingsLoader, Protocols) {
 	if o.onPlatform {
 		platform := program.Platform
 		load := func() (settings.Settings, error) { return platform.Load(program.Role) }
--- a/internal/cli/core_programs.go
+++ b/internal/cli/core_programs.go
@@ -15,12 +15,13 @@
 	"beaconvane/internal/settings"
 )
 
-// RegistryModule builds the registry.
+// RegistryModule is the fx module that runs the registry.
 var RegistryModule = fx.Module("registry", fx.Invoke(startRegistry))
 
-// ConfigStoreModule builds the configuration store.
+// ConfigStoreModule is the fx module that runs the configuration store.
 var ConfigStoreModule = fx.Module("configstore", fx.Invoke(startConfigStore))
 
+// startRegistry registers the hooks that start and stop the registry.
 func startRegistry(lifecycle fx.Lifecycle, cfg settings.Settings, group *goroutine.Group, process *node.Node) {
 	server := api.NewServer(api.NewRegistryHandler(cfg, process))
 	lifecycle.Append(fx.Hook{
@@ -40,6 +41,7 @@
 	})
 }
 
+// startConfigStore registers the hooks that start and stop the configuration store.
 func startConfigStore(lifecycle fx.Lifecycle, cfg settings.Settings, group *goroutine.Group, process *node.Node) {
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
@@ -58,14 +60,14 @@
 	})
 }
 
-// stopCore lets the machine hand over its leases, waits until its messages have left, and stops the
-// process. The server may be nil.
+// stopCore asks the machine to hand over its leases, shuts the server down, waits one update interval so
+// that the machine's messages are sent, and stops the process. The server may be nil.
 func stopCore(ctx context.Context, cfg settings.Settings, group *goroutine.Group, process *node.Node, stop any, server *api.Server) error {
-	limited, cancel := context.WithTimeout(ctx, cfg.Grace()/2)
+	stopCtx, cancel := context.WithTimeout(ctx, cfg.Grace()/2)
 	defer cancel()
-	_, err := process.Request(limited, stop)
+	_, err := process.Request(stopCtx, stop)
 	if server != nil {
-		err = server.Shutdown(limited)
+		err = server.Shutdown(stopCtx)
 	}
 	linger := time.NewTimer(cfg.UpdatesEvery())
 	defer linger.Stop()
--- a/internal/cli/force_recover.go
+++ b/internal/cli/force_recover.go
@@ -1,7 +1,6 @@
 package cli
 
 import (
-	"errors"
 	"fmt"
 	"net"
 
@@ -16,8 +15,8 @@
 	"beaconvane/internal/storage"
 )
 
-// AddVoterCommands returns a function that adds what an operator may do to the disk of a stopped
-// core program of a role.
+// AddVoterCommands returns a function that adds the operators' commands for the disk of a stopped core
+// program of the given role.
 func AddVoterCommands(role string) func(root *cobra.Command) {
 	return func(root *cobra.Command) {
 		configPath := ""
@@ -29,22 +28,23 @@
 			RunE:  func(*cobra.Command, []string) error { return runForceRecover(role, configPath) },
 		}
 		forceRecover.Flags().StringVar(&configPath, "config", "", "settings file of the stopped program")
-		_ = forceRecover.MarkFlagRequired("config") // fails for an unknown flag only
+		_ = forceRecover.MarkFlagRequired("config") // fails only for an unknown flag
 		voter.AddCommand(forceRecover)
 		root.AddCommand(voter)
 	}
 }
 
-// runForceRecover writes a snapshot to the disk in which the other voters are given up.
+// runForceRecover replaces the state on disk by a snapshot in which the other voters are abandoned.
 func runForceRecover(role, configPath string) error {
 	cfg, err := settings.Load(role, configPath, nil)
 	if err != nil {
 		return err
 	}
-	// The running program holds its address; an offline change must not race it.
+	// A running program listens at its address. Binding the address ensures that no program uses the disk.
 	listener, err := net.Listen("tcp", cfg.Address)
 	if err != nil {
-		return errcode.Wrap("operator.force-recover", errcode.Internal, fmt.Errorf("stop the program first: %w", err))
+		err = fmt.Errorf("listening at %s failed; stop the program first: %w", cfg.Address, err)
+		return errcode.Wrap("operator.force-recover", errcode.Internal, err)
 	}
 	defer listener.Close()
 	directory, err := storage.NewOSDirectory(cfg.DataDirectory)
@@ -56,7 +56,8 @@
 		return err
 	}
 	if snapshot == nil {
-		return errcode.Wrap("operator.force-recover", errcode.VoterRecovering, errors.New("this disk is empty: run it on the survivor"))
+		err := fmt.Errorf("data directory %q holds no snapshot; run force-recover on the surviving voter", cfg.DataDirectory)
+		return errcode.Wrap("operator.force-recover", errcode.VoterRecovering, err)
 	}
 	machine, err := readMachine(role, cfg, snapshot, records)
 	if err != nil {
@@ -65,15 +66,15 @@
 	if err := store.Compact(machine.ForceRecover()); err != nil {
 		return err
 	}
-	fmt.Println("the other voters are given up; start this program, then the empty ones")
+	fmt.Println("the other voters are abandoned; start this program first, then the programs with empty disks")
 	return nil
 }
 
-// recoverable is a core machine whose other voters can be given up. ForceRecover does so and returns
-// the machine's new snapshot.
+// recoverable is a core machine that supports forced recovery. ForceRecover abandons the other voters
+// and returns the machine's new snapshot.
 type recoverable interface{ ForceRecover() []byte }
 
-// readMachine restores the machine of a role from its disk.
+// readMachine restores the machine of a role from its snapshot and log records.
 func readMachine(role string, cfg settings.Settings, snapshot []byte, records [][]byte) (recoverable, error) {
 	self := node.Self(cfg, role)
 	if role == message.RoleRegistry {
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -13,18 +13,18 @@
 
 const (
 	configurationsPath = "/v1/configurations/"
-	defaultRegistry    = "127.0.0.1:7480"
+	defaultRegistry    = "127.0.0.1:7480" // address of the registry
 	defaultWriteWait   = 15 * time.Second
 )
 
-// operatorCommands are the calls that an operator makes to a registry: the same as over HTTP, with
-// the answer printed and an exit code that a script can use.
+// operatorCommands holds the flags of the operators' commands. Each command makes an HTTP call to a
+// registry, prints the response, and exits with a nonzero status unless the response has status 200.
 type operatorCommands struct {
 	address   string        // of a registry, "ip:port"
-	writeWait time.Duration // how long a write is retried while the voters have no group
+	writeWait time.Duration // how long a write is retried while the voters have not formed their group
 }
 
-// AddOperatorCommands adds the operators' commands to the registry.
+// AddOperatorCommands adds the operators' commands to the registry's command line.
 func AddOperatorCommands(root *cobra.Command) {
 	AddVoterCommands(message.RoleRegistry)(root)
 	operator := &operatorCommands{}
@@ -43,7 +43,7 @@
 	})
 }
 
-// add adds a command that takes the given number of arguments, or one more.
+// add adds a command that takes the given number of arguments and one optional argument.
 func (o *operatorCommands) add(parent *cobra.Command, use, short string, arguments int, run func(args []string) error) *cobra.Command {
 	command := &cobra.Command{
 		Use:   use,
@@ -56,6 +56,7 @@
 	return command
 }
 
+// addConfiguration adds the commands for configurations.
 func (o *operatorCommands) addConfiguration(root *cobra.Command) {
 	configuration := &cobra.Command{Use: "configuration", Short: "put, get, check configurations; see where they are in force"}
 	put := o.add(configuration, "put CONFIGURATION VERSION FILE", "put a whole new version", 3, o.put)
@@ -90,9 +91,10 @@
 	}
 	path := configurationsPath + args[0] + "/" + args[1]
 	attempt := func() callResult { return call(o.address, http.MethodPut, path, body) }
-	return retryUntilGroupForms(attempt, o.writeWait, writePause, os.Stderr).print(os.Stdout)
+	return retryUntilGroupForms(attempt, o.writeWait, writeRetryInterval, os.Stderr).print(os.Stdout)
 }
 
+// wait prints the response once the version is in force on every proxy, or when the wait time has passed.
 func (o *operatorCommands) wait(args []string) error {
 	path := configurationsPath + args[0] + "/" + args[1] + "/in-force"
 	if len(args) == 3 {
--- a/internal/cli/operator_call.go
+++ b/internal/cli/operator_call.go
@@ -15,13 +15,13 @@
 	"beaconvane/internal/frontend"
 )
 
-// callTimeout bounds one call of an operator's command.
+// callTimeout bounds one HTTP call of an operator's command.
 const callTimeout = time.Minute
 
-// callResult is the answer to an operator's call, or the error that came instead.
+// callResult is the response to an operator's call, or the error if there was no response.
 type callResult struct {
 	status int
-	code   string // result code as the header has it; empty for OK
+	code   string // value of the result code header; empty for OK
 	body   []byte
 	err    error
 }
@@ -45,27 +45,27 @@
 	return callResult{status: response.StatusCode, code: response.Header.Get(frontend.CodeHeader), body: answer}
 }
 
-// print writes the answer; it returns an error unless the status is 200.
+// print writes the response body. It returns an error unless the status is 200.
 func (r callResult) print(out io.Writer) error {
 	if r.err != nil {
 		return r.err
 	}
-	_, _ = out.Write(r.body) // a closed output takes no error message either
+	_, _ = out.Write(r.body) // if the output is closed, an error can't be reported there either
 	if !bytes.HasSuffix(r.body, []byte("\n")) {
 		fmt.Fprintln(out)
 	}
 	if r.status != http.StatusOK {
-		return fmt.Errorf("status %d, code %s", r.status, r.code)
+		return fmt.Errorf("registry responded with status %d, code %s", r.status, r.code)
 	}
 	return nil
 }
 
-// tooEarly reports whether nothing was changed for a cause that ends once the voters have formed
-// their group: nobody listens yet, no configuration store holds the lease, or the holder is still
-// reading the log.
-func (r callResult) tooEarly() (cause string, early bool) {
+// retryableCause reports whether the call had no effect and may succeed once the voters have formed
+// their group, and describes the cause: the registry does not listen yet, no configuration store holds
+// the lease, or the lease holder is still reading the log.
+func (r callResult) retryableCause() (cause string, retryable bool) {
 	if r.err != nil {
-		return "nobody listens yet", errors.Is(r.err, syscall.ECONNREFUSED)
+		return "connection refused", errors.Is(r.err, syscall.ECONNREFUSED)
 	}
 	for _, code := range []errcode.Code{errcode.ConfigurationNoHolder, errcode.ConfigurationBehind} {
 		if r.code == strconv.Itoa(int(code)) {
@@ -75,30 +75,30 @@
 	return "", false
 }
 
-// writePause is the time between two attempts at the same write.
-const writePause = 250 * time.Millisecond
+// writeRetryInterval is the interval between attempts of the same write.
+const writeRetryInterval = 250 * time.Millisecond
 
-// retryUntilGroupForms makes a call again for as long as it is too early, at most for the given time,
-// and writes each new cause to log. It returns the last result.
-func retryUntilGroupForms(attempt func() callResult, limit, pause time.Duration, log io.Writer) callResult {
-	limited, cancel := context.WithTimeout(context.Background(), limit)
+// retryUntilGroupForms repeats a call while its result is retryable, for at most maxWait, and writes
+// each change of the cause to log. It returns the last result.
+func retryUntilGroupForms(attempt func() callResult, maxWait, interval time.Duration, log io.Writer) callResult {
+	ctx, cancel := context.WithTimeout(context.Background(), maxWait)
 	defer cancel()
-	ticker := time.NewTicker(pause)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	lastCause := ""
 	for {
-		last := attempt()
-		cause, early := last.tooEarly()
-		if !early || limited.Err() != nil {
-			return last
+		result := attempt()
+		cause, retryable := result.retryableCause()
+		if !retryable || ctx.Err() != nil {
+			return result
 		}
 		if cause != lastCause {
-			fmt.Fprintf(log, "waiting up to %v for the group of voters: %s\n", limit, cause)
+			fmt.Fprintf(log, "waiting up to %v for the group of voters: %s\n", maxWait, cause)
 			lastCause = cause
 		}
 		select {
-		case <-limited.Done():
-			return last
+		case <-ctx.Done():
+			return result
 		case <-ticker.C:
 		}
 	}
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -1,4 +1,4 @@
-// The operators' write, while the voters have not formed their group yet.
+// Tests of the operators' put command while the voters have not formed their group.
 package cli
 
 import (
@@ -16,8 +16,9 @@
 	"beaconvane/internal/errcode"
 )
 
-// fakeRegistry answers the n-th write with the n-th code, the last one for ever.
-func fakeRegistry(c *qt.C, codes ...errcode.Code) (at string, writes *[]string) {
+// fakeRegistry starts a server that responds to the n-th write with the n-th code, and to all further
+// writes with the last code. It returns its address and the recorded writes.
+func fakeRegistry(c *qt.C, codes ...errcode.Code) (address string, writes *[]string) {
 	writes = &[]string{}
 	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
 		body := bytes.Buffer{}
@@ -29,62 +30,64 @@
 	return strings.TrimPrefix(server.URL, "http://"), writes
 }
 
-func TestWriteWaitsForTheGroup(t *testing.T) {
-	for name, tried := range map[string]struct {
-		codes  []errcode.Code
-		limit  time.Duration
-		writes int
-		last   errcode.Code
-		says   int
+// A write is retried only for result codes that mean that it had no effect because the group of voters
+// has not formed.
+func TestWriteRetriesUntilGroupForms(t *testing.T) {
+	for name, test := range map[string]struct {
+		codes    []errcode.Code
+		maxWait  time.Duration
+		writes   int
+		lastCode errcode.Code
+		logLines int
 	}{
-		"taken at once": {[]errcode.Code{errcode.OK}, time.Minute, 1, errcode.OK, 0},
-		"no group, then one": {[]errcode.Code{errcode.ConfigurationNoHolder, errcode.ConfigurationNoHolder,
+		"accepted at once": {[]errcode.Code{errcode.OK}, time.Minute, 1, errcode.OK, 0},
+		"group forms": {[]errcode.Code{errcode.ConfigurationNoHolder, errcode.ConfigurationNoHolder,
 			errcode.ConfigurationBehind, errcode.OK}, time.Minute, 4, errcode.OK, 2},
-		"no wait":            {[]errcode.Code{errcode.ConfigurationNoHolder, errcode.OK}, 0, 1, errcode.ConfigurationNoHolder, 0},
-		"faults are no wait": {[]errcode.Code{errcode.ConfigurationBad, errcode.OK}, time.Minute, 1, errcode.ConfigurationBad, 0},
-		"nor a taken number": {[]errcode.Code{errcode.ConfigurationConflict, errcode.OK}, time.Minute, 1, errcode.ConfigurationConflict, 0},
-		"nor what may be in": {[]errcode.Code{errcode.ConfigurationUnsure, errcode.OK}, time.Minute, 1, errcode.ConfigurationUnsure, 0},
-		"a fault after a try": {[]errcode.Code{errcode.ConfigurationBehind, errcode.ConfigurationBad, errcode.OK},
+		"zero wait":        {[]errcode.Code{errcode.ConfigurationNoHolder, errcode.OK}, 0, 1, errcode.ConfigurationNoHolder, 0},
+		"invalid":          {[]errcode.Code{errcode.ConfigurationBad, errcode.OK}, time.Minute, 1, errcode.ConfigurationBad, 0},
+		"version conflict": {[]errcode.Code{errcode.ConfigurationConflict, errcode.OK}, time.Minute, 1, errcode.ConfigurationConflict, 0},
+		"unsure outcome":   {[]errcode.Code{errcode.ConfigurationUnsure, errcode.OK}, time.Minute, 1, errcode.ConfigurationUnsure, 0},
+		"invalid on retry": {[]errcode.Code{errcode.ConfigurationBehind, errcode.ConfigurationBad, errcode.OK},
 			time.Minute, 2, errcode.ConfigurationBad, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			at, writes := fakeRegistry(c, tried.codes...)
-			says, out := bytes.Buffer{}, bytes.Buffer{}
-			response := retryUntilGroupForms(func() callResult {
-				return call(at, http.MethodPut, "/v1/configurations/main/1", []byte("configuration"))
-			}, tried.limit, time.Millisecond, &says)
-			c.Assert(*writes, qt.HasLen, tried.writes)
+			address, writes := fakeRegistry(c, test.codes...)
+			log, out := bytes.Buffer{}, bytes.Buffer{}
+			result := retryUntilGroupForms(func() callResult {
+				return call(address, http.MethodPut, "/v1/configurations/main/1", []byte("configuration"))
+			}, test.maxWait, time.Millisecond, &log)
+			c.Assert(*writes, qt.HasLen, test.writes)
 			for _, write := range *writes {
 				c.Assert(write, qt.Equals, "PUT /v1/configurations/main/1 configuration")
 			}
-			c.Assert(response.status, qt.Equals, tried.last.Status())
-			c.Assert(response.print(&out) == nil, qt.Equals, tried.last == errcode.OK)
-			c.Assert(out.String(), qt.Contains, tried.last.String())
-			c.Assert(strings.Count(says.String(), "waiting up to"), qt.Equals, tried.says, qt.Commentf(says.String()))
+			c.Assert(result.status, qt.Equals, test.lastCode.Status())
+			c.Assert(result.print(&out) == nil, qt.Equals, test.lastCode == errcode.OK)
+			c.Assert(out.String(), qt.Contains, test.lastCode.String())
+			c.Assert(strings.Count(log.String(), "waiting up to"), qt.Equals, test.logLines, qt.Commentf(log.String()))
 		})
 	}
 }
 
-// The wait has an end, also while no registry listens, and the last answer is returned.
-func TestWriteWaitsNoLongerThanItSays(t *testing.T) {
+// The retries end after maxWait, also while no registry listens, and the last result is returned.
+func TestWriteRetriesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	at, writes := fakeRegistry(c, errcode.ConfigurationNoHolder)
-	says := bytes.Buffer{}
+	address, writes := fakeRegistry(c, errcode.ConfigurationNoHolder)
+	log := bytes.Buffer{}
 	write := func(address string) func() callResult {
 		return func() callResult { return call(address, http.MethodPut, "/", nil) }
 	}
-	response := retryUntilGroupForms(write(at), 30*time.Millisecond, time.Millisecond, &says)
-	c.Assert(response.code, qt.Equals, "4005")
+	result := retryUntilGroupForms(write(address), 30*time.Millisecond, time.Millisecond, &log)
+	c.Assert(result.code, qt.Equals, "4005")
 	c.Assert(len(*writes) > 1, qt.IsTrue)
-	c.Assert(says.String(), qt.Equals, "waiting up to 30ms for the group of voters: ConfigurationNoHolder (4005)\n")
+	c.Assert(log.String(), qt.Equals, "waiting up to 30ms for the group of voters: ConfigurationNoHolder (4005)\n")
 
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	nobody := listener.Addr().String()
+	unusedAddress := listener.Addr().String()
 	listener.Close()
-	says.Reset()
-	response = retryUntilGroupForms(write(nobody), 30*time.Millisecond, time.Millisecond, &says)
-	c.Assert(errcode.CodeOf(response.err), qt.Equals, errcode.ConnectionLost)
-	c.Assert(says.String(), qt.Equals, "waiting up to 30ms for the group of voters: nobody listens yet\n")
+	log.Reset()
+	result = retryUntilGroupForms(write(unusedAddress), 30*time.Millisecond, time.Millisecond, &log)
+	c.Assert(errcode.CodeOf(result.err), qt.Equals, errcode.ConnectionLost)
+	c.Assert(log.String(), qt.Equals, "waiting up to 30ms for the group of voters: connection refused\n")
 }
--- a/internal/cli/proxy_program.go
+++ b/internal/cli/proxy_program.go
@@ -20,10 +20,10 @@
 	"beaconvane/internal/transport"
 )
 
-// ProxyModule builds the proxy.
+// ProxyModule is the fx module that runs the proxy.
 var ProxyModule = fx.Module("proxy", fx.Invoke(startProxy))
 
-// proxyProgram is a running proxy: its control machine, its traffic side and its HTTP servers.
+// proxyProgram is a running proxy: its control machine, its data plane and its HTTP servers.
 type proxyProgram struct {
 	settings      settings.Settings
 	process       *node.Node
@@ -33,9 +33,10 @@
 	pipeline      *frontend.Pipeline
 	api           *api.Proxy
 	server        *api.Server
-	callersServer *api.Server // of the callers' own address; nil where they share the proxy's
+	callersServer *api.Server // serves callers at a separate address; nil if they share the proxy's
 }
 
+// startProxy registers the hooks that start and stop the proxy.
 func startProxy(lifecycle fx.Lifecycle, cfg settings.Settings, group *goroutine.Group, process *node.Node, protocols Protocols) {
 	program := newProxyProgram(cfg, group, process, protocols)
 	lifecycle.Append(fx.Hook{
@@ -44,8 +45,8 @@
 	})
 }
 
-// newProxyProgram joins the control machine to the traffic side: the machine publishes snapshots to
-// the pipeline, and the pipeline notifies the machine.
+// newProxyProgram creates the control machine and the data plane and connects them: the machine
+// publishes snapshots to the pipeline, and the pipeline notifies the machine.
 func newProxyProgram(cfg settings.Settings, group *goroutine.Group, process *node.Node, protocols Protocols) *proxyProgram {
 	p := &proxyProgram{settings: cfg, process: process, goroutines: group}
 	upstreams := backend.New(cfg, func(forward message.Forward) errcode.Code { return p.frontend.AuthorizeForward(forward) })
@@ -64,8 +65,8 @@
 	return p
 }
 
-// updateSnapshot hands the machine's view of the mesh to the traffic side. It panics for a value of
-// another type, which only a programming error in the machine can publish.
+// updateSnapshot passes the machine's snapshot of the mesh to the data plane. It panics if the published
+// value has another type, which is a programming error in the machine.
 func (p *proxyProgram) updateSnapshot(published any) {
 	snapshot, isSnapshot := published.(*proxy.Snapshot)
 	if !isSnapshot {
@@ -74,42 +75,46 @@
 	p.pipeline.UpdateSnapshot(snapshot)
 }
 
+// newServers creates the HTTP servers: one for all paths, or two if callers have a separate address.
 func (p *proxyProgram) newServers() {
-	limits := limitsInForce{p.frontend, p.goroutines}
+	timeouts := currentCallerTimeouts{p.frontend, p.goroutines}
 	if !p.hasCallersAddress() {
 		p.server = api.NewServer(p.api.HandlerWithCallers(p.pipeline))
-		p.server.UseCallerTimeouts(limits)
+		p.server.UseCallerTimeouts(timeouts)
 		return
 	}
 	p.server = api.NewServer(p.api.Handler())
 	p.callersServer = api.NewServer(p.pipeline)
-	p.callersServer.UseCallerTimeouts(limits)
-	if most := p.settings.CallerConnections(); most > 0 {
-		p.callersServer.LimitConnections(most)
+	p.callersServer.UseCallerTimeouts(timeouts)
+	if maxOpen := p.settings.CallerConnections(); maxOpen > 0 {
+		p.callersServer.LimitConnections(maxOpen)
 	}
 }
 
-// limitsInForce are the limits for callers' connections that the present configuration sets.
-type limitsInForce struct {
+// currentCallerTimeouts implements api.CallerTimeouts by the configuration in force.
+type currentCallerTimeouts struct {
 	frontend   *frontend.Frontend
 	goroutines *goroutine.Group
 }
 
-// IdleTime returns how long a caller's connection may be idle now.
-func (l limitsInForce) IdleTime() time.Duration { return l.frontend.IdleTime(l.goroutines.Now()) }
+// IdleTime returns how long a caller's connection may be idle under the configuration in force.
+func (t currentCallerTimeouts) IdleTime() time.Duration {
+	return t.frontend.IdleTime(t.goroutines.Now())
+}
 
-// HeadTime returns how long a request's header may take now.
-func (l limitsInForce) HeadTime() time.Duration { return l.frontend.HeadTime() }
+// HeadTime returns how long receiving a request's header may take under the configuration in force.
+func (t currentCallerTimeouts) HeadTime() time.Duration { return t.frontend.HeadTime() }
 
-// hasCallersAddress reports whether callers have an address of their own, where every path is theirs.
+// hasCallersAddress reports whether callers have a separate address, at which every path is theirs.
 func (p *proxyProgram) hasCallersAddress() bool { return len(p.settings.BeaconAddresses) > 0 }
 
+// start runs the control machine, the data plane and the HTTP servers.
 func (p *proxyProgram) start() error {
 	if err := p.process.Run(p.machine, func(network *transport.Transport) { p.pipeline.Start(network) }); err != nil {
 		return err
 	}
 	p.goroutines.Go("proxy.count-usage", p.countUsage)
-	p.goroutines.Go("proxy.log-answers", p.logAnswers)
+	p.goroutines.Go("proxy.log-answers", p.logResultCounts)
 	serveMetrics(p.settings, p.goroutines, p.process, p.api.Metrics)
 	if !p.hasCallersAddress() {
 		return p.server.Serve(p.goroutines, p.settings.HTTPAddress)
@@ -120,12 +125,12 @@
 	return p.server.Serve(p.goroutines, p.settings.BeaconAddresses...)
 }
 
-// stop reports that the proxy is not ready, tells its peers, accepts requests for the linger time of
-// the settings, refuses what has not started by then, and finishes the rest.
+// stop reports that the proxy is not ready, notifies its peers, accepts requests during the linger time
+// of the settings, then refuses requests that have not started and waits for those in flight.
 func (p *proxyProgram) stop(ctx context.Context) error {
 	p.api.BeginStop()
 	p.process.Notify(proxy.Stop{})
-	limited, cancel := context.WithTimeout(ctx, p.settings.Grace())
+	stopCtx, cancel := context.WithTimeout(ctx, p.settings.Grace())
 	defer cancel()
 	linger := time.NewTimer(max(p.settings.Linger(), p.settings.UpdatesEvery()))
 	defer linger.Stop()
@@ -135,13 +140,14 @@
 	<-linger.C
 	p.api.Close()
 	p.pipeline.Drain()
-	err := p.shutdownServers(limited)
-	p.awaitRequests(limited)
+	err := p.shutdownServers(stopCtx)
+	p.awaitRequests(stopCtx)
 	p.process.Transport.Close()
 	p.goroutines.Stop(p.settings.UpdatesEvery())
 	return err
 }
 
+// shutdownServers shuts the HTTP servers down, that of the callers first.
 func (p *proxyProgram) shutdownServers(ctx context.Context) error {
 	if p.callersServer == nil {
 		return p.server.Shutdown(ctx)
@@ -149,8 +155,8 @@
 	return errors.Join(p.callersServer.Shutdown(ctx), p.server.Shutdown(ctx))
 }
 
-// awaitRequests waits until no request is in flight, and one tick more: the last outcomes are in the
-// send queues of their connections, and have to leave before those close.
+// awaitRequests waits until no request is in flight and for one further tick, since the last outcomes
+// are still in the send queues of their connections and must be sent before these close.
 func (p *proxyProgram) awaitRequests(ctx context.Context) {
 	ticker := time.NewTicker(p.settings.TickEvery())
 	defer ticker.Stop()
--- a/internal/cli/proxy_usage.go
+++ b/internal/cli/proxy_usage.go
@@ -8,7 +8,7 @@
 	"beaconvane/internal/proxy"
 )
 
-// countUsage hands the usage counts to the control machine, once a count interval.
+// countUsage sends the usage counts to the control machine once per count interval.
 func (p *proxyProgram) countUsage(ctx context.Context) {
 	ticker := time.NewTicker(p.settings.CountEvery())
 	defer ticker.Stop()
@@ -27,9 +27,9 @@
 	}
 }
 
-// sealedBelow returns the window below which all usage is sealed, as the control machine knows it.
+// sealedBelow asks the control machine for the window below which all usage is sealed.
 func (p *proxyProgram) sealedBelow(ctx context.Context) (int64, error) {
-	limited, cancel := context.WithTimeout(ctx, p.settings.HeartbeatEvery())
+	requestCtx, cancel := context.WithTimeout(ctx, p.settings.HeartbeatEvery())
 	defer cancel()
-	return node.RequestAs[int64](limited, p.process, proxy.ReadSealed{})
+	return node.RequestAs[int64](requestCtx, p.process, proxy.ReadSealed{})
 }
--- a/internal/cli/reload.go
+++ b/internal/cli/reload.go
@@ -14,18 +14,18 @@
 	"beaconvane/internal/statemachine"
 )
 
-// notifyHangups handles SIGHUP from the start: by default it ends a process, also one that
-// is still reading its disk.
+// notifyHangups subscribes to SIGHUP. It must be called early, since the default action of SIGHUP would
+// end a process that is still reading its disk.
 func notifyHangups() chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// reload reads the settings again, on SIGHUP and once a reload interval, since the file may change
-// without a signal. New seeds are taken at once; any other change is logged and taken at the next
+// reload reloads the settings on SIGHUP and once per reload interval, since the file may change without
+// a signal. Changed seeds take effect at once. Any other change is logged and takes effect at the next
 // start.
-func reload(ctx context.Context, cfg settings.Settings, process *node.Node, load loader, hangups <-chan os.Signal) {
+func reload(ctx context.Context, cfg settings.Settings, process *node.Node, load settingsLoader, hangups <-chan os.Signal) {
 	ticker := time.NewTicker(cfg.ReloadEvery())
 	defer ticker.Stop()
 	for {
@@ -35,19 +35,19 @@
 		case <-hangups:
 		case <-ticker.C:
 		}
-		changed, err := load()
+		reloaded, err := load()
 		if err != nil {
-			process.Log.Info("settings not read again", "cause", err.Error())
+			process.Log.Info("reloading the settings failed", "cause", err.Error())
 			continue
 		}
-		if !slices.Equal(changed.Seeds, cfg.Seeds) {
-			process.Log.Info("seeds changed", "seeds", changed.Seeds)
-			process.Notify(statemachine.SeedsChanged{Seeds: changed.Seeds})
+		if !slices.Equal(reloaded.Seeds, cfg.Seeds) {
+			process.Log.Info("seeds changed", "seeds", reloaded.Seeds)
+			process.Notify(statemachine.SeedsChanged{Seeds: reloaded.Seeds})
 		}
-		cfg.Seeds = changed.Seeds
-		if !reflect.DeepEqual(changed, cfg) {
-			process.Log.Info("settings changed: taken at the next start")
+		cfg.Seeds = reloaded.Seeds
+		if !reflect.DeepEqual(reloaded, cfg) {
+			process.Log.Info("settings changed; the change takes effect at the next start")
 		}
-		cfg = changed
+		cfg = reloaded
 	}
 }
--- a/internal/cli/reload_test.go
+++ b/internal/cli/reload_test.go
@@ -1,4 +1,4 @@
-// Settings that change while the process runs, with a signal or without one.
+// Tests of settings that change while the process runs, with or without a signal.
 package cli
 
 import (
@@ -18,39 +18,41 @@
 	"beaconvane/internal/statemachine"
 )
 
-// seedRecorder is a machine that passes on the seeds that it is notified of.
+// seedRecorder is a machine that sends the seeds of each SeedsChanged notification to a channel.
 type seedRecorder struct{ received chan []string }
 
-func (l *seedRecorder) Handle(*statemachine.Env, string, any)  {}
-func (l *seedRecorder) Tick(*statemachine.Env)                 {}
-func (l *seedRecorder) Synced(*statemachine.Env, int64, error) {}
-func (l *seedRecorder) HandleRequest(_ *statemachine.Env, _ int64, it any) {
-	l.received <- it.(statemachine.SeedsChanged).Seeds
+func (r *seedRecorder) Handle(*statemachine.Env, string, any)  {}
+func (r *seedRecorder) Tick(*statemachine.Env)                 {}
+func (r *seedRecorder) Synced(*statemachine.Env, int64, error) {}
+func (r *seedRecorder) HandleRequest(_ *statemachine.Env, _ int64, request any) {
+	r.received <- request.(statemachine.SeedsChanged).Seeds
 }
 
-func runProcess(c *qt.C, restore int64) (settings.Settings, *node.Node, *seedRecorder) {
+// runProcess starts a process with a seedRecorder. A small restoreBound, in milliseconds, gives a short
+// reload interval.
+func runProcess(c *qt.C, restoreBound int64) (settings.Settings, *node.Node, *seedRecorder) {
 	cfg := settings.Default()
-	cfg.Node, cfg.Address, cfg.Bounds.Restore = "one", "127.0.0.1:0", restore
+	cfg.Node, cfg.Address, cfg.Bounds.Restore = "one", "127.0.0.1:0", restoreBound
 	cfg.Seeds = []string{"10.0.0.1:1"}
-	members := goroutine.New()
-	process := node.New(cfg, message.RoleProxy, members)
-	received := &seedRecorder{received: make(chan []string, 16)}
-	c.Assert(process.Run(received, nil), qt.IsNil)
+	group := goroutine.New()
+	process := node.New(cfg, message.RoleProxy, group)
+	recorder := &seedRecorder{received: make(chan []string, 16)}
+	c.Assert(process.Run(recorder, nil), qt.IsNil)
 	c.Cleanup(func() {
 		process.Transport.Close()
-		members.Stop(time.Second)
+		group.Stop(time.Second)
 	})
-	return cfg, process, received
+	return cfg, process, recorder
 }
 
-// SIGHUP comes before reload has begun, while it runs, and while the file is broken:
-// the process lives, and takes the seeds that the file names.
+// SIGHUP arrives before reload has started, while it runs, and while the file is invalid. The process
+// survives each signal and applies the seeds of the file.
 func TestHangupIsNoticedAndEndsNothing(t *testing.T) {
 	c := qt.New(t)
-	cfg, process, received := runProcess(c, 3_600_000)
-	response := make(chan any)
+	cfg, process, recorder := runProcess(c, 3_600_000)
+	loadResults := make(chan any)
 	load := func() (settings.Settings, error) {
-		switch next := (<-response).(type) {
+		switch next := (<-loadResults).(type) {
 		case error:
 			return settings.Settings{}, next
 		default:
@@ -64,26 +66,26 @@
 	hangUp := func() { c.Assert(syscall.Kill(syscall.Getpid(), syscall.SIGHUP), qt.IsNil) }
 	hangUp()
 	process.Group.Go("reload", func(ctx context.Context) { reload(ctx, cfg, process, load, hangups) })
-	response <- []string{"10.0.0.2:1"}
-	c.Assert(<-received.received, qt.DeepEquals, []string{"10.0.0.2:1"})
+	loadResults <- []string{"10.0.0.2:1"}
+	c.Assert(<-recorder.received, qt.DeepEquals, []string{"10.0.0.2:1"})
 	hangUp()
-	response <- errors.New("half written")
+	loadResults <- errors.New("half written")
 	hangUp()
-	response <- []string{"10.0.0.2:1"}
+	loadResults <- []string{"10.0.0.2:1"}
 	hangUp()
-	response <- []string{"10.0.0.3:1"}
-	c.Assert(<-received.received, qt.DeepEquals, []string{"10.0.0.3:1"})
+	loadResults <- []string{"10.0.0.3:1"}
+	c.Assert(<-recorder.received, qt.DeepEquals, []string{"10.0.0.3:1"})
 }
 
-// The file may change without a signal.
+// A change of the file is detected without a signal, after at most a reload interval.
 func TestSettingsAreLookedAtAgain(t *testing.T) {
 	c := qt.New(t)
-	cfg, process, received := runProcess(c, 60)
+	cfg, process, recorder := runProcess(c, 60)
 	load := func() (settings.Settings, error) {
 		changed := cfg
 		changed.Seeds = []string{"10.0.0.9:1"}
 		return changed, nil
 	}
 	process.Group.Go("reload", func(ctx context.Context) { reload(ctx, cfg, process, load, nil) })
-	c.Assert(<-received.received, qt.DeepEquals, []string{"10.0.0.9:1"})
+	c.Assert(<-recorder.received, qt.DeepEquals, []string{"10.0.0.9:1"})
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// startLimit is how long a program may take to start.
-	startLimit = time.Minute
-	// stopSlack is added to the stopping time of the settings.
+	// startTimeout bounds the start of a program.
+	startTimeout = time.Minute
+	// stopSlack is added to the grace period of the settings.
 	stopSlack = 2 * time.Second
 )
 
-// serve runs a program until SIGTERM or SIGINT; a second signal ends it at once.
-func serve(program Program, cfg settings.Settings, protocols Protocols, load loader, hangups <-chan os.Signal) error {
+// serve runs a program until SIGTERM or SIGINT. A second signal ends the process at once.
+func serve(program Program, cfg settings.Settings, protocols Protocols, load settingsLoader, hangups <-chan os.Signal) error {
 	limitMemory(cfg)
 	group := goroutine.New()
 	process := node.New(cfg, program.Role, group)
@@ -35,14 +35,14 @@
 	}
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	starting, cancelStart := context.WithTimeout(context.Background(), startLimit)
+	startCtx, cancelStart := context.WithTimeout(context.Background(), startTimeout)
 	defer cancelStart()
-	if err := app.Start(starting); err != nil {
+	if err := app.Start(startCtx); err != nil {
 		return errcode.Wrap("cli.start", errcode.Internal, err)
 	}
 	group.Go("cli.reload", func(ctx context.Context) { reload(ctx, cfg, process, load, hangups) })
 	for _, warning := range cfg.Warnings {
-		process.Log.Info("warning: a bound can't be kept", "bound", warning.Path, "cause", warning.Text)
+		process.Log.Info("warning: a bound of the settings can't be met", "bound", warning.Path, "cause", warning.Text)
 	}
 	process.Log.Info("started", "address", cfg.Address, "outside", cfg.HTTPAddress, "version", Version)
 	<-signals
@@ -51,28 +51,29 @@
 		<-signals
 		os.Exit(1)
 	})
-	stopping, cancelStop := context.WithTimeout(context.Background(), cfg.Grace()+stopSlack)
+	stopCtx, cancelStop := context.WithTimeout(context.Background(), cfg.Grace()+stopSlack)
 	defer cancelStop()
-	if err := app.Stop(stopping); err != nil {
-		process.Log.Info("stopped late", "cause", err.Error())
+	if err := app.Stop(stopCtx); err != nil {
+		process.Log.Info("shutdown was incomplete", "cause", err.Error())
 	}
 	return nil
 }
 
 const (
-	// collectPercent is the growth of the heap, in percent, at which garbage is collected where
-	// memory is limited: processor time is cheaper there.
-	collectPercent = 30
-	// heapPercent is the part of the memory limit that the Go runtime keeps to, in percent.
-	heapPercent = 60
-	mebibyte    = 1 << 20
+	// gcPercent is the GC percentage of a process with a memory limit. It trades processor time, which
+	// is cheaper there, for memory.
+	gcPercent = 30
+	// heapLimitPercent is the soft memory limit of the Go runtime in percent of the process's memory limit.
+	heapLimitPercent = 60
+	mebibyte         = 1 << 20
 )
 
-// limitMemory keeps the process well below the memory limit of its settings, in MiB.
+// limitMemory configures the Go runtime to keep the process well below the memory limit of its settings,
+// which is in MiB. It does nothing without a limit.
 func limitMemory(cfg settings.Settings) {
 	if cfg.Limits.Memory <= 0 {
 		return
 	}
-	debug.SetMemoryLimit(cfg.Limits.Memory * mebibyte * heapPercent / 100)
-	debug.SetGCPercent(collectPercent)
+	debug.SetMemoryLimit(cfg.Limits.Memory * mebibyte * heapLimitPercent / 100)
+	debug.SetGCPercent(gcPercent)
 }
