--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -1,4 +1,4 @@
-// Command configstore is the configuration store, which runs on each core machine.
+// Command configstore runs the configuration store, a daemon on each core machine.
 package main
 
 import (
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet runs a whole deployment on this machine, loads it, causes faults, and checks the records
-// of callers and upstreams against the promises of docs/brief.md.
+// Command fleet runs all processes of a deployment on this machine, sends load, injects faults, and
+// checks the records of callers and upstreams against the guarantees of docs/brief.md.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	}
 }
 
-// options are the flags of a run.
+// options holds the flags of a run.
 type options struct {
 	deployment string
 	bin        string
@@ -54,11 +54,11 @@
 	flags.Uint64Var(&o.seed, "seed", o.seed, "seed of the load")
 	flags.Float64Var(&o.slack, "slack", 1, "stretch the bounds in time, for busy machines")
 	flags.BoolVar(&o.keep, "keep", false, "keep the folder")
-	root.AddCommand(layCommand())
+	root.AddCommand(newLayCommand())
 	return root
 }
 
-// run plays the scenario, prints its outcome, and fails where a promise was broken.
+// run runs the scenario, prints its outcome as JSON, and returns an error if a guarantee was violated.
 func (o *options) run() error {
 	deployment, err := deploymentNamed(o.deployment)
 	if err != nil {
@@ -74,7 +74,7 @@
 			return err
 		}
 		if !o.keep {
-			defer func() { _ = os.RemoveAll(folder) }() // a folder left in the temporary one does no harm
+			defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder is harmless
 		}
 	}
 	outcome, err := fleet.Play(deployment, o.bin, folder, o.scenario, o.length, o.seed, o.slack)
@@ -87,36 +87,37 @@
 		return err
 	}
 	if len(outcome.Review.Violations) > 0 {
-		return fmt.Errorf("%d violations", len(outcome.Review.Violations))
+		return fmt.Errorf("scenario %q: %d violations", o.scenario, len(outcome.Review.Violations))
 	}
 	return nil
 }
 
+// deploymentNamed returns the built-in deployment of a name.
 func deploymentNamed(name string) (workload.Deployment, error) {
 	deployment, known := workload.Named(name)
 	if !known {
-		return deployment, fmt.Errorf("no deployment %q", name)
+		return deployment, fmt.Errorf("unknown deployment %q", name)
 	}
 	return deployment, nil
 }
 
-// layCommand is the command that prepares a fleet and says how to start it by hand.
-func layCommand() *cobra.Command {
+// newLayCommand returns the command that prepares a fleet and prints how to start it by hand.
+func newLayCommand() *cobra.Command {
 	name, folder := "small", "run"
 	command := &cobra.Command{
 		Use:   "lay",
 		Short: "write the settings and a configuration of a fleet, to be started by hand",
 		Args:  cobra.NoArgs,
-		RunE:  func(*cobra.Command, []string) error { return lay(name, folder, os.Stdout) },
+		RunE:  func(*cobra.Command, []string) error { return writeFleet(name, folder, os.Stdout) },
 	}
 	command.Flags().StringVar(&name, "deployment", name, "small, umuyoboro or jendela")
 	command.Flags().StringVar(&folder, "folder", folder, "where to write")
 	return command
 }
 
-// lay writes the settings and a configuration into a folder, and prints the commands that start the
-// processes.
-func lay(name, folder string, out io.Writer) error {
+// writeFleet writes the settings and a configuration of a deployment into a folder, and prints the shell
+// commands that start the processes.
+func writeFleet(name, folder string, out io.Writer) error {
 	deployment, err := deploymentNamed(name)
 	if err != nil {
 		return err
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,5 +1,5 @@
-// Command loadgen is the load generator: it sends requests at a set rate, as a plan file says, and
-// counts the answers.
+// Command loadgen is a load generator. It sends the requests of a plan file to proxies at a constant
+// rate and counts the responses.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"beaconvane/internal/loadgen"
 )
 
-var errIncompletePlan = errors.New("a plan wants proxies, kinds, tenants and a rate above 0")
+var errIncompletePlan = errors.New("incomplete plan: proxies, kinds, tenants and a rate above 0 are required")
 
 func main() {
 	if newCommand().Execute() != nil {
@@ -23,7 +23,7 @@
 	}
 }
 
-// options are the flags.
+// options holds the flags.
 type options struct {
 	plan   string
 	record string
@@ -45,12 +45,12 @@
 	flags.DurationVar(&o.length, "length", o.length, "how long to send requests")
 	flags.DurationVar(&o.limit, "limit", o.limit, "how long to wait for an answer")
 	if err := root.MarkFlagRequired("plan"); err != nil {
-		panic("loadgen: " + err.Error()) // no such flag: a programming error
+		panic("loadgen: " + err.Error()) // the flag is not defined: a programming error
 	}
 	return root
 }
 
-// run sends the requests of the plan, and prints the summary.
+// run sends the requests of the plan, writes the record if requested, and prints the summary as JSON.
 func (o *options) run() error {
 	plan, err := readPlan(o.plan)
 	if err != nil {
@@ -69,6 +69,7 @@
 	return encoder.Encode(loadgen.Summarise(requests))
 }
 
+// readPlan reads and validates a plan file. Rate and seed have defaults.
 func readPlan(path string) (loadgen.Plan, error) {
 	plan := loadgen.Plan{Rate: 10, Seed: 1}
 	body, err := os.ReadFile(path)
@@ -84,7 +85,7 @@
 	return plan, nil
 }
 
-// writeRecord writes one JSON line a request.
+// writeRecord writes one JSON line per request.
 func writeRecord(path string, requests []checker.CallerRequest) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,4 @@
-// Command proxy is the proxy, which runs on each edge machine.
+// Command proxy runs the proxy, a daemon on each edge machine.
 package main
 
 import (
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,5 @@
-// Command registry is the registry, which runs on each core machine and takes the operators' calls.
+// Command registry runs the registry, a daemon on each core machine that serves the operators' API. Its
+// subcommands are the operators' client.
 package main
 
 import (
--- a/cmd/scaletest/golden_test.go
+++ b/cmd/scaletest/golden_test.go
@@ -9,7 +9,7 @@
 	"beaconvane/internal/golden"
 )
 
-// The names of commands and flags with their types and defaults.
+// The commands and flags, with their types and defaults, match the golden file.
 func TestCommandLine(t *testing.T) {
 	c := qt.New(t)
 	text := strings.Builder{}
--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -1,5 +1,5 @@
-// Command scaletest runs hollow fleets of several sizes on this machine, and prints what each role costs
-// at each size, how that grows, and what it would cost at another size.
+// Command scaletest runs hollow fleets of several sizes on this machine. It prints the resource use of
+// each role at each size, its growth, and an extrapolation to a target size.
 package main
 
 import (
@@ -22,26 +22,27 @@
 
 func newCommand() *cobra.Command {
 	root := &cobra.Command{Use: "scaletest", Short: "learn from hollow fleets what a fleet's size costs", SilenceUsage: true}
-	root.AddCommand(measure(), hollowFleet())
+	root.AddCommand(newMeasureCommand(), newHollowFleetCommand())
 	return root
 }
 
-func hollowFleet() *cobra.Command {
+// newHollowFleetCommand returns the hidden command that scaletest runs as a subprocess.
+func newHollowFleetCommand() *cobra.Command {
 	return &cobra.Command{Use: scaletest.HollowFleetCommand, Short: "one process of a hollow fleet", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return scaletest.Serve(os.Stdin, os.Stdout) }}
 }
 
-// measurement is what the measure command was asked for.
+// measurement holds the flags of the measure command.
 type measurement struct {
 	plan   scaletest.Plan
 	course scaletest.Course
 	target int
-	share  int // proxies in one process; 0: all of a fleet
+	share  int // proxies per process; 0: all proxies of a fleet
 	asJSON string
 	plots  string
 }
 
-func measure() *cobra.Command {
+func newMeasureCommand() *cobra.Command {
 	m := &measurement{
 		plan: scaletest.Plan{Zones: 26, Services: 840, Tenants: 8, Fanout: 128, InForce: 6 * time.Second},
 		course: scaletest.Course{
@@ -76,18 +77,18 @@
 	flags.StringVar(&m.plots, "plots", m.plots, "also draw the plots into this folder")
 }
 
-// run measures each size, up to the first that fails, and prints what was found.
+// run measures the sizes in order until one fails, and prints the table of the measured sizes.
 func (m *measurement) run() error {
 	table := scaletest.Table{Plan: m.plan, Course: m.course, Target: m.target}
 	for _, size := range m.course.Sizes {
-		began := time.Now()
+		start := time.Now()
 		rows, err := m.measureSize(size)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "%d proxies: %v\n", size, err)
 			break
 		}
 		table.Rows = append(table.Rows, rows...)
-		fmt.Fprintf(os.Stderr, "%d proxies: %.1f s\n", size, time.Since(began).Seconds())
+		fmt.Fprintf(os.Stderr, "%d proxies: %.1f s\n", size, time.Since(start).Seconds())
 	}
 	table.FitLines()
 	table.Markdown(os.Stdout)
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// measureSize runs a fleet of one size, in processes of this program.
+// measureSize runs and measures a fleet of one size, whose processes run this program.
 func (m *measurement) measureSize(size int) ([]scaletest.Row, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -112,7 +113,7 @@
 	if err != nil {
 		return nil, errcode.Wrap("scaletest", errcode.DiskFault, err)
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a folder left in the temporary one does no harm
+	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder is harmless
 	plan := m.plan
 	plan.Proxies, plan.Share, plan.Folder, plan.Program = size, m.share, folder, program
 	if m.share == 0 {
--- a/cmd/scaletest/main_test.go
+++ b/cmd/scaletest/main_test.go
@@ -8,7 +8,7 @@
 	"beaconvane/internal/scaletest"
 )
 
-// The processes of a hollow fleet are started by this subcommand.
+// The processes of a hollow fleet are started with this subcommand, so the command line must have it.
 func TestHollowFleetIsACommand(t *testing.T) {
 	c := qt.New(t)
 	found, arguments, err := newCommand().Find([]string{scaletest.HollowFleetCommand})
--- a/cmd/simulate/explore.go
+++ b/cmd/simulate/explore.go
@@ -14,6 +14,7 @@
 	"beaconvane/internal/message"
 )
 
+// exploreFlags holds the flags of the explore command.
 type exploreFlags struct {
 	options explore.Options
 	seed    uint64
@@ -27,7 +28,7 @@
 	bounds  explore.Bounds
 }
 
-func exploreCommand() *cobra.Command {
+func newExploreCommand() *cobra.Command {
 	flags := exploreFlags{options: explore.Options{Voters: 3, Rounds: 200, Faults: 6}, seed: 1, walks: 1000, workers: 4}
 	command := &cobra.Command{Use: "explore", Short: "search the states of the control machines for broken promises", SilenceUsage: true,
 		RunE: func(*cobra.Command, []string) error { return flags.run() }}
@@ -55,6 +56,7 @@
 	return command
 }
 
+// run replays a plan, searches systematically or runs random walks, depending on the flags.
 func (f *exploreFlags) run() error {
 	if f.except != "" {
 		f.options.Except = strings.Split(f.except, ",")
@@ -71,39 +73,43 @@
 	fmt.Printf("%d walks of %d rounds, %d voters: %d steps, %d epochs held, %d answers in %s; actions %v\n",
 		summary.Walks, f.options.Rounds,
 		f.options.Voters, summary.Steps, summary.Epochs, summary.Answers, summary.Elapsed.Round(time.Millisecond), summary.Counts)
-	return report(summary)
+	return reportViolations(summary)
 }
 
+// runSearch searches the fault plans within the bounds systematically and prints a summary.
 func (f *exploreFlags) runSearch() error {
 	f.bounds.Limit = f.limit
 	searched := explore.Search(f.options, f.bounds, f.seed, f.workers, func(s explore.Searched) {
-		fmt.Fprintf(os.Stderr, "%s: %d runs, %d states, %d cut, %v\n", s.Elapsed.Round(time.Second), s.Walks, s.States, s.Pruned, s.Broken)
+		fmt.Fprintf(os.Stderr, "%s: %d runs, %d states, %d pruned, %v\n",
+			s.Elapsed.Round(time.Second), s.Walks, s.States, s.Pruned, s.Broken)
 	})
 	fmt.Printf("search: %d voters, up to %d faults in rounds %d to %d of %d: ",
 		f.options.Voters, f.bounds.Faults, f.bounds.From, f.bounds.To-1, f.options.Rounds)
-	fmt.Printf("%d runs, %d states, %d branches cut, whole %t, %d steps, %d answers in %s\n",
+	fmt.Printf("%d runs, %d states, %d branches pruned, exhaustive %t, %d steps, %d answers in %s\n",
 		searched.Walks, searched.States, searched.Pruned, searched.Exhaustive,
 		searched.Steps, searched.Answers, searched.Elapsed.Round(time.Millisecond))
-	return report(searched.Summary)
+	return reportViolations(searched.Summary)
 }
 
-// report prints what was found, shrunk.
-func report(summary explore.Summary) error {
+// reportViolations prints a shrunk counterexample for each violated rule. It returns an error if there
+// is any.
+func reportViolations(summary explore.Summary) error {
 	for _, rule := range slices.Sorted(maps.Keys(summary.Found)) {
-		fmt.Printf("%s: broken by %d walks\n", rule, summary.Broken[rule])
-		tell(explore.Shrink(summary.Found[rule]))
+		fmt.Printf("%s: violated by %d walks\n", rule, summary.Broken[rule])
+		printCounterexample(explore.Shrink(summary.Found[rule]))
 	}
 	if len(summary.Found) > 0 {
-		return fmt.Errorf("%d promises were broken", len(summary.Found))
+		return fmt.Errorf("%d rules were violated", len(summary.Found))
 	}
 	return nil
 }
 
-// tell prints a counterexample in the form that --replay reads.
-func tell(found explore.Result) {
+// printCounterexample prints a violation and its plan in the form that --replay reads.
+func printCounterexample(found explore.Result) {
 	fmt.Printf("# %s\n%s", found.Violation, found.Plan)
 }
 
+// runReplay replays the plan file of --replay. It returns an error if the plan violates a rule.
 func (f *exploreFlags) runReplay() error {
 	text, err := os.ReadFile(f.replay)
 	if err != nil {
@@ -119,9 +125,9 @@
 	}
 	result := explore.Replay(plan, log)
 	if result.Violation == nil {
-		fmt.Printf("no promise broken in %d steps\n", result.Steps)
+		fmt.Printf("no rule violated in %d steps\n", result.Steps)
 		return nil
 	}
-	tell(result)
-	return fmt.Errorf("a promise was broken")
+	printCounterexample(result)
+	return fmt.Errorf("plan %q violates a rule: %v", f.replay, result.Violation)
 }
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -1,6 +1,6 @@
-// Command simulate plays scenarios in the simulator over many seeds and reports what
-// broke, the worst figures, and how to replay a failure. Its subcommand explore searches
-// the states of the control machines.
+// Command simulate runs scenarios in the simulator over many seeds. It reports violations, the worst
+// measured values, and how to replay a failed seed. Its subcommand explore searches the state space of
+// the control machines.
 package main
 
 import (
@@ -27,7 +27,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			d, known := workload.Named(name)
 			if !known {
-				return fmt.Errorf("no deployment %q", name)
+				return fmt.Errorf("unknown deployment %q", name)
 			}
 			names := strings.Split(scenarios, ",")
 			if scenarios == "all" {
@@ -36,12 +36,12 @@
 			broken := 0
 			for _, scenario := range names {
 				if _, known := simulation.Scenarios[scenario]; !known {
-					return fmt.Errorf("no scenario %q; there are %s", scenario, strings.Join(simulation.Names(), ", "))
+					return fmt.Errorf("unknown scenario %q; known scenarios: %s", scenario, strings.Join(simulation.Names(), ", "))
 				}
 				broken += sweep(d, scenario, first, count, workers, rate, log, shrink)
 			}
 			if broken > 0 {
-				return fmt.Errorf("%d runs broke a promise", broken)
+				return fmt.Errorf("%d runs violated a rule", broken)
 			}
 			return nil
 		}}
@@ -55,43 +55,45 @@
 	flags.Float64Var(&rate, "rate", rate, "requests a second")
 	flags.BoolVar(&log, "log", false, "print every happening (one seed only)")
 	flags.BoolVar(&shrink, "shrink", false, "shrink the first failing plan")
-	root.AddCommand(exploreCommand())
+	root.AddCommand(newExploreCommand())
 	if root.Execute() != nil {
 		os.Exit(1)
 	}
 }
 
-// sweep plays the seeds, prints a summary and the first seed that failed, and returns how many failed.
+// sweep runs a scenario with count seeds, prints a summary and the first failed seed, and returns the
+// number of failed seeds.
 func sweep(d workload.Deployment, scenario string, first uint64, count, workers int, rate float64, log, shrink bool) int {
-	results := play(d, scenario, first, count, workers, rate, log)
+	results := runSeeds(d, scenario, first, count, workers, rate, log)
 	total := summarize(results)
 	line, _ := json.Marshal(map[string]any{"worst": total.worst, "seen": total.seen, "rules": total.rules})
-	fmt.Printf("%s %s: %d of %d seeds broke a promise; answered %.4f in the mean, %.4f at the least; %s\n",
-		d.Name, scenario, total.broken, count, total.good/float64(count), total.lowest, line)
+	fmt.Printf("%s %s: %d of %d seeds violated a rule; share answered %.4f on average, %.4f at least; %s\n",
+		d.Name, scenario, total.broken, count, total.answeredSum/float64(count), total.lowestAnswered, line)
 	if total.failed != nil {
 		failed := *total.failed
 		if shrink {
 			failed = simulation.Shrink(d, failed, rate)
 		}
-		printFailed(d, scenario, rate, failed)
+		printFailedSeed(d, scenario, rate, failed)
 	}
 	return total.broken
 }
 
-// play runs the seeds from first on with some workers, and returns the results in the order of the seeds.
-func play(d workload.Deployment, scenario string, first uint64, count, workers int, rate float64, log bool) []simulation.Result {
+// runSeeds runs count seeds, beginning with first, on a number of workers. It returns the results in the
+// order of the seeds. The log is printed only if count is 1.
+func runSeeds(d workload.Deployment, scenario string, first uint64, count, workers int, rate float64, log bool) []simulation.Result {
 	results := make([]simulation.Result, count)
-	members := goroutine.New()
+	group := goroutine.New()
 	seeds := make(chan int, count)
 	for index := range count {
 		seeds <- index
 	}
 	close(seeds)
-	var waiting sync.WaitGroup
+	var pending sync.WaitGroup
 	for range min(workers, count) {
-		waiting.Add(1)
-		members.Go("simulate.run", func(context.Context) {
-			defer waiting.Done()
+		pending.Add(1)
+		group.Go("simulate.run", func(context.Context) {
+			defer pending.Done()
 			for index := range seeds {
 				var printLine func(string)
 				if log && count == 1 {
@@ -101,22 +103,22 @@
 			}
 		})
 	}
-	waiting.Wait()
+	pending.Wait()
 	return results
 }
 
-// totals joins the results of many seeds.
-type totals struct {
-	worst        map[string]float64
-	seen, rules  map[string]int
-	broken       int
-	good, lowest float64            // share of requests answered: the sum over the seeds, and the least
-	failed       *simulation.Result // of the first seed that broke a promise
+// seedTotals aggregates the results of many seeds.
+type seedTotals struct {
+	worst                       map[string]float64
+	seen, rules                 map[string]int
+	broken                      int
+	answeredSum, lowestAnswered float64            // share of requests answered: sum over the seeds, and minimum
+	failed                      *simulation.Result // result of the first failed seed
 }
 
-// summarize joins the results and prints one line for each seed that broke a promise.
-func summarize(results []simulation.Result) totals {
-	total := totals{worst: map[string]float64{}, seen: map[string]int{}, rules: map[string]int{}, lowest: 1}
+// summarize aggregates the results and prints the first violation of each failed seed.
+func summarize(results []simulation.Result) seedTotals {
+	total := seedTotals{worst: map[string]float64{}, seen: map[string]int{}, rules: map[string]int{}, lowestAnswered: 1}
 	for index, result := range results {
 		for name, value := range result.Review.Worst {
 			total.worst[name] = max(total.worst[name], value)
@@ -124,8 +126,8 @@
 		for name, value := range result.Review.Seen {
 			total.seen[name] += value
 		}
-		total.good += result.Good
-		total.lowest = min(total.lowest, result.Good)
+		total.answeredSum += result.Good
+		total.lowestAnswered = min(total.lowestAnswered, result.Good)
 		violations := result.Review.Violations
 		if len(violations) == 0 {
 			continue
@@ -146,11 +148,11 @@
 	return total
 }
 
-// violationsShown bounds how many violations of a failed seed are printed.
-const violationsShown = 6
+// maxViolationsShown limits the number of violations that are printed for a failed seed.
+const maxViolationsShown = 6
 
-// printFailed prints how to replay a failed seed, its plan and its first violations.
-func printFailed(d workload.Deployment, scenario string, rate float64, failed simulation.Result) {
+// printFailedSeed prints the command that replays a failed seed, its plan and its first violations.
+func printFailedSeed(d workload.Deployment, scenario string, rate float64, failed simulation.Result) {
 	fmt.Printf("  seed %d (replay: simulate --deployment %s --scenario %s --rate %g --count 1 --seed %d --log)\n",
 		failed.Seed, d.Name, scenario, rate, failed.Seed)
 	sort.SliceStable(failed.Plan, func(i, j int) bool { return failed.Plan[i].At < failed.Plan[j].At })
@@ -158,7 +160,7 @@
 		fmt.Println("   ", step)
 	}
 	for index, violation := range failed.Review.Violations {
-		if index == violationsShown {
+		if index == maxViolationsShown {
 			fmt.Printf("    and %d more\n", len(failed.Review.Violations)-index)
 			break
 		}
--- a/cmd/stubserver/main.go
+++ b/cmd/stubserver/main.go
@@ -1,5 +1,5 @@
-// Command stubserver is a stand-in upstream: it announces itself to a proxy, runs the requests that it
-// gets, and prints its record of runs when it ends.
+// Command stubserver is a stub upstream for tests. It announces itself to a proxy, serves the requests
+// that it receives, and prints a record of them when it is stopped.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	}
 }
 
-// options are the flags; most of them set fields of the server.
+// options holds the flags. Most of them set fields of the server.
 type options struct {
 	server  *stubserver.StubServer
 	proxies string
@@ -41,12 +41,13 @@
 	o.addFlags(root)
 	for _, name := range []string{"service", "instance", "zone"} {
 		if err := root.MarkFlagRequired(name); err != nil {
-			panic("stubserver: " + err.Error()) // no such flag: a programming error
+			panic("stubserver: " + err.Error()) // the flag is not defined: a programming error
 		}
 	}
 	return root
 }
 
+// addFlags defines the flags.
 func (o *options) addFlags(command *cobra.Command) {
 	flags := command.Flags()
 	announcement := &o.server.Announcement
@@ -66,7 +67,8 @@
 	flags.Float64Var(&o.faults.Slow, "slow", 0, "share of runs that take ten times as long")
 }
 
-// run serves until a signal, then drains, signs off, and prints the record.
+// run serves until SIGTERM or SIGINT. It then announces that it drains, deregisters, and prints the
+// record with one JSON line per request.
 func (o *options) run() error {
 	o.server.Proxies = strings.Split(o.proxies, ",")
 	o.server.Announcement.Incarnation = time.Now().UnixNano()
@@ -80,8 +82,8 @@
 	o.server.Change(func(announcement *backend.Announcement) { announcement.Draining = true })
 	o.server.SignOff()
 	encoder := json.NewEncoder(os.Stdout)
-	for _, ran := range o.server.Runs() {
-		if err := encoder.Encode(ran); err != nil {
+	for _, run := range o.server.Runs() {
+		if err := encoder.Encode(run); err != nil {
 			return err
 		}
 	}
