--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -33,15 +33,15 @@
 			if scenarios == "all" {
 				names = simulation.Names()
 			}
-			broken := 0
+			violating := 0
 			for _, scenario := range names {
 				if _, known := simulation.Scenarios[scenario]; !known {
 					return fmt.Errorf("unknown scenario %q; known scenarios: %s", scenario, strings.Join(simulation.Names(), ", "))
 				}
-				broken += sweep(d, scenario, first, count, workers, rate, log, shrink)
+				violating += sweep(d, scenario, first, count, workers, rate, log, shrink)
 			}
-			if broken > 0 {
-				return fmt.Errorf("%d runs violated a rule", broken)
+			if violating > 0 {
+				return fmt.Errorf("%d runs violated a rule", violating)
 			}
 			return nil
 		}}
@@ -68,7 +68,7 @@
 	total := summarize(results)
 	line, _ := json.Marshal(map[string]any{"worst": total.worst, "seen": total.seen, "rules": total.rules})
 	fmt.Printf("%s %s: %d of %d seeds violated a rule; share answered %.4f on average, %.4f at least; %s\n",
-		d.Name, scenario, total.broken, count, total.answeredSum/float64(count), total.lowestAnswered, line)
+		d.Name, scenario, total.violating, count, total.answeredSum/float64(count), total.lowestAnswered, line)
 	if total.failed != nil {
 		failed := *total.failed
 		if shrink {
@@ -76,7 +76,7 @@
 		}
 		printFailedSeed(d, scenario, rate, failed)
 	}
-	return total.broken
+	return total.violating
 }
 
 // runSeeds runs count seeds, beginning with first, on a number of workers. It returns the results in the
@@ -111,7 +111,7 @@
 type seedTotals struct {
 	worst                       map[string]float64
 	seen, rules                 map[string]int
-	broken                      int
+	violating                   int
 	answeredSum, lowestAnswered float64            // share of requests answered: sum over the seeds, and minimum
 	failed                      *simulation.Result // result of the first failed seed
 }
@@ -132,7 +132,7 @@
 		if len(violations) == 0 {
 			continue
 		}
-		total.broken++
+		total.violating++
 		if total.failed == nil {
 			total.failed = &results[index]
 		}
--- a/internal/api/configurations.go
+++ b/internal/api/configurations.go
@@ -52,17 +52,17 @@
 	defer ticker.Stop()
 	request := registry.ReadConfigurationStatus{ConfigName: configName(in), Version: pathNumber(in, "version")}
 	for {
-		answer, err := node.RequestAs[registry.OperatorResponse](in.Context(), h.process, request)
+		response, err := node.RequestAs[registry.OperatorResponse](in.Context(), h.process, request)
 		if err != nil {
 			WriteCode(out, errcode.Internal, noReplyDetail)
 			return
 		}
-		everywhere := gjson.GetBytes(answer.Body, "everywhere").Bool()
+		everywhere := gjson.GetBytes(response.Body, "everywhere").Bool()
 		if everywhere || waitCtx.Err() != nil {
-			if !everywhere && answer.Code == errcode.OK {
-				answer.Code = errcode.ConfigurationLacking
+			if !everywhere && response.Code == errcode.OK {
+				response.Code = errcode.ConfigurationLacking
 			}
-			writeResponse(out, answer)
+			writeResponse(out, response)
 			return
 		}
 		select {
--- a/internal/api/connection_limit_test.go
+++ b/internal/api/connection_limit_test.go
@@ -21,12 +21,12 @@
 	if _, err := fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		return err
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	_, err = io.Copy(io.Discard, answer.Body)
+	defer response.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
 	return err
 }
 
--- a/internal/api/registry_handler.go
+++ b/internal/api/registry_handler.go
@@ -86,10 +86,10 @@
 	_, isRead := request.(registry.ReadConfiguration)
 	ctx, cancel := context.WithTimeout(in.Context(), h.settings.OperatorTimeout(len(write.Body))+controlSlack)
 	defer cancel()
-	answer, err := node.RequestAs[registry.OperatorResponse](ctx, h.process, request)
+	response, err := node.RequestAs[registry.OperatorResponse](ctx, h.process, request)
 	switch {
 	case err == nil:
-		writeResponse(out, answer)
+		writeResponse(out, response)
 	case isWrite:
 		WriteCode(out, errcode.ConfigurationUnsure, noReplyDetail)
 	case isRead:
@@ -100,9 +100,9 @@
 }
 
 // writeResponse writes the control machine's reply, whose body is already encoded as JSON.
-func writeResponse(out http.ResponseWriter, answer registry.OperatorResponse) {
-	setCodeHeaders(out, answer.Code)
+func writeResponse(out http.ResponseWriter, response registry.OperatorResponse) {
+	setCodeHeaders(out, response.Code)
 	out.Header().Set("Content-Type", "application/json")
-	out.WriteHeader(answer.Code.Status())
-	out.Write(answer.Body)
+	out.WriteHeader(response.Code.Status())
+	out.Write(response.Body)
 }
--- a/internal/cli/operator_call.go
+++ b/internal/cli/operator_call.go
@@ -38,11 +38,11 @@
 		return callResult{err: errcode.Wrap("operator.call", errcode.ConnectionLost, err)}
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
 		return callResult{err: errcode.Wrap("operator.call", errcode.ConnectionLost, err)}
 	}
-	return callResult{status: response.StatusCode, code: response.Header.Get(frontend.CodeHeader), body: answer}
+	return callResult{status: response.StatusCode, code: response.Header.Get(frontend.CodeHeader), body: responseBody}
 }
 
 // print writes the response body. It returns an error unless the status is 200.
