--- a/internal/backend/admission.go
+++ b/internal/backend/admission.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// stallDivisor makes, of the heartbeat bound, how long this process may stand still before
-	// its upstreams may have found another serving proxy.
+	// stallDivisor divides HeartbeatTimeout into the longest pause of this process after which its
+	// upstreams can't have moved to another serving proxy.
 	stallDivisor = 6
 
-	// forgetFactor is after how many heartbeat bounds without a heartbeat an upstream at rest is
-	// forgotten.
-	forgetFactor = 4
+	// upstreamRetentionFactor is the number of heartbeat timeouts without a heartbeat after which an
+	// upstream without running requests is removed.
+	upstreamRetentionFactor = 4
 )
 
-// HandleForward takes a request from another proxy, or from this one, and returns the decisions
-// that follow. A request that waits in the queue gives none now.
+// HandleForward admits a request from another proxy or from this one, and returns the resulting
+// decisions. A request that is queued yields no decision yet, and neither does a duplicate of a known
+// attempt that is not barred.
 func (b *Backend) HandleForward(now time.Duration, forward message.Forward) []Decision {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -46,7 +47,8 @@
 	return append(decisions, b.refuseOverflow(registered)...)
 }
 
-// refuseOverflow refuses the last in a queue that has become longer than the upstream has slots.
+// refuseOverflow refuses the last request of a queue that is longer than the number of slots of its
+// upstream.
 func (b *Backend) refuseOverflow(registered *upstream) []Decision {
 	if len(registered.queue) <= int(registered.announcement.Slots) {
 		return nil
@@ -57,8 +59,8 @@
 	return []Decision{refusal(last.forward, errcode.BusySlotsFull)}
 }
 
-// checkForward checks whether an upstream may be given a request now. held is nil for an upstream
-// that is not known here.
+// checkForward checks whether a request may start at an upstream now, and returns errcode.OK or the
+// reason against it. registered is nil if known is false.
 func (b *Backend) checkForward(now time.Duration, registered *upstream, known bool, forward message.Forward) errcode.Code {
 	switch {
 	case b.draining:
@@ -83,27 +85,29 @@
 	return b.authorize(forward)
 }
 
-// mayRedial reports whether a broken upstream may be tried again without a heartbeat, which is
-// safe only where upstreams prove themselves.
+// mayRedial reports whether an upstream may be dialled again after a connection loss without a new
+// heartbeat. This is safe only with proof "target", where another process at the address refuses the
+// request.
 func (b *Backend) mayRedial(now time.Duration, registered *upstream) bool {
 	return b.settings.ProofByTarget() && now-registered.brokenAt > b.settings.AddressProofTTL()
 }
 
-// stalled reports whether this process stood still for so long that its upstreams may have found
-// another serving proxy meanwhile. Their slots are then no longer this one's to give.
+// stalled reports whether this process was paused for so long that its upstreams may have moved to
+// another serving proxy, which then assigns their slots.
 func (b *Backend) stalled(now time.Duration) bool {
 	return !b.settings.ProofByTarget() && b.lastExpireAt > 0 && now-b.lastExpireAt > b.settings.HeartbeatTimeout()/stallDivisor
 }
 
-// Expire refuses requests that have waited past their deadlines, starts those that now can, and
-// forgets what is too old. It is called in steady steps.
+// Expire refuses queued requests past their deadlines, starts those for which slots have become free,
+// and removes expired upstreams and records. It must be called at a fixed interval, since a long gap
+// between calls is taken for a stall of the process.
 func (b *Backend) Expire(now time.Duration) []Decision {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	decisions := []Decision{}
 	stalled := b.stalled(now)
 	b.lastExpireAt = now
-	b.forgetRetired(now)
+	b.expireRetired(now)
 	for _, key := range b.sortedKeys() {
 		registered := b.upstreams[key]
 		if stalled {
@@ -111,7 +115,7 @@
 		}
 		decisions = append(decisions, registered.refuseOverdue(now)...)
 		decisions = append(decisions, b.startQueued(now, registered)...)
-		if now-registered.announcedAt > b.settings.HeartbeatTimeout()*forgetFactor && len(registered.running) == 0 {
+		if now-registered.announcedAt > b.settings.HeartbeatTimeout()*upstreamRetentionFactor && len(registered.running) == 0 {
 			delete(b.upstreams, key)
 		}
 	}
@@ -119,9 +123,9 @@
 	return decisions
 }
 
-// forgetRetired drops the instances that were retired so long ago that no late announcement of
-// theirs can still come.
-func (b *Backend) forgetRetired(now time.Duration) {
+// expireRetired removes instances that were retired more than ForgetAfter ago, when no delayed
+// announcement of theirs can still arrive.
+func (b *Backend) expireRetired(now time.Duration) {
 	for instance, retiredAt := range b.retired {
 		if now-retiredAt > b.settings.ForgetAfter() {
 			delete(b.retired, instance)
--- a/internal/backend/announcement.go
+++ b/internal/backend/announcement.go
@@ -4,7 +4,7 @@
 	"beaconvane/internal/message"
 )
 
-// Announcement is what an upstream says of itself, in each heartbeat.
+// Announcement is the state that an upstream reports of itself in each heartbeat.
 type Announcement struct {
 	Service         string  `json:"service"`
 	Instance        string  `json:"instance"`
@@ -15,11 +15,11 @@
 	Warming         bool    `json:"warming"`
 	Draining        bool    `json:"leaving"`
 	Load            float64 `json:"load"`
-	Sequence        int64   `json:"number"`  // rises with each announcement of an incarnation; 0: not told
-	WarmUpRemaining int64   `json:"cold_ms"` // how long it stays slow yet
+	Sequence        int64   `json:"number"`  // rises with each announcement of an incarnation; 0 if not sent
+	WarmUpRemaining int64   `json:"cold_ms"` // milliseconds until the upstream is warmed up
 }
 
-// State is the roster's word for an announcement.
+// State returns the roster state (message.State...) that corresponds to the announcement.
 func (a Announcement) State() string {
 	switch {
 	case a.Draining:
@@ -30,7 +30,7 @@
 	return message.StateReady
 }
 
-// Registration is the announcement as the roster holds it, without the serving proxy.
+// Registration returns the roster entry for the announcement, without the serving proxy.
 func (a Announcement) Registration() message.Registration {
 	return message.Registration{
 		Service:     a.Service,
@@ -45,7 +45,7 @@
 
 func (a Announcement) key() string { return upstreamKey(a.Service, a.Instance) }
 
-// target is the upstream that announces itself.
+// target returns the announced upstream as a Target without a delegation token.
 func (a Announcement) target() Target {
 	return Target{Key: a.key(), Address: a.Address, Incarnation: a.Incarnation}
 }
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -13,76 +13,78 @@
 	"beaconvane/internal/settings"
 )
 
-// tokenBytes is the length of a delegation token, drawn at random.
+// tokenBytes is the length of a random delegation token, before its hexadecimal encoding.
 const tokenBytes = 24
 
-// never is a time before all others.
-const never = time.Duration(-1 << 62)
+// distantPast is earlier than any clock reading. Subtracting it from a reading does not overflow.
+const distantPast = time.Duration(-1 << 62)
 
-// Decision is what is to be done with a forwarded request: start it at its upstream, or refuse it.
+// Decision tells whether a forwarded request is started at its upstream or refused.
 type Decision struct {
 	Forward message.Forward
 	Start   bool
-	Code    errcode.Code // why it is refused
+	Code    errcode.Code // reason of the refusal
 	Target  Target
-	Window  int64 // of the usage report, in which it was counted as started
+	Window  int64 // usage window in which the request was counted as started
 }
 
-// Target is an upstream as it was registered when a request was started.
+// Target identifies the registration of an upstream for which a request was started.
 type Target struct {
 	Key             string // service and instance
 	Address         string
 	Incarnation     int64
-	DelegationToken string // of the request; "" where the target stands for connections only
+	DelegationToken string // of the request; "" in a target that identifies connections
 }
 
-// Delegation is the running request on whose behalf its upstream may call on.
+// Delegation identifies the running request on behalf of which its upstream may call other services.
 type Delegation struct {
 	Tenant  string
 	Service string
-	Key     string // the id of the attempt
+	Key     string // id of the attempt
 }
 
-// Authorizer checks a forwarded request against this serving proxy's own configurations.
+// Authorizer checks a forwarded request against the configurations of this serving proxy. It returns
+// errcode.OK for an allowed request.
 type Authorizer func(forward message.Forward) errcode.Code
 
-// upstream is one registration here.
+// upstream is the state of one registration at this proxy. It is guarded by Backend.lock.
 type upstream struct {
 	announcement Announcement
 	announcedAt  time.Duration
-	lastSeenAt   time.Duration // when it last gave a sign of life: an announcement or an answer
-	broken       bool          // a connection to it broke, and no heartbeat has come since
+	lastSeenAt   time.Duration // time of the last announcement or response
+	broken       bool          // a connection was lost, and no heartbeat has arrived since
 	brokenAt     time.Duration
 
-	running      map[string]runningRequest // by attempt
-	lingering    []time.Duration           // until when slots count as taken by requests that may still run
+	running      map[string]runningRequest // by attempt id
+	lingering    []time.Duration           // expiry times of slots held for ended requests that may still run
 	queue        []queuedRequest
-	routeLatency map[string]time.Duration // by route: the usual time of a request here
-	meanLatency  time.Duration            // of requests of any route
+	routeLatency map[string]time.Duration // moving average of the service time, by route
+	meanLatency  time.Duration            // moving average over all routes
 }
 
-// Backend decides on the requests for the upstreams that announce themselves here.
+// Backend decides on requests to the upstreams that announce themselves to this proxy. Its methods may
+// be called concurrently, except UseTokenSource.
 type Backend struct {
 	settings  settings.Settings
 	authorize Authorizer
 	newToken  func() string
 
-	lock         sync.Mutex // of what follows
+	lock         sync.Mutex // guards the fields below
 	upstreams    map[string]*upstream
-	retired      map[string]time.Duration // instances whose names never come back, and since when
-	delegations  map[string]Delegation    // by token
+	retired      map[string]time.Duration // time of retirement by instance; announcements of these instances are ignored
+	delegations  map[string]Delegation    // by delegation token
 	draining     bool
 	lastExpireAt time.Duration
 
 	records         map[string]*attemptRecord
-	recordOrder     []string // ids of attempts, oldest first
-	recordsWithBody []string // ids of those whose outcomes still have their answers, oldest first
+	recordOrder     []string // attempt ids, oldest first
+	recordsWithBody []string // attempt ids whose outcomes still have a body, oldest first
 
 	retriesPausedUntil time.Duration
-	retryShare         float64 // of retries among the starts of requests that may be repeated
+	retryShare         float64 // moving average of the share of retries among the starts of repeatable requests
 }
 
-// New makes a backend.
+// New returns a Backend without registrations.
 func New(cfg settings.Settings, authorize Authorizer) *Backend {
 	return &Backend{
 		settings:    cfg,
@@ -95,18 +97,18 @@
 	}
 }
 
-// UseTokenSource replaces the source of delegation tokens, so that a simulated run draws the same
-// ones each time.
+// UseTokenSource replaces the generator of delegation tokens, so that simulated runs are reproducible.
+// It must be called before the first request.
 func (b *Backend) UseTokenSource(newToken func() string) { b.newToken = newToken }
 
 func randomToken() string {
 	var token [tokenBytes]byte
-	// Never fails: crypto/rand ends the program where the system has no randomness.
+	// rand.Read returns no error: it terminates the program when the system provides no randomness.
 	_, _ = rand.Read(token[:])
 	return hex.EncodeToString(token[:])
 }
 
-// LookupDelegation returns the running request that a token stands for.
+// LookupDelegation returns the running request to which a delegation token was issued.
 func (b *Backend) LookupDelegation(token string) (Delegation, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -114,7 +116,7 @@
 	return delegation, known
 }
 
-// Running counts the requests that have started and those that wait for a slot.
+// Running returns the number of running requests and of requests queued for a slot.
 func (b *Backend) Running() (running, queued int) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -125,7 +127,7 @@
 	return running, queued
 }
 
-// Drain refuses all that has not started, from now on.
+// Drain refuses all queued requests, and makes HandleForward refuse every request from now on.
 func (b *Backend) Drain() []Decision {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -137,14 +139,14 @@
 	return decisions
 }
 
-// sortedKeys returns the keys of the upstreams in a steady order, so that a simulated run decides
-// the same each time.
+// sortedKeys returns the keys of the upstreams in a deterministic order, so that simulated runs are
+// reproducible.
 func (b *Backend) sortedKeys() []string { return slices.Sorted(maps.Keys(b.upstreams)) }
 
-// refusal is the decision to refuse a request.
+// refusal returns the decision to refuse a request with a code.
 func refusal(forward message.Forward, code errcode.Code) Decision {
 	return Decision{Forward: forward, Code: code}
 }
 
-// upstreamKey names an upstream by service and instance.
+// upstreamKey returns the key of an upstream in Backend.upstreams.
 func upstreamKey(service, instance string) string { return service + "/" + instance }
--- a/internal/backend/calls.go
+++ b/internal/backend/calls.go
@@ -2,57 +2,58 @@
 
 import "sync"
 
-// call is one call of an upstream under way.
+// call is a request that is being sent to an upstream or awaits its response. It is guarded by
+// callRegistry.lock.
 type call struct {
 	attemptID  string
-	connection *upstreamConnection // nil until there is one
+	connection *upstreamConnection // nil until it is attached
 	cancelled  bool
 }
 
-// callRegistry keeps the calls under way, so that one may be cancelled whose caller has left.
+// callRegistry tracks the active calls, so that a call can be cancelled after its caller disconnected.
 type callRegistry struct {
 	lock   sync.Mutex
-	active map[string]*call // by attempt
+	active map[string]*call // by attempt id
 }
 
 func newCallRegistry() *callRegistry { return &callRegistry{active: map[string]*call{}} }
 
-// begin notes a call that may be cancelled from now on.
+// begin registers a call, which can be cancelled from now on.
 func (r *callRegistry) begin(attemptID string) *call {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	underway := &call{attemptID: attemptID}
-	r.active[attemptID] = underway
-	return underway
+	activeCall := &call{attemptID: attemptID}
+	r.active[attemptID] = activeCall
+	return activeCall
 }
 
-// attach gives a call its connection. It returns false where the call was cancelled before.
-func (r *callRegistry) attach(underway *call, connection *upstreamConnection) bool {
+// attach sets the connection of a call. It returns false if the call has already been cancelled.
+func (r *callRegistry) attach(activeCall *call, connection *upstreamConnection) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	underway.connection = connection
-	return !underway.cancelled
+	activeCall.connection = connection
+	return !activeCall.cancelled
 }
 
-// end reports whether the call was cancelled. From now on it can't be.
-func (r *callRegistry) end(underway *call) bool {
+// end removes a call, so that it can no longer be cancelled, and reports whether it was cancelled.
+func (r *callRegistry) end(activeCall *call) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	delete(r.active, underway.attemptID)
-	return underway.cancelled
+	delete(r.active, activeCall.attemptID)
+	return activeCall.cancelled
 }
 
-// cancel closes the connection of a call, at which most upstreams drop the request. An attempt
-// that isn't under way is passed over.
+// cancel closes the connection of a call, on which most upstreams abort the request. It ignores an
+// attempt that is not active.
 func (r *callRegistry) cancel(attemptID string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	underway, known := r.active[attemptID]
+	activeCall, known := r.active[attemptID]
 	if !known {
 		return
 	}
-	underway.cancelled = true
-	if underway.connection != nil {
-		underway.connection.close()
+	activeCall.cancelled = true
+	if activeCall.connection != nil {
+		activeCall.connection.close()
 	}
 }
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -12,24 +12,24 @@
 	"beaconvane/internal/settings"
 )
 
-// The outcome of a call is due a little before its request's time is up, so that it gets back in
-// time: by a part of that time, and by maxAnswerReserve at most.
+// A call times out before its request's deadline, so that the outcome reaches the caller in time. The
+// reserve is the remaining time divided by answerReserveDivisor, at most maxAnswerReserve.
 const (
 	answerReserveDivisor = 20
 	maxAnswerReserve     = 20 * time.Millisecond
 )
 
-// UpstreamClient carries out the backend's decisions to start.
+// UpstreamClient executes the decisions of a Backend to start requests.
 //
-// A request goes out only on a connection that is proven to reach its upstream: one made within a
-// moment (a thirtieth of heartbeat_ms) of a sign of life of that very incarnation, which is an
-// announcement or an answer. No other machine can have taken the address over so fast. Some proven
-// connections are kept ready after each announcement, for the time in which no sign comes, and
-// each announcement renews a guard connection.
+// A request is sent only on a connection that is proven to reach its upstream: one that was
+// established within AddressProofTTL (a thirtieth of heartbeat_ms) of an announcement or a response of
+// the same incarnation. No other machine can take over the address in that time. After each
+// announcement some proven connections are opened in advance, for use while no such evidence is
+// recent, and the guard connection is renewed.
 //
-// Where the settings say that upstreams prove themselves (proof "target"), each request names its
-// upstream, and any other at that address refuses it. Then no connection needs proof, no guard is
-// kept, and connections are made when they are wanted.
+// With proof "target" in the settings, each request names its upstream, and any other process at the
+// address refuses it. Connections then need no proof, there are no guard connections, and connections
+// are opened on demand.
 type UpstreamClient struct {
 	settings   settings.Settings
 	protocol   Protocol
@@ -42,7 +42,7 @@
 	calls  *callRegistry
 }
 
-// NewUpstreamClient makes a client for the upstreams of a backend.
+// NewUpstreamClient returns a client for the upstreams of a backend.
 func NewUpstreamClient(cfg settings.Settings, serving *Backend, goroutines *goroutine.Group) *UpstreamClient {
 	c := &UpstreamClient{
 		settings:   cfg,
@@ -57,37 +57,39 @@
 	return c
 }
 
-// UseDialer replaces the dialer, for models of what upstreams do to connections.
+// UseDialer replaces the dialer. Tests use it to model connection faults. It must be called before the
+// first request.
 func (c *UpstreamClient) UseDialer(dialer Dialer) { c.dialer = dialer }
 
-// UseProtocol sets how upstreams speak. It is called before the first request.
+// UseProtocol replaces the protocol towards upstreams. It must be called before the first request.
 func (c *UpstreamClient) UseProtocol(protocol Protocol) { c.protocol = protocol }
 
-// Call starts a request at its upstream and returns the outcome.
+// Call sends a request to its upstream and waits for the outcome.
 func (c *UpstreamClient) Call(decision Decision) message.Outcome {
 	limit := time.Duration(decision.Forward.Remaining)
 	limit -= min(limit/answerReserveDivisor, maxAnswerReserve)
 	deadline := time.Now().Add(limit)
-	underway := c.calls.begin(decision.Forward.ID)
+	activeCall := c.calls.begin(decision.Forward.ID)
 	connection, code := c.connect(decision.Target, deadline)
 	if connection == nil {
-		c.calls.end(underway)
+		c.calls.end(activeCall)
 		return notStarted(code)
 	}
-	if !c.calls.attach(underway, connection) {
-		// Its caller left before anything was sent.
-		c.calls.end(underway)
+	if !c.calls.attach(activeCall, connection) {
+		// The call was cancelled before anything was sent.
+		c.calls.end(activeCall)
 		c.pool.release(decision.Target, connection)
 		return notStarted(errcode.BusyDeadline)
 	}
 	outcome, reusable, err := c.exchange(connection, decision, deadline)
-	// Ended before the connection may serve another call.
-	cancelled := c.calls.end(underway)
+	// The call ends before the connection is reused, so that a late cancel can't close the connection of
+	// another call.
+	cancelled := c.calls.end(activeCall)
 	if err != nil {
 		connection.close()
 		return c.failedCall(decision.Target, err, cancelled)
 	}
-	// Bytes on a proven connection: for a moment nobody else can be at that address.
+	// A response on a proven connection shows that the upstream still owns its address.
 	c.serving.RecordActivity(c.goroutines.Now(), decision.Target)
 	if reusable && !cancelled {
 		c.pool.release(decision.Target, connection)
@@ -100,8 +102,8 @@
 	return outcome
 }
 
-// failedCall is the outcome of an exchange that ended without the upstream's answer. The request
-// may have run.
+// failedCall returns the outcome of an exchange that ended without a valid response. The request may
+// have run.
 func (c *UpstreamClient) failedCall(target Target, err error, cancelled bool) message.Outcome {
 	code := errcode.CodeOf(err)
 	var networkError net.Error
@@ -114,17 +116,16 @@
 	return message.Outcome{Kind: message.OutcomeUnknown, Code: int64(code)}
 }
 
-// notStarted is the outcome of a request that was never sent.
+// notStarted returns the outcome of a request that was never sent.
 func notStarted(code errcode.Code) message.Outcome {
 	return message.Outcome{Kind: message.NotStarted, Code: int64(code)}
 }
 
-// Cancel breaks off the call of an attempt whose caller has left. An attempt that isn't under way
-// is passed over.
+// Cancel aborts the call of an attempt whose caller has disconnected. It ignores an attempt that is
+// not active.
 func (c *UpstreamClient) Cancel(attemptID string) { c.calls.cancel(attemptID) }
 
-// connect returns a connection on which a request may go out to the target, or nil and why there
-// is none.
+// connect returns a connection on which a request may be sent to the target, or nil and the reason.
 func (c *UpstreamClient) connect(target Target, deadline time.Time) (*upstreamConnection, errcode.Code) {
 	if connection := c.pool.acquire(target); connection != nil {
 		return connection, errcode.OK
@@ -132,7 +133,7 @@
 	if c.settings.ProofByTarget() {
 		return c.connectUnproven(target, deadline)
 	}
-	if !c.serving.ConnectionsUsable(c.goroutines.Now(), target) || !c.guards.stands(target) {
+	if !c.serving.ConnectionsUsable(c.goroutines.Now(), target) || !c.guards.isIntact(target) {
 		return nil, errcode.BusyUpstreamGone
 	}
 	connection, code := c.dialProven(target, deadline)
@@ -142,7 +143,7 @@
 	return connection, code
 }
 
-// connectUnproven dials without proof, where upstreams prove themselves.
+// connectUnproven dials a target without proof of its address, for use with proof "target".
 func (c *UpstreamClient) connectUnproven(target Target, deadline time.Time) (*upstreamConnection, errcode.Code) {
 	connection, err := c.dial(target, deadline)
 	if err != nil {
@@ -152,8 +153,8 @@
 	return connection, errcode.OK
 }
 
-// Guard renews the guard connection of an upstream that has just announced itself, and then the
-// connections kept ready for it.
+// Guard renews the guard connection of an upstream that has just announced itself, and then opens its
+// warm connections.
 func (c *UpstreamClient) Guard(announcement Announcement) {
 	target := announcement.target()
 	connection, err := c.dial(target, time.Now().Add(c.settings.DialTimeout()))
@@ -165,11 +166,12 @@
 	c.warmUp(target)
 }
 
-// warmUp keeps proven connections ready, made while a sign of life is fresh.
+// warmUp opens proven connections up to the number of WarmConnections, as long as the last evidence of
+// liveness is recent enough.
 func (c *UpstreamClient) warmUp(target Target) {
-	wanted := c.serving.WarmConnections(target)
-	for range wanted {
-		if c.pool.size(target) >= wanted {
+	desired := c.serving.WarmConnections(target)
+	for range desired {
+		if c.pool.size(target) >= desired {
 			return
 		}
 		connection, code := c.dialProven(target, time.Now().Add(c.settings.AddressProofTTL()))
@@ -180,7 +182,8 @@
 	}
 }
 
-// Sweep closes connections that idled too long or whose target has ended, and looks at every guard.
+// Sweep closes idle connections that have expired or whose target is no longer registered, and checks
+// every guard connection.
 func (c *UpstreamClient) Sweep() {
 	now := c.goroutines.Now()
 	c.guards.sweep(now)
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -1,4 +1,4 @@
-// Real sockets: what an upstream may do to its serving proxy, and what must not come of it.
+// Tests of UpstreamClient over real sockets against faulty upstreams.
 package backend
 
 import (
@@ -21,39 +21,42 @@
 	"beaconvane/internal/settings"
 )
 
-// scripted is an upstream that reads one request a connection and answers as told.
-type scripted struct {
-	listener net.Listener
-	reads    atomic.Int64
-	seen     chan *http.Request
-	accepted chan struct{} // one for each connection that was taken
+// scriptedUpstream is an upstream that writes a given text for each request. It closes the connection
+// unless the text is okResponse.
+type scriptedUpstream struct {
+	listener     net.Listener
+	requestCount atomic.Int64
+	requests     chan *http.Request
+	accepted     chan struct{} // receives one value for each accepted connection
 }
 
-// waitAccepted returns once this many connections have been taken: one that still waits
-// in the kernel's queue is reset when the listener closes.
-func (s *scripted) waitAccepted(c *qt.C, connections int) {
-	for taken := range connections {
+// waitAccepted waits until a number of connections have been accepted. A connection that is still in the
+// kernel's accept queue is reset when the listener closes.
+func (s *scriptedUpstream) waitAccepted(c *qt.C, connections int) {
+	for accepted := range connections {
 		select {
 		case <-s.accepted:
 		case <-time.After(time.Minute):
-			c.Fatalf("%d of %d connections were taken", taken, connections)
+			c.Fatalf("accepted %d of %d connections within a minute", accepted, connections)
 		}
 	}
 }
 
-func newScripted(c *qt.C, members *goroutine.Group, address string, answer func(number int64) string) *scripted {
+// newScriptedUpstream starts a scriptedUpstream. respond returns the text for the request with a number,
+// counted from 1 over all connections.
+func newScriptedUpstream(c *qt.C, goroutines *goroutine.Group, address string, respond func(number int64) string) *scriptedUpstream {
 	listener, err := net.Listen("tcp", address)
 	c.Assert(err, qt.IsNil)
-	s := &scripted{listener: listener, seen: make(chan *http.Request, 100), accepted: make(chan struct{}, 1000)}
+	s := &scriptedUpstream{listener: listener, requests: make(chan *http.Request, 100), accepted: make(chan struct{}, 1000)}
 	c.Cleanup(func() { listener.Close() })
-	members.Go("scripted", func(ctx context.Context) {
+	goroutines.Go("scripted", func(ctx context.Context) {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			s.accepted <- struct{}{}
-			members.Go("scripted.connection", func(context.Context) {
+			goroutines.Go("scripted.connection", func(context.Context) {
 				defer conn.Close()
 				reader := bufio.NewReader(conn)
 				for {
@@ -61,9 +64,9 @@
 					if err != nil {
 						return
 					}
-					number := s.reads.Inc()
-					s.seen <- request
-					text := answer(number)
+					number := s.requestCount.Inc()
+					s.requests <- request
+					text := respond(number)
 					fmt.Fprint(conn, text)
 					if !strings.HasPrefix(text, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") || len(text) > 40 {
 						return
@@ -75,44 +78,52 @@
 	return s
 }
 
-type bench struct {
-	serving   *Backend
-	caller    *UpstreamClient
-	members   *goroutine.Group
-	address   string
-	forwarded int
-	guards    int // guards that were made, each by a dial
+// clientFixture is an UpstreamClient with a Backend on which instance one of pay is registered.
+type clientFixture struct {
+	serving       *Backend
+	client        *UpstreamClient
+	goroutines    *goroutine.Group
+	address       string
+	requestNumber int
+	guards        int // number of guard connections dialled
 }
 
-func newBench(c *qt.C, members *goroutine.Group, address string) *bench {
+// newClientFixture returns a fixture with the default settings and all warm connections open.
+func newClientFixture(c *qt.C, goroutines *goroutine.Group, address string) *clientFixture {
 	serving := New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
-	b := &bench{serving: serving, caller: NewUpstreamClient(settings.Default(), serving, members), members: members, address: address}
-	target := Target{Key: "pay/one", Address: b.address, Incarnation: 1}
-	b.announce(c, "pay", "one", 1)
-	for b.kept(target) < serving.WarmConnections(target) {
-		// On a busy machine the sign of life was too old before all connections were made.
-		b.announce(c, "pay", "one", 1)
+	fixture := &clientFixture{
+		serving:    serving,
+		client:     NewUpstreamClient(settings.Default(), serving, goroutines),
+		goroutines: goroutines,
+		address:    address,
 	}
-	return b
+	target := Target{Key: "pay/one", Address: fixture.address, Incarnation: 1}
+	fixture.announce(c, "pay", "one", 1)
+	for fixture.warmConnections(target) < serving.WarmConnections(target) {
+		// On a busy machine the proof expires before all warm connections are open.
+		fixture.announce(c, "pay", "one", 1)
+	}
+	return fixture
 }
 
-// kept is how many proven connections are ready.
-func (b *bench) kept(target Target) int {
-	b.caller.pool.lock.Lock()
-	defer b.caller.pool.lock.Unlock()
-	return len(b.caller.pool.idle[target])
+// warmConnections returns the number of idle connections to a target.
+func (f *clientFixture) warmConnections(target Target) int {
+	f.client.pool.lock.Lock()
+	defer f.client.pool.lock.Unlock()
+	return len(f.client.pool.idle[target])
 }
 
-func (b *bench) announce(c *qt.C, service, instance string, incarnation int64) {
-	announcement := Announcement{Service: service, Instance: instance, Incarnation: incarnation, Address: b.address, Zone: "d", Slots: 4}
-	accepted, _, _ := b.serving.Announce(b.members.Now(), announcement)
+// announce registers an upstream at the address of the fixture and renews its guard connection.
+func (f *clientFixture) announce(c *qt.C, service, instance string, incarnation int64) {
+	announcement := Announcement{Service: service, Instance: instance, Incarnation: incarnation, Address: f.address, Zone: "d", Slots: 4}
+	accepted, _, _ := f.serving.Announce(f.goroutines.Now(), announcement)
 	c.Assert(accepted, qt.IsTrue)
-	b.caller.Guard(announcement)
-	b.guards++
+	f.client.Guard(announcement)
+	f.guards++
 }
 
-// ask carries one request and gives its outcome, with the backend told of the end.
-func (b *bench) request(c *qt.C, id, method string, headers ...message.HeaderLine) message.Outcome {
+// request sends one request and completes it at the backend. It returns the outcome.
+func (f *clientFixture) request(c *qt.C, id, method string, headers ...message.HeaderLine) message.Outcome {
 	forward := message.Forward{
 		ID:               id,
 		Service:          "pay",
@@ -130,49 +141,50 @@
 	if method == http.MethodPost {
 		forward.Body = []byte("body")
 	}
-	decisions := b.serving.HandleForward(b.members.Now(), forward)
+	decisions := f.serving.HandleForward(f.goroutines.Now(), forward)
 	c.Assert(decisions, qt.HasLen, 1)
 	outcome := message.Outcome{Kind: message.NotStarted, Code: int64(decisions[0].Code)}
 	if decisions[0].Start {
-		outcome = b.caller.Call(decisions[0])
+		outcome = f.client.Call(decisions[0])
 	}
-	outcome, _ = b.serving.Complete(b.members.Now(), decisions[0], outcome)
+	outcome, _ = f.serving.Complete(f.goroutines.Now(), decisions[0], outcome)
 	return outcome
 }
 
-const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+// okResponse is a response after which a scriptedUpstream keeps the connection open.
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A request that was read is never sent a second time, reused connection or not, whatever
-// its method or headers.
+// A request that an upstream has read is never sent a second time, on a new or a reused connection and
+// regardless of its method and headers. http.Transport resends some requests on its own.
 func TestNothingIsSentTwice(t *testing.T) {
 	c := qt.New(t)
-	members := goroutine.New()
-	defer members.Stop(0)
-	upstream := newScripted(c, members, "127.0.0.1:0", func(number int64) string {
+	goroutines := goroutine.New()
+	defer goroutines.Stop(0)
+	upstream := newScriptedUpstream(c, goroutines, "127.0.0.1:0", func(number int64) string {
 		if number == 1 {
-			return good
+			return okResponse
 		}
 		return ""
 	})
-	b := newBench(c, members, upstream.listener.Addr().String())
-	c.Assert(b.request(c, "a", http.MethodGet).Kind, qt.Equals, message.Completed)
-	outcome := b.request(c, "b", http.MethodGet, message.HeaderLine{Name: "Idempotency-Key", Value: "x"})
+	fixture := newClientFixture(c, goroutines, upstream.listener.Addr().String())
+	c.Assert(fixture.request(c, "a", http.MethodGet).Kind, qt.Equals, message.Completed)
+	outcome := fixture.request(c, "b", http.MethodGet, message.HeaderLine{Name: "Idempotency-Key", Value: "x"})
 	c.Assert(outcome.Kind, qt.Equals, message.OutcomeUnknown)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.UnknownOutcome)
-	c.Assert(upstream.reads.Load(), qt.Equals, int64(2))
-	// One more connection was kept, and broke; then no dial until a newer sign of life.
-	c.Assert(errcode.Code(b.request(c, "c", http.MethodPost).Code), qt.Equals, errcode.UnknownOutcome)
-	c.Assert(upstream.reads.Load(), qt.Equals, int64(3))
-	c.Assert(errcode.Code(b.request(c, "d", http.MethodPost).Code), qt.Equals, errcode.BusyUnproven)
-	c.Assert(upstream.reads.Load(), qt.Equals, int64(3))
-	b.announce(c, "pay", "one", 1)
-	c.Assert(b.request(c, "e", http.MethodPost).Kind, qt.Equals, message.OutcomeUnknown)
-	c.Assert(upstream.reads.Load(), qt.Equals, int64(4))
+	c.Assert(upstream.requestCount.Load(), qt.Equals, int64(2))
+	// The second warm connection is lost too. Then nothing is dialled until the next announcement.
+	c.Assert(errcode.Code(fixture.request(c, "c", http.MethodPost).Code), qt.Equals, errcode.UnknownOutcome)
+	c.Assert(upstream.requestCount.Load(), qt.Equals, int64(3))
+	c.Assert(errcode.Code(fixture.request(c, "d", http.MethodPost).Code), qt.Equals, errcode.BusyUnproven)
+	c.Assert(upstream.requestCount.Load(), qt.Equals, int64(3))
+	fixture.announce(c, "pay", "one", 1)
+	c.Assert(fixture.request(c, "e", http.MethodPost).Kind, qt.Equals, message.OutcomeUnknown)
+	c.Assert(upstream.requestCount.Load(), qt.Equals, int64(4))
 }
 
-// Only whole answers count.
+// Only complete responses are accepted. Any other leaves the outcome unknown.
 func TestAnswersMustBeWhole(t *testing.T) {
-	for name, wanted := range map[string]struct {
+	for name, expected := range map[string]struct {
 		answer string
 		code   errcode.Code
 	}{
@@ -188,21 +200,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			members := goroutine.New()
-			defer members.Stop(0)
-			upstream := newScripted(c, members, "127.0.0.1:0", func(int64) string { return wanted.answer })
-			b := newBench(c, members, upstream.listener.Addr().String())
-			outcome := b.request(c, "q", http.MethodPost)
+			goroutines := goroutine.New()
+			defer goroutines.Stop(0)
+			upstream := newScriptedUpstream(c, goroutines, "127.0.0.1:0", func(int64) string { return expected.answer })
+			fixture := newClientFixture(c, goroutines, upstream.listener.Addr().String())
+			outcome := fixture.request(c, "q", http.MethodPost)
 			c.Assert(outcome.Kind, qt.Equals, message.OutcomeUnknown)
-			c.Assert(errcode.Code(outcome.Code), qt.Equals, wanted.code)
+			c.Assert(errcode.Code(outcome.Code), qt.Equals, expected.code)
 		})
 	}
 }
 
-// Answers at the edges of HTTP come through as they are, and the connection behind them is
-// used again only where it is clean.
+// Unusual but valid HTTP responses are passed on unchanged, and a connection is reused only if it is
+// quiet and open.
 func TestEdgesOfHTTP(t *testing.T) {
-	for name, tried := range map[string]struct {
+	for name, test := range map[string]struct {
 		method, answer, body string
 		status               int64
 	}{
@@ -229,47 +241,47 @@
 			200,
 		},
 		"empty":             {http.MethodGet, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "", 200},
-		"its own 503":       {http.MethodPost, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nfull", "full", 503},
+		"503 of upstream":   {http.MethodPost, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nfull", "full", 503},
 		"closes afterwards": {http.MethodGet, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", "ok", 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			members := goroutine.New()
-			defer members.Stop(0)
-			upstream := newScripted(c, members, "127.0.0.1:0", func(int64) string { return tried.answer })
-			b := newBench(c, members, upstream.listener.Addr().String())
-			// Each of these connections is closed by the upstream behind its one answer: the
-			// next request must not be lost on it, nor sent twice.
+			goroutines := goroutine.New()
+			defer goroutines.Stop(0)
+			upstream := newScriptedUpstream(c, goroutines, "127.0.0.1:0", func(int64) string { return test.answer })
+			fixture := newClientFixture(c, goroutines, upstream.listener.Addr().String())
+			// The upstream closes each connection after one response: the next request must neither be
+			// lost on it nor be sent twice.
 			for number := range int64(2) {
-				outcome := b.request(c, fmt.Sprint("q", number), tried.method)
+				outcome := fixture.request(c, fmt.Sprint("q", number), test.method)
 				c.Assert(outcome.Kind, qt.Equals, message.Completed, qt.Commentf("%s", errcode.Code(outcome.Code)))
-				c.Assert(outcome.Status, qt.Equals, tried.status)
-				c.Assert(string(outcome.Body), qt.Equals, tried.body)
-				c.Assert(upstream.reads.Load(), qt.Equals, number+1)
-				b.announce(c, "pay", "one", 1)
-				b.caller.pool.lock.Lock()
-				delete(b.caller.pool.idle, Target{Key: "pay/one", Address: b.address, Incarnation: 1})
-				b.caller.pool.lock.Unlock()
+				c.Assert(outcome.Status, qt.Equals, test.status)
+				c.Assert(string(outcome.Body), qt.Equals, test.body)
+				c.Assert(upstream.requestCount.Load(), qt.Equals, number+1)
+				fixture.announce(c, "pay", "one", 1)
+				fixture.client.pool.lock.Lock()
+				delete(fixture.client.pool.idle, Target{Key: "pay/one", Address: fixture.address, Incarnation: 1})
+				fixture.client.pool.lock.Unlock()
 			}
 		})
 	}
 }
 
-// An upstream that answers before it has read the body has given its whole answer.
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
+// A response that an upstream sends before it has read the request body is accepted.
+func TestResponseBeforeRequestBodyIsRead(t *testing.T) {
 	c := qt.New(t)
-	members := goroutine.New()
-	defer members.Stop(0)
+	goroutines := goroutine.New()
+	defer goroutines.Stop(0)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
-	members.Go("early", func(context.Context) {
+	goroutines.Go("early", func(context.Context) {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			members.Go("early.connection", func(context.Context) {
+			goroutines.Go("early.connection", func(context.Context) {
 				defer conn.Close()
 				reader := bufio.NewReader(conn)
 				if _, err := reader.ReadString('\n'); err == nil {
@@ -279,58 +291,61 @@
 			})
 		}
 	})
-	b := newBench(c, members, listener.Addr().String())
-	outcome := b.request(c, "q", http.MethodPost)
+	fixture := newClientFixture(c, goroutines, listener.Addr().String())
+	outcome := fixture.request(c, "q", http.MethodPost)
 	c.Assert(outcome.Kind, qt.Equals, message.Completed)
 	c.Assert(outcome.Status, qt.Equals, int64(413))
 }
 
-// Interim answers are passed over; the head is the mesh's own.
+// Interim responses are skipped. The request to an upstream carries the headers that the mesh sets, those
+// of the caller, and no default User-Agent.
 func TestHeadTowardsUpstream(t *testing.T) {
 	c := qt.New(t)
-	members := goroutine.New()
-	defer members.Stop(0)
-	upstream := newScripted(c, members, "127.0.0.1:0", func(int64) string { return "HTTP/1.1 103 Early Hints\r\n\r\n" + good })
-	b := newBench(c, members, upstream.listener.Addr().String())
-	outcome := b.request(c, "q", http.MethodPost, message.HeaderLine{Name: "X-Color", Value: "red"})
+	goroutines := goroutine.New()
+	defer goroutines.Stop(0)
+	upstream := newScriptedUpstream(c, goroutines, "127.0.0.1:0", func(int64) string {
+		return "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse
+	})
+	fixture := newClientFixture(c, goroutines, upstream.listener.Addr().String())
+	outcome := fixture.request(c, "q", http.MethodPost, message.HeaderLine{Name: "X-Color", Value: "red"})
 	c.Assert(outcome.Kind, qt.Equals, message.Completed)
 	c.Assert(string(outcome.Body), qt.Equals, "ok")
-	request := <-upstream.seen
+	request := <-upstream.requests
 	c.Assert(request.Header.Get(TenantHeader), qt.Equals, "t")
 	c.Assert(request.Header.Get(CallerHeader), qt.Equals, "shop")
 	c.Assert(request.Header.Get("X-Color"), qt.Equals, "red")
 	c.Assert(request.Header.Get(DelegationHeader), qt.Not(qt.Equals), "")
 	c.Assert(request.Header.Get("User-Agent"), qt.Equals, "")
-	// The pass ends with the request.
-	_, known := b.serving.LookupDelegation(request.Header.Get(DelegationHeader))
+	// The delegation token becomes invalid when the request ends.
+	_, known := fixture.serving.LookupDelegation(request.Header.Get(DelegationHeader))
 	c.Assert(known, qt.IsFalse)
 }
 
-// An address taken over by a process that has not announced itself gets nothing.
-func TestTakenOverAddressGetsNothing(t *testing.T) {
+// A process that takes over the address of an upstream and has not announced itself gets no requests.
+func TestReusedAddressGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
-	members, elders := goroutine.New(), goroutine.New()
-	defer members.Stop(0)
-	old := newScripted(c, elders, "127.0.0.1:0", func(int64) string { return good })
-	address := old.listener.Addr().String()
-	b := newBench(c, members, address)
-	c.Assert(b.request(c, "a", http.MethodPost).Kind, qt.Equals, message.Completed)
-	// The old process ends: its listener and every connection of it close.
-	old.listener.Close()
-	b.caller.pool.lock.Lock()
-	for _, list := range b.caller.pool.idle {
+	goroutines, ownerGoroutines := goroutine.New(), goroutine.New()
+	defer goroutines.Stop(0)
+	previousOwner := newScriptedUpstream(c, ownerGoroutines, "127.0.0.1:0", func(int64) string { return okResponse })
+	address := previousOwner.listener.Addr().String()
+	fixture := newClientFixture(c, goroutines, address)
+	c.Assert(fixture.request(c, "a", http.MethodPost).Kind, qt.Equals, message.Completed)
+	// The previous owner exits: its listener and all of its connections close.
+	previousOwner.listener.Close()
+	fixture.client.pool.lock.Lock()
+	for _, list := range fixture.client.pool.idle {
 		for _, connection := range list {
 			connection.conn.Close()
 		}
 	}
-	b.caller.pool.lock.Unlock()
-	b.caller.guards.lock.Lock()
-	for _, guard := range b.caller.guards.guards {
+	fixture.client.pool.lock.Unlock()
+	fixture.client.guards.lock.Lock()
+	for _, guard := range fixture.client.guards.guards {
 		guard.conn.(*net.TCPConn).CloseRead()
 	}
-	b.caller.guards.lock.Unlock()
-	heir := newScripted(c, members, address, func(int64) string { return good })
-	outcome := b.request(c, "b", http.MethodPost)
+	fixture.client.guards.lock.Unlock()
+	newOwner := newScriptedUpstream(c, goroutines, address, func(int64) string { return okResponse })
+	outcome := fixture.request(c, "b", http.MethodPost)
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
-	c.Assert(heir.reads.Load(), qt.Equals, int64(0))
+	c.Assert(newOwner.requestCount.Load(), qt.Equals, int64(0))
 }
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -10,27 +10,29 @@
 	"beaconvane/internal/safeguard"
 )
 
-// Dialer makes a connection to an address, until a deadline at the latest.
+// Dialer connects to an address. It fails when the deadline passes.
 type Dialer func(address string, deadline time.Time) (net.Conn, error)
 
-// upstreamConnection is a connection to an upstream, on which at most one request is out.
+// upstreamConnection is a connection to an upstream, with at most one outstanding request.
 type upstreamConnection struct {
 	conn      net.Conn
 	responses *ResponseReader
 	idleSince time.Duration
-	keepAlive time.Duration // how long the upstream lets it idle; 0: not told
+	keepAlive time.Duration // idle time that the upstream allows; 0 if not sent
 }
 
-// close ends the connection. An error says no more than that it had ended already.
+// close closes the connection. The error is ignored, since it only means that the connection was
+// already closed.
 func (c *upstreamConnection) close() { _ = c.conn.Close() }
 
-// peekable is a connection that knows by itself whether something has come on it.
-type peekable interface {
+// quietReporter is a connection that is not a socket and reports itself whether it is quiet, such as a
+// simulated one.
+type quietReporter interface {
 	Quiet() bool
 }
 
-// isQuiet reports whether nothing waits to be read and the other side has not closed. What comes
-// before a request is sent can't be its answer.
+// isQuiet reports whether there are no unread bytes and the peer has not closed the connection. Bytes
+// that arrive before a request is sent can't be its response.
 func (c *upstreamConnection) isQuiet() bool {
 	if !safeguard.QuietConnection.On() {
 		return true
@@ -38,14 +40,14 @@
 	if c.responses.reader.Buffered() > 0 {
 		return false
 	}
-	if peek, knows := c.conn.(peekable); knows {
-		return peek.Quiet()
+	if reporter, canReport := c.conn.(quietReporter); canReport {
+		return reporter.Quiet()
 	}
 	raw, isRaw := c.conn.(syscall.Conn)
 	return isRaw && isSocketQuiet(raw)
 }
 
-// isSocketQuiet looks at a socket without reading from it.
+// isSocketQuiet peeks at a socket without consuming bytes. It reports false on any error.
 func isSocketQuiet(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -53,21 +55,21 @@
 	}
 	quiet := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		size, _, err := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buffer [1]byte
+		size, _, err := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = size < 0 && (errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK))
 		return true
 	})
 	return err == nil && quiet
 }
 
-// dialTCP is the Dialer of a real process.
+// dialTCP is the default Dialer.
 func (c *UpstreamClient) dialTCP(address string, deadline time.Time) (net.Conn, error) {
 	dialer := net.Dialer{Deadline: deadline, Timeout: c.settings.DialTimeout()}
 	return dialer.DialContext(c.goroutines.Context, "tcp", address)
 }
 
-// dial makes a connection to a target, whoever may stand at its address.
+// dial connects to the address of a target. It does not verify which process owns the address.
 func (c *UpstreamClient) dial(target Target, deadline time.Time) (*upstreamConnection, error) {
 	conn, err := c.dialer(target.Address, deadline)
 	if err != nil {
@@ -76,8 +78,8 @@
 	return &upstreamConnection{conn: conn, responses: NewResponseReader(conn)}, nil
 }
 
-// dialProven makes a connection that is proven to reach the target: both before and after the dial
-// the target has given a sign of life a moment ago.
+// dialProven opens a connection that is proven to reach the target: Dialable must hold both before and
+// after the dial.
 func (c *UpstreamClient) dialProven(target Target, deadline time.Time) (*upstreamConnection, errcode.Code) {
 	if !c.serving.Dialable(c.goroutines.Now(), target) {
 		return nil, errcode.BusyUnproven
@@ -86,8 +88,8 @@
 	if err != nil {
 		return nil, errcode.BusyUpstreamGone
 	}
-	if !c.serving.Dialable(c.goroutines.Now(), target) || !c.guards.stands(target) {
-		// Ended, moved or no longer proven while the connection was being made: nothing is sent on it.
+	if !c.serving.Dialable(c.goroutines.Now(), target) || !c.guards.isIntact(target) {
+		// The registration ended or changed, or the proof expired, during the dial.
 		connection.close()
 		return nil, errcode.BusyUnproven
 	}
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -1,14 +1,16 @@
-// Package backend is the serving side of a proxy's traffic: the proxy beside an upstream keeps the
-// facts of it, which are its slots, whether it leaves, and what became of each attempt.
+// Package backend implements the serving side of a proxy. It admits requests to the upstreams that
+// announce themselves to this proxy, and tracks their registrations, slots and drain states and the
+// outcome of each attempt.
 //
-// The Backend decides, under one short lock and with the time given to it, so that the simulator
-// runs it as it stands. The UpstreamClient carries out its decisions to start: it keeps the
-// connections to upstreams and makes the exchanges on them. A ResponseMatcher finds, in what an
-// upstream sends, the answer to one request.
+// Backend makes the decisions. It does no I/O, receives the current time as a parameter and holds
+// one mutex briefly, so that the simulator runs the same code. UpstreamClient executes the decisions
+// to start: it maintains connections to upstreams and sends requests on them. ResponseMatcher
+// identifies the response to a request in the bytes that an upstream sends.
 //
-// A registration is bound to address, service and incarnation. Another announcement from its
-// address ends it at once. After a broken connection nothing is dialled until a heartbeat of the
-// same incarnation that is newer than the break, and without a heartbeat within its bound nothing
-// is started. The outcome of each attempt is kept for a while, and asking for an attempt never
-// seen bars it from starting later (docs/request-safety.md).
+// A registration is bound to an address, a service and an incarnation. An announcement of another
+// upstream at its address ends it immediately. After a connection loss nothing is dialled until a
+// heartbeat of the same incarnation arrives that is newer than the loss, and no request starts when
+// the last heartbeat is older than its timeout. The outcome of each attempt is retained for a limited
+// time, and querying the outcome of an unknown attempt bars that attempt from starting later
+// (docs/request-safety.md).
 package backend
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -12,7 +12,7 @@
 	"beaconvane/internal/message"
 )
 
-// Headers that the mesh sets itself towards an upstream.
+// Headers that the mesh sets in requests to an upstream.
 const (
 	TenantHeader     = "X-Tenant"
 	CallerHeader     = "X-Calling-Service"
@@ -20,21 +20,20 @@
 	RequestHeader    = "X-Request-Id"
 )
 
-// exchange sends a request once and reads one whole answer. The standard library's Transport is
-// not used, since it sends some requests a second time by itself. It reports whether the
-// connection may carry another request.
+// exchange sends a request once and reads one complete response. It does not use http.Transport, which
+// resends some requests on its own. reusable reports whether the connection may carry another request.
 func (c *UpstreamClient) exchange(
 	connection *upstreamConnection,
 	decision Decision,
 	deadline time.Time,
 ) (outcome message.Outcome, reusable bool, err error) {
-	request, text, code := c.encodeRequest(decision, deadline)
+	request, encoded, code := c.encodeRequest(decision, deadline)
 	if code != errcode.OK {
 		return notStarted(code), false, nil
 	}
-	// Fails only on a connection that has ended, on which writing fails too.
+	// SetDeadline fails only on a closed connection, on which the write below fails too.
 	_ = connection.conn.SetDeadline(deadline)
-	if _, err := connection.conn.Write(text); err != nil {
+	if _, err := connection.conn.Write(encoded); err != nil {
 		return message.Outcome{}, false, errcode.Wrap("backend.write", errcode.UnknownOutcome, err)
 	}
 	matcher := ResponseMatcher{
@@ -49,21 +48,21 @@
 	return matched.Outcome, matched.Keep, err
 }
 
-// encodeRequest builds a whole request before any of it is sent, so that what fails here never
-// went out.
+// encodeRequest encodes a complete request before any byte is sent, so that a request that fails here
+// is known not to have run.
 func (c *UpstreamClient) encodeRequest(decision Decision, deadline time.Time) (*http.Request, []byte, errcode.Code) {
 	request, err := c.newRequest(decision.Forward, decision.Target, deadline)
 	if err != nil {
 		return nil, nil, errcode.RequestBadPath
 	}
-	text := bytes.Buffer{}
-	if err := request.Write(&text); err != nil {
+	encoded := bytes.Buffer{}
+	if err := request.Write(&encoded); err != nil {
 		return nil, nil, errcode.RequestUnreadable
 	}
-	return request, text.Bytes(), errcode.OK
+	return request, encoded.Bytes(), errcode.OK
 }
 
-// newRequest builds the request that goes to the upstream.
+// newRequest returns the HTTP request to an upstream for a forwarded request.
 func (c *UpstreamClient) newRequest(forward message.Forward, target Target, deadline time.Time) (*http.Request, error) {
 	path, err := url.PathUnescape(forward.Path)
 	if err != nil {
@@ -82,15 +81,15 @@
 	for _, line := range forward.Headers {
 		request.Header.Add(line.Name, line.Value)
 	}
-	if _, given := request.Header["User-Agent"]; !given {
-		// Keeps net/http from sending its own.
+	if _, present := request.Header["User-Agent"]; !present {
+		// Keeps net/http from adding its default User-Agent.
 		request.Header.Set("User-Agent", "")
 	}
 	if forward.Host != "" {
 		request.Host = forward.Host
 	}
 	if c.settings.ProofByTarget() && len(forward.Path) > 1 && forward.Path[1] != '/' {
-		// The path as it came, to the byte.
+		// Sends the path byte for byte as it was received.
 		request.URL.Opaque = forward.Path
 	}
 	c.protocol.SetHeaders(request.Header, forward, target, time.Until(deadline))
@@ -100,8 +99,8 @@
 	return request.WithContext(context.Background()), nil
 }
 
-// HopByHopHeaders returns the names of headers that end at this hop: the standard ones, and those
-// that the Connection header lists.
+// HopByHopHeaders returns the canonical names of the headers that must not be forwarded: the standard
+// hop-by-hop headers and those that the Connection header lists.
 func HopByHopHeaders(header http.Header) map[string]bool {
 	names := map[string]bool{
 		"Connection":          true,
--- a/internal/backend/guard.go
+++ b/internal/backend/guard.go
@@ -7,9 +7,9 @@
 	"beaconvane/internal/goroutine"
 )
 
-// guardConnections keeps one connection to each upstream that carries nothing. A connection to a
-// machine that has gone is reset by the new owner of its address, so a guard that breaks says that
-// the upstream may not be there any more: nothing is dialled until a newer heartbeat.
+// guardConnections keeps one connection to each upstream that carries no requests. When another machine
+// takes over an upstream's address, it resets such a connection, so the loss of a guard connection
+// means that the upstream may no longer own its address. Nothing is dialled then until a newer heartbeat.
 type guardConnections struct {
 	backend    *Backend
 	goroutines *goroutine.Group
@@ -22,19 +22,20 @@
 	return &guardConnections{backend: serving, goroutines: goroutines, guards: map[Target]*upstreamConnection{}}
 }
 
-// replace sets the guard of a target and closes the one before.
+// replace sets the guard connection of a target and closes the previous one.
 func (g *guardConnections) replace(target Target, guard *upstreamConnection) {
 	g.lock.Lock()
-	former := g.guards[target]
+	previous := g.guards[target]
 	g.guards[target] = guard
 	g.lock.Unlock()
-	if former != nil {
-		former.close()
+	if previous != nil {
+		previous.close()
 	}
 }
 
-// stands reports whether the guard of a target stands.
-func (g *guardConnections) stands(target Target) bool {
+// isIntact reports whether a target has a guard connection and the peer has not closed it or sent
+// bytes on it. Otherwise it closes the connection and records its loss.
+func (g *guardConnections) isIntact(target Target) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	key := poolKey(target)
@@ -48,7 +49,8 @@
 	return false
 }
 
-// sweep looks at every guard, and closes those that broke or whose target has ended.
+// sweep closes guard connections that were lost, and records the loss, and those whose target is no
+// longer registered.
 func (g *guardConnections) sweep(now time.Duration) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
--- a/internal/backend/heartbeats_test.go
+++ b/internal/backend/heartbeats_test.go
@@ -1,4 +1,4 @@
-// The order in which a serving proxy hears things, where upstreams number what they say.
+// Tests of the order of requests in the queue and of announcements that arrive out of order.
 package backend
 
 import (
@@ -12,85 +12,87 @@
 	"beaconvane/internal/settings"
 )
 
-func numbered(number int64, alter func(response *Announcement)) Announcement {
-	announcement := response("one", "a:1", 5)
-	announcement.Sequence = number
+// announcementWithSequence returns an announcement of incarnation 5 with a sequence number. alter may be
+// nil.
+func announcementWithSequence(sequence int64, alter func(announcement *Announcement)) Announcement {
+	announcement := announcementOf("one", "a:1", 5)
+	announcement.Sequence = sequence
 	if alter != nil {
 		alter(&announcement)
 	}
 	return announcement
 }
 
-// Pending requests start by priority, among equals in their order, and the last one has
-// to go when there is no room.
-func TestQueueGoesByPriority(t *testing.T) {
+// Queued requests start in order of priority, and in order of arrival within a priority. When the queue
+// is full, its last request is refused.
+func TestQueueOrderedByPriority(t *testing.T) {
 	c := qt.New(t)
 	serving := newServingProxy(c)
-	forwarded := func(id string, priority int64) []Decision {
+	submit := func(id string, priority int64) []Decision {
 		forward := forwardOf(id, "one", 5)
 		forward.Priority = priority
 		return serving.HandleForward(time.Second, forward)
 	}
-	running := append(forwarded("a", 9), forwarded("b", 9)...)
+	running := append(submit("a", 9), submit("b", 9)...)
 	c.Assert(codes(running), qt.DeepEquals, []errcode.Code{errcode.OK, errcode.OK})
-	c.Assert(forwarded("low", 5), qt.HasLen, 0)
-	c.Assert(forwarded("mid", 3), qt.HasLen, 0)
-	write := forwarded("mid too", 3)
-	c.Assert(codes(write), qt.DeepEquals, []errcode.Code{errcode.BusySlotsFull})
-	c.Assert(write[0].Forward.ID, qt.Equals, "low")
-	write = forwarded("high", 0)
-	c.Assert(codes(write), qt.DeepEquals, []errcode.Code{errcode.BusySlotsFull})
-	c.Assert(write[0].Forward.ID, qt.Equals, "mid too")
+	c.Assert(submit("low", 5), qt.HasLen, 0)
+	c.Assert(submit("mid", 3), qt.HasLen, 0)
+	overflow := submit("mid too", 3)
+	c.Assert(codes(overflow), qt.DeepEquals, []errcode.Code{errcode.BusySlotsFull})
+	c.Assert(overflow[0].Forward.ID, qt.Equals, "low")
+	overflow = submit("high", 0)
+	c.Assert(codes(overflow), qt.DeepEquals, []errcode.Code{errcode.BusySlotsFull})
+	c.Assert(overflow[0].Forward.ID, qt.Equals, "mid too")
 	started := []string{}
-	for _, order := range running {
-		_, next := serving.Complete(time.Second, order, message.Outcome{Kind: message.Completed})
+	for _, decision := range running {
+		_, next := serving.Complete(time.Second, decision, message.Outcome{Kind: message.Completed})
 		c.Assert(next, qt.HasLen, 1)
 		started = append(started, next[0].Forward.ID)
 	}
 	c.Assert(started, qt.DeepEquals, []string{"high", "mid"})
-	// One put out had not begun, so it may be carried here again.
+	// A request that was refused by overflow has not started.
 	c.Assert(serving.Outcome(time.Second, "low").Kind, qt.Equals, message.NotStarted)
 }
 
-// A heartbeat behind a newer one alters nothing: neither address nor slots nor state, and it
-// is no sign of life.
+// A heartbeat that arrives after one with a higher sequence number changes neither address nor slots nor
+// state, and does not renew the proof of the address.
 func TestLateHeartbeatAltersNothing(t *testing.T) {
 	c := qt.New(t)
 	serving := New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
-	serving.Announce(0, numbered(7, nil))
-	accepted, endings, decisions := serving.Announce(time.Second, numbered(6, func(announcement *Announcement) {
+	serving.Announce(0, announcementWithSequence(7, nil))
+	accepted, ended, decisions := serving.Announce(time.Second, announcementWithSequence(6, func(announcement *Announcement) {
 		announcement.Draining, announcement.Slots, announcement.Address = true, 50, "a:2"
 	}))
 	c.Assert(accepted, qt.IsTrue)
-	c.Assert(endings, qt.HasLen, 0)
+	c.Assert(ended, qt.HasLen, 0)
 	c.Assert(decisions, qt.HasLen, 0)
 	registered, _ := serving.Lookup("pay", "one")
-	c.Assert(registered, qt.DeepEquals, numbered(7, nil))
+	c.Assert(registered, qt.DeepEquals, announcementWithSequence(7, nil))
 	c.Assert(serving.Dialable(settings.Default().AddressProofTTL()+1, Target{Key: "pay/one", Address: "a:1", Incarnation: 5}), qt.IsFalse)
 	c.Assert(codes(serving.HandleForward(time.Second, forwardOf("a", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.OK})
-	// A later life counts anew; what numbers nothing is taken as it comes.
-	serving.Announce(time.Second, numbered(1, func(announcement *Announcement) { announcement.Incarnation = 6 }))
+	// A new incarnation starts its own sequence.
+	serving.Announce(time.Second, announcementWithSequence(1, func(announcement *Announcement) { announcement.Incarnation = 6 }))
 	registered, _ = serving.Lookup("pay", "one")
 	c.Assert(registered.Incarnation, qt.Equals, int64(6))
 }
 
-// Whoever has been dismissed never comes back under that name, before its memory is
-// over, whatever is still on its way; another name at its address does.
+// Announcements of a retired instance are ignored until ForgetAfter has passed, whatever their sequence
+// number and incarnation. Another instance at its address may register.
 func TestDismissedNeverComesBack(t *testing.T) {
 	c := qt.New(t)
 	serving := New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
-	serving.Announce(0, numbered(7, nil))
+	serving.Announce(0, announcementWithSequence(7, nil))
 	serving.HandleForward(0, forwardOf("a", "one", 5))
 	serving.HandleForward(0, forwardOf("b", "one", 5))
 	serving.HandleForward(0, forwardOf("c", "one", 5))
-	ending, found, decisions := serving.RetireInstance(time.Second, "one")
+	retired, found, decisions := serving.RetireInstance(time.Second, "one")
 	c.Assert(found, qt.IsTrue)
-	c.Assert(ending.Service, qt.Equals, "pay")
+	c.Assert(retired.Service, qt.Equals, "pay")
 	c.Assert(codes(decisions), qt.DeepEquals, []errcode.Code{errcode.BusyLeaving})
 	for number := int64(6); number < 10; number++ {
 		accepted, _, _ := serving.Announce(
 			2*time.Second,
-			numbered(number, func(announcement *Announcement) { announcement.Incarnation = number }),
+			announcementWithSequence(number, func(announcement *Announcement) { announcement.Incarnation = number }),
 		)
 		c.Assert(accepted, qt.IsTrue)
 		c.Assert(serving.HasInstance("one"), qt.IsFalse)
@@ -98,10 +100,10 @@
 	c.Assert(codes(serving.HandleForward(2*time.Second, forwardOf("d", "one", 5))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
 	_, found, _ = serving.RetireInstance(2*time.Second, "one")
 	c.Assert(found, qt.IsFalse)
-	// One that was never heard of here may not come after its last word either.
-	serving.RetireInstance(2*time.Second, "unheard")
-	serving.Announce(2*time.Second, response("unheard", "a:3", 1))
-	c.Assert(serving.HasInstance("unheard"), qt.IsFalse)
-	serving.Announce(2*time.Second, response("two", "a:1", 1))
+	// Retiring an instance that has not announced itself here also bars its delayed announcements.
+	serving.RetireInstance(2*time.Second, "unregistered")
+	serving.Announce(2*time.Second, announcementOf("unregistered", "a:3", 1))
+	c.Assert(serving.HasInstance("unregistered"), qt.IsFalse)
+	serving.Announce(2*time.Second, announcementOf("two", "a:1", 1))
 	c.Assert(serving.HasInstance("two"), qt.IsTrue)
 }
--- a/internal/backend/liveness.go
+++ b/internal/backend/liveness.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// maxWarmConnections bounds the connections that are kept ready for one upstream.
+// maxWarmConnections limits the connections that are opened in advance for one upstream.
 const maxWarmConnections = 16
 
-// lookupTarget returns the upstream that a target names, and whether it is still registered as it
-// was.
+// lookupTarget returns the upstream with the key of a target, and whether its incarnation and address
+// are those of the target.
 func (b *Backend) lookupTarget(target Target) (registered *upstream, same bool) {
 	registered, known := b.upstreams[target.Key]
 	if !known {
@@ -17,7 +17,7 @@
 	return registered, registered.announcement.Incarnation == target.Incarnation && registered.announcement.Address == target.Address
 }
 
-// IsRegistered reports whether the target is still registered as it was.
+// IsRegistered reports whether the target is registered with the same incarnation and address.
 func (b *Backend) IsRegistered(target Target) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -25,8 +25,9 @@
 	return same
 }
 
-// ConnectionsUsable reports whether the target is still what it was, so that connections which
-// were proven to reach it serve on.
+// ConnectionsUsable reports whether existing proven connections to the target may be used: it is still
+// registered with the same incarnation and address, no connection was lost since its last heartbeat,
+// and that heartbeat is within ServingProxyTimeout.
 func (b *Backend) ConnectionsUsable(now time.Duration, target Target) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -34,8 +35,9 @@
 	return same && !registered.broken && now-registered.announcedAt <= b.settings.ServingProxyTimeout()
 }
 
-// Dialable reports, before and after a dial, whether a new connection is proven to reach the
-// target. It gave a sign of life a moment ago, so nobody else can be at its address yet.
+// Dialable reports whether a connection that is established now is proven to reach the target: its
+// last announcement or response is within AddressProofTTL, so no other process can own its address
+// yet. It must hold both before and after a dial.
 func (b *Backend) Dialable(now time.Duration, target Target) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -43,7 +45,7 @@
 	return same && !registered.broken && now-registered.lastSeenAt <= b.settings.AddressProofTTL()
 }
 
-// RecordActivity notes bytes that came on a proven connection to the target.
+// RecordActivity records that a response arrived on a proven connection to the target.
 func (b *Backend) RecordActivity(now time.Duration, target Target) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -52,18 +54,19 @@
 	}
 }
 
-// InvalidateProof notes that a connection to the target broke with a request on it. No new connection
-// is proven until the next sign of life, but the guard and the connections that stand still are.
+// InvalidateProof records that a connection to the target was lost with a request on it. New
+// connections are unproven until the next announcement or response; the guard connection and existing
+// connections remain proven.
 func (b *Backend) InvalidateProof(target Target) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if registered, same := b.lookupTarget(target); same {
-		registered.lastSeenAt = never
+		registered.lastSeenAt = distantPast
 	}
 }
 
-// RecordConnectionLoss notes a refused, reset or closed connection. Nothing is dialled until a newer
-// heartbeat.
+// RecordConnectionLoss records a refused, reset or closed connection. Nothing is dialled until a newer
+// heartbeat or, with proof "target", until AddressProofTTL has passed.
 func (b *Backend) RecordConnectionLoss(now time.Duration, target Target) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -73,7 +76,8 @@
 	}
 }
 
-// WarmConnections is how many proven connections are kept ready for a target.
+// WarmConnections returns the number of proven connections to keep open in advance for a target: half
+// its slots, at least one and at most maxWarmConnections.
 func (b *Backend) WarmConnections(target Target) int {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/backend/matcher.go
+++ b/internal/backend/matcher.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net/http"
 
 	"beaconvane/internal/errcode"
@@ -9,39 +10,39 @@
 	"beaconvane/internal/safeguard"
 )
 
-// maxSkippedResponses is how many answers to other requests are passed over on a connection.
+// maxSkippedResponses limits the consecutive responses to other requests on a connection.
 const maxSkippedResponses = 3
 
-// Why what came on a connection is not the answer to a request.
+// Causes for which received bytes are not accepted as the response to a request.
 var (
-	errOtherRequestsOnly = errors.New("answers to other requests only")
-	errNoRequestName     = errors.New("an answer that names no request")
-	errBytesBehind       = errors.New("bytes behind the answer")
-	errNotOwnAnswer      = errors.New("not the upstream's own whole answer")
+	errOnlyOtherResponses = fmt.Errorf("%d consecutive responses belong to other requests", maxSkippedResponses)
+	errMissingRequestName = errors.New("response does not name the request that it answers")
+	errTrailingBytes      = errors.New("unexpected bytes after the response")
+	errNotFromUpstream    = errors.New("response is not a complete response of the expected upstream")
 )
 
-// ResponseMatcher finds, in what an upstream sends on a connection, the answer to one request. One
-// request is out on a connection at a time, so the next whole answer should be its own; but an
-// upstream in trouble speaks twice, late, or in part. Each answer is therefore one of few things
-// (docs/request-safety.md, "At the upstream"): this request's own whole answer, the word that it
-// did not run, another's answer, or nothing to rely on. Of the last it is never concluded that the
-// request did not run.
+// ResponseMatcher identifies the response to one request in the bytes that an upstream sends on a
+// connection. Only one request is outstanding on a connection, so the next complete response should
+// belong to it, but a faulty upstream may send duplicate, late or incomplete responses. Each response is
+// therefore classified (docs/request-safety.md, "At the upstream") as the complete response to this
+// request, a refusal that states that the request did not run, a response to another request, or
+// unreliable. An unreliable response is never taken as evidence that the request did not run.
 type ResponseMatcher struct {
 	Protocol       Protocol
 	Forward        message.Forward
 	Target         Target
-	NamedResponses bool // upstreams name the request that they answer
+	NamedResponses bool // responses name the request that they answer
 	request        *http.Request
 }
 
-// MatchedResponse is what was found. The outcome bears no id yet.
+// MatchedResponse is the response to a request. The id of its outcome is not set.
 type MatchedResponse struct {
 	Outcome  message.Outcome
 	Metadata ResponseMetadata
-	Keep     bool // the connection may carry another request
+	Keep     bool // the connection may be reused
 }
 
-// Read returns this request's own answer, or an error where nobody knows whether it ran.
+// Read returns the response to the request. On an error it is unknown whether the request ran.
 func (m ResponseMatcher) Read(responses *ResponseReader) (MatchedResponse, error) {
 	for range maxSkippedResponses {
 		responses.limit.N = m.Forward.MaxResponseBytes + maxHeadBytes
@@ -50,10 +51,10 @@
 			return matched, err
 		}
 	}
-	return MatchedResponse{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errOtherRequestsOnly)
+	return MatchedResponse{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errOnlyOtherResponses)
 }
 
-// readNext reads one answer whole, and says whose it is and what it means.
+// readNext reads and classifies one complete response.
 func (m ResponseMatcher) readNext(responses *ResponseReader) (MatchedResponse, error) {
 	response, body, err := m.readWhole(responses) //nolint:bodyclose // readWhole closes it
 	if err != nil {
@@ -66,37 +67,37 @@
 	matched.Metadata.OtherRequest = false
 	if m.lacksName(response) && safeguard.AnswerWithoutName.On() {
 		if response.StatusCode < http.StatusMultipleChoices {
-			// A stray one: the own answer, which bears the name, may come behind it.
+			// A stray response: the response that names this request may follow.
 			matched.Metadata.OtherRequest = true
 			return matched, nil
 		}
-		return MatchedResponse{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errNoRequestName)
+		return MatchedResponse{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errMissingRequestName)
 	}
-	bytesBehind := responses.reader.Buffered() > 0 && safeguard.BytesBehind.On()
-	if bytesBehind && !m.NamedResponses {
-		// Without a name in the answer nobody can say which of the two is this one's.
-		return MatchedResponse{}, errcode.Wrap("backend.body", errcode.AnswerMalformed, errBytesBehind)
+	hasTrailingBytes := responses.reader.Buffered() > 0 && safeguard.BytesBehind.On()
+	if hasTrailingBytes && !m.NamedResponses {
+		// Without request names it is undecidable which of the two responses belongs to this request.
+		return MatchedResponse{}, errcode.Wrap("backend.body", errcode.AnswerMalformed, errTrailingBytes)
 	}
-	matched.Keep = !response.Close && !bytesBehind
+	matched.Keep = !response.Close && !hasTrailingBytes
 	switch {
 	case matched.Metadata.Refusal != errcode.OK:
 		matched.Outcome = message.Outcome{Kind: message.NotStarted, Code: int64(matched.Metadata.Refusal), ReachedUpstream: true}
 		return matched, nil
 	case matched.Metadata.Corrupt, matched.Metadata.AmbiguousRefusal && safeguard.HiddenPromise.On():
-		return MatchedResponse{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errNotOwnAnswer)
+		return MatchedResponse{}, errcode.Wrap("backend.head", errcode.AnswerMalformed, errNotFromUpstream)
 	}
-	matched.Outcome = answeredOutcome(response, body, matched.Metadata)
+	matched.Outcome = completedOutcome(response, body, matched.Metadata)
 	return matched, nil
 }
 
-// lacksName reports whether an answer names no request although every answer of this protocol does.
+// lacksName reports whether a response names no request although every response of the protocol must.
 func (m ResponseMatcher) lacksName(response *http.Response) bool {
-	namer, names := m.Protocol.(RequestNamer)
-	return names && m.Forward.AttemptName != "" && namer.RequestName(response) == ""
+	namer, supportsNames := m.Protocol.(RequestNamer)
+	return supportsNames && m.Forward.AttemptName != "" && namer.RequestName(response) == ""
 }
 
-// answeredOutcome is the upstream's whole answer, without the headers that end at this hop.
-func answeredOutcome(response *http.Response, body []byte, metadata ResponseMetadata) message.Outcome {
+// completedOutcome returns the outcome for a complete response, without its hop-by-hop headers.
+func completedOutcome(response *http.Response, body []byte, metadata ResponseMetadata) message.Outcome {
 	outcome := message.Outcome{
 		Kind:    message.Completed,
 		Status:  int64(response.StatusCode),
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -8,11 +8,12 @@
 	"beaconvane/internal/settings"
 )
 
-// maxIdleConnections bounds the connections that are kept for one target.
+// maxIdleConnections limits the idle connections to one target.
 const maxIdleConnections = 32
 
 // connectionPool keeps idle connections to targets. A connection belongs to one incarnation at one
-// address, is looked at before it is used again, and is closed long before the heartbeat bound.
+// address, is checked for unread bytes and closure before reuse, and is closed well before the
+// heartbeat timeout.
 type connectionPool struct {
 	settings   settings.Settings
 	serving    *Backend
@@ -26,13 +27,13 @@
 	return &connectionPool{settings: cfg, serving: serving, goroutines: goroutines, idle: map[Target][]*upstreamConnection{}}
 }
 
-// poolKey is a target as connections know it: without the token of a request.
+// poolKey returns the target without its delegation token, which differs between requests.
 func poolKey(target Target) Target {
 	target.DelegationToken = ""
 	return target
 }
 
-// acquire takes an idle connection that may still be used, or returns nil.
+// acquire removes a reusable idle connection from the pool and returns it, or nil if there is none.
 func (p *connectionPool) acquire(target Target) *upstreamConnection {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -49,8 +50,8 @@
 	return nil
 }
 
-// release gives a connection back. It is closed where its target is no longer what it was, or
-// enough are kept.
+// release returns a connection to the pool. It closes the connection if the pool already holds
+// maxIdleConnections for the target or, except with proof "target", ConnectionsUsable no longer holds.
 func (p *connectionPool) release(target Target, connection *upstreamConnection) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -63,7 +64,7 @@
 	p.idle[key] = append(p.idle[key], connection)
 }
 
-// idleLimit is how long a connection may idle: less than the upstream allows.
+// idleLimit returns the longest idle time of a connection: at most half of what the upstream allows.
 func (p *connectionPool) idleLimit(connection *upstreamConnection) time.Duration {
 	if connection.keepAlive > 0 {
 		return min(p.settings.ConnectionIdle(), connection.keepAlive/2)
@@ -71,35 +72,35 @@
 	return p.settings.ConnectionIdle()
 }
 
-// size counts the idle connections to a target.
+// size returns the number of idle connections to a target.
 func (p *connectionPool) size(target Target) int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return len(p.idle[poolKey(target)])
 }
 
-// sweep closes connections that idled too long or whose target has ended.
+// sweep closes connections that exceed their idle limit or whose target is no longer usable.
 func (p *connectionPool) sweep(now time.Duration) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	for target, list := range p.idle {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, connection := range list {
 			if now-connection.idleSince < p.idleLimit(connection) && p.isUsable(now, target) {
-				kept = append(kept, connection)
+				remaining = append(remaining, connection)
 			} else {
 				connection.close()
 			}
 		}
-		p.idle[target] = kept
-		if len(kept) == 0 {
+		p.idle[target] = remaining
+		if len(remaining) == 0 {
 			delete(p.idle, target)
 		}
 	}
 }
 
-// isUsable reports whether connections to a target may be kept. Where upstreams prove themselves,
-// it is enough that the target is registered.
+// isUsable reports whether idle connections to a target may be kept. With proof "target" it suffices
+// that the target is registered.
 func (p *connectionPool) isUsable(now time.Duration, target Target) bool {
 	return p.serving.ConnectionsUsable(now, target) || p.settings.ProofByTarget() && p.serving.IsRegistered(target)
 }
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -8,37 +8,38 @@
 	"beaconvane/internal/message"
 )
 
-// ResponseMetadata is what an answer's head says besides its status.
+// ResponseMetadata is the information in a response head besides its status.
 type ResponseMetadata struct {
-	OtherRequest     bool          // it answers another request; this one's comes behind it
-	Refusal          errcode.Code  // not OK: the upstream did not begin, and why
-	Corrupt          bool          // it is not the upstream's own whole answer
-	AmbiguousRefusal bool          // its status promises that nothing ran, without the word that says so
-	HasLoad          bool          // the upstream told its load
+	OtherRequest     bool          // it answers another request; the response to this one may follow
+	Refusal          errcode.Code  // reason for which the upstream did not run the request; OK if it did not refuse
+	Corrupt          bool          // it is not a complete response of the expected upstream
+	AmbiguousRefusal bool          // its status suggests that nothing ran, but no header confirms it
+	HasLoad          bool          // the response reports the load
 	Load             [3]int64      // running, waiting, slots
-	KeepAlive        time.Duration // how long the connection may idle; 0: not told
+	KeepAlive        time.Duration // idle time that the upstream allows; 0 if not sent
 }
 
-// Protocol is how upstreams speak: what a request tells its upstream, and what an answer's head
-// says. NativeProtocol is the product's own; adapters bring others.
+// Protocol defines the headers exchanged with upstreams: those that the mesh sets in requests, and the
+// meaning of a response head. NativeProtocol is the default; adapters implement others.
 type Protocol interface {
-	// SetHeaders sets what the mesh tells an upstream, with the time that is left.
-	SetHeaders(header http.Header, forward message.Forward, target Target, left time.Duration)
+	// SetHeaders sets the headers of the mesh in a request. remaining is the time until its deadline.
+	SetHeaders(header http.Header, forward message.Forward, target Target, remaining time.Duration)
 
-	// Interpret reads the head of an answer that came where the answer to forward is due.
-	Interpret(answer *http.Response, forward message.Forward, target Target) ResponseMetadata
+	// Interpret evaluates the head of a response received while the response to forward is awaited.
+	Interpret(response *http.Response, forward message.Forward, target Target) ResponseMetadata
 }
 
-// RequestNamer is a Protocol in which every answer names the request that it answers. An answer
-// without a name is then nobody's.
+// RequestNamer is implemented by a Protocol in which every response names the request that it answers.
+// A response without a name then belongs to no request.
 type RequestNamer interface {
-	RequestName(answer *http.Response) string
+	// RequestName returns the name of the request that a response answers, or "" if it has none.
+	RequestName(response *http.Response) string
 }
 
-// NativeProtocol is the product's own way for upstreams to speak (docs/operators/requests.md).
+// NativeProtocol is the default protocol towards upstreams (docs/operators/requests.md).
 type NativeProtocol struct{}
 
-// SetHeaders names tenant, caller, delegation token and request.
+// SetHeaders sets the tenant, the calling service, the delegation token and the request id.
 func (NativeProtocol) SetHeaders(header http.Header, forward message.Forward, target Target, _ time.Duration) {
 	header.Set(TenantHeader, forward.Tenant)
 	header.Set(CallerHeader, forward.Caller)
@@ -46,7 +47,7 @@
 	header.Set(RequestHeader, forward.ID)
 }
 
-// Interpret finds nothing more in the head.
+// Interpret returns empty metadata: only the status of a native response has a meaning.
 func (NativeProtocol) Interpret(*http.Response, message.Forward, Target) ResponseMetadata {
 	return ResponseMetadata{}
 }
--- a/internal/backend/queue.go
+++ b/internal/backend/queue.go
@@ -8,22 +8,23 @@
 	"beaconvane/internal/message"
 )
 
-// latencyDivisor is the part by which one request moves the usual times.
+// latencyDivisor divides the weight of one sample in the moving averages of service times.
 const latencyDivisor = 16
 
 // queuedRequest is a request that waits for a slot.
 type queuedRequest struct {
 	forward       message.Forward
 	deadline      time.Duration
-	latencyTarget time.Duration // until when its answer has its full worth; 0: not told
+	latencyTarget time.Duration // time after which the response has less value; 0 if not set
 }
 
-// runningRequest is a request that an upstream works on.
+// runningRequest is a request that has started at an upstream and has not ended.
 type runningRequest struct {
-	once bool // it must not run twice, so it isn't broken off either
+	atMostOnce bool // it must not run twice; such a request isn't cancelled either
 }
 
-// enqueue puts a request behind those of its own priority and better.
+// enqueue inserts a request after the queued requests of the same or a better (numerically lower)
+// priority.
 func (u *upstream) enqueue(item queuedRequest) {
 	position := len(u.queue)
 	for position > 0 && u.queue[position-1].forward.Priority > item.forward.Priority {
@@ -32,11 +33,11 @@
 	u.queue = slices.Insert(u.queue, position, item)
 }
 
-// cannotMeetLatencyTarget reports whether a request would be answered after its aim, behind those that go
-// before it. A slot that it took would be wasted on it while others can still be in time.
+// cannotMeetLatencyTarget reports whether a request is expected to miss its latency target, given the
+// requests ahead of it in the queue. It would take a slot that another request could still use in time.
 func (u *upstream) cannotMeetLatencyTarget(now time.Duration, item queuedRequest) bool {
-	usual := u.routeLatency[item.forward.Route]
-	if item.latencyTarget == 0 || usual == 0 || int64(len(u.running)) < u.announcement.Slots {
+	typicalLatency := u.routeLatency[item.forward.Route]
+	if item.latencyTarget == 0 || typicalLatency == 0 || int64(len(u.running)) < u.announcement.Slots {
 		return false
 	}
 	ahead := 1
@@ -46,28 +47,28 @@
 		}
 	}
 	wait := u.meanLatency * time.Duration(ahead) / time.Duration(max(1, u.announcement.Slots))
-	return now+wait+usual > item.latencyTarget
+	return now+wait+typicalLatency > item.latencyTarget
 }
 
-// missesLatencyTarget reports whether a request has waited so long that even a quick answer would miss its
-// aim.
+// missesLatencyTarget reports whether a request has been queued for so long that it would miss its
+// latency target even in half the average time of its route.
 func (u *upstream) missesLatencyTarget(now time.Duration, item queuedRequest) bool {
 	return item.latencyTarget > 0 && now+u.routeLatency[item.forward.Route]/2 > item.latencyTarget
 }
 
-// observeLatency takes how long a request took.
-func (u *upstream) observeLatency(route string, took time.Duration) {
+// observeLatency adds the service time of a completed request to the moving averages.
+func (u *upstream) observeLatency(route string, latency time.Duration) {
 	if u.routeLatency[route] == 0 {
-		u.routeLatency[route] = took
+		u.routeLatency[route] = latency
 	}
 	if u.meanLatency == 0 {
-		u.meanLatency = took
+		u.meanLatency = latency
 	}
-	u.routeLatency[route] += (took - u.routeLatency[route]) / latencyDivisor
-	u.meanLatency += (took - u.meanLatency) / latencyDivisor
+	u.routeLatency[route] += (latency - u.routeLatency[route]) / latencyDivisor
+	u.meanLatency += (latency - u.meanLatency) / latencyDivisor
 }
 
-// refuseQueued refuses everything that waits for a slot.
+// refuseQueued empties the queue and refuses its requests with a code.
 func (u *upstream) refuseQueued(code errcode.Code) []Decision {
 	decisions := []Decision{}
 	for _, item := range u.queue {
@@ -77,33 +78,32 @@
 	return decisions
 }
 
-// refuseOverdue refuses what has waited past its deadline.
+// refuseOverdue removes the queued requests that are past their deadlines, and refuses them.
 func (u *upstream) refuseOverdue(now time.Duration) []Decision {
 	decisions := []Decision{}
-	kept := []queuedRequest{}
+	remaining := []queuedRequest{}
 	for _, item := range u.queue {
 		if now >= item.deadline {
 			decisions = append(decisions, refusal(item.forward, errcode.BusyDeadline))
 		} else {
-			kept = append(kept, item)
+			remaining = append(remaining, item)
 		}
 	}
-	u.queue = kept
+	u.queue = remaining
 	return decisions
 }
 
-// dropLingering frees the slots of ended requests that can no longer run.
+// dropLingering frees the slots held for ended requests that can no longer run.
 func (u *upstream) dropLingering(now time.Duration) {
 	u.lingering = slices.DeleteFunc(u.lingering, func(until time.Duration) bool { return now >= until })
 }
 
-// hasFreeSlot reports whether another request may start.
+// hasFreeSlot reports whether fewer slots are occupied or held than the upstream has.
 func (u *upstream) hasFreeSlot() bool {
 	return int64(len(u.running)+len(u.lingering)) < u.announcement.Slots
 }
 
-// startQueued starts waiting requests while slots are free, and refuses those of them that can't
-// be started any more.
+// startQueued starts queued requests while slots are free, and refuses those that may no longer start.
 func (b *Backend) startQueued(now time.Duration, registered *upstream) []Decision {
 	decisions := []Decision{}
 	registered.dropLingering(now)
@@ -119,7 +119,7 @@
 	return decisions
 }
 
-// checkQueued checks whether a request that was taken from the queue may be started.
+// checkQueued checks whether a request that was removed from the queue may start.
 func (b *Backend) checkQueued(now time.Duration, registered *upstream, item queuedRequest) errcode.Code {
 	switch {
 	case now >= item.deadline:
@@ -130,10 +130,10 @@
 	return b.checkForward(now, registered, true, item.forward)
 }
 
-// start takes a slot for a request.
+// start occupies a slot for a request, issues its delegation token and returns the decision to start.
 func (b *Backend) start(now time.Duration, registered *upstream, item queuedRequest) Decision {
 	forward := item.forward
-	registered.running[forward.ID] = runningRequest{once: forward.AtMostOnce}
+	registered.running[forward.ID] = runningRequest{atMostOnce: forward.AtMostOnce}
 	b.observeStart(forward.Retried, forward.AtMostOnce)
 	b.record(forward.ID, &attemptRecord{updatedAt: now, startedAt: now})
 	token := b.newToken()
@@ -144,5 +144,5 @@
 	return Decision{Forward: forward, Start: true, Target: target}
 }
 
-// target is the upstream as it is registered now.
+// target returns the current registration of the upstream, without a delegation token.
 func (u *upstream) target() Target { return u.announcement.target() }
--- a/internal/backend/records.go
+++ b/internal/backend/records.go
@@ -8,29 +8,30 @@
 	"beaconvane/internal/safeguard"
 )
 
-// maxRecordedBody is the largest answer kept for a proxy that lost its connection.
+// maxRecordedBody is the size in bytes of the largest response body that is retained for a proxy that
+// lost its connection.
 const maxRecordedBody = 64 << 10
 
 const (
-	// lingerDivisor makes, of a request's time, how long the slot of one whose upstream closed
-	// the connection stays taken: most likely the upstream has done with it.
+	// lingerDivisor divides RequestTimeout into the time for which the slot of a request is held after
+	// its upstream closed the connection. Most likely the upstream has finished the request.
 	lingerDivisor = 10
 
-	// targetLingerDivisor makes the same of AddressProofTTL, where upstreams were told how long a
-	// request has: that time is over, or the connection is.
+	// targetLingerDivisor divides AddressProofTTL into the same time for proof "target", where the
+	// upstream was sent the remaining time of the request: that time or the connection has ended.
 	targetLingerDivisor = 4
 )
 
-// attemptRecord is what became of an attempt, for a proxy that lost its connection and asks.
+// attemptRecord is the state of an attempt, which a proxy queries after it lost its connection.
 type attemptRecord struct {
 	outcome   message.Outcome
 	startedAt time.Duration
-	updatedAt time.Duration // its deadline, while it waits in the queue
+	updatedAt time.Duration // of a queued attempt: its deadline
 	done      bool
-	barred    bool // it never starts
+	barred    bool // it must never start
 }
 
-// record keeps what became of an attempt.
+// record adds or replaces the record of an attempt.
 func (b *Backend) record(id string, record *attemptRecord) {
 	if _, known := b.records[id]; !known {
 		b.recordOrder = append(b.recordOrder, id)
@@ -38,8 +39,9 @@
 	b.records[id] = record
 }
 
-// Complete ends a started or refused request: the outcome is kept, the slot is freed, and what may
-// start next comes back as decisions. It returns the outcome with what this side knows besides.
+// Complete ends a started or refused request: it records the outcome, frees the slot and returns the
+// decisions on queued requests that follow. It returns the outcome with its id, the service time and
+// the load of the upstream filled in.
 func (b *Backend) Complete(now time.Duration, decision Decision, outcome message.Outcome) (message.Outcome, []Decision) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -49,17 +51,17 @@
 	decisions := []Decision{}
 	if _, running := registered.findRunning(outcome.ID); running {
 		delete(registered.running, outcome.ID)
-		b.keepSlotTaken(now, registered, outcome)
+		b.holdSlot(now, registered, outcome)
 		decisions = b.startQueued(now, registered)
 	}
 	if known {
-		registered.report(&outcome)
+		registered.reportLoad(&outcome)
 	}
 	if record, seen := b.records[outcome.ID]; decision.Start && seen {
-		took := now - record.startedAt
-		outcome.ServiceTime = int64(took)
+		serviceTime := now - record.startedAt
+		outcome.ServiceTime = int64(serviceTime)
 		if known && outcome.Kind == message.Completed {
-			registered.observeLatency(decision.Forward.Route, took)
+			registered.observeLatency(decision.Forward.Route, serviceTime)
 		}
 	}
 	b.recordOutcome(now, decision, outcome)
@@ -67,21 +69,21 @@
 	return outcome, decisions
 }
 
-// keepSlotTaken keeps the slot of an ended request where the upstream may still be at work. A
-// request that ended without any answer may run on; one that was answered, be it with garbage,
-// has run.
-func (b *Backend) keepSlotTaken(now time.Duration, registered *upstream, outcome message.Outcome) {
+// holdSlot keeps the slot of an ended request occupied for a time if the upstream may still be working.
+// A request that ended without a response may still run; one with a response, even a malformed one, has
+// ended.
+func (b *Backend) holdSlot(now time.Duration, registered *upstream, outcome message.Outcome) {
 	code := errcode.Code(outcome.Code)
 	if outcome.Kind == message.OutcomeUnknown && code != errcode.AnswerMalformed && code != errcode.AnswerTooLarge {
 		registered.lingering = append(registered.lingering, now+b.lingerTime(code))
 	}
 	if outcome.Kind == message.NotStarted && outcome.ReachedUpstream && code == errcode.BusySlotsFull {
-		// It has work that this serving proxy does not know of.
+		// The upstream has requests that did not come from this serving proxy.
 		registered.lingering = append(registered.lingering, now+b.settings.AddressProofTTL())
 	}
 }
 
-// lingerTime is how long a request that ended without an answer may run on.
+// lingerTime returns the time for which a request that ended without a response may still run.
 func (b *Backend) lingerTime(code errcode.Code) time.Duration {
 	switch {
 	case b.settings.ProofByTarget():
@@ -92,8 +94,8 @@
 	return b.settings.RequestTimeout()
 }
 
-// report tells with an outcome how loaded the upstream is.
-func (u *upstream) report(outcome *message.Outcome) {
+// reportLoad sets the load of the upstream in an outcome.
+func (u *upstream) reportLoad(outcome *message.Outcome) {
 	outcome.Outstanding = int64(len(u.running) + len(u.queue))
 	outcome.Slots = u.announcement.Slots
 	if outcome.Load == 0 {
@@ -101,17 +103,17 @@
 	}
 }
 
-// recordOutcome keeps the outcome of a decision.
+// recordOutcome records the outcome of a decision.
 func (b *Backend) recordOutcome(now time.Duration, decision Decision, outcome message.Outcome) {
 	if !decision.Start {
 		if record, seen := b.records[outcome.ID]; !seen || !record.barred {
-			// A retry comes under an id of its own, so this one may be barred.
+			// A retry has an id of its own, so barring this one does not affect it.
 			b.record(outcome.ID, &attemptRecord{outcome: outcome, updatedAt: now, done: true, barred: true})
 		}
 		return
 	}
 	if len(outcome.Body) > maxRecordedBody {
-		// Too large to hold for the rare second asking: it then counts as lost.
+		// Too large to retain for the rare query: such a query reports the outcome as unknown.
 		outcome = unknownOutcome(outcome.ID)
 	}
 	b.record(outcome.ID, &attemptRecord{outcome: outcome, updatedAt: now, done: true})
@@ -120,17 +122,18 @@
 	}
 }
 
-// unknownOutcome is the outcome of an attempt that has run, and of which no more is known.
+// unknownOutcome returns the outcome of an attempt that may have run and whose response is not available.
 func unknownOutcome(id string) message.Outcome {
 	return message.Outcome{ID: id, Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}
 }
 
-// notStartedOutcome is the outcome of an attempt that has not started and never will.
+// notStartedOutcome returns the outcome of an attempt that has not started and is barred from starting.
 func notStartedOutcome(id string) message.Outcome {
 	return message.Outcome{ID: id, Kind: message.NotStarted, Code: int64(errcode.BusyServingProxyLost)}
 }
 
-// expireRecords drops answers, and later whole records, that are too old for anybody to ask for.
+// expireRecords removes response bodies after ResponseRetention, and records of ended attempts after
+// OutcomeRetention, when no proxy queries them any longer.
 func (b *Backend) expireRecords(now time.Duration) {
 	b.expireBodies(now)
 	for len(b.recordOrder) > 0 {
@@ -143,7 +146,8 @@
 	}
 }
 
-// expireBodies drops old answers. That their requests ran stays known.
+// expireBodies replaces the outcomes of old records by unknown outcomes without a body, so that the
+// requests remain known to have run.
 func (b *Backend) expireBodies(now time.Duration) {
 	for len(b.recordsWithBody) > 0 {
 		record, known := b.records[b.recordsWithBody[0]]
@@ -157,8 +161,8 @@
 	}
 }
 
-// Outcome answers a proxy that lost the connection on which it sent an attempt. An attempt never
-// seen is barred: it is answered as not started, since it never will be.
+// Outcome returns the outcome of an attempt to a proxy that lost the connection on which it sent it. An
+// unknown attempt is barred from starting later, so it is reported as not started.
 func (b *Backend) Outcome(now time.Duration, id string) message.Outcome {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -177,8 +181,8 @@
 	return message.Outcome{ID: id, Kind: message.StillRunning}
 }
 
-// findRunning returns a request that the upstream works on. It returns false where it doesn't, and
-// where there is no such upstream.
+// findRunning returns a running request of the upstream. It returns false if the request is not running
+// or the upstream is nil.
 func (u *upstream) findRunning(id string) (runningRequest, bool) {
 	if u == nil {
 		return runningRequest{}, false
@@ -187,15 +191,15 @@
 	return request, running
 }
 
-// Withdraw drops a request whose caller hung up, if it has not started. Where an upstream works on
-// it and it may be repeated, cancel says that the work may be broken off.
+// Withdraw refuses a queued request whose caller has disconnected. For a running request it returns no
+// decision; cancel then reports whether the request is repeatable, so that it may be cancelled.
 func (b *Backend) Withdraw(id string) (decisions []Decision, cancel bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	for _, key := range b.sortedKeys() {
 		registered := b.upstreams[key]
 		if request, running := registered.findRunning(id); running {
-			return nil, !request.once
+			return nil, !request.atMostOnce
 		}
 		for index, item := range registered.queue {
 			if item.forward.ID == id {
--- a/internal/backend/registration.go
+++ b/internal/backend/registration.go
@@ -7,13 +7,14 @@
 	"beaconvane/internal/message"
 )
 
-// Announce takes a heartbeat. It returns the registrations that it ended, and decisions on
-// requests that waited. It is not accepted when a higher incarnation is registered.
+// Announce processes a heartbeat. It returns the registrations of other upstreams that the heartbeat
+// ended, and decisions on queued requests. A heartbeat is not accepted if a higher incarnation of the
+// upstream is registered. A stale one is accepted and ignored.
 func (b *Backend) Announce(now time.Duration, announcement Announcement) (accepted bool, ended []Announcement, decisions []Decision) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	registered, known := b.upstreams[announcement.key()]
-	if b.isLate(announcement, registered) {
+	if b.isStale(announcement, registered) {
 		return true, nil, nil
 	}
 	if known && announcement.Incarnation < registered.announcement.Incarnation {
@@ -34,9 +35,9 @@
 	return true, ended, append(decisions, b.startQueued(now, registered)...)
 }
 
-// isLate reports whether an announcement comes behind its instance's retirement, or behind a newer
-// one of the same incarnation. It then alters nothing.
-func (b *Backend) isLate(announcement Announcement, registered *upstream) bool {
+// isStale reports whether an announcement arrives after the retirement of its instance, or after one of
+// the same incarnation with a higher sequence number. Such an announcement changes nothing.
+func (b *Backend) isStale(announcement Announcement, registered *upstream) bool {
 	if _, retired := b.retired[announcement.Instance]; retired {
 		return true
 	}
@@ -46,8 +47,8 @@
 }
 
 // endReplaced ends the registrations that an announcement replaces: an older incarnation or
-// another address of the same upstream, and any other upstream at its address. Those of other
-// upstreams are returned.
+// another address of the same upstream, and any other upstream at its address. Only the
+// registrations of other upstreams are returned.
 func (b *Backend) endReplaced(announcement Announcement) (ended []Announcement, decisions []Decision) {
 	for _, key := range b.sortedKeys() {
 		registered := b.upstreams[key]
@@ -64,6 +65,8 @@
 	return ended, decisions
 }
 
+// replaces reports whether an announcement ends an existing registration. sameUpstream tells whether
+// both have the same key.
 func replaces(announcement, registered Announcement, sameUpstream bool) bool {
 	sameAddress := announcement.Address == registered.Address
 	if sameUpstream {
@@ -72,7 +75,7 @@
 	return sameAddress
 }
 
-// register returns the upstream of a key, new if there is none.
+// register returns the upstream with a key, and adds it if there is none.
 func (b *Backend) register(key string) *upstream {
 	registered, known := b.upstreams[key]
 	if !known {
@@ -82,7 +85,7 @@
 	return registered
 }
 
-// Deregister ends a registration. It returns false when there is none of this incarnation here.
+// Deregister ends a registration. It returns false if this incarnation is not registered here.
 func (b *Backend) Deregister(service, instance string, incarnation int64) (found bool, decisions []Decision) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -95,9 +98,9 @@
 	return true, registered.refuseQueued(errcode.BusyLeaving)
 }
 
-// RetireInstance ends whatever an instance has registered here, and takes no announcement of its
-// name any more. It returns false when the instance was not registered.
-func (b *Backend) RetireInstance(now time.Duration, instance string) (former Announcement, found bool, decisions []Decision) {
+// RetireInstance ends the registration of an instance, and makes Announce ignore the instance until
+// ForgetAfter has passed. It returns false if the instance was not registered.
+func (b *Backend) RetireInstance(now time.Duration, instance string) (retired Announcement, found bool, decisions []Decision) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.retired[instance] = now
@@ -110,7 +113,7 @@
 	return Announcement{}, false, nil
 }
 
-// Lookup returns an upstream's announcement as it counts here.
+// Lookup returns the announcement that is in effect for an upstream.
 func (b *Backend) Lookup(service, instance string) (Announcement, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -133,8 +136,8 @@
 	return false
 }
 
-// UpdateRoster takes what the roster says of the upstreams here. One that told another proxy that
-// it leaves gets nothing more.
+// UpdateRoster applies the roster, given by service, to the upstreams registered here. An upstream that
+// announced to another proxy that it drains gets no further requests.
 func (b *Backend) UpdateRoster(upstreams map[string][]message.Registration) []Decision {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -142,7 +145,7 @@
 	for _, key := range b.sortedKeys() {
 		registered := b.upstreams[key]
 		for _, registration := range upstreams[registered.announcement.Service] {
-			if registered.isNewlyLeaving(key, registration) {
+			if registered.isNewlyDraining(key, registration) {
 				registered.announcement.Draining = true
 				decisions = append(decisions, registered.refuseQueued(errcode.BusyLeaving)...)
 			}
@@ -151,9 +154,9 @@
 	return decisions
 }
 
-// isNewlyLeaving reports whether a registration of the roster says of this upstream, for the first
-// time, that it leaves.
-func (u *upstream) isNewlyLeaving(key string, registration message.Registration) bool {
+// isNewlyDraining reports whether a roster registration marks this upstream as draining while its own
+// announcement does not.
+func (u *upstream) isNewlyDraining(key string, registration message.Registration) bool {
 	return registration.Key() == key &&
 		registration.Incarnation == u.announcement.Incarnation &&
 		registration.State == message.StateDraining &&
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -13,44 +13,46 @@
 )
 
 const (
-	// maxHeadBytes bounds an answer's head, and with the cap on its body the whole answer.
+	// maxHeadBytes limits a response head. Together with the limit on the body it limits a response.
 	maxHeadBytes = 64 << 10
 
-	// maxInterimResponses is how many interim answers (1xx) are read before an answer is given up.
+	// maxInterimResponses limits the interim (1xx) responses before a final response.
 	maxInterimResponses = 8
 )
 
-// Why an answer can't be read.
+// Causes for which a response is malformed.
 var (
-	errTooManyInterim = errors.New("too many interim answers")
-	errUnframed       = errors.New("neither length nor chunks")
+	errTooManyInterim = fmt.Errorf("no final response after %d interim (1xx) responses", maxInterimResponses)
+	errUnframed       = errors.New("response body has neither a content length nor chunked encoding")
 )
 
-// statusError is an answer whose status no final answer has.
+// statusError reports a status that is invalid in a final response.
 type statusError struct{ status int }
 
-func (e statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
+func (e statusError) Error() string {
+	return fmt.Sprintf("invalid status %d in a response: expected 100 to 599 except 101", e.status)
+}
 
-// ResponseReader is the readable end of a connection, with a bound on each answer.
+// ResponseReader reads responses from a connection and limits the size of each.
 type ResponseReader struct {
 	limit  *io.LimitedReader
 	reader *bufio.Reader
 }
 
-// NewResponseReader reads answers from a stream.
+// NewResponseReader returns a reader of the responses in a stream.
 func NewResponseReader(stream io.Reader) *ResponseReader {
 	limit := &io.LimitedReader{R: stream}
 	return &ResponseReader{limit: limit, reader: bufio.NewReader(limit)}
 }
 
-// readWhole reads one answer to its end. An answer is whole only if its head can be read, and a
-// length or chunks tell where its body ends.
+// readWhole reads one complete response and its body. A response is complete only if its head is valid
+// and a content length or chunked encoding delimits its body.
 func (m ResponseMatcher) readWhole(responses *ResponseReader) (*http.Response, []byte, error) {
 	response, err := readFinalResponse(responses.reader, m.request)
 	if err != nil {
 		return nil, nil, errcode.Wrap("backend.head", headErrorCode(err), err)
 	}
-	// Its body reads from the connection, which outlives it.
+	// Closing the body does not close the connection.
 	defer func() { _ = response.Body.Close() }()
 	if !isFramed(response, m.Forward.Method) && safeguard.WholeAnswer.On() {
 		return nil, nil, errcode.Wrap("backend.body", errcode.AnswerMalformed, errUnframed)
@@ -68,7 +70,8 @@
 	return response, body, nil
 }
 
-// headErrorCode tells a connection that ended from bytes that are no answer.
+// headErrorCode returns UnknownOutcome for a closed or broken connection, and AnswerMalformed for bytes
+// that are not a valid response head.
 func headErrorCode(err error) errcode.Code {
 	var networkError *net.OpError
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &networkError) {
@@ -77,7 +80,7 @@
 	return errcode.AnswerMalformed
 }
 
-// readFinalResponse reads the head of a final answer, and passes over interim ones.
+// readFinalResponse reads the head of a final response, and skips up to maxInterimResponses interim ones.
 func readFinalResponse(reader *bufio.Reader, request *http.Request) (*http.Response, error) {
 	for range maxInterimResponses {
 		response, err := http.ReadResponse(reader, request)
@@ -94,7 +97,7 @@
 	return nil, errTooManyInterim
 }
 
-// isFramed reports whether the end of the body can be told from a broken connection.
+// isFramed reports whether the end of the body can be distinguished from a lost connection.
 func isFramed(response *http.Response, method string) bool {
 	bodiless := method == http.MethodHead ||
 		response.StatusCode == http.StatusNoContent ||
--- a/internal/backend/target_test.go
+++ b/internal/backend/target_test.go
@@ -1,5 +1,5 @@
-// Calls where each request names its upstream (proof "target"), to a stand-in on loopback
-// and with a protocol of the test's own.
+// Tests of calls in which each request names its upstream (proof "target"), to an upstream on loopback
+// and with a protocol that is defined here.
 package backend
 
 import (
@@ -21,51 +21,53 @@
 	"beaconvane/internal/settings"
 )
 
-// named is a manner in which answers bear the request's name and may say "unrun".
-type named struct{}
+// namingProtocol is a Protocol in which responses name the request in the header Name, refuse it with
+// the header Unrun and confirm their origin with the header Seal.
+type namingProtocol struct{}
 
-func (named) SetHeaders(header http.Header, forward message.Forward, _ Target, left time.Duration) {
+func (namingProtocol) SetHeaders(header http.Header, forward message.Forward, _ Target, remaining time.Duration) {
 	header.Set("For", forward.Instance)
-	header.Set("Left", fmt.Sprint(left > 0 && left <= time.Duration(forward.Remaining)))
+	header.Set("Left", fmt.Sprint(remaining > 0 && remaining <= time.Duration(forward.Remaining)))
 }
 
-func (named) Interpret(answer *http.Response, forward message.Forward, _ Target) ResponseMetadata {
-	received := ResponseMetadata{}
-	switch name := answer.Header.Get("Name"); {
+func (namingProtocol) Interpret(response *http.Response, forward message.Forward, _ Target) ResponseMetadata {
+	metadata := ResponseMetadata{}
+	switch name := response.Header.Get("Name"); {
 	case name != "" && name != forward.AttemptName:
-		received.OtherRequest = true
-	case answer.StatusCode == http.StatusMisdirectedRequest:
-		received.Refusal = errcode.BusyUpstreamGone
-	case answer.Header.Get("Unrun") != "":
-		received.Refusal = errcode.BusySlotsFull
-	case answer.StatusCode == http.StatusServiceUnavailable:
-		received.AmbiguousRefusal = true
-	case answer.Header.Get("Seal") == "":
-		received.Corrupt = true
+		metadata.OtherRequest = true
+	case response.StatusCode == http.StatusMisdirectedRequest:
+		metadata.Refusal = errcode.BusyUpstreamGone
+	case response.Header.Get("Unrun") != "":
+		metadata.Refusal = errcode.BusySlotsFull
+	case response.StatusCode == http.StatusServiceUnavailable:
+		metadata.AmbiguousRefusal = true
+	case response.Header.Get("Seal") == "":
+		metadata.Corrupt = true
 	}
-	if answer.Header.Get("Idle") != "" {
-		received.KeepAlive = time.Nanosecond
+	if response.Header.Get("Idle") != "" {
+		metadata.KeepAlive = time.Nanosecond
 	}
-	return received
+	return metadata
 }
 
-// breaksOff stands before a text behind which the connection is closed.
-const breaksOff = "!"
+// closeAfterPrefix marks a text after which a persistentUpstream closes the connection.
+const closeAfterPrefix = "!"
 
-// stand is an upstream that writes, for each request, one text in one go, and keeps the
-// connection open.
-type stand struct {
+// persistentUpstream is an upstream that writes one text for each request in a single write and keeps
+// the connection open.
+type persistentUpstream struct {
 	listener    net.Listener
 	connections atomic.Int64
-	seen        chan *http.Request
+	requests    chan *http.Request
 }
 
-func newStand(c *qt.C, members *goroutine.Group, answer func(request *http.Request) string) *stand {
+// newPersistentUpstream starts a persistentUpstream on a loopback port.
+func newPersistentUpstream(c *qt.C, goroutines *goroutine.Group, respond func(request *http.Request) string) *persistentUpstream {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { listener.Close() })
-	s := &stand{listener: listener, seen: make(chan *http.Request, 100)}
-	members.Go("stand", func(context.Context) {
+	s := &persistentUpstream{listener: listener, requests: make(chan *http.Request, 100)}
+	goroutines.Go("upstream", func(context.Context) {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
@@ -73,17 +75,17 @@
 			}
 			s.connections.Inc()
 			c.Cleanup(func() { conn.Close() })
-			members.Go("stand.connection", func(context.Context) {
+			goroutines.Go("upstream.connection", func(context.Context) {
 				reader := bufio.NewReader(conn)
 				for {
 					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
-					s.seen <- request
-					text, broken := strings.CutPrefix(answer(request), breaksOff)
+					s.requests <- request
+					text, closeAfter := strings.CutPrefix(respond(request), closeAfterPrefix)
 					fmt.Fprint(conn, text)
-					if broken {
+					if closeAfter {
 						conn.Close()
 						return
 					}
@@ -94,13 +96,20 @@
 	return s
 }
 
-func targetBench(c *qt.C, members *goroutine.Group, address string) *bench {
+// newTargetProofFixture returns a fixture with proof "target" and namingProtocol. It has no warm or guard
+// connections.
+func newTargetProofFixture(c *qt.C, goroutines *goroutine.Group, address string) *clientFixture {
 	cfg := settings.Default()
 	cfg.TargetProof = settings.ProofTarget
 	serving := New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
-	b := &bench{serving: serving, caller: NewUpstreamClient(cfg, serving, members), members: members, address: address}
-	b.caller.UseProtocol(named{})
-	accepted, _, _ := serving.Announce(members.Now(), Announcement{
+	fixture := &clientFixture{
+		serving:    serving,
+		client:     NewUpstreamClient(cfg, serving, goroutines),
+		goroutines: goroutines,
+		address:    address,
+	}
+	fixture.client.UseProtocol(namingProtocol{})
+	accepted, _, _ := serving.Announce(goroutines.Now(), Announcement{
 		Service:     "pay",
 		Instance:    "one",
 		Incarnation: 1,
@@ -109,13 +118,15 @@
 		Slots:       4,
 	})
 	c.Assert(accepted, qt.IsTrue)
-	return b
+	return fixture
 }
 
-func (b *bench) requestNamed(c *qt.C, name, path string) message.Outcome {
-	b.forwarded++
+// requestNamed sends a request with an attempt name and completes it at the backend. It returns the
+// outcome.
+func (f *clientFixture) requestNamed(c *qt.C, name, path string) message.Outcome {
+	f.requestNumber++
 	forward := message.Forward{
-		ID:               fmt.Sprint(name, b.forwarded),
+		ID:               fmt.Sprint(name, f.requestNumber),
 		AttemptName:      name,
 		Service:          "pay",
 		Instance:         "one",
@@ -128,64 +139,67 @@
 		MaxResponseBytes: 1000,
 		Host:             "shop.example",
 	}
-	decisions := b.serving.HandleForward(b.members.Now(), forward)
+	decisions := f.serving.HandleForward(f.goroutines.Now(), forward)
 	c.Assert(decisions, qt.HasLen, 1)
 	c.Assert(decisions[0].Start, qt.IsTrue, qt.Commentf("%v", decisions[0].Code))
-	outcome, _ := b.serving.Complete(b.members.Now(), decisions[0], b.caller.Call(decisions[0]))
+	outcome, _ := f.serving.Complete(f.goroutines.Now(), decisions[0], f.client.Call(decisions[0]))
 	return outcome
 }
 
-func answerOf(name, body string, more ...string) string {
-	heads := ""
-	for _, line := range more {
-		heads += line + "\r\n"
+// namedResponse returns a sealed response that names a request.
+func namedResponse(name, body string, extraHeaders ...string) string {
+	headers := ""
+	for _, line := range extraHeaders {
+		headers += line + "\r\n"
 	}
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nName: %s\r\nSeal: x\r\n%sContent-Length: %d\r\n\r\n%s", name, heads, len(body), body)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nName: %s\r\nSeal: x\r\n%sContent-Length: %d\r\n\r\n%s", name, headers, len(body), body)
 }
 
-// An answer that bears another request's name is passed over, be it in one piece with the
-// right one or before it; the connection serves on. Where only others come, nothing is known.
+// A response that names another request is skipped, also when it arrives in the same segment as the
+// expected one, and the connection is reused. After maxSkippedResponses of them the outcome is unknown
+// and the connection is closed.
 func TestAnswersOfOthersArePassedOver(t *testing.T) {
 	c := qt.New(t)
-	members := goroutine.New()
-	upstream := newStand(c, members, func(request *http.Request) string {
+	goroutines := goroutine.New()
+	upstream := newPersistentUpstream(c, goroutines, func(request *http.Request) string {
 		switch request.URL.Path {
 		case "/late":
-			return answerOf("a", "not yours") + answerOf("b", "yours")
+			return namedResponse("a", "not yours") + namedResponse("b", "yours")
 		case "/others":
-			return strings.Repeat(answerOf("a", "not yours"), maxSkippedResponses)
+			return strings.Repeat(namedResponse("a", "not yours"), maxSkippedResponses)
 		}
-		return answerOf("a", "first")
+		return namedResponse("a", "first")
 	})
-	b := targetBench(c, members, upstream.listener.Addr().String())
-	c.Assert(string(b.requestNamed(c, "a", "/first").Body), qt.Equals, "first")
-	outcome := b.requestNamed(c, "b", "/late")
+	fixture := newTargetProofFixture(c, goroutines, upstream.listener.Addr().String())
+	c.Assert(string(fixture.requestNamed(c, "a", "/first").Body), qt.Equals, "first")
+	outcome := fixture.requestNamed(c, "b", "/late")
 	c.Assert(outcome.Kind, qt.Equals, message.Completed)
 	c.Assert(string(outcome.Body), qt.Equals, "yours")
 	c.Assert(upstream.connections.Load(), qt.Equals, int64(1))
-	outcome = b.requestNamed(c, "c", "/others")
+	outcome = fixture.requestNamed(c, "c", "/others")
 	c.Assert(outcome.Kind, qt.Equals, message.OutcomeUnknown)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.AnswerMalformed)
-	c.Assert(string(b.requestNamed(c, "a", "/first").Body), qt.Equals, "first")
+	c.Assert(string(fixture.requestNamed(c, "a", "/first").Body), qt.Equals, "first")
 	c.Assert(upstream.connections.Load(), qt.Equals, int64(2))
 }
 
-// Bytes behind a whole answer belong to no request: the answer stands, the connection does not.
+// Bytes after a complete response belong to no request: the response is accepted, and the connection is
+// closed.
 func TestBytesBehindAnAnswer(t *testing.T) {
-	for name, behind := range map[string]string{
-		"garbage":          "\x00\x01 nothing",
-		"another's answer": answerOf("old", "not yours"),
-		"its own, twice":   answerOf("a", "other"),
+	for name, trailing := range map[string]string{
+		"garbage":                     "\x00\x01 nothing",
+		"response to another request": namedResponse("old", "not yours"),
+		"duplicate response":          namedResponse("a", "other"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			members := goroutine.New()
-			upstream := newStand(c, members, func(request *http.Request) string {
-				return answerOf(strings.TrimPrefix(request.URL.Path, "/"), "whole") + behind
+			goroutines := goroutine.New()
+			upstream := newPersistentUpstream(c, goroutines, func(request *http.Request) string {
+				return namedResponse(strings.TrimPrefix(request.URL.Path, "/"), "whole") + trailing
 			})
-			b := targetBench(c, members, upstream.listener.Addr().String())
-			for number, request := range []string{"a", "b"} {
-				outcome := b.requestNamed(c, request, "/"+request)
+			fixture := newTargetProofFixture(c, goroutines, upstream.listener.Addr().String())
+			for number, attemptName := range []string{"a", "b"} {
+				outcome := fixture.requestNamed(c, attemptName, "/"+attemptName)
 				c.Assert(outcome.Kind, qt.Equals, message.Completed)
 				c.Assert(string(outcome.Body), qt.Equals, "whole")
 				c.Assert(upstream.connections.Load(), qt.Equals, int64(number+1))
@@ -194,123 +208,124 @@
 	}
 }
 
-// Only what says so was not run. A status that promises it without saying so is not
-// passed on, and neither is a success that is not the upstream's own.
+// Only an explicit refusal means that a request did not run. A status that suggests it without the
+// refusal header leaves the outcome unknown, and so does a success without the seal of the upstream.
 func TestWhatAnUpstreamSaysOfRunning(t *testing.T) {
-	for name, tried := range map[string]struct {
-		answer      string
-		kind        int64
-		code        errcode.Code
-		sent        bool
-		connections int64 // after one more request
+	for name, test := range map[string]struct {
+		answer          string
+		kind            int64
+		code            errcode.Code
+		reachedUpstream bool
+		connections     int64 // opened after one more request
 	}{
-		"full and says so": {
+		"explicit refusal": {
 			"HTTP/1.1 503 Full\r\nUnrun: full\r\nContent-Length: 4\r\n\r\nfull",
 			message.NotStarted,
 			errcode.BusySlotsFull,
 			true,
 			1,
 		},
-		"says so, and closes": {
+		"explicit refusal, then close": {
 			"HTTP/1.1 503 Full\r\nUnrun: full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 			message.NotStarted,
 			errcode.BusySlotsFull,
 			true,
 			2,
 		},
-		"says so of another": {
-			"HTTP/1.1 503 Full\r\nName: z\r\nUnrun: full\r\nContent-Length: 0\r\n\r\n" + answerOf("q", "ran"),
+		"explicit refusal of another request": {
+			"HTTP/1.1 503 Full\r\nName: z\r\nUnrun: full\r\nContent-Length: 0\r\n\r\n" + namedResponse("q", "ran"),
 			message.Completed,
 			errcode.OK,
 			false,
 			1,
 		},
-		"another is at its place": {
+		"another upstream at the address": {
 			"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n",
 			message.NotStarted,
 			errcode.BusyUpstreamGone,
 			true,
 			1,
 		},
-		"promises in silence": {
+		"503 without refusal header": {
 			"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 			message.OutcomeUnknown,
 			errcode.AnswerMalformed,
 			false,
 			2,
 		},
-		"a success without seal": {
+		"success without seal": {
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 			message.OutcomeUnknown,
 			errcode.AnswerMalformed,
 			false,
 			2,
 		},
-		"its own failure": {
+		"failure of the upstream": {
 			"HTTP/1.1 500 Oh\r\nSeal: x\r\nContent-Length: 2\r\n\r\nno",
 			message.Completed,
 			errcode.OK,
 			false,
 			1,
 		},
-		"says so, broken off": {
-			breaksOff + "HTTP/1.1 503 Full\r\nUnrun: full\r\nContent-Length: 9\r\n\r\nfull",
+		"truncated refusal": {
+			closeAfterPrefix + "HTTP/1.1 503 Full\r\nUnrun: full\r\nContent-Length: 9\r\n\r\nfull",
 			message.OutcomeUnknown,
 			errcode.AnswerMalformed,
 			false,
 			2,
 		},
-		"a connection not to be kept": {answerOf("q", "ok", "Idle: none"), message.Completed, errcode.OK, false, 2},
+		"keep-alive expires immediately": {namedResponse("q", "ok", "Idle: none"), message.Completed, errcode.OK, false, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			members := goroutine.New()
-			upstream := newStand(c, members, func(request *http.Request) string {
+			goroutines := goroutine.New()
+			upstream := newPersistentUpstream(c, goroutines, func(request *http.Request) string {
 				if request.URL.Path == "/more" {
-					return answerOf("more", "more")
+					return namedResponse("more", "more")
 				}
-				return tried.answer
+				return test.answer
 			})
-			b := targetBench(c, members, upstream.listener.Addr().String())
-			outcome := b.requestNamed(c, "q", "/pay")
-			c.Assert(outcome.Kind, qt.Equals, tried.kind)
-			c.Assert(errcode.Code(outcome.Code), qt.Equals, tried.code)
-			c.Assert(outcome.ReachedUpstream, qt.Equals, tried.sent)
-			c.Assert(string(b.requestNamed(c, "more", "/more").Body), qt.Equals, "more")
-			c.Assert(upstream.connections.Load(), qt.Equals, tried.connections)
+			fixture := newTargetProofFixture(c, goroutines, upstream.listener.Addr().String())
+			outcome := fixture.requestNamed(c, "q", "/pay")
+			c.Assert(outcome.Kind, qt.Equals, test.kind)
+			c.Assert(errcode.Code(outcome.Code), qt.Equals, test.code)
+			c.Assert(outcome.ReachedUpstream, qt.Equals, test.reachedUpstream)
+			c.Assert(string(fixture.requestNamed(c, "more", "/more").Body), qt.Equals, "more")
+			c.Assert(upstream.connections.Load(), qt.Equals, test.connections)
 		})
 	}
 }
 
-// Nobody at the address: the request never left, and nothing is tried there for a moment.
+// If no process listens at the address, the request is not sent, and the upstream gets no requests until
+// AddressProofTTL has passed.
 func TestNobodyAtTheAddress(t *testing.T) {
 	c := qt.New(t)
-	members := goroutine.New()
+	goroutines := goroutine.New()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	address := listener.Addr().String()
 	listener.Close()
-	b := targetBench(c, members, address)
-	outcome := b.requestNamed(c, "q", "/pay")
+	fixture := newTargetProofFixture(c, goroutines, address)
+	outcome := fixture.requestNamed(c, "q", "/pay")
 	c.Assert(outcome.Kind, qt.Equals, message.NotStarted)
 	c.Assert(outcome.ReachedUpstream, qt.IsFalse)
 	c.Assert(errcode.Code(outcome.Code), qt.Equals, errcode.BusyUpstreamGone)
-	now, fresh := members.Now(), b.caller.settings.AddressProofTTL()
-	c.Assert(codes(b.serving.HandleForward(now, forwardOf("x", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
-	c.Assert(codes(b.serving.HandleForward(now+fresh+1, forwardOf("y", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.OK})
+	now, proofTTL := goroutines.Now(), fixture.client.settings.AddressProofTTL()
+	c.Assert(codes(fixture.serving.HandleForward(now, forwardOf("x", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.BusyUpstreamGone})
+	c.Assert(codes(fixture.serving.HandleForward(now+proofTTL+1, forwardOf("y", "one", 1))), qt.DeepEquals, []errcode.Code{errcode.OK})
 }
 
-// The path goes out as it came, to the byte, with the host that the caller named and
-// with what the manner tells.
+// The request carries the path byte for byte as received, the host that the caller named, and the headers
+// of the protocol.
 func TestRequestTowardsATarget(t *testing.T) {
 	c := qt.New(t)
-	members := goroutine.New()
-	upstream := newStand(c, members, func(*http.Request) string { return answerOf("", "ok") })
-	b := targetBench(c, members, upstream.listener.Addr().String())
+	goroutines := goroutine.New()
+	upstream := newPersistentUpstream(c, goroutines, func(*http.Request) string { return namedResponse("", "ok") })
+	fixture := newTargetProofFixture(c, goroutines, upstream.listener.Addr().String())
 	for _, path := range []string{"/pay/%7Ea/b%2fc//d", "/", "//double", "/a;b=c", "/a|b\"c"} {
-		outcome := b.requestNamed(c, path, path)
+		outcome := fixture.requestNamed(c, path, path)
 		c.Assert(outcome.Kind, qt.Equals, message.Completed)
-		request := <-upstream.seen
+		request := <-upstream.requests
 		c.Check(request.RequestURI, qt.Equals, path)
 		c.Check(request.Host, qt.Equals, "shop.example")
 		c.Check(request.Header.Get("For"), qt.Equals, "one")
--- a/internal/proxy/configuration_change_test.go
+++ b/internal/proxy/configuration_change_test.go
@@ -12,19 +12,21 @@
 	"beaconvane/internal/statemachine"
 )
 
-// manyRoutes is about what a large site's configuration holds.
-const manyRoutes = 1400
+// largeRouteCount is the approximate number of routes in the configuration of a large site.
+const largeRouteCount = 1400
 
-// routeFormat is a route of a configuration, and the comma behind it.
+// routeFormat formats one route of a configuration, with a trailing comma.
 const routeFormat = `{"name":"r-%d","host":"host%d.example","prefix":"/path%d/","kind":"repeatable","service":"quoter",` +
 	`"timeout_ms":%d},`
 
+// largeConfiguration returns a configuration of largeRouteCount routes. Each version changes the timeout
+// of one route.
 func largeConfiguration(version int) []byte {
 	text := strings.Builder{}
 	fmt.Fprintf(&text, `{"version":%d,"services":["quoter"],"routes":[`, version)
-	for number := range manyRoutes {
+	for number := range largeRouteCount {
 		timeout := 1200
-		if number == version%manyRoutes {
+		if number == version%largeRouteCount {
 			timeout += version
 		}
 		fmt.Fprintf(&text, routeFormat, number, number%9, number, timeout)
@@ -32,26 +34,27 @@
 	return []byte(strings.TrimSuffix(text.String(), ",") + "]}")
 }
 
-// A proxy that follows changes of one route each does not parse the other routes again: when hundreds
-// of changes come, its control goroutine still has to send heartbeats and answer probes.
+// A change of one route must not cause the other routes to be parsed again. Otherwise the control
+// goroutine falls behind with heartbeats and probes when hundreds of changes arrive.
 func TestAChangeOfOneRouteIsNoWholeParse(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
 	cfg.Zones = []string{"north"}
 	cfg.Seeds = []string{"10.0.0.1:1"}
 	const configName = "main"
-	m := New(cfg, message.Member{Name: "proxy/p", Role: message.RoleProxy, Zone: "north", Address: "10.0.0.9:1", StartTime: 1})
+	machine := New(cfg, message.Member{Name: "proxy/p", Role: message.RoleProxy, Zone: "north", Address: "10.0.0.9:1", StartTime: 1})
 	env := statemachine.NewEnv(1)
 	version := 1
-	changes := func() {
+	applyChange := func() {
 		version++
-		m.distribution.WriteConfiguration(env, configName, int64(version), largeConfiguration(version))
-		m.sendDue(env)
+		machine.distribution.WriteConfiguration(env, configName, int64(version), largeConfiguration(version))
+		machine.sendDue(env)
 		env.Drain()
 	}
-	changes()
-	writing := testing.AllocsPerRun(20, func() { largeConfiguration(version) })
-	allocations := testing.AllocsPerRun(20, changes) - writing
-	c.Assert(allocations < manyRoutes, qt.IsTrue, qt.Commentf("%.0f allocations for one changed route of %d", allocations, manyRoutes))
-	c.Assert(m.configurations[configName].latest.Version, qt.Equals, int64(version))
+	applyChange()
+	encodingAllocations := testing.AllocsPerRun(20, func() { largeConfiguration(version) })
+	allocations := testing.AllocsPerRun(20, applyChange) - encodingAllocations
+	comment := qt.Commentf("%.0f allocations for one changed route of %d", allocations, largeRouteCount)
+	c.Assert(allocations < largeRouteCount, qt.IsTrue, comment)
+	c.Assert(machine.configurations[configName].latest.Version, qt.Equals, int64(version))
 }
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -5,12 +5,13 @@
 	"beaconvane/internal/statemachine"
 )
 
-// sendHeartbeat sends what is known of the upstreams beside this proxy to every registry.
+// sendHeartbeat sends one batch to every registry that was recently alive: the readiness of this proxy,
+// heartbeats and deregistrations of its upstreams, and its distribution positions.
 func (m *Machine) sendHeartbeat(env *statemachine.Env) {
 	batch := message.HeartbeatBatch{
 		Proxy:           m.membership.Self().Name,
 		StartTime:       m.startTime,
-		Ready:           m.published.Ready(env.Now, m.settings.MaxAgeReady()),
+		Ready:           m.lastPublished.Ready(env.Now, m.settings.MaxAgeReady()),
 		Heartbeats:      m.upstreams.heartbeats(env.Now),
 		Deregistrations: m.upstreams.recentDeregistrations(env.Now),
 		Positions:       m.distribution.Positions(),
@@ -25,7 +26,7 @@
 	}
 }
 
-// handleAnnounced takes an accepted announcement. A change is told to the registries at once.
+// handleAnnounced records an accepted announcement. A change makes the next heartbeat due immediately.
 func (m *Machine) handleAnnounced(env *statemachine.Env, registration message.Registration) {
 	self := m.membership.Self()
 	registration.ServingProxy = self.Name
@@ -36,7 +37,7 @@
 	}
 }
 
-// handleProbed takes the result of a probe. A change is told to the registries at once.
+// handleProbed records the result of a probe. A change makes the next heartbeat due immediately.
 func (m *Machine) handleProbed(env *statemachine.Env, result Probed) {
 	if m.upstreams.recordProbe(result) {
 		m.nextHeartbeat = env.Now
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -5,7 +5,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// metrics returns the control machine's figures for the metrics page.
+// metrics returns the metric samples of the control machine.
 func (m *Machine) metrics(env *statemachine.Env) []metrics.Sample {
 	samples := append(m.distribution.Metrics(env.Now), m.membership.Metrics()...)
 	for configName, state := range m.configurations {
--- a/internal/proxy/notices.go
+++ b/internal/proxy/notices.go
@@ -4,40 +4,42 @@
 	"beaconvane/internal/message"
 )
 
-// The notices below are handed to Machine.HandleRequest by the process and have no answer.
+// The process passes the notices below to Machine.HandleRequest. They have no reply.
 
-// Announced is the notice that the backend has accepted an announcement of an upstream.
+// Announced reports that the backend accepted an announcement of an upstream.
 type Announced struct {
 	Registration message.Registration
 }
 
-// SignedOff is the notice that an incarnation of an upstream has ended.
+// SignedOff reports that an incarnation of an upstream was deregistered.
 type SignedOff struct {
 	Service     string
 	Instance    string
 	Incarnation int64
 }
 
-// Probed is the notice of a probe's result.
+// Probed reports the result of a probe.
 type Probed struct {
-	Key         string // of the registration
+	Key         string // key of the registration
 	Incarnation int64
 	Answered    bool
 }
 
-// UsageCounted is the notice of what the frontend has counted. Windows below Closed won't change.
+// UsageCounted reports the usage counts of this proxy. Windows below Closed are closed: no further
+// requests are counted in them.
 type UsageCounted struct {
 	Usage  []message.UsageCount
 	Closed int64
 }
 
-// Stop is the notice that the process stops.
+// Stop reports that the process is shutting down.
 type Stop struct{}
 
-// The queries below are handed to Machine.HandleRequest with a request id, under which the answer comes.
+// The process passes the queries below to Machine.HandleRequest with a request id, which the reply
+// carries.
 
-// ReadSealed asks below which window all usage is sealed. The answer is an int64.
+// ReadSealed queries the window below which all usage is sealed. The reply is an int64.
 type ReadSealed struct{}
 
-// ReadStatus asks for the Status.
+// ReadStatus queries the status of the control machine. The reply is a Status.
 type ReadStatus struct{}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,7 +1,8 @@
-// Package proxy is the proxy's control machine. It keeps the membership, receives configurations and
-// rosters through the relay tree, tells the registries of the upstreams beside it and of their usage,
-// and hands the traffic side an immutable Snapshot after every change. Traffic itself is in packages
-// frontend (the caller's side) and backend (the upstream's side).
+// Package proxy implements the control plane of a proxy as a deterministic state machine. It maintains
+// the membership, receives configurations and rosters through the relay tree, reports the upstreams
+// registered at this proxy and their usage to the registries, and publishes an immutable Snapshot to
+// the data plane after every change. The data plane is in packages frontend (towards callers) and
+// backend (towards upstreams).
 package proxy
 
 import (
@@ -16,30 +17,31 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Machine is the proxy's control state. It implements statemachine.Machine and keeps nothing on disk.
+// Machine is the control state of a proxy. It implements statemachine.Machine and persists nothing. Its
+// methods must not be called concurrently.
 type Machine struct {
 	settings       settings.Settings
 	membership     *membership.Membership
 	distribution   *distribution.Distribution
-	startTime      int64                          // of this life, whatever the membership makes of it
-	configurations map[string]*configurationState // by name; those that were received
+	startTime      int64                          // of this process, as configured; the membership may raise its own copy
+	configurations map[string]*configurationState // received configurations by name
 	upstreams      localUpstreams
 	usage          usageSender
-	sealed         map[string]int64 // the window below which each registry says that usage is sealed
-	published      *Snapshot        // the last one; nil before the first
+	sealed         map[string]int64 // by registry: the window below which it reported usage as sealed
+	lastPublished  *Snapshot        // nil before the first publication
 	nextHeartbeat  time.Duration
 	nextSnapshot   time.Duration
 	stopping       bool
 }
 
-// configurationState is a configuration that was received.
+// configurationState is the state of one received configuration.
 type configurationState struct {
 	latest    *routeconfig.Configuration
-	confirmed bool  // it was known current at some time in this life
-	inForce   int64 // the version that was published last; 0 before
+	confirmed bool  // it was known to be current at some time since the process started
+	inForce   int64 // the version that was last published; 0 before the first
 }
 
-// New returns the control machine of a proxy.
+// New returns the control machine of a proxy that joins as the member self.
 func New(cfg settings.Settings, self message.Member) *Machine {
 	m := &Machine{
 		settings:       cfg,
@@ -59,14 +61,15 @@
 	return m
 }
 
-// Tick advances membership and updates, and sends what is due.
+// Tick advances the timers of the membership and the distribution, and sends heartbeats and publishes
+// snapshots that are due.
 func (m *Machine) Tick(env *statemachine.Env) {
 	m.membership.Tick(env)
 	m.distribution.Tick(env)
 	m.sendDue(env)
 }
 
-// Handle takes a message from another process.
+// Handle processes a message from another process.
 func (m *Machine) Handle(env *statemachine.Env, from string, received any) {
 	if !m.membership.Handle(env, from, received) && !m.distribution.Handle(env, from, received) {
 		switch received := received.(type) {
@@ -80,22 +83,22 @@
 	m.sendDue(env)
 }
 
-// HandleRequest takes a notice or a query from the process.
-func (m *Machine) HandleRequest(env *statemachine.Env, requestID int64, question any) {
-	switch asked := question.(type) {
+// HandleRequest processes a notice or a query from the local process. Replies carry requestID.
+func (m *Machine) HandleRequest(env *statemachine.Env, requestID int64, noticeOrQuery any) {
+	switch request := noticeOrQuery.(type) {
 	case Announced:
-		m.handleAnnounced(env, asked.Registration)
+		m.handleAnnounced(env, request.Registration)
 	case SignedOff:
-		m.upstreams.signOff(env.Now, asked)
+		m.upstreams.signOff(env.Now, request)
 		m.nextHeartbeat = env.Now
 	case Probed:
-		m.handleProbed(env, asked)
+		m.handleProbed(env, request)
 	case UsageCounted:
-		m.sendUsage(env, asked)
+		m.sendUsage(env, request)
 	case statemachine.SeedsChanged:
-		m.membership.SetSeeds(asked.Seeds)
+		m.membership.SetSeeds(request.Seeds)
 	case statemachine.ConnectionClosed:
-		m.distribution.HandleConnectionClosed(env, asked.Address)
+		m.distribution.HandleConnectionClosed(env, request.Address)
 	case ReadSealed:
 		env.Reply(requestID, m.SealedBelow())
 	case ReadStatus:
@@ -110,10 +113,10 @@
 	m.sendDue(env)
 }
 
-// Synced is never called, since nothing is written.
+// Synced does nothing: the machine writes nothing to disk.
 func (m *Machine) Synced(*statemachine.Env, int64, error) {}
 
-// onTopicChange takes a configuration or a slice whose content has changed.
+// onTopicChange handles a changed configuration or roster slice.
 func (m *Machine) onTopicChange(env *statemachine.Env, topic string) {
 	for _, configName := range m.settings.ConfigNames {
 		if distribution.ConfigurationTopic(configName) != topic {
@@ -127,8 +130,8 @@
 	m.nextSnapshot = env.Now
 }
 
-// readConfiguration parses a version of a configuration. Routes that did not change since the version
-// before are not parsed again.
+// readConfiguration parses a version of a configuration. Routes that are unchanged since the previous
+// version are not parsed again.
 func (m *Machine) readConfiguration(configName string, version int64, body []byte) {
 	state, received := m.configurations[configName]
 	if !received {
@@ -138,7 +141,7 @@
 	state.latest = state.latest.Next(configName, version, body, m.settings.ConfigurationLimits())
 }
 
-// sendDue sends a heartbeat and publishes a snapshot, where their times have come.
+// sendDue sends a heartbeat and publishes a snapshot if they are due.
 func (m *Machine) sendDue(env *statemachine.Env) {
 	if env.Now >= m.nextHeartbeat {
 		m.nextHeartbeat = env.Now + m.settings.HeartbeatEvery()
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -9,24 +9,24 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Snapshot is what traffic sees of the control state. It is never changed after it was published.
-// Instants are by the process clock.
+// Snapshot is the control state as the data plane sees it. It is immutable after it was published.
+// Times are readings of the process clock.
 type Snapshot struct {
 	Configurations        []*routeconfig.Configuration
-	ConfigurationsKnown   bool          // every configuration is here
-	ConfigurationsFreshAt time.Duration // when all configurations were last known current
+	ConfigurationsKnown   bool          // Configurations holds every configuration
+	ConfigurationsFreshAt time.Duration // latest time at which all configurations were known to be current
 
 	Upstreams     map[string][]message.Registration // by service
-	RosterKnown   bool                              // every slice is here
-	RosterFreshAt time.Duration                     // when all slices were last known current
+	RosterKnown   bool                              // Upstreams holds the slices of all subscribed zones
+	RosterFreshAt time.Duration                     // latest time at which all slices were known to be current
 
-	ProxyCount int  // proxies in the fleet, this one included
-	Joined     bool // any other node is known
+	ProxyCount int  // proxies in the fleet, including this one
+	Joined     bool // at least one other node is known
 	Stopping   bool
 }
 
-// Ready reports whether this node should get traffic. staleAfter is the age past which its
-// configurations or roster are too old. The snapshot may be nil, which is not ready.
+// Ready reports whether this node should receive traffic. staleAfter is the maximum age of its
+// configurations and roster. A nil snapshot is not ready.
 func (s *Snapshot) Ready(now time.Duration, staleAfter time.Duration) bool {
 	if s == nil || !s.Joined || s.Stopping || !s.ConfigurationsKnown || !s.RosterKnown {
 		return false
@@ -34,13 +34,14 @@
 	return now-s.ConfigurationsFreshAt <= staleAfter && now-s.RosterFreshAt <= staleAfter
 }
 
-// publish hands the traffic side a snapshot; heartbeats tell the readiness of the last one published.
+// publish publishes a new snapshot to the data plane. Heartbeats report the readiness of the last
+// published snapshot.
 func (m *Machine) publish(env *statemachine.Env) {
-	m.published = m.snapshot(env)
-	env.Publish(m.published)
+	m.lastPublished = m.snapshot(env)
+	env.Publish(m.lastPublished)
 }
 
-// snapshot returns the control state as traffic is to see it.
+// snapshot builds a snapshot of the current control state.
 func (m *Machine) snapshot(env *statemachine.Env) *Snapshot {
 	snapshot := &Snapshot{
 		ConfigurationsKnown:   true,
@@ -61,9 +62,9 @@
 	return snapshot
 }
 
-// addConfiguration adds a configuration, if it may be applied. In each life of the process it must
-// first have been known current: an old one from a relay that is cut off may be behind what the life
-// before had in force.
+// addConfiguration adds a configuration to a snapshot if it may be applied. After each start of the
+// process it must first have been known to be current: a configuration from a partitioned relay may be
+// older than the one that was in force before the restart.
 func (m *Machine) addConfiguration(env *statemachine.Env, snapshot *Snapshot, configName string) {
 	state, received := m.configurations[configName]
 	freshAt, fresh := m.distribution.FreshAt(distribution.ConfigurationTopic(configName))
@@ -82,7 +83,7 @@
 	snapshot.ConfigurationsFreshAt = min(snapshot.ConfigurationsFreshAt, freshAt)
 }
 
-// addSlice adds the upstreams of a zone.
+// addSlice adds the registrations of a zone to a snapshot, except orphaned ones.
 func (m *Machine) addSlice(snapshot *Snapshot, zone string) {
 	registrations, known := m.distribution.Registrations(zone)
 	freshAt, fresh := m.distribution.FreshAt(distribution.SliceTopic(zone))
@@ -100,15 +101,15 @@
 	}
 }
 
-// orphaned reports whether a registration's serving proxy, in the life that registered it, is known to
-// have ended or left.
+// orphaned reports whether the serving proxy of a registration is known to have died or left since it
+// made the registration. Its start time distinguishes it from a restarted proxy of the same name.
 func (m *Machine) orphaned(registration message.Registration) bool {
 	servingProxy, known := m.membership.Find(registration.ServingProxy)
 	return known && servingProxy.State >= message.Dead && servingProxy.StartTime >= registration.ServingProxyStartTime
 }
 
-// proxyCount returns how many proxies there are, with those that seem lost: in a partition each side
-// still shares the fleet's allowance of retries with the other.
+// proxyCount returns the number of proxies, including those that appear dead: in a partition the proxies
+// of both sides still share the fleet's retry allowance.
 func (m *Machine) proxyCount() int {
 	count := 0
 	for _, member := range m.membership.All() {
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Status is the answer to ReadStatus: what the control machine knows. The counters page shows it.
+// Status is the reply to ReadStatus. The counters page shows it.
 type Status struct {
-	AgesMS         map[string]int64 `json:"ages_ms"`        // milliseconds since each topic was known current
+	AgesMS         map[string]int64 `json:"ages_ms"`        // by topic: milliseconds since it was last known to be current
 	Configurations map[string]int64 `json:"configurations"` // version by configuration
-	Members        int              `json:"members"`        // nodes alive, this one included
-	Moves          int64            `json:"moves"`          // changes of the parent
-	Parent         string           `json:"parent"`         // member that sends the updates
-	Path           []string         `json:"path"`           // the relays between the source and this proxy
+	Members        int              `json:"members"`        // live nodes, including this one
+	Moves          int64            `json:"moves"`          // number of parent changes
+	Parent         string           `json:"parent"`         // member that sends updates to this proxy
+	Path           []string         `json:"path"`           // relays between the source and this proxy
 }
 
+// status returns the current status of the control machine.
 func (m *Machine) status(now time.Duration) Status {
 	status := Status{AgesMS: map[string]int64{}, Configurations: map[string]int64{}}
-	for _, mark := range m.distribution.Positions() {
-		if age, known := m.distribution.Age(mark.Topic, now); known {
-			status.AgesMS[mark.Topic] = age.Milliseconds()
+	for _, position := range m.distribution.Positions() {
+		if age, known := m.distribution.Age(position.Topic, now); known {
+			status.AgesMS[position.Topic] = age.Milliseconds()
 		}
 	}
 	for configName, state := range m.configurations {
--- a/internal/proxy/upstreams.go
+++ b/internal/proxy/upstreams.go
@@ -10,36 +10,39 @@
 	"beaconvane/internal/statemachine"
 )
 
-// retainedBounds is for how many heartbeat bounds the registries are still told of an upstream that
-// is silent or has ended.
-const retainedBounds = 2
+// retentionTimeouts is the number of heartbeat timeouts for which an upstream is still reported to the
+// registries after its last announcement or its deregistration.
+const retentionTimeouts = 2
 
-// localUpstreams is the upstreams that announce themselves to this proxy, by keys of registrations.
+// localUpstreams tracks the upstreams that announce themselves to this proxy. Both maps are keyed by the
+// key of the registration.
 type localUpstreams struct {
 	settings settings.Settings
 	running  map[string]*localUpstream
 	ended    map[string]endedUpstream
 }
 
-// localUpstream is an upstream that has announced itself and has not ended.
+// localUpstream is an announced upstream that has not been deregistered.
 type localUpstream struct {
 	registration message.Registration
-	announcedAt  time.Duration // last
+	announcedAt  time.Duration // time of the last announcement
 	probeResult  int64         // message.NotProbed, ProbeAnswered or ProbeRefused
 }
 
-// endedUpstream is the end of an upstream, which the registries are told repeatedly for a while.
+// endedUpstream is a deregistration, which is sent repeatedly to the registries because a message may be
+// lost.
 type endedUpstream struct {
 	deregistration message.Deregistration
-	at             time.Duration
+	endedAt        time.Duration
 }
 
+// newLocalUpstreams returns an empty localUpstreams.
 func newLocalUpstreams(cfg settings.Settings) localUpstreams {
 	return localUpstreams{settings: cfg, running: map[string]*localUpstream{}, ended: map[string]endedUpstream{}}
 }
 
-// announce takes an accepted announcement, and reports whether anything but its time changed. The
-// result of a probe stays with an incarnation at its address.
+// announce records an accepted announcement, and reports whether the registration changed. The result
+// of the last probe is preserved as long as the incarnation and the address are the same.
 func (u *localUpstreams) announce(now time.Duration, registration message.Registration) bool {
 	key := registration.Key()
 	upstream, known := u.running[key]
@@ -55,7 +58,7 @@
 	return true
 }
 
-// signOff takes the end of an incarnation.
+// signOff records the deregistration of an incarnation, and removes it and older ones.
 func (u *localUpstreams) signOff(now time.Duration, notice SignedOff) {
 	key := upstreamKey(notice.Service, notice.Instance)
 	deregistration := message.Deregistration{Service: notice.Service, Instance: notice.Instance, Incarnation: notice.Incarnation}
@@ -65,21 +68,21 @@
 	}
 }
 
-// recordProbe takes the result of a probe, and reports whether it differs from the one before.
+// recordProbe records the result of a probe, and reports whether it differs from the previous result.
 func (u *localUpstreams) recordProbe(result Probed) bool {
 	upstream, known := u.running[result.Key]
 	if !known || upstream.registration.Incarnation != result.Incarnation {
 		return false
 	}
-	before := upstream.probeResult
+	previous := upstream.probeResult
 	upstream.probeResult = message.ProbeRefused
 	if result.Answered {
 		upstream.probeResult = message.ProbeAnswered
 	}
-	return upstream.probeResult != before
+	return upstream.probeResult != previous
 }
 
-// probe probes an upstream for a registry, if it announced itself here lately.
+// probe probes an upstream for a registry if its last announcement here is within HeartbeatTimeout.
 func (u *localUpstreams) probe(env *statemachine.Env, request message.ProbeRequest) {
 	key := upstreamKey(request.Service, request.Instance)
 	upstream, known := u.running[key]
@@ -91,7 +94,8 @@
 	}
 }
 
-// heartbeats returns a heartbeat for each upstream, and forgets those that have been silent for long.
+// heartbeats returns a heartbeat for each upstream, sorted by key. It removes upstreams whose last
+// announcement is older than the retention.
 func (u *localUpstreams) heartbeats(now time.Duration) []message.Heartbeat {
 	heartbeats := []message.Heartbeat{}
 	for _, key := range slices.Sorted(maps.Keys(u.running)) {
@@ -107,11 +111,12 @@
 	return heartbeats
 }
 
-// recentDeregistrations returns the ends that are still repeated, and forgets older ones.
+// recentDeregistrations returns the deregistrations within the retention, sorted by key. It removes
+// older ones.
 func (u *localUpstreams) recentDeregistrations(now time.Duration) []message.Deregistration {
 	deregistrations := []message.Deregistration{}
 	for _, key := range slices.Sorted(maps.Keys(u.ended)) {
-		if now-u.ended[key].at > u.retention() {
+		if now-u.ended[key].endedAt > u.retention() {
 			delete(u.ended, key)
 			continue
 		}
@@ -120,11 +125,12 @@
 	return deregistrations
 }
 
+// retention returns how long after its last announcement or its deregistration an upstream is reported.
 func (u *localUpstreams) retention() time.Duration {
-	return u.settings.HeartbeatTimeout() * retainedBounds
+	return u.settings.HeartbeatTimeout() * retentionTimeouts
 }
 
-// upstreamKey returns the key of the registrations of an instance.
+// upstreamKey returns the key of the registration of an instance of a service.
 func upstreamKey(service, instance string) string {
 	return message.Registration{Service: service, Instance: instance}.Key()
 }
--- a/internal/proxy/usage.go
+++ b/internal/proxy/usage.go
@@ -8,23 +8,23 @@
 	"beaconvane/internal/statemachine"
 )
 
-// fullUpdateHeartbeats is how many heartbeat intervals lie between two updates that hold every window,
-// where no closed window has changed.
+// fullUpdateHeartbeats is the number of heartbeat intervals between two updates that hold every window,
+// while no closed window changes.
 const fullUpdateHeartbeats = 2
 
-// usageSender is what was last sent of the requests that the upstreams beside this proxy have begun.
-// Most of the time only the running window changes, and only that one is sent. Closed windows are
-// repeated in full updates, at a slower rhythm, until they are sealed.
+// usageSender is the state of the usage updates to the registries, which count the requests that the
+// upstreams of this proxy have started. Usually only the running window changes, and only that one is
+// sent. Closed windows are repeated in full updates at a lower frequency until they are sealed.
 type usageSender struct {
-	number         int64                // of the last update, in this life
+	sequence       int64                // of the last update since the process started
 	closedBelow    int64                // windows below it were closed in the last full update
-	closed         []message.UsageCount // those windows, as they were sent
-	running        []message.UsageCount // the other windows, as they were sent
+	closed         []message.UsageCount // the closed windows as last sent
+	running        []message.UsageCount // the other windows as last sent
 	nextFullUpdate time.Duration
 }
 
-// sendUsage sends the counts to the registries: all windows where a closed window has changed or a full
-// update is due, else the running one where that has changed.
+// sendUsage sends the counts to the registries: all windows if a closed window has changed or a full
+// update is due, otherwise the running window if it has changed.
 func (m *Machine) sendUsage(env *statemachine.Env, counted UsageCounted) {
 	closed, running := splitUsage(counted)
 	sent := &m.usage
@@ -33,11 +33,11 @@
 	if !full && reflect.DeepEqual(running, sent.running) {
 		return
 	}
-	sent.number++
+	sent.sequence++
 	sent.running = running
-	update := message.UsageUpdate{Proxy: m.membership.Self().Name, StartTime: m.startTime, Sequence: sent.number, Counts: running}
+	update := message.UsageUpdate{Proxy: m.membership.Self().Name, StartTime: m.startTime, Sequence: sent.sequence, Counts: running}
 	if full {
-		// Only what holds a window's last counts may say that the window is closed.
+		// Only an update that holds the final counts of a window may mark it as closed.
 		update.Counts = append(append([]message.UsageCount{}, closed...), running...)
 		update.ClosedBelow = counted.Closed
 		sent.closed, sent.closedBelow = closed, counted.Closed
@@ -48,7 +48,7 @@
 	}
 }
 
-// splitUsage parts the closed windows from the running one.
+// splitUsage separates the closed windows from the running ones.
 func splitUsage(counted UsageCounted) (closed, running []message.UsageCount) {
 	closed, running = []message.UsageCount{}, []message.UsageCount{}
 	for _, count := range counted.Usage {
@@ -61,7 +61,8 @@
 	return closed, running
 }
 
-// SealedBelow returns the window below which all usage is sealed, as far as any registry has told.
+// SealedBelow returns the highest window below which any registry has reported all usage as sealed, or
+// 0 if none has.
 func (m *Machine) SealedBelow() int64 {
 	highest := int64(0)
 	for _, window := range m.sealed {
--- a/internal/proxy/usage_recipients.go
+++ b/internal/proxy/usage_recipients.go
@@ -7,11 +7,13 @@
 	"beaconvane/internal/message"
 )
 
-// smallVoterGroup is the largest group of voters of which all members are sent the usage.
+// smallVoterGroup is the largest number of voters with which all registries receive the usage counts.
 const smallVoterGroup = 3
 
-// usageRecipients returns the registries that are sent the usage counts: one more than may be lost,
-// so that any majority that a new lease holder reads has one of them; of a small group all.
+// usageRecipients returns the registries to which usage counts are sent: a majority of the voters, which
+// is at least one more than may fail, so that any majority that a new lease holder reads includes a
+// recipient. It returns all registries that were recently alive if there are at most smallVoterGroup
+// voters, if no more registries than a majority are alive, or if started requests are not counted.
 func (m *Machine) usageRecipients(now time.Duration) []message.Member {
 	registries := m.membership.RecentlyAlive(message.RoleRegistry, now)
 	majority := len(m.settings.Voters)/2 + 1
@@ -21,8 +23,8 @@
 	return selectRecipients(m.membership.Alive(message.RoleRegistry), majority)
 }
 
-// selectRecipients returns so many of the registries: those that hold a voter before those that don't,
-// and among them so that all zones have as many as each other.
+// selectRecipients returns up to count registries. Registries that hold a voter come first; among equals
+// the selection is balanced across zones.
 func selectRecipients(registries []message.Member, count int) []message.Member {
 	remaining, selected := slices.Clone(registries), []message.Member{}
 	selectedInZone := map[string]int{}
@@ -40,7 +42,8 @@
 	return selected
 }
 
-// preferred reports whether a registry is to be selected before another.
+// preferred reports whether a registry is selected before another: a voter before a non-voter, then the
+// one whose zone has fewer selected registries.
 func preferred(registry, other message.Member, selectedInZone map[string]int) bool {
 	if (registry.Voter == "") != (other.Voter == "") {
 		return registry.Voter != ""
--- a/internal/proxy/usage_recipients_test.go
+++ b/internal/proxy/usage_recipients_test.go
@@ -9,8 +9,8 @@
 	"beaconvane/internal/message"
 )
 
-// Where there are more registries than voters, counts go to voters, since a new lease holder reads a
-// majority of those; and they are in as many zones as there are.
+// If there are more registries than voters, counts must be sent to voters, since a new lease holder reads
+// a majority of those, and the recipients must be spread across all zones.
 func TestCountsGoToVotersInSeveralZones(t *testing.T) {
 	c := qt.New(t)
 	registries := []message.Member{}
