--- a/internal/settings/adjust_test.go
+++ b/internal/settings/adjust_test.go
@@ -1,4 +1,4 @@
-// Bounds that leave each other little room: what is derived, what is given up, and the warnings.
+// Tests of AdjustBounds: the values derived from tight bounds, and the warnings for bounds that are not kept.
 package settings
 
 import (
@@ -9,6 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// warningLines returns the warnings of some settings, one a line.
 func warningLines(cfg Settings) string {
 	lines := []string{}
 	for _, warning := range cfg.Warnings {
@@ -24,14 +25,14 @@
 	c.Assert(adjusted.Warnings, qt.HasLen, 0)
 }
 
-// A lease is shortened until a takeover fits in the tightest bound; past the shortest
-// lease the rule's own bound is kept, and a warning names what is given up.
+// A lease is shortened until a takeover fits in the tightest bound, but not below the minimum lease. There
+// HolderCooldown still stays as it is, and a warning names the bound that is not kept.
 func TestLeaseFollowsTheTightestBound(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		name    string
 		change  func(bounds *Bounds, expected *Expected)
-		limit   time.Duration // that a takeover has to stay within; 0: the shortest lease stands
+		limit   time.Duration // for a takeover; 0: the minimum lease is expected
 		warning string
 	}{
 		{"usage", func(b *Bounds, _ *Expected) { b.HolderCooldown, b.UsageReportDelay = 4300, 6000 }, 2400 * time.Millisecond, ""},
@@ -46,7 +47,8 @@
 		test.change(&cfg.Bounds, &expected)
 		holderCooldown := cfg.Bounds.HolderCooldown
 		adjusted := cfg.AdjustBounds(expected)
-		comment := qt.Commentf("%s: lease %v, takeover %v, %s", test.name, adjusted.Lease(), adjusted.LeaseTakeover(), warningLines(adjusted))
+		comment := qt.Commentf("%s: lease %v, takeover %v, %s",
+			test.name, adjusted.Lease(), adjusted.LeaseTakeover(), warningLines(adjusted))
 		c.Check(adjusted.Bounds.HolderCooldown, qt.Equals, holderCooldown, comment)
 		c.Check(adjusted.Lease() >= milliseconds(minLeaseMillis), qt.IsTrue, comment)
 		if test.limit > 0 {
@@ -59,7 +61,7 @@
 	}
 }
 
-// Figures below what the programs can do are lifted, and said.
+// Bounds below the programs' minimums are raised, and each raise is reported by a warning.
 func TestRaisedMinimumsAreReported(t *testing.T) {
 	c := qt.New(t)
 	cfg := Default()
@@ -69,7 +71,7 @@
 	c.Assert(adjusted.Bounds.ResponseDelay, qt.Equals, int64(minNonzeroMillis))
 	c.Assert(adjusted.Bounds.HolderCooldown, qt.Equals, int64(minLeaseMillis*2))
 	c.Assert(adjusted.Bounds.RetryShare, qt.Equals, maxRetryShare)
-	c.Assert(warningLines(adjusted), qt.Contains, "bounds.configuration_in_force_ms: 10 is below what can be kept")
+	c.Assert(warningLines(adjusted), qt.Contains, "bounds.configuration_in_force_ms: 10 is below the minimum and is raised to 400")
 	faults := Faults{}
 	adjusted.checkBounds(&faults)
 	c.Assert(faults, qt.HasLen, 0)
@@ -90,7 +92,7 @@
 	}
 }
 
-// The base interval is the default's own bound, and shorter where any other bound asks for it.
+// The base interval is that of the default bounds, and shorter where any bound requires it.
 func TestBaseIntervalFollowsTheTightestBound(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(Default().BaseInterval(), qt.Equals, 2*time.Second)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,31 +9,31 @@
 
 // Sizes of the core group and of frames.
 const (
-	// maxVoters bounds a group, whose member list is part of many messages.
+	// maxVoters is the largest number of voters. It is limited since many messages contain the member list.
 	maxVoters = 99
-	// staticVoterCount is how many voters the settings name where they give no count.
+	// staticVoterCount is the number of voters that are named in settings without a voter count. It is also
+	// the smallest number of voters that survives the loss of one.
 	staticVoterCount = 3
-	// staticSeedCount is how many seeds go with voters that are named.
+	// staticSeedCount is the number of seeds required with named voters.
 	staticSeedCount = 3
-	// maxFrameBytes is the largest frame that may be allowed, in bytes.
+	// maxFrameBytes is the largest value of Limits.Frame.
 	maxFrameBytes = 256 << 20
-	// frameOverheadBytes is the room in a frame for all but its body, in bytes.
+	// frameOverheadBytes is reserved in a frame for everything but its body.
 	frameOverheadBytes = 64 << 10
 )
 
-// Check lists all that is wrong with the settings of a role, also bounds that cannot be kept
-// together.
+// Check returns all faults of the settings of a role, including bounds that cannot be kept together.
 func (c Settings) Check(role string) Faults {
 	faults := c.CheckAdjusted(role)
 	if len(faults) == 0 {
-		// Ratios of broken bounds would only confuse.
+		// Values derived from invalid bounds would only add misleading faults.
 		c.checkTakeover(&faults)
 	}
 	return faults
 }
 
-// CheckAdjusted is Check for settings that AdjustBounds has returned: bounds that cannot be kept
-// together are in their Warnings and are no faults.
+// CheckAdjusted is Check for settings returned by AdjustBounds: bounds that cannot be kept together are
+// reported in Warnings and not as faults.
 func (c Settings) CheckAdjusted(role string) Faults {
 	faults := Faults{}
 	c.checkIdentity(role, &faults)
@@ -45,7 +45,7 @@
 	return faults
 }
 
-// checkIdentity checks names, zones, addresses and the data folder.
+// checkIdentity checks names, zones, addresses and the data directory.
 func (c Settings) checkIdentity(role string, faults *Faults) {
 	faults.missingIf(c.Node == "", "node", "missing")
 	faults.missingIf(c.Zone == "", "zone", "missing")
@@ -67,6 +67,7 @@
 	faults.missingIf(role != message.RoleProxy && c.DataDirectory == "", "data", "missing: the data folder")
 }
 
+// checkSeeds checks the addresses of seeds and anchors.
 func (c Settings) checkSeeds(faults *Faults) {
 	faults.missingIf(c.VoterCount > 0 && len(c.Seeds) == 0, "seeds", "want at least one address")
 	faults.invalidIf(c.VoterCount == 0 && len(c.Seeds) != staticSeedCount, "seeds", "want three addresses")
@@ -78,7 +79,7 @@
 	}
 }
 
-// checkChoices checks settings that are one of several words.
+// checkChoices checks the settings that are one of several words, and that a configuration is named.
 func (c Settings) checkChoices(faults *Faults) {
 	faults.invalidIf(c.TargetProof != ProofConnection && c.TargetProof != ProofTarget, "proof", "want connection or target")
 	faults.invalidIf(c.UnknownFields != FieldsRefuse && c.UnknownFields != FieldsKeep, "fields", "want refuse or keep")
@@ -87,6 +88,7 @@
 	faults.missingIf(len(c.ConfigNames) == 0, "configurations", "want at least one")
 }
 
+// checkVoters checks the voters, the preferred holders of leases and the tolerated loss.
 func (c Settings) checkVoters(role string, faults *Faults) {
 	voters := c.Voters
 	if c.VoterCount != 0 {
@@ -106,9 +108,11 @@
 		faults.invalidIf(role != message.RoleProxy && !slices.Contains(voters, voter), "active."+tag, "no such voter: "+voter)
 	}
 	tolerated := c.Tolerated
-	faults.invalidIf(min(tolerated.Machines, tolerated.Zones, tolerated.Regions) < 0, "tolerated", "machines, zones and regions want 0 or more")
+	faults.invalidIf(min(tolerated.Machines, tolerated.Zones, tolerated.Regions) < 0, "tolerated",
+		"machines, zones and regions want 0 or more")
 }
 
+// checkBounds checks each bound by itself.
 func (c Settings) checkBounds(faults *Faults) {
 	bounds := c.Bounds
 	faults.checkPositive("bounds.", map[string]int64{
@@ -125,11 +129,13 @@
 		"sync_ms":                   bounds.Sync,
 		"retry_window_ms":           bounds.RetryWindow,
 	})
-	faults.invalidIf(bounds.Lease < 0 || bounds.Lease > bounds.HolderCooldown/2, "bounds.lease_ms", "want at most half of holder_rest_ms, or 0")
+	faults.invalidIf(bounds.Lease < 0 || bounds.Lease > bounds.HolderCooldown/2, "bounds.lease_ms",
+		"want at most half of holder_rest_ms, or 0")
 	faults.invalidIf(bounds.KeyWithdrawal < 0 || bounds.RetryAllowance < 0 || bounds.RetryShare < 0 || bounds.RetryShare >= 1, "bounds",
 		"key_withdrawal_ms and retry_allowance want 0 or more, retry_share 0 to below 1")
 }
 
+// checkLimits checks the limits, and that every body, response and configuration fits in a frame.
 func (c Settings) checkLimits(faults *Faults) {
 	limits := c.Limits
 	faults.checkPositive("limits.", map[string]int64{
@@ -148,13 +154,14 @@
 	faults.invalidIf(negative || limits.Linger >= limits.Grace, "limits",
 		"linger_ms, memory_mb, link_bytes and descriptors want 0 or more, linger_ms less than grace_ms")
 	faults.invalidIf(limits.Frame > maxFrameBytes, "limits.frame_bytes", fmt.Sprintf("want at most %d", maxFrameBytes))
-	faults.clashIf(limits.Frame > 0 && limits.Frame < max(limits.Body, limits.Response, limits.Configuration)+frameOverheadBytes, "limits.frame_bytes",
-		"must hold a body, an answer or a configuration and 64 KiB more")
+	faults.clashIf(limits.Frame > 0 && limits.Frame < max(limits.Body, limits.Response, limits.Configuration)+frameOverheadBytes,
+		"limits.frame_bytes", "must hold a body, an answer or a configuration and 64 KiB more")
 	faults.clashIf(limits.Frame < int64(len(c.ConfigNames)+1)*(limits.Configuration+frameOverheadBytes), "limits.frame_bytes",
 		"must hold the largest configuration of every configuration and one more")
 }
 
-// checkTakeover checks that a takeover ends before the bound of whatever waits for it.
+// checkTakeover checks that the bounds which depend on a takeover leave enough time for one, and that leases
+// and configurations leave enough time for disk syncs.
 func (c Settings) checkTakeover(faults *Faults) {
 	bounds := c.Bounds
 	faults.clashIf(c.LeaseTakeover() >= milliseconds(bounds.UsageReportDelay)-c.SealAfter(), "bounds.usage_late_ms",
@@ -163,5 +170,6 @@
 		"a takeover would outlast it: lower holder_rest_ms or raise it")
 	faults.clashIf(c.LeaseTakeover()*2 > milliseconds(bounds.Restore), "bounds.restore_ms", "two takeovers must fit in it")
 	faults.clashIf(milliseconds(bounds.Sync)*minSyncsPerLease > c.Lease(), "bounds.sync_ms", "a lease must hold four syncs")
-	faults.clashIf(milliseconds(bounds.Sync)*minSyncsPerInForceBound > milliseconds(bounds.ConfigurationInForce), "bounds.sync_ms", "configuration_in_force_ms must hold eight syncs")
+	faults.clashIf(milliseconds(bounds.Sync)*minSyncsPerInForceBound > milliseconds(bounds.ConfigurationInForce), "bounds.sync_ms",
+		"configuration_in_force_ms must hold eight syncs")
 }
--- a/internal/settings/faults.go
+++ b/internal/settings/faults.go
@@ -8,20 +8,20 @@
 	"beaconvane/internal/errcode"
 )
 
-// Fault is one thing that is wrong with some settings.
+// Fault is one error in the settings.
 type Fault struct {
 	Code errcode.Code
-	Path string
+	Path string // of the setting, such as bounds.sync_ms; "$" for the whole file
 	Text string
 }
 
-// String returns the line that an operator reads.
+// String returns the fault as the line that is printed for an operator.
 func (f Fault) String() string { return fmt.Sprintf("%s: %s (%d)", f.Path, f.Text, int(f.Code)) }
 
-// Faults are all that is wrong with some settings.
+// Faults are all errors in the settings.
 type Faults []Fault
 
-// Lines returns the faults as sorted text.
+// Lines returns the faults as sorted lines of text.
 func (f Faults) Lines() []string {
 	lines := []string{}
 	for _, fault := range f {
@@ -31,32 +31,33 @@
 	return lines
 }
 
+// add adds a fault.
 func (f *Faults) add(code errcode.Code, path, text string) {
 	*f = append(*f, Fault{code, path, text})
 }
 
-// invalidIf adds a fault for a value that is of the wrong kind or out of range.
+// invalidIf adds a fault if a value is malformed or out of range.
 func (f *Faults) invalidIf(invalid bool, path, text string) {
 	if invalid {
 		f.add(errcode.ConfigBadValue, path, text)
 	}
 }
 
-// missingIf adds a fault for a value that has no default.
+// missingIf adds a fault if a value that has no default is absent.
 func (f *Faults) missingIf(absent bool, path, text string) {
 	if absent {
 		f.add(errcode.ConfigMissing, path, text)
 	}
 }
 
-// clashIf adds a fault for bounds that cannot be kept together.
+// clashIf adds a fault if bounds cannot be kept together.
 func (f *Faults) clashIf(clash bool, path, text string) {
 	if clash {
 		f.add(errcode.ConfigBoundsClash, path, text)
 	}
 }
 
-// checkAddress adds a fault unless the value is an IP number and a port.
+// checkAddress adds a fault unless the value is an IP address and a port.
 func (f *Faults) checkAddress(path, value string) {
 	if value == "" {
 		f.add(errcode.ConfigMissing, path, "missing")
@@ -66,7 +67,7 @@
 	f.invalidIf(err != nil || net.ParseIP(host) == nil || port == "", path, "want an IP number and a port, have "+value)
 }
 
-// checkPositive adds a fault for each figure that is not above 0.
+// checkPositive adds a fault for each value that is not above 0. The prefix completes the values' paths.
 func (f *Faults) checkPositive(prefix string, values map[string]int64) {
 	for name, value := range values {
 		f.invalidIf(value <= 0, prefix+name, "want more than 0")
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -8,7 +8,7 @@
 	"beaconvane/internal/errcode"
 )
 
-// unknownKeys lists keys that no setting has, and keys that stand twice.
+// unknownKeys returns a fault for each key that no setting has and for each repeated key.
 func unknownKeys(body []byte) Faults {
 	root, faults := gjson.ParseBytes(body), Faults{}
 	faults.checkKeys("", root, jsonKeys(Default()))
@@ -18,10 +18,10 @@
 	return faults
 }
 
-// jsonKeys returns the JSON keys of a struct.
+// jsonKeys returns the JSON keys of a struct value.
 func jsonKeys(value any) map[string]bool {
 	keys := map[string]bool{}
-	text, _ := json.Marshal(value) // plain structs are always marshalled
+	text, _ := json.Marshal(value) // marshalling a struct of plain fields does not fail
 	gjson.ParseBytes(text).ForEach(func(key, _ gjson.Result) bool {
 		keys[key.String()] = true
 		return true
@@ -29,6 +29,8 @@
 	return keys
 }
 
+// checkKeys adds a fault for each key of a JSON object that is unknown or repeated. The path completes the
+// keys' paths.
 func (f *Faults) checkKeys(path string, object gjson.Result, known map[string]bool) {
 	seen := map[string]bool{}
 	object.ForEach(func(key, _ gjson.Result) bool {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -11,8 +11,8 @@
 	"beaconvane/internal/errcode"
 )
 
-// Read applies a file's bytes and then flags, by their names, to the defaults. It returns the settings
-// of a role and a line for each fault.
+// Read applies the content of a settings file, and then the flags by their names, to the defaults. It
+// returns the settings of a role and a line for each fault.
 func Read(role string, body []byte, flags map[string]string) (Settings, []string) {
 	cfg := Default()
 	unknown := Faults{}
@@ -33,7 +33,7 @@
 	return cfg, faults.Lines()
 }
 
-// applyFlags overrides the file's values with those of the command line.
+// applyFlags overrides the file's values with those of the command line. It ignores flags of other names.
 func (c *Settings) applyFlags(flags map[string]string) {
 	stringSettings := map[string]*string{"node": &c.Node, "voter": &c.Voter, "zone": &c.Zone, "address": &c.Address,
 		"outside": &c.HTTPAddress, "data": &c.DataDirectory, "collector": &c.Collector, "metrics": &c.MetricsAddress}
@@ -50,7 +50,8 @@
 	}
 }
 
-// Load is Read from a path; without a path the flags are all there is.
+// Load reads the settings file at a path, as Read does; with an empty path only the flags apply. Faults are
+// returned as one error.
 func Load(role, path string, flags map[string]string) (Settings, error) {
 	body, err := readFile(path)
 	if err != nil {
@@ -64,6 +65,7 @@
 	return cfg, nil
 }
 
+// readFile returns the content of a file, or nothing for an empty path.
 func readFile(path string) ([]byte, error) {
 	if path == "" {
 		return nil, nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads and checks the settings of a process: a JSON file, and flags that override
-// it. Everything is checked at start and every fault is listed with its path, so that an operator
-// mends a file once and not fault by fault. The section bounds states what the deployment must keep;
-// every timer of the programs is a ratio to one of these bounds, and the ratios are in timers.go.
-// AdjustBounds fits bounds that leave each other too little room.
+// Package settings reads and checks the settings of a process: a JSON file, and command-line flags that
+// override it. Everything is checked at start, and every fault is listed with its path, so that an
+// operator can correct a file in one pass. The section bounds states the guarantees of the deployment.
+// Every timer of the programs is derived from one of these bounds by a fixed ratio (see timers.go).
+// AdjustBounds adapts bounds that cannot be kept together.
 package settings
 
 import (
@@ -12,111 +12,172 @@
 	"beaconvane/internal/routeconfig"
 )
 
-// Bounds are what the deployment must keep, in milliseconds unless the name says otherwise.
+// Bounds are the guarantees of the deployment, in milliseconds except for RetryShare and RetryAllowance.
 type Bounds struct {
-	ConfigurationInForce int64   `json:"configuration_in_force_ms"`
-	KeyWithdrawal        int64   `json:"key_withdrawal_ms"`
-	Drain                int64   `json:"drain_ms"`
-	RollbackWindow       int64   `json:"slip_back_ms"`
-	ResponseDelay        int64   `json:"answer_hold_ms"`
-	UsageReportDelay     int64   `json:"usage_late_ms"`
-	UsageWindow          int64   `json:"usage_window_ms"`
-	HolderCooldown       int64   `json:"holder_rest_ms"`
-	Lease                int64   `json:"lease_ms"`    // 0: half of holder_rest_ms
-	CatchUp              int64   `json:"catch_up_ms"` // within which a new core machine is a full voter
-	Restore              int64   `json:"restore_ms"`
-	Heartbeat            int64   `json:"heartbeat_ms"`
-	Sync                 int64   `json:"sync_ms"`
-	RetryShare           float64 `json:"retry_share"`
-	RetryWindow          int64   `json:"retry_window_ms"`
-	RetryAllowance       int64   `json:"retry_allowance"`
+	// ConfigurationInForce is the time from the acknowledgement of a configuration until every proxy applies it.
+	ConfigurationInForce int64 `json:"configuration_in_force_ms"`
+	// KeyWithdrawal is how long a key may still work after its withdrawal was acknowledged; 0: no bound.
+	KeyWithdrawal int64 `json:"key_withdrawal_ms"`
+	// Drain is how long an upstream that drains may still be given new requests.
+	Drain int64 `json:"drain_ms"`
+	// RollbackWindow is how long an older version may still be applied after a newer one came into force.
+	RollbackWindow int64 `json:"slip_back_ms"`
+	// ResponseDelay is how long a proxy may delay a complete response on its way to the caller.
+	ResponseDelay int64 `json:"answer_hold_ms"`
+	// UsageReportDelay is the time from the end of a usage window until its report is due.
+	UsageReportDelay int64 `json:"usage_late_ms"`
+	// UsageWindow is the length of a usage window.
+	UsageWindow int64 `json:"usage_window_ms"`
+	// HolderCooldown is the minimum time before a lease may return to a former holder.
+	HolderCooldown int64 `json:"holder_rest_ms"`
+	// Lease is how long a voter grants a lease; 0: half of HolderCooldown.
+	Lease int64 `json:"lease_ms"`
+	// CatchUp is the time within which a new core machine becomes a full voter.
+	CatchUp int64 `json:"catch_up_ms"`
+	// Restore is the time within which service is restored after the loss of all machines.
+	Restore int64 `json:"restore_ms"`
+	// Heartbeat is how long an upstream counts as alive after a heartbeat.
+	Heartbeat int64 `json:"heartbeat_ms"`
+	// Sync is the longest time that a disk is expected to take for a sync.
+	Sync int64 `json:"sync_ms"`
+	// RetryShare is the number of retries allowed for each first attempt within RetryWindow, from 0 to below 1.
+	RetryShare float64 `json:"retry_share"`
+	// RetryWindow is the period over which retries are counted.
+	RetryWindow int64 `json:"retry_window_ms"`
+	// RetryAllowance is the number of retries that all proxies together may add to RetryShare within RetryWindow.
+	RetryAllowance int64 `json:"retry_allowance"`
 }
 
-// Tolerated is the loss that leaves a majority of the voters: so many machines, or zones, or regions
-// at once.
+// Tolerated is the largest simultaneous loss of machines, zones or regions after which a majority of the
+// voters must be left.
 type Tolerated struct {
 	Machines int64 `json:"machines"`
 	Zones    int64 `json:"zones"`
 	Regions  int64 `json:"regions"`
 }
 
-// Limits are the sizes and counts that a process keeps to.
+// Limits are the sizes and counts to which a process is limited.
 type Limits struct {
-	Queue                int64   `json:"queue"`
-	Body                 int64   `json:"body_bytes"`
-	Response             int64   `json:"answer_bytes"`
-	Configuration        int64   `json:"configuration_bytes"`
-	ConfigurationEntries int64   `json:"configuration_entries"`
-	RetainedVersions     int64   `json:"kept_configurations"`
-	Fanout               int64   `json:"fanout"`
-	Frame                int64   `json:"frame_bytes"`
-	RequestTimeout       int64   `json:"request_ms"`
-	Grace                int64   `json:"grace_ms"`
-	SpillMargin          float64 `json:"spill_margin"`
-	Linger               int64   `json:"linger_ms"`   // how long a process that stops still accepts requests
-	Memory               int64   `json:"memory_mb"`   // of the process; 0: not given
-	LinkBandwidth        int64   `json:"link_bytes"`  // capacity of the machine's link each way in a second; 0: not given
-	Descriptors          int64   `json:"descriptors"` // that the process may have open; 0: not given
+	// Queue is the capacity of a queue: requests in flight at a proxy, pending writes of a configuration
+	// store, and frames that wait for a peer.
+	Queue int64 `json:"queue"`
+	// Body is the largest request body, in bytes.
+	Body int64 `json:"body_bytes"`
+	// Response is the largest response body of an upstream, in bytes.
+	Response int64 `json:"answer_bytes"`
+	// Configuration is the largest configuration, in bytes.
+	Configuration int64 `json:"configuration_bytes"`
+	// ConfigurationEntries is the largest number of services, tenants, keys and routes in a configuration.
+	ConfigurationEntries int64 `json:"configuration_entries"`
+	// RetainedVersions is how many versions of each configuration a configuration store keeps.
+	RetainedVersions int64 `json:"kept_configurations"`
+	// Fanout is the number of children to which a process distributes updates.
+	Fanout int64 `json:"fanout"`
+	// Frame is the largest frame between processes, in bytes.
+	Frame int64 `json:"frame_bytes"`
+	// RequestTimeout is the longest time that a request may take, in milliseconds.
+	RequestTimeout int64 `json:"request_ms"`
+	// Grace is how long a process may take to stop, in milliseconds.
+	Grace int64 `json:"grace_ms"`
+	// SpillMargin is the relative cost that is added to an upstream in another zone when a proxy selects one.
+	SpillMargin float64 `json:"spill_margin"`
+	// Linger is how long a process that stops still accepts requests, in milliseconds.
+	Linger int64 `json:"linger_ms"`
+	// Memory is the memory available to the process, in MiB; 0: not given.
+	Memory int64 `json:"memory_mb"`
+	// LinkBandwidth is the capacity of the machine's link in each direction, in bytes per second; 0: not given.
+	LinkBandwidth int64 `json:"link_bytes"`
+	// Descriptors is the number of file descriptors that the process may have open; 0: not given.
+	Descriptors int64 `json:"descriptors"`
 }
 
-// How a proxy knows that a request reaches the upstream that it is meant for.
+// Values of Settings.TargetProof: how a proxy verifies that a request reaches the intended upstream.
 const (
-	// ProofConnection: by a connection to the upstream that has been open since its announcement.
+	// ProofConnection sends requests over a connection that has been open since the upstream's announcement.
 	ProofConnection = "connection"
-	// ProofTarget: the upstream refuses a request that names another target.
+	// ProofTarget relies on upstreams that refuse a request which names another target.
 	ProofTarget = "target"
 )
 
-// What becomes of unknown fields in configurations.
+// Values of Settings.UnknownFields: how unknown fields in configurations are handled.
 const (
 	FieldsRefuse = "refuse"
 	FieldsKeep   = "keep"
 )
 
-// Which requests usage counts.
+// Values of Settings.CountedRequests: which requests are counted as usage.
 const (
 	CountAnswered = "answered"
 	CountBegun    = "begun"
 )
 
-// Settings are the settings of one process. The JSON keys are the names in the file.
+// Settings are the settings of one process. The JSON tags are the keys of the settings file.
 type Settings struct {
-	Node             string            `json:"node"`
-	Voter            string            `json:"voter"`
-	Voters           []string          `json:"voters"`
-	VoterCount       int64             `json:"voter_count"` // instead of voter and voters: how many; the processes agree on who they are
-	Bootstrap        bool              `json:"found"`       // this start, with an empty disk, may found the group
-	NonVoter         bool              `json:"non_voter"`   // this process never holds a voter
-	Anchors          []string          `json:"anchors"`     // core addresses, alike on all; the first that may vote is among the founders
-	Regions          map[string]string `json:"regions"`     // the region of each zone; default: one for all
-	Tolerated        Tolerated         `json:"tolerated"`   // what voters are placed to outlive
-	Zone             string            `json:"zone"`
-	Zones            []string          `json:"zones"`
-	Address          string            `json:"address"`
-	HTTPAddress      string            `json:"outside"`
-	MetricsAddress   string            `json:"metrics"` // ip:port of the page of the process's own figures; "": none
-	Seeds            []string          `json:"seeds"`
-	DataDirectory    string            `json:"data"`
-	ConfigNames      []string          `json:"configurations"`
-	WritePolicy      string            `json:"puts"`   // rising: a lower number is a conflict; highest: it is acknowledged, no change
-	Slices           []string          `json:"slices"` // a proxy's: zones whose upstreams it uses; default all
-	Collector        string            `json:"collector"`
+	// Node is the name of the process.
+	Node string `json:"node"`
+	// Voter is the name under which the process votes, one of Voters.
+	Voter string `json:"voter"`
+	// Voters are the names of all voters.
+	Voters []string `json:"voters"`
+	// VoterCount is the number of voters. It replaces Voter and Voters: the processes agree on which of them vote.
+	VoterCount int64 `json:"voter_count"`
+	// Bootstrap allows this start, with an empty disk, to found the group. It is valid with VoterCount only.
+	Bootstrap bool `json:"found"`
+	// NonVoter excludes this process from voting.
+	NonVoter bool `json:"non_voter"`
+	// Anchors are addresses of core processes, the same list on all. The first one that may vote is a founder.
+	Anchors []string `json:"anchors"`
+	// Regions maps each zone to its region; by default all zones are in one region.
+	Regions map[string]string `json:"regions"`
+	// Tolerated is the loss that the placement of voters must survive.
+	Tolerated Tolerated `json:"tolerated"`
+	// Zone is the zone of the process, one of Zones.
+	Zone string `json:"zone"`
+	// Zones are the names of all zones.
+	Zones []string `json:"zones"`
+	// Address is the ip:port for connections between processes.
+	Address string `json:"address"`
+	// HTTPAddress is the ip:port for HTTP; a configuration store may have none.
+	HTTPAddress string `json:"outside"`
+	// MetricsAddress is the ip:port for the metrics of the process; "": none.
+	MetricsAddress string `json:"metrics"`
+	// Seeds are the addresses that a process without peers contacts to join the mesh.
+	Seeds []string `json:"seeds"`
+	// DataDirectory is the directory for stored state; proxies need none.
+	DataDirectory string `json:"data"`
+	// ConfigNames are the names of the configurations.
+	ConfigNames []string `json:"configurations"`
+	// WritePolicy is WritesRising or WritesHighest.
+	WritePolicy string `json:"puts"`
+	// Slices are the zones whose upstreams a proxy uses; default: all.
+	Slices []string `json:"slices"`
+	// Collector is the URL to which usage reports are sent; "": none.
+	Collector string `json:"collector"`
+	// PreferredHolders maps the tag of a lease to the voter that preferably holds it.
 	PreferredHolders map[string]string `json:"active"`
-	LogLevel         int64             `json:"log_level"`
-	Service          string            `json:"service"` // a proxy's: the service that calls from its machine; "": callers name theirs
-	BeaconAddresses  []string          `json:"beacon"`  // a proxy's: addresses of its own calls, apart from the callers'; default none apart
-	TargetProof      string            `json:"proof"`   // of whom a request reaches: "connection" or "target"
-	UnknownFields    string            `json:"fields"`  // configurations' fields that are not known: "refuse" or "keep"
-	CountedRequests  string            `json:"counted"` // for usage: requests "answered", or "begun" by an upstream
-	Bounds           Bounds            `json:"bounds"`
-	Limits           Limits            `json:"limits"`
-
-	// Warnings say which bounds the settings leave no room to keep together; they are
-	// logged at start.
+	// LogLevel is the verbosity of the log.
+	LogLevel int64 `json:"log_level"`
+	// Service is the service that calls a proxy from its machine; "": callers give their own names.
+	Service string `json:"service"`
+	// BeaconAddresses are a proxy's addresses for its own API. Callers then have HTTPAddress to themselves;
+	// by default HTTPAddress serves both.
+	BeaconAddresses []string `json:"beacon"`
+	// TargetProof is ProofConnection or ProofTarget.
+	TargetProof string `json:"proof"`
+	// UnknownFields is FieldsRefuse or FieldsKeep.
+	UnknownFields string `json:"fields"`
+	// CountedRequests is CountAnswered, or CountBegun for requests that an upstream began.
+	CountedRequests string `json:"counted"`
+	// Bounds are the guarantees of the deployment.
+	Bounds Bounds `json:"bounds"`
+	// Limits are the sizes and counts to which the process is limited.
+	Limits Limits `json:"limits"`
+
+	// Warnings list the bounds that cannot be kept together. They are logged at start.
 	Warnings []Warning `json:"-"`
 }
 
-// Default returns the values of settings that the file does not give.
+// Default returns the settings that apply where the file gives no value.
 func Default() Settings {
 	return Settings{
 		ConfigNames:      []string{"main"},
@@ -138,19 +199,20 @@
 	}
 }
 
-// Leases are named by tags: one for each zone, and these two.
+// Tags of leases. Besides these two, each zone has a lease, whose tag is the zone's name.
 const (
-	UsageLease     = "usage"      // of the registry that reports usage
-	ConfigLogLease = "config-log" // of the configuration store that commits configurations
+	UsageLease     = "usage"      // held by the registry that reports usage
+	ConfigLogLease = "config-log" // held by the configuration store that commits configurations
 )
 
-// What a configuration store answers to a write whose version is not above the current one.
+// Values of Settings.WritePolicy: how a configuration store responds to a write whose version is not above the
+// current one.
 const (
-	WritesRising  = "rising"  // a conflict
-	WritesHighest = "highest" // an acknowledgement that changes nothing
+	WritesRising  = "rising"  // with a conflict
+	WritesHighest = "highest" // with an acknowledgement; nothing is changed
 )
 
-// VoterNames returns the names of voters where the settings give only their count.
+// VoterNames returns the names of the voters, "1" to count, for settings that give only the count.
 func VoterNames(count int64) []string {
 	names := []string{}
 	for number := range count {
@@ -159,7 +221,7 @@
 	return names
 }
 
-// Subscribed returns the zones whose slices of the roster a proxy follows.
+// Subscribed returns the zones whose slices of the roster a proxy subscribes to.
 func (c Settings) Subscribed() []string {
 	if len(c.Slices) == 0 {
 		return c.Zones
@@ -167,13 +229,13 @@
 	return c.Slices
 }
 
-// ProofByTarget reports whether upstreams themselves refuse a request that names another target.
+// ProofByTarget reports whether the proxy relies on upstreams to refuse a request that names another target.
 func (c Settings) ProofByTarget() bool { return c.TargetProof == ProofTarget }
 
-// CountsBegun reports whether usage counts requests that upstreams began, instead of answered ones.
+// CountsBegun reports whether requests count as usage once an upstream began them, and not once they are answered.
 func (c Settings) CountsBegun() bool { return c.CountedRequests == CountBegun }
 
-// ConfigurationLimits returns the limits that every reader of configurations applies.
+// ConfigurationLimits returns the limits that apply wherever a configuration is checked or parsed.
 func (c Settings) ConfigurationLimits() routeconfig.Limits {
 	return routeconfig.Limits{
 		MaxBytes:   c.Limits.Configuration,
@@ -183,4 +245,5 @@
 	}
 }
 
+// milliseconds returns a duration given in milliseconds.
 func milliseconds(value int64) time.Duration { return time.Duration(value) * time.Millisecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,4 @@
-// Settings: every fault at once, bounds that clash, samples that hold.
+// Tests that all faults are reported together, that clashing bounds are refused and that the sample settings load.
 package settings
 
 import (
