--- a/internal/delta/blockindex.go
+++ b/internal/delta/blockindex.go
@@ -8,11 +8,11 @@
 // blockBytes is the size of the blocks of the base that are indexed.
 const blockBytes = 32
 
-// blockIndex finds blocks of the base by their hash. Of blocks that share a slot the first one is kept.
+// blockIndex is a hash table of the blocks of the base. Of blocks with the same slot it contains the first.
 type blockIndex struct {
 	base  []byte
-	slots []int32 // one more than the block's number; 0 is empty
-	shift uint
+	slots []int32 // the block's number plus 1; 0: empty
+	shift uint    // right shift that leaves as many bits of a hash as a slot number has
 }
 
 // indexBlocks indexes all blocks of the base.
@@ -29,10 +29,10 @@
 	return index
 }
 
-// slot spreads a hash over the slots by its upper bits.
+// slot returns the slot of a hash: the upper bits of its product with hashMultiplier, which are well distributed.
 func (x blockIndex) slot(hash uint32) uint32 { return hash * hashMultiplier >> x.shift }
 
-// find returns the offset of a block in the base, if it is in the index.
+// find returns the offset of an indexed block of the base that equals the given block.
 func (x blockIndex) find(hash uint32, block []byte) (offset int, found bool) {
 	number := x.slots[x.slot(hash)]
 	if number == 0 {
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -1,12 +1,12 @@
-// Package delta encodes a document as its difference from an earlier one, in compressed form. A receiver
-// that has the earlier document, the base, rebuilds the new one, the target, from the difference. Against
-// an empty base the difference is the whole target, compressed.
+// Package delta encodes a document as its compressed difference from an earlier one. A receiver that has
+// the earlier document, the base, rebuilds the new one, the target, from the difference. With an empty base
+// the difference contains the complete target in compressed form.
 //
 // A difference is a sequence of instructions, compressed with DEFLATE. Each instruction starts with an
 // unsigned varint. Its lowest bit tells a copy from the base (a varint with the offset follows) from an
 // insertion (the bytes follow); the remaining bits are the length.
 //
-// A difference carries no checksum: the caller compares a digest of the document that it has rebuilt.
+// A difference contains no checksum: the caller must verify the rebuilt document against a digest.
 package delta
 
 import (
@@ -18,7 +18,7 @@
 )
 
 var (
-	// ErrMalformed is returned for a difference that cannot be read.
+	// ErrMalformed is returned for a difference that cannot be decoded or that doesn't fit the base.
 	ErrMalformed = errors.New("delta: malformed difference")
 	// ErrTooLarge is returned when the rebuilt document exceeds the limit.
 	ErrTooLarge = errors.New("delta: document larger than the limit")
@@ -28,7 +28,7 @@
 func Encode(base, target []byte) []byte {
 	instructions := findInstructions(base, target)
 	var compressed bytes.Buffer
-	compressor := compressors.Get().(*flate.Writer) //nolint:forcetypeassert // the pool holds nothing else
+	compressor := compressors.Get().(*flate.Writer) //nolint:forcetypeassert // the pool contains only *flate.Writer
 	defer compressors.Put(compressor)
 	compressor.Reset(&compressed)
 	// Writes to a buffer in memory do not fail.
@@ -37,7 +37,7 @@
 	return compressed.Bytes()
 }
 
-// compressors are reused, since each one holds several hundred kilobytes of tables.
+// compressors is a pool, since each compressor allocates several hundred kilobytes of tables.
 var compressors = sync.Pool{New: func() any {
 	compressor, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
@@ -47,13 +47,13 @@
 	return compressor
 }}
 
-// Apply rebuilds the target from the base and a difference. The result holds at most limit bytes. The
-// difference may come from anywhere: Apply returns an error that is ErrMalformed or ErrTooLarge, or a
-// document within the limit.
+// Apply rebuilds the target from the base and a difference. The difference may come from an untrusted
+// source: Apply returns a document of at most limit bytes, or an error that is ErrMalformed or ErrTooLarge.
 func Apply(base, difference []byte, limit int64) ([]byte, error) {
 	decompressor := flate.NewReader(bytes.NewReader(difference))
 	defer decompressor.Close()
-	// Instructions that build a document of limit bytes are hardly longer than it.
+	// The instructions for a document of limit bytes are hardly longer than the document, so twice the
+	// limit is enough.
 	instructions, err := io.ReadAll(io.LimitReader(decompressor, 2*limit+1))
 	if err != nil {
 		return nil, errors.Join(ErrMalformed, err)
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -10,7 +10,7 @@
 
 const testLimit = 8 << 20
 
-// configuration makes a document like those that operators write, with random names.
+// configuration returns a document like an operator's configuration, with random names.
 func configuration(random *rand.Rand, routes int) []byte {
 	var document bytes.Buffer
 	document.WriteString(`{"version":7,"routes":[`)
@@ -26,6 +26,7 @@
 	return document.Bytes()
 }
 
+// roundTrip checks that the target is rebuilt from its difference, and returns the size of the difference.
 func roundTrip(t *testing.T, base, target []byte) int {
 	t.Helper()
 	difference := Encode(base, target)
@@ -39,7 +40,7 @@
 	return len(difference)
 }
 
-// A change of one route of many travels in well under a hundredth of the document.
+// The difference for a change of one route among many is at most a thousandth of the document's size.
 func TestSmallChangeHasSmallDifference(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	base := configuration(random, 1700)
@@ -50,7 +51,7 @@
 	}
 }
 
-// Without a base the whole document travels, compressed.
+// Without a base the difference is the whole document, compressed to at most a third of its size.
 func TestWholeDocumentIsCompressed(t *testing.T) {
 	document := configuration(rand.New(rand.NewPCG(3, 4)), 1700)
 	if size := roundTrip(t, nil, document); size > len(document)/3 {
@@ -90,16 +91,16 @@
 	for range 2000 {
 		corrupt := bytes.Clone(difference)
 		corrupt[random.IntN(len(corrupt))] ^= byte(1 + random.IntN(255))
-		// Whatever comes out must come without a panic and within the limit.
+		// Apply must not panic or exceed the limit, whatever it returns.
 		if rebuilt, err := Apply(base, corrupt, 4096); err == nil && len(rebuilt) > 4096 {
-			t.Fatalf("%d bytes, the limit is 4096", len(rebuilt))
+			t.Fatalf("rebuilt %d bytes, the limit is 4096", len(rebuilt))
 		}
 	}
 	if _, err := Apply(base, difference, 100); !errors.Is(err, ErrTooLarge) {
 		t.Fatalf("want ErrTooLarge, have %v", err)
 	}
 	if _, err := Apply(nil, Encode(base, base), testLimit); !errors.Is(err, ErrMalformed) {
-		t.Fatalf("a copy from a base that is not there: want ErrMalformed, have %v", err)
+		t.Fatalf("a copy from an empty base: want ErrMalformed, have %v", err)
 	}
 }
 
--- a/internal/delta/difference_golden_test.go
+++ b/internal/delta/difference_golden_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Differences that an earlier build made are read. How small a build makes them is its own affair.
-// The first one is spelled out: an uncompressed block of five bytes, which insert two bytes (the
-// length 2 twice, plus 0) and copy four from the second on (the length 4 twice, plus 1).
+// Differences encoded by earlier builds can be applied. The test doesn't fix how a build encodes them. The
+// first one is written by hand: an uncompressed DEFLATE block of five bytes, which insert two bytes (the
+// length 2 doubled, plus 0) and copy four bytes from offset 2 on (the length 4 doubled, plus 1).
 func TestDifferencesOfEarlierBuildsApply(t *testing.T) {
 	const (
 		earlier = `{"version":1,"services":["x"],"tenants":[],"routes":[{"name":"first","service":"x"}]}` +
--- a/internal/delta/instruction.go
+++ b/internal/delta/instruction.go
@@ -9,14 +9,14 @@
 	kindBits   = 1
 )
 
-// instructionWriter encodes the instructions for a target, from its start to its end.
+// instructionWriter encodes the instructions that build a target, from its start to its end.
 type instructionWriter struct {
 	target     []byte
 	encoded    []byte
-	builtBytes int // bytes of the target that the instructions build so far
+	builtBytes int // number of leading bytes of the target that the instructions build so far
 }
 
-// insertUpTo inserts the part of the target between what is covered and an end.
+// insertUpTo encodes an insertion of the target's bytes from builtBytes up to an end offset.
 func (w *instructionWriter) insertUpTo(end int) {
 	if end > w.builtBytes {
 		w.encoded = binary.AppendUvarint(w.encoded, uint64(end-w.builtBytes)<<kindBits|kindInsert)
@@ -25,7 +25,8 @@
 	}
 }
 
-// copy copies from an offset of the base what begins at start in the target, and inserts what lies before.
+// copy encodes a copy of length bytes from an offset of the base to start in the target, after an insertion of
+// the target's bytes before start.
 func (w *instructionWriter) copy(offset, start, length int) {
 	w.insertUpTo(start)
 	w.encoded = binary.AppendUvarint(w.encoded, uint64(length)<<kindBits|kindCopy)
@@ -33,7 +34,7 @@
 	w.builtBytes = start + length
 }
 
-// applyInstructions runs decompressed instructions against the base.
+// applyInstructions executes decompressed instructions. It returns the target, of at most limit bytes.
 func applyInstructions(base, instructions []byte, limit int64) ([]byte, error) {
 	target := []byte{}
 	for len(instructions) > 0 {
--- a/internal/delta/match.go
+++ b/internal/delta/match.go
@@ -1,8 +1,8 @@
 package delta
 
-// findInstructions finds the runs of the target that stand in the base as well, greedily from the start to
-// the end of the target. A run is found when it covers a block of the base, thus always from twice the
-// length of a block on.
+// findInstructions returns the encoded instructions that build the target. It searches the target greedily,
+// from start to end, for byte runs that also occur in the base. A run is found if it covers a complete indexed
+// block of the base, as a run of at least two block lengths does.
 func findInstructions(base, target []byte) []byte {
 	writer := instructionWriter{target: target}
 	blocks := indexBlocks(base)
@@ -24,8 +24,8 @@
 	return writer.encoded
 }
 
-// extend grows a match of one block in both directions. It starts no earlier than floor in the target. It
-// returns where the match starts there, and its length.
+// extend extends a match of one block, between offset in the base and position in the target, in both
+// directions. It returns the start of the match in the target, which is not below minStart, and its length.
 func extend(base, target []byte, offset, position, minStart int) (start, length int) {
 	begin, end := 0, blockBytes
 	for position+begin > minStart && offset+begin > 0 && base[offset+begin-1] == target[position+begin-1] {
--- a/internal/delta/rollinghash.go
+++ b/internal/delta/rollinghash.go
@@ -1,10 +1,10 @@
 package delta
 
-// hashMultiplier is the multiplier of the rolling hash over a block.
+// hashMultiplier is the multiplier of the polynomial rolling hash over a block.
 const hashMultiplier = 0x9E3779B1
 
-// firstByteWeight is rollFactor to the power of blockBytes - 1: the weight of the first byte of a block in its
-// hash.
+// firstByteWeight is hashMultiplier to the power of blockBytes - 1: the weight of a block's first byte in the
+// block's hash.
 var firstByteWeight = func() uint32 {
 	weight := uint32(1)
 	for range blockBytes - 1 {
@@ -13,7 +13,7 @@
 	return weight
 }()
 
-// blockHash returns the hash of the block that begins at a position; 0 if less than a block is left.
+// blockHash returns the hash of the block at an offset; 0 if less than a block is left there.
 func blockHash(document []byte, offset int) uint32 {
 	if offset+blockBytes > len(document) {
 		return 0
@@ -25,7 +25,8 @@
 	return hash
 }
 
-// roll returns the hash of the block one byte further, from that of the block at a position.
+// roll returns the hash of the block at offset+1, computed from the hash of the block at offset; 0 if less than a
+// block is left there.
 func roll(hash uint32, document []byte, offset int) uint32 {
 	if offset+blockBytes >= len(document) {
 		return 0
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics writes the figures of a process as lines of text with a name, at most one label and
-// a number, in the exposition format that monitoring systems read. A control machine returns its
-// samples as the reply to Read; the process adds its own.
+// Package metrics writes the metrics of a process in the Prometheus text exposition format: one line for
+// each sample, with a name, at most one label and a number. A control machine returns its samples as the
+// reply to Read; the process adds its own.
 package metrics
 
 import (
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// namePrefix begins the name of every sample.
+// namePrefix is the prefix of every metric name.
 const namePrefix = "beaconvane_"
 
-// Read asks a control machine for its samples; the reply is a []Sample.
+// Read is a request to a control machine for its samples; the reply is a []Sample.
 type Read struct{}
 
-// Sample is one figure at one moment.
+// Sample is the value of one metric at one moment.
 type Sample struct {
-	Name  string // letters, digits and underscores; its unit stands at the end
-	Label string // name of the label; "" for none
+	Name  string // letters, digits and underscores, with the unit at the end; namePrefix is added
+	Label string // name of the label; "": no label
 	About string // value of the label
 	Value float64
 }
@@ -35,7 +35,7 @@
 	return Sample{Name: name, Label: label, About: labelValue, Value: value}
 }
 
-// Flag returns a sample that is 1 for true and 0 for false.
+// Flag returns a sample with the value 1 for true and 0 for false.
 func Flag(name string, condition bool) Sample {
 	if condition {
 		return Of(name, 1)
@@ -43,10 +43,10 @@
 	return Of(name, 0)
 }
 
-// Seconds returns a duration as the value of a sample.
+// Seconds returns a duration in seconds, as the value of a sample.
 func Seconds(duration time.Duration) float64 { return duration.Seconds() }
 
-// Counts returns a sample for each counter, labelled by its key.
+// Counts returns a sample for each counter, with the counter's key as the value of the label.
 func Counts(name, label string, counts map[string]int64) []Sample {
 	samples := make([]Sample, 0, len(counts))
 	for labelValue, count := range counts {
@@ -55,7 +55,7 @@
 	return samples
 }
 
-// Write writes samples as text, a line each, ordered by name and label.
+// Write writes one line for each sample, sorted by name and label value.
 func Write(out io.Writer, samples []Sample) error {
 	ordered := slices.Clone(samples)
 	slices.SortFunc(ordered, func(left, right Sample) int {
--- a/internal/routeconfig/bench_test.go
+++ b/internal/routeconfig/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// largeConfiguration has many routes bound to hosts, as operators of a large site write them.
+// largeConfiguration returns a configuration of a large site, with many routes that are bound to hosts.
 func largeConfiguration(routes int) []byte {
 	text := strings.Builder{}
 	text.WriteString(`{"version":7,"limits":{"head_bytes":16384},"tenants":[`)
--- a/internal/routeconfig/calendar.go
+++ b/internal/routeconfig/calendar.go
@@ -4,20 +4,20 @@
 	"fmt"
 	"strings"
 	"time"
-	_ "time/tzdata" // zones by name on machines without them
+	_ "time/tzdata" // named time zones on machines without a time zone database
 
 	"github.com/robfig/cron/v3"
 	"github.com/tidwall/gjson"
 )
 
-// maxOpeningMinutes bounds one opening: a week.
+// maxOpeningMinutes is the maximum duration of one opening: a week.
 const maxOpeningMinutes = 7 * 24 * 60
 
-// Calendar says when a route is open: at cron-like times in a named time zone. Each entry has the
-// cron expression at which it opens and for how many minutes; the route is open while any entry
-// is, so that overlapping entries join. Times are local to the zone: an opening that doesn't exist
-// on a day on which the clocks change is skipped by the cron library, and the length counts in real
-// minutes.
+// Calendar defines when a route is open. Each entry has a cron expression for the times at which an
+// opening begins, and its duration in minutes. The route is open while any entry is open, so overlapping
+// openings are merged. Cron expressions refer to local time in a named time zone: the cron library skips
+// an opening whose local time does not exist on a day on which the clocks change. The duration is elapsed
+// time, independent of clock changes.
 type Calendar struct {
 	location *time.Location
 	entries  []calendarEntry
@@ -29,7 +29,7 @@
 	length   time.Duration
 }
 
-// checkCalendar lists what is wrong with a calendar.
+// checkCalendar returns the problems of a calendar.
 func checkCalendar(value gjson.Result) []string {
 	if !value.IsObject() {
 		return []string{problemNotObject}
@@ -60,14 +60,14 @@
 	return problems
 }
 
-// isCronExpression allows the five fields alone, and not the library's own additions: descriptors
-// such as @every, and a time zone in front.
+// isCronExpression reports whether a text is a cron expression of five fields. It excludes the
+// extensions of the cron library: descriptors such as @every, and a time zone prefix.
 func isCronExpression(text string) bool {
 	_, err := cron.ParseStandard(text)
 	return err == nil && !strings.HasPrefix(text, "@") && !strings.Contains(text, "TZ=")
 }
 
-// parseCalendar reads a checked calendar.
+// parseCalendar parses a calendar that checkCalendar accepted.
 func parseCalendar(value gjson.Result) *Calendar {
 	zone, err := time.LoadLocation(value.Get("zone").String())
 	if err != nil {
@@ -83,11 +83,11 @@
 	return calendar
 }
 
-// IsOpen says whether the route is open at a time of day.
+// IsOpen reports whether the route is open at a time.
 func (c *Calendar) IsOpen(at time.Time) bool {
 	local := at.In(c.location)
 	for _, entry := range c.entries {
-		// The newest opening before now is after now-length, or the route is closed.
+		// The entry is open if an opening began within its duration before now.
 		opensAt := entry.schedule.Next(local.Add(-entry.length))
 		if !opensAt.IsZero() && !opensAt.After(local) {
 			return true
@@ -96,7 +96,7 @@
 	return false
 }
 
-// UntilOpen says how long it is until the route opens.
+// UntilOpen returns the time until the next opening begins; 0 if there are no entries.
 func (c *Calendar) UntilOpen(at time.Time) time.Duration {
 	shortest := time.Duration(0)
 	for _, entry := range c.entries {
--- a/internal/routeconfig/callerlimits.go
+++ b/internal/routeconfig/callerlimits.go
@@ -6,15 +6,15 @@
 	"github.com/tidwall/gjson"
 )
 
-// CallerLimits bound what a caller may send, and for how long a connection may take or rest. 0 is
-// not set, and bounds nothing.
+// CallerLimits limit callers' requests and connections. 0: no limit is configured.
 type CallerLimits struct {
-	HeadBytes int64         // of a request
-	BodyBytes int64         // of a request
-	HeadTime  time.Duration // within which a request's head must have come
-	IdleTime  time.Duration // for which a connection may rest between requests
+	HeadBytes int64         // size of a request's header
+	BodyBytes int64         // size of a request's body
+	HeadTime  time.Duration // within which a request's header must be received
+	IdleTime  time.Duration // for which a connection may be idle between requests
 }
 
+// parseCallerLimits parses the limits of a configuration; a value that is absent or negative is 0.
 func parseCallerLimits(value gjson.Result) CallerLimits {
 	return CallerLimits{
 		HeadBytes: nonNegative(value.Get("head_bytes")),
@@ -24,14 +24,15 @@
 	}
 }
 
+// nonNegative returns a whole number, or 0 if it is negative.
 func nonNegative(value gjson.Result) int64 { return max(0, value.Int()) }
 
-// unboundedMilliseconds reads a time as milliseconds does, but only from a number, and without a bound.
+// unboundedMilliseconds parses a duration like milliseconds, but only from a number and without a maximum.
 func unboundedMilliseconds(value gjson.Result) time.Duration {
 	return time.Duration(max(0, value.Num) * float64(time.Millisecond))
 }
 
-// Widest returns the larger of each two limits; one that is not set bounds nothing.
+// Widest returns the larger of each two limits. A limit that is not set counts as the larger one.
 func (l CallerLimits) Widest(other CallerLimits) CallerLimits {
 	return CallerLimits{
 		HeadBytes: widest(l.HeadBytes, other.HeadBytes),
@@ -41,6 +42,7 @@
 	}
 }
 
+// widest returns the larger of two limits, or 0 (no limit) if one of them is 0.
 func widest[T int64 | time.Duration](left, right T) T {
 	if left == 0 || right == 0 {
 		return 0
--- a/internal/routeconfig/check.go
+++ b/internal/routeconfig/check.go
@@ -10,7 +10,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// The fields that are known at each level of a configuration.
+// The known fields at each level of a configuration. Fields of routes are in routeFieldNames.
 var (
 	configurationFields = []string{"version", "services", "tenants", "routes", "limits", "note"}
 	tenantFields        = []string{"name", "keys", "priority"}
@@ -21,20 +21,20 @@
 // entryLists are the gjson paths of the lists whose entries count towards Limits.MaxEntries.
 var entryLists = []string{"services", "tenants", "tenants.#.keys|@flatten", "routes"}
 
-// rootPath stands for the whole configuration in a fault.
+// rootPath is the path of a fault that concerns the whole configuration.
 const rootPath = "$"
 
-// fault is one thing that is wrong with a configuration.
+// fault is one error in a configuration.
 type fault struct {
 	path    string // of the field, such as routes.0.service
 	problem string
 }
 
-// String is the form that operators see.
+// String returns the fault in the form that operators see.
 func (f fault) String() string { return f.path + ": " + f.problem }
 
-// Check lists the faults of a configuration's bytes, in the order of the alphabet; tooLarge says that
-// the configuration is refused for its size.
+// Check returns the faults of a configuration in alphabetical order. tooLarge reports whether the
+// configuration is refused for its size.
 func Check(body []byte, limits Limits) (faults []string, tooLarge bool) {
 	if size := int64(len(body)); size > limits.MaxBytes {
 		problem := fmt.Sprintf("%d bytes, the limit is %d", size, limits.MaxBytes)
@@ -56,6 +56,7 @@
 	return check.faultLines(), false
 }
 
+// countEntries returns the number of services, tenants, keys and routes.
 func countEntries(root gjson.Result) int64 {
 	count := 0
 	for _, path := range entryLists {
@@ -64,22 +65,24 @@
 	return int64(count)
 }
 
-// checker collects the faults of a configuration, and what was seen of it so far.
+// checker collects the faults of a configuration, and the names, keys and matches that it has already
+// checked, to find duplicates and unknown references.
 type checker struct {
 	faults          []fault
 	lenient         bool  // Limits.Lenient
-	maxTimeoutMilli int64 // Limits.MaxTimeout, in milliseconds
+	maxTimeoutMilli int64 // Limits.MaxTimeout in milliseconds
 
 	services      map[string]bool
 	tenants       map[string]bool
 	routeNames    map[string]bool
 	keyOwners     map[string]keyOwner // by key
-	routesByMatch map[string]string   // path of the route that has a place: a host and prefix, or a match, method and path
+	routesByMatch map[string]string   // paths of routes, by host and prefix, or by match, method and path
 }
 
-// keyOwner is the tenant that has a key, and the path at which the key stands.
+// keyOwner is the tenant that has a key, and the path of the key in the configuration.
 type keyOwner struct{ tenant, path string }
 
+// newChecker returns a checker that has checked nothing.
 func newChecker(limits Limits) *checker {
 	return &checker{
 		lenient:         limits.Lenient,
@@ -92,7 +95,7 @@
 	}
 }
 
-// faultLines lists the faults as operators see them; nil if there are none.
+// faultLines returns the faults as operators see them, sorted; nil if there are none.
 func (c *checker) faultLines() []string {
 	var lines []string
 	for _, item := range c.faults {
@@ -102,8 +105,10 @@
 	return lines
 }
 
+// add adds a fault.
 func (c *checker) add(path, problem string) { c.faults = append(c.faults, fault{path, problem}) }
 
+// checkConfiguration checks a configuration. Services and tenants come before routes, which refer to them.
 func (c *checker) checkConfiguration(root gjson.Result) {
 	c.checkFields("", root, configurationFields)
 	c.checkPositiveInteger("version", root.Get("version"), noMaximum)
@@ -115,7 +120,7 @@
 	c.checkList("routes", root.Get("routes"), c.checkRoute)
 }
 
-// checkServices takes names, or objects that say more.
+// checkServices checks services, each of which is a name or an object with further fields.
 func (c *checker) checkServices(value gjson.Result) {
 	c.checkList("services", value, func(path string, item gjson.Result) {
 		name := item
@@ -132,6 +137,7 @@
 	}
 }
 
+// checkTenant checks a tenant and its keys.
 func (c *checker) checkTenant(path string, tenant gjson.Result) {
 	c.checkFields(path, tenant, tenantFields)
 	name := c.checkString(path+".name", tenant.Get("name"))
@@ -142,7 +148,8 @@
 	})
 }
 
-// checkKey allows a key to be one tenant's only.
+// checkKey checks that a key belongs to one tenant only. A lenient configuration may repeat a key within
+// a tenant.
 func (c *checker) checkKey(path string, value gjson.Result, tenant string) {
 	key := c.checkString(path, value)
 	owner, repeated := c.keyOwners[key]
@@ -156,8 +163,8 @@
 	c.keyOwners[key] = keyOwner{tenant, path}
 }
 
-// checkFields wants an object whose fields are known and stand once; path is "" for the whole
-// configuration.
+// checkFields checks that a value is an object without repeated fields and, unless the configuration is
+// lenient, without unknown ones. The path is "" for the whole configuration.
 func (c *checker) checkFields(path string, value gjson.Result, known []string) {
 	if !value.IsObject() {
 		c.add(path, problemNotObject)
--- a/internal/routeconfig/check_route.go
+++ b/internal/routeconfig/check_route.go
@@ -16,6 +16,7 @@
 	allKinds   = []string{kindRepeatable, kindOnce, kindUpload}
 )
 
+// checkRoute checks a route. The services and tenants must have been checked before.
 func (c *checker) checkRoute(path string, route gjson.Result) {
 	c.checkFields(path, route, routeFieldNames)
 	if name := route.Get("name"); name.Exists() || !c.lenient {
@@ -41,6 +42,7 @@
 	}
 }
 
+// checkMethods checks that a list holds known methods only.
 func (c *checker) checkMethods(path string, value gjson.Result) {
 	for method := range c.checkStringSet(path, value) {
 		if !slices.Contains(allMethods, method) {
@@ -49,6 +51,7 @@
 	}
 }
 
+// checkTenants checks that a list holds only tenants of the configuration, or the wildcard.
 func (c *checker) checkTenants(path string, value gjson.Result) {
 	for tenant := range c.checkStringSet(path, value) {
 		if tenant != wildcard && !c.tenants[tenant] {
@@ -57,7 +60,7 @@
 	}
 }
 
-// checkRouteNumbers checks the times, counts and sizes of a route.
+// checkRouteNumbers checks the durations, counts and sizes of a route.
 func (c *checker) checkRouteNumbers(path string, route gjson.Result) {
 	c.checkCount(path+".attempts", route.Get("attempts"))
 	c.checkCount(path+".aim_ms", route.Get("aim_ms"))
@@ -70,7 +73,7 @@
 	c.checkPositiveInteger(path+".timeout_ms", route.Get("timeout_ms"), c.maxTimeoutMilli)
 }
 
-// checkTargets wants a service, or a split of services with weights of which one is above 0.
+// checkTargets checks that a route has a service, or a split with at least one weight above 0.
 func (c *checker) checkTargets(path string, route gjson.Result) {
 	split := route.Get("split")
 	if !split.Exists() {
@@ -87,7 +90,7 @@
 	}
 }
 
-// checkWeight returns a weight, which may be a fraction in a lenient configuration.
+// checkWeight checks and returns a weight. It may be a fraction in a lenient configuration.
 func (c *checker) checkWeight(path string, weight gjson.Result) float64 {
 	if c.lenient && weight.Type == gjson.Number && weight.Num >= 0 {
 		return weight.Num
@@ -96,14 +99,15 @@
 	return float64(weight.Int())
 }
 
+// checkServiceName checks that a value names a service of the configuration.
 func (c *checker) checkServiceName(path string, value gjson.Result) {
 	if service := c.checkString(path, value); service != "" && !c.services[service] {
 		c.add(path, "unknown service "+service)
 	}
 }
 
-// checkHostMatch checks what a route matches that is bound to a host: a prefix that no other route of
-// the host has for all methods.
+// checkHostMatch checks the host and prefix of a route that is bound to a host. A route for all methods
+// must not repeat the prefix of an earlier route of the same host.
 func (c *checker) checkHostMatch(path string, route gjson.Result) {
 	c.checkString(path+".host", route.Get("host"))
 	if prefix := c.checkString(path+".prefix", route.Get("prefix")); prefix != "" && prefix[0] != '/' {
@@ -120,8 +124,8 @@
 	c.routesByMatch[matchKey] = path
 }
 
-// checkPathMatch checks what a route matches that is bound to no host: it names methods and callers,
-// and no two such routes could both win.
+// checkPathMatch checks the path, methods and callers of a route that is not bound to a host. No two such
+// routes may have the same match, method and path.
 func (c *checker) checkPathMatch(path string, route gjson.Result) {
 	routePath := c.checkString(path+".path", route.Get("path"))
 	if normalized, err := NormalizePath(routePath); routePath != "" && (err != nil || normalized != routePath) {
--- a/internal/routeconfig/check_values.go
+++ b/internal/routeconfig/check_values.go
@@ -7,7 +7,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// Problems that several fields may have.
+// Problems that are reported for several fields.
 const (
 	problemNotObject             = "want an object"
 	problemNotList               = "want a list"
@@ -19,10 +19,11 @@
 	problemNotNonNegativeInteger = "want a whole number of 0 or more"
 )
 
-// noMaximum is the bound of a number that may be as large as it likes.
+// noMaximum is passed to checkPositiveInteger for a number without a maximum.
 const noMaximum = 0
 
-// checkUnique notes a name, and finds fault with one that is there already.
+// checkUnique adds a name to those already seen, and adds a fault if it is one of them. A lenient
+// configuration may repeat names.
 func (c *checker) checkUnique(names map[string]bool, path, name, problem string) {
 	if names[name] && !c.lenient {
 		c.add(path, problem)
@@ -30,7 +31,7 @@
 	names[name] = true
 }
 
-// checkList checks each item of a list, if there is one; items are counted from 0 in their paths.
+// checkList checks each item of an optional list. The path of an item ends in its index, from 0.
 func (c *checker) checkList(path string, value gjson.Result, checkItem func(path string, item gjson.Result)) {
 	if !value.Exists() {
 		return
@@ -44,7 +45,7 @@
 	}
 }
 
-// checkString returns a text; "" is a fault.
+// checkString checks that a value is a string that is not empty, and returns it; "" if it is not.
 func (c *checker) checkString(path string, value gjson.Result) string {
 	if value.Type != gjson.String || value.String() == "" {
 		c.add(path, problemNotText)
@@ -53,7 +54,7 @@
 	return value.String()
 }
 
-// checkStringSet returns the texts of a list, in which each may stand once.
+// checkStringSet checks that an optional list holds distinct strings, and returns them.
 func (c *checker) checkStringSet(path string, value gjson.Result) map[string]bool {
 	texts := map[string]bool{}
 	c.checkList(path, value, func(itemPath string, item gjson.Result) {
@@ -66,21 +67,22 @@
 	return texts
 }
 
+// checkBool checks that an optional value is true or false.
 func (c *checker) checkBool(path string, value gjson.Result) {
 	if value.Exists() && !value.IsBool() {
 		c.add(path, problemNotBool)
 	}
 }
 
-// checkChoice wants one of some texts, if there is a value.
+// checkChoice checks that an optional value is one of the choices.
 func (c *checker) checkChoice(path string, value gjson.Result, choices []string, problem string) {
 	if value.Exists() && !slices.Contains(choices, value.String()) {
 		c.add(path, problem)
 	}
 }
 
-// checkCount wants a whole number above 0. A lenient configuration may say 0 for "not set", and
-// fractions.
+// checkCount checks that an optional value is a whole number above 0. A lenient configuration may also
+// give 0, which means "not set", and fractions.
 func (c *checker) checkCount(path string, value gjson.Result) {
 	if !c.lenient {
 		c.checkPositiveInteger(path, value, noMaximum)
@@ -91,21 +93,22 @@
 	}
 }
 
-// checkPositiveNumber wants a number above 0, fractions included.
+// checkPositiveNumber checks that an optional value is a number above 0. It may be a fraction.
 func (c *checker) checkPositiveNumber(path string, value gjson.Result) {
 	if value.Exists() && (value.Type != gjson.Number || value.Num <= 0) {
 		c.add(path, problemNotPositive)
 	}
 }
 
-// checkNonNegativeInteger wants a whole number of 0 or more.
+// checkNonNegativeInteger checks that an optional value is a whole number of 0 or more.
 func (c *checker) checkNonNegativeInteger(path string, value gjson.Result) {
 	if value.Exists() && (!isInteger(value) || value.Int() < 0) {
 		c.add(path, problemNotNonNegativeInteger)
 	}
 }
 
-// checkPositiveInteger wants a whole number above 0 and, unless it is unbounded, up to a bound.
+// checkPositiveInteger checks that an optional value is a whole number above 0 and, unless the maximum is
+// noMaximum, not above the maximum.
 func (c *checker) checkPositiveInteger(path string, value gjson.Result, maximum int64) {
 	if !value.Exists() {
 		return
@@ -119,7 +122,7 @@
 	}
 }
 
-// isInteger says that a value is a number without a fraction that fits 64 bits.
+// isInteger reports whether a value is a number without a fraction that fits in 64 bits.
 func isInteger(value gjson.Result) bool {
 	return value.Type == gjson.Number && value.Num == float64(value.Int())
 }
--- a/internal/routeconfig/configuration.go
+++ b/internal/routeconfig/configuration.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Service is what a configuration says of a service.
+// Service holds the settings of a service.
 type Service struct {
 	Name        string
 	Health      string // path of the health check; "": not set
-	Connections int64  // that an upstream takes from all callers together; 0: not set
+	Connections int64  // that an upstream accepts from all callers together; 0: not set
 }
 
-// keyDigest is what is kept of a tenant's key.
+// keyDigest is the SHA-256 digest of a tenant's key.
 type keyDigest = [sha256.Size]byte
 
-// routesByPrefix are the indexes of a host's routes in Configuration.Routes, by prefix.
+// routesByPrefix maps each prefix of a host to the indexes of its routes in Configuration.Routes.
 type routesByPrefix = map[string][]int
 
-// Configuration is one version of a configuration, ready to apply. It doesn't change once it is read.
+// Configuration is one parsed version of a configuration. It is immutable and safe for concurrent use.
 type Configuration struct {
 	ConfigName   string
 	Version      int64
@@ -27,19 +27,19 @@
 
 	tenantByKey    map[keyDigest]string
 	tenantsWithKey map[string]bool
-	priorities     map[string]int64          // of the tenants that have one
+	priorities     map[string]int64          // by tenant, for tenants that have one
 	routesByHost   map[string]routesByPrefix // host in lower case
 	services       map[string]Service
-	routesByJSON   map[string]*Route // by their JSON text, for the next version
+	routesByJSON   map[string]*Route // by their JSON text, for Next
 }
 
-// Keyless says that no tenant has a key. Then a request to a route that is bound to a host needs none.
+// Keyless reports whether no tenant has a key. Requests to routes that are bound to a host then need no key.
 func (c *Configuration) Keyless() bool { return len(c.tenantByKey) == 0 }
 
-// Priority orders the requests of a configuration: by their tenants' priorities, and among those of
-// one by their routes'; the lowest number goes first. A tenant without a priority goes behind those
-// that have one. A request without a tenant is made on behalf of one that runs already and whose
-// work would be lost with it, so it goes first.
+// Priority returns the priority of a request; the lowest number goes first. Requests are ordered by the
+// priority of their tenant, and within a tenant by the priority of their route. Tenants without a priority
+// come after those with one. A request without a tenant is made on behalf of another request that is
+// already running and whose work would be lost if it failed, so it goes first.
 func (c *Configuration) Priority(tenant string, route Route) int64 {
 	priority, hasPriority := c.priorities[tenant]
 	if !hasPriority && tenant != "" {
@@ -48,10 +48,10 @@
 	return priority*(LowestPriority+1) + min(route.Priority, LowestPriority)
 }
 
-// Service returns what the configuration says of a service.
+// Service returns the settings of a service.
 func (c *Configuration) Service(name string) Service { return c.services[name] }
 
-// TenantHasKey says that a tenant has a key.
+// TenantHasKey reports whether a tenant has a key.
 func (c *Configuration) TenantHasKey(tenant string) bool { return c.tenantsWithKey[tenant] }
 
 // Tenant returns the tenant that a key belongs to.
@@ -60,8 +60,8 @@
 	return tenant, found
 }
 
-// MatchHost finds the route of a host with the longest prefix that begins a path as it came. A host
-// without routes of its own has those that are bound to none.
+// MatchHost finds the route of a host with the longest prefix of a path. The path is compared as received,
+// without normalisation. A host without routes of its own uses those that are not bound to a host.
 func (c *Configuration) MatchHost(host, method, path string) (Route, bool) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	byPrefix, known := c.routesByHost[host]
@@ -81,12 +81,12 @@
 	return Route{}, false
 }
 
-// isSegmentEnd says that a prefix of a path covers whole segments.
+// isSegmentEnd reports whether the first end bytes of a path cover complete segments.
 func isSegmentEnd(path string, end int) bool {
 	return end == len(path) || path[end-1] == '/' || path[end] == '/'
 }
 
-// Match finds the one route, of those that are bound to no host, for a method and a normalised path.
+// Match finds the route for a method and a normalised path among those that are not bound to a host.
 func (c *Configuration) Match(method, path string) (Route, bool) {
 	for _, route := range c.Routes {
 		if route.Host == "" && route.Methods[method] && route.matchesPath(path) {
@@ -96,7 +96,7 @@
 	return Route{}, false
 }
 
-// RouteNamed finds a route by its name.
+// RouteNamed finds a route by its name; the first in order of precedence if several share it.
 func (c *Configuration) RouteNamed(name string) (Route, bool) {
 	for _, route := range c.Routes {
 		if route.Name == name {
--- a/internal/routeconfig/doc.go
+++ b/internal/routeconfig/doc.go
@@ -1,10 +1,10 @@
-// Package routeconfig reads, checks and applies configurations: the operators' routes, services,
-// tenants and limits. A configuration is JSON, read and checked by gjson paths. Check lists every
-// fault by its path; Parse reads a configuration that passed. The same code serves the configstore,
-// which refuses bad configurations, and the proxies, which only apply checked ones.
+// Package routeconfig checks, parses and applies configurations: the routes, services, tenants and
+// limits that operators define. A configuration is JSON, accessed by gjson paths. Check lists every
+// fault with its path, and Parse reads a configuration that passed Check. The configuration store uses
+// the package to refuse invalid configurations; the proxies apply only checked ones.
 //
-// A request is matched by one normalised path: exact routes go before prefixes, longer prefixes
-// before shorter, and no two routes could both win. A route may be bound to a host instead: it is
-// then found by that host alone, through an index, and any method and caller will do unless it
-// names some. A split shares a route's requests among services by weight.
+// A route without a host matches a request by method and normalised path. Exact routes take precedence
+// over prefixes, and longer prefixes over shorter ones; Check refuses routes of equal precedence. A route
+// with a host matches by host and path prefix through an index, and accepts any method and caller unless
+// it names some. A split distributes a route's requests among services by weight.
 package routeconfig
--- a/internal/routeconfig/fuzz_test.go
+++ b/internal/routeconfig/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Any bytes are refused with faults or give a configuration that answers every question;
-// the same bytes always get the same verdict, for every voter checks alone.
+// Any bytes are either refused with faults or give a configuration whose methods don't panic. Check is
+// deterministic: each voter checks a configuration on its own, and all must decide alike.
 func FuzzCheck(f *testing.F) {
 	f.Add([]byte(pathConfiguration), "host", "/x/y")
 	f.Add([]byte(strings.Replace(pathConfiguration, "[", "{", 1)), "", "/")
@@ -22,7 +22,7 @@
 			faults, tooLarge := Check(body, checked)
 			repeatedFaults, repeatedTooLarge := Check(body, checked)
 			if fmt.Sprint(faults) != fmt.Sprint(repeatedFaults) || tooLarge != repeatedTooLarge {
-				t.Fatalf("two verdicts: %v and %v", faults, repeatedFaults)
+				t.Fatalf("Check is not deterministic: it returned %v and then %v", faults, repeatedFaults)
 			}
 			if len(faults) > 0 || tooLarge {
 				continue
@@ -41,6 +41,7 @@
 	})
 }
 
+// A path that NormalizePath accepts is normalised by it in one step.
 func FuzzNormalPath(f *testing.F) {
 	f.Add("/x/y")
 	f.Add("/%7e/%2f")
--- a/internal/routeconfig/hosted_test.go
+++ b/internal/routeconfig/hosted_test.go
@@ -1,5 +1,4 @@
-// Configurations whose routes are bound to hosts: what is found, how splits fall, whose requests
-// go first, and each kind of configuration that is refused.
+// Tests of configurations whose routes are bound to hosts: matching, splits, priorities and refused configurations.
 package routeconfig
 
 import (
@@ -23,13 +22,14 @@
 {"name":"silent","host":"two.example","prefix":"/","service":"b","timeout_ms":1000},
 {"name":"unbound","path":"/x","match":"prefix","service":"c","methods":["GET"],"callers":["*"]}]}`
 
+// mustParse parses a configuration in which Check must find no faults.
 func mustParse(c *qt.C, body string) *Configuration {
 	faults, _ := Check([]byte(body), limits)
 	c.Assert(faults, qt.HasLen, 0)
 	return Parse("main", 7, []byte(body), limits)
 }
 
-// The longest prefix of the request's own host; a host that has routes has those alone.
+// A request matches the longest prefix of its host. A host that has routes does not use those without a host.
 func TestHostsAndLongestPrefixes(t *testing.T) {
 	c := qt.New(t)
 	configuration := mustParse(c, hostConfiguration)
@@ -53,7 +53,7 @@
 	c.Assert(found, qt.IsTrue)
 }
 
-// Services of a split get their parts by weight, and none that has no weight.
+// The services of a split get requests in proportion to their weights; a weight of 0 gets none.
 func TestSplitsFallByWeight(t *testing.T) {
 	c := qt.New(t)
 	configuration := mustParse(c, hostConfiguration)
@@ -73,7 +73,7 @@
 	c.Assert(short.RoutesTo("b"), qt.IsFalse)
 }
 
-// What may be repeated is what the configuration says may be; all else runs at most once.
+// A route's kind determines whether requests may be repeated; without a kind only safe methods may.
 func TestAtMostOnceFollowsKind(t *testing.T) {
 	c := qt.New(t)
 	configuration := mustParse(c, hostConfiguration)
@@ -90,7 +90,7 @@
 	c.Assert(configuration.Service("c"), qt.Equals, Service{Name: "c"})
 }
 
-// A route may be open, and a configuration without tenants wants no key at all.
+// A public route needs no key, and neither does any route of a configuration without tenants.
 func TestPublicRoutesAndKeylessConfigurations(t *testing.T) {
 	c := qt.New(t)
 	configuration := mustParse(c, hostConfiguration)
@@ -110,8 +110,8 @@
 	c.Assert(route.Allows("", "anyone"), qt.IsTrue)
 }
 
-// Whose requests go first: by the tenant's priority, among those of one by the route's; a
-// tenant that names none is behind those that do, and what a running request asks is not.
+// Requests are ordered by the tenant's priority and then by the route's. Tenants without a priority come last, and
+// requests without a tenant, which running requests make, come before those of a tenant.
 func TestPriorities(t *testing.T) {
 	c := qt.New(t)
 	silent := `{"name":"silent","keys":["k3"]}`
@@ -129,7 +129,7 @@
 	c.Assert(configuration.Priority("", long) < configuration.Priority("first", long), qt.IsTrue)
 }
 
-// Each kind of configuration that must be refused.
+// Each of these faults is found both with strict and with lenient limits.
 func TestConfigurationsThatAreRefused(t *testing.T) {
 	c := qt.New(t)
 	lenient := limits
@@ -167,7 +167,7 @@
 	}
 }
 
-// Fields that nobody knows are refused, or kept and not read: everywhere in a configuration.
+// Unknown fields are refused with strict limits and ignored with lenient ones, at every level of a configuration.
 func TestFieldsThatAreNotKnown(t *testing.T) {
 	c := qt.New(t)
 	lenient := limits
@@ -188,7 +188,7 @@
 		c.Check(found, qt.IsTrue)
 		c.Check(route.Name, qt.Equals, "long")
 	}
-	// Known once is known: a field that stands twice could be read either way.
+	// A repeated field is refused also with lenient limits, since either value could be read.
 	faults, _ := Check([]byte(strings.Replace(hostConfiguration, `"kind":"once"`, `"kind":"once","kind":"repeatable"`, 1)), lenient)
 	c.Assert(fmt.Sprint(faults), qt.Contains, "key stands twice")
 }
--- a/internal/routeconfig/lenient_test.go
+++ b/internal/routeconfig/lenient_test.go
@@ -1,5 +1,5 @@
-// Tests of lenient configurations: what the platform page calls invalid is refused, and nothing
-// else, over generated configurations.
+// Tests of lenient limits with generated configurations: Check refuses exactly what the platform page (docs/platform.md)
+// calls invalid.
 package routeconfig
 
 import (
@@ -19,9 +19,10 @@
 
 var lenientLimits = Limits{MaxBytes: 4 << 20, MaxEntries: 20000, MaxTimeout: 10 * time.Minute, Lenient: true}
 
+// pick returns a random one of some values.
 func pick[T any](random *rand.Rand, from ...T) T { return from[random.IntN(len(from))] }
 
-// generate makes a configuration that the page allows.
+// generate returns a random configuration that the platform page allows.
 func generate(random *rand.Rand) map[string]any {
 	services, serviceNames := []any{}, []string{}
 	for number := range 1 + random.IntN(4) {
@@ -92,8 +93,8 @@
 	}
 }
 
-// Each thing that the page calls invalid, and each that its days send, made of a sound
-// configuration.
+// Each change makes a valid configuration invalid in one way: those that the platform page calls invalid, and
+// those that the platform's test runs send. Check refuses them all, and also truncated configurations.
 func TestEveryInvalidConfigurationIsRefused(t *testing.T) {
 	c := qt.New(t)
 	invalidations := map[string]func(configuration, route map[string]any){
@@ -113,7 +114,7 @@
 				map[string]any{"name": "b", "keys": []string{"k"}},
 			}
 		},
-		"two routes at one place": func(configuration, route map[string]any) {
+		"two routes with one match": func(configuration, route map[string]any) {
 			twin := map[string]any{"name": "twin", "host": route["host"], "prefix": route["prefix"],
 				"service": "service-0", "timeout_ms": 1}
 			configuration["routes"] = append(configuration["routes"].([]any), twin)
--- a/internal/routeconfig/limits.go
+++ b/internal/routeconfig/limits.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// Limits bound a configuration. Lenient ones may hold fields that are not known here, which are
-// kept and not read, and are refused only for what would leave in doubt where a request goes: not
-// for a time-out above MaxTimeout, a figure of 0 that says "not set", a fraction of a millisecond,
-// or a name that stands twice.
+// Limits are the limits of a configuration. With Lenient set, unknown fields are kept and ignored, and a
+// configuration is refused only for faults that make routing ambiguous. It is not refused for a timeout
+// above MaxTimeout, a value of 0 that means "not set", a fraction of a millisecond or a repeated name.
 type Limits struct {
 	MaxBytes   int64
 	MaxEntries int64         // services, tenants, keys and routes together
-	MaxTimeout time.Duration // of a route, and what one without a time-out gets
+	MaxTimeout time.Duration // of a route; also the timeout of a route without one
 	Lenient    bool
 }
--- a/internal/routeconfig/next_test.go
+++ b/internal/routeconfig/next_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// randomConfiguration draws a configuration with routes of every form, some of them twice.
+// randomConfiguration returns a random configuration with routes of every form, some of them repeated.
 func randomConfiguration(random *rand.Rand, version int) []byte {
 	routes := []string{}
 	for range random.IntN(12) {
@@ -31,12 +31,12 @@
 		version, random.IntN(3), strings.Join(routes, ",")))
 }
 
-// indexText prints what a configuration holds beside its routes.
+// indexText returns the content of a configuration apart from its routes, as text.
 func indexText(c *Configuration) string {
 	return fmt.Sprint(c.tenantByKey, c.tenantsWithKey, c.priorities, c.routesByHost, c.services, c.Version)
 }
 
-// Whatever stood before, a version that reuses what did not change is the version read anew.
+// Next, which reuses unchanged routes of any previous version, returns the same configuration as Parse.
 func TestNextMatchesParse(t *testing.T) {
 	c := qt.New(t)
 	limits := Limits{MaxBytes: 1 << 20, MaxEntries: 1 << 10, MaxTimeout: time.Minute, Lenient: true}
--- a/internal/routeconfig/parse.go
+++ b/internal/routeconfig/parse.go
@@ -8,14 +8,14 @@
 	"github.com/tidwall/gjson"
 )
 
-// Parse reads a configuration that Check has passed.
+// Parse parses a configuration in which Check found no faults under the same limits.
 func Parse(configName string, version int64, body []byte, limits Limits) *Configuration {
 	return parse(configName, version, body, limits, nil)
 }
 
-// Next reads a later version of the configuration, as Parse does, and takes over every route whose
-// text is the same: operators change a few of many, and each proxy reads every version on the
-// goroutine that also answers probes and follows updates. The receiver may be nil.
+// Next parses a later version of the configuration, as Parse does, and reuses every route whose text is
+// unchanged. Operators usually change a few routes of many, and each proxy parses every version on the
+// goroutine that also answers probes and applies updates. The receiver may be nil.
 func (c *Configuration) Next(configName string, version int64, body []byte, limits Limits) *Configuration {
 	if c == nil {
 		return Parse(configName, version, body, limits)
@@ -23,6 +23,7 @@
 	return parse(configName, version, body, limits, c.routesByJSON)
 }
 
+// parse parses a configuration. It reuses the routes of previous, which are indexed by their JSON text.
 func parse(configName string, version int64, body []byte, limits Limits, previous map[string]*Route) *Configuration {
 	configuration := &Configuration{
 		ConfigName:     configName,
@@ -42,7 +43,7 @@
 	return configuration
 }
 
-// parseServices reads services, which are names, or objects that say more.
+// parseServices parses services, each of which is a name or an object with further fields.
 func (c *Configuration) parseServices(services gjson.Result) {
 	for _, item := range services.Array() {
 		service := Service{Name: item.String()}
@@ -57,6 +58,7 @@
 	}
 }
 
+// parseTenants parses the tenants' priorities and keys.
 func (c *Configuration) parseTenants(tenants gjson.Result) {
 	for _, tenant := range tenants.Array() {
 		name := tenant.Get("name").String()
@@ -70,6 +72,7 @@
 	}
 }
 
+// parseRoutes parses the routes that are not in previous, reuses the others, and sorts all of them.
 func (c *Configuration) parseRoutes(routes gjson.Result, limits Limits, previous map[string]*Route) {
 	c.Routes = make([]*Route, 0, len(previous))
 	c.routesByJSON = make(map[string]*Route, len(previous))
@@ -87,7 +90,7 @@
 	slices.SortStableFunc(c.Routes, (*Route).compare)
 }
 
-// indexHosts notes where the routes of each host stand, by their prefixes.
+// indexHosts indexes the routes that are bound to a host by host and prefix.
 func (c *Configuration) indexHosts() {
 	indexes := make([]int, len(c.Routes))
 	for index, route := range c.Routes {
@@ -103,15 +106,15 @@
 			byPrefix[route.Path] = append(others, index)
 			continue
 		}
-		// Most prefixes have one route: these share one array.
+		// Most prefixes have one route. Their slices share one array, which saves an allocation for each.
 		byPrefix[route.Path] = indexes[index : index+1 : index+1]
 	}
 }
 
-// maxMilliseconds bounds what a figure of milliseconds may come to: a year.
+// maxMilliseconds is the maximum duration that milliseconds returns: a year.
 const maxMilliseconds = float64(365 * 24 * time.Hour / time.Millisecond)
 
-// milliseconds reads a time, fractions included; 0 if there is none.
+// milliseconds parses a duration in milliseconds, which may be a fraction; 0 if there is none.
 func milliseconds(value gjson.Result) time.Duration {
 	bounded := min(max(value.Float(), 0), maxMilliseconds)
 	return time.Duration(bounded * float64(time.Millisecond))
--- a/internal/routeconfig/parse_route.go
+++ b/internal/routeconfig/parse_route.go
@@ -8,7 +8,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// Values of a route's fields.
+// Values of a route's fields "match" and "kind".
 const (
 	matchExact  = "exact" // the default
 	matchPrefix = "prefix"
@@ -18,19 +18,19 @@
 	kindUpload     = "upload"
 )
 
-// allMethods are the methods that a route may name; requests of the safeMethods may run again.
+// allMethods are the methods that a route may name. Requests with one of the safeMethods may be repeated.
 var (
 	allMethods  = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 	safeMethods = []string{"GET", "HEAD"}
 )
 
-// weightScale makes whole numbers of weights, which may be fractions.
+// weightScale converts weights, which may be fractions, to whole numbers.
 const weightScale = 1000
 
-// routeFields are the fields of a route's text, each as it stands first.
+// routeFields holds the fields of a route's JSON object. Of a repeated field it holds the first.
 type routeFields map[string]gjson.Result
 
-// read takes the fields of an object in one pass, in place of those read before.
+// read replaces the fields by those of an object, in one pass.
 func (f routeFields) read(object gjson.Result) {
 	clear(f)
 	object.ForEach(func(name, value gjson.Result) bool {
@@ -41,6 +41,7 @@
 	})
 }
 
+// parseRoute builds a route from its fields.
 func parseRoute(fields routeFields, limits Limits) *Route {
 	route := &Route{
 		Name:          fields["name"].String(),
@@ -72,7 +73,7 @@
 	return route
 }
 
-// parseTimeout reads a route's time-out; without one, or above the limit, it is the limit.
+// parseTimeout parses a route's timeout. It returns the limit if there is none or if it exceeds the limit.
 func parseTimeout(value gjson.Result, limits Limits) time.Duration {
 	timeout := milliseconds(value)
 	if timeout <= 0 || timeout > limits.MaxTimeout {
@@ -81,6 +82,7 @@
 	return timeout
 }
 
+// parseSplit parses a route's split; nil if there is none.
 func parseSplit(value gjson.Result) []WeightedService {
 	var split []WeightedService
 	for _, share := range value.Array() {
@@ -90,8 +92,8 @@
 	return split
 }
 
-// atMostOnce says that a route's requests may run once only. Where the route doesn't say, its
-// methods do: only requests that read may run again.
+// atMostOnce reports whether a route's requests must not run more than once. Without a field "once" or
+// "kind" the methods decide: only requests with safe methods may run again.
 func atMostOnce(fields routeFields, methods map[string]bool) bool {
 	if once := fields["once"]; once.Exists() {
 		return once.Bool()
@@ -107,7 +109,7 @@
 	return len(methods) == 0
 }
 
-// nameSet reads a list of names; an empty one is nil.
+// nameSet parses a list of names; nil if the list is empty.
 func nameSet(value gjson.Result) map[string]bool {
 	list := value.Array()
 	if len(list) == 0 {
--- a/internal/routeconfig/path.go
+++ b/internal/routeconfig/path.go
@@ -6,29 +6,30 @@
 	"strings"
 )
 
-// The reasons for which NormalizePath refuses a path.
+// Errors of NormalizePath.
 var (
 	errNoLeadingSlash = errors.New("path must begin with /")
-	errBadEscape      = errors.New("bad escape")
-	errEncodedSlash   = errors.New("encoded slash")
-	errControlByte    = errors.New("control byte")
-	errUnescapedByte  = errors.New("byte that wants an escape")
-	errDotSegment     = errors.New("dot or empty segment")
+	errBadEscape      = errors.New("path contains an invalid percent-encoding")
+	errEncodedSlash   = errors.New("path contains an encoded slash or backslash")
+	errControlByte    = errors.New("path contains an encoded control byte")
+	errUnescapedByte  = errors.New("path contains a byte that must be percent-encoded")
+	errDotSegment     = errors.New("path contains a dot segment or an empty segment")
 )
 
-// The bytes that may stand in a path without an escape are those between firstVisible and delete.
+// Bytes from firstVisible up to but excluding deleteByte may occur in a path without percent-encoding. Bytes
+// below firstPrintable are control bytes.
 const (
 	firstVisible   = 0x21
 	firstPrintable = 0x20
 	deleteByte     = 0x7f
 )
 
-// escapeLength is the length of an escape: % and two hex digits.
+// escapeLength is the length of a percent-encoded byte: % and two hex digits.
 const escapeLength = 3
 
-// NormalizePath returns the one form of a raw path that routes are matched by: escapes of
-// unreserved characters are undone, hex digits are in capitals. Dot segments, empty segments,
-// encoded slashes and backslashes, control bytes and bad escapes are refused.
+// NormalizePath returns the form of a raw path that is matched against routes: percent-encoded unreserved
+// characters are decoded, and the hex digits of the others are in upper case. It refuses dot segments, empty
+// segments except the last, encoded slashes and backslashes, control bytes and invalid percent-encodings.
 func NormalizePath(raw string) (string, error) {
 	if raw == "" || raw[0] != '/' {
 		return "", errNoLeadingSlash
@@ -60,7 +61,7 @@
 	return normalized.String(), nil
 }
 
-// decodeEscape reads the escape that a text begins with.
+// decodeEscape decodes the percent-encoded byte at the start of a text.
 func decodeEscape(text string) (byte, error) {
 	if len(text) < escapeLength {
 		return 0, errBadEscape
@@ -79,7 +80,8 @@
 	return value, nil
 }
 
-// checkSegments refuses segments that other programs would resolve. The last may be empty.
+// checkSegments refuses segments that other programs would resolve: "." and "..", and empty segments before
+// the last.
 func checkSegments(path string) error {
 	segments := strings.Split(path[1:], "/")
 	for index, segment := range segments {
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// hexDigit is the value of a hex digit; -1 for any other letter.
+// hexDigit returns the value of a hex digit; -1 for any other byte.
 func hexDigit(char byte) int {
 	switch {
 	case char >= '0' && char <= '9':
@@ -103,7 +105,7 @@
 	return -1
 }
 
-// isUnreserved says that a byte means the same with and without an escape (RFC 3986, 2.3).
+// isUnreserved reports whether a byte means the same with and without percent-encoding (RFC 3986, section 2.3).
 func isUnreserved(char byte) bool {
 	switch {
 	case char >= 'a' && char <= 'z', char >= 'A' && char <= 'Z', char >= '0' && char <= '9':
--- a/internal/routeconfig/route.go
+++ b/internal/routeconfig/route.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// LowestPriority is that of a route or tenant without one; 0 goes first.
+// LowestPriority is the priority of a route or tenant that gives none. The highest priority is 0.
 const LowestPriority = 1 << 20
 
-// wildcard stands for all tenants or callers in a route's list.
+// wildcard means all tenants or callers in a route's list.
 const wildcard = "*"
 
-// WeightedService is a service's part of a route's requests.
+// WeightedService is a service of a split, with its share of the route's requests.
 type WeightedService struct {
 	Service string
-	Weight  int64 // in thousandths of the configuration's weight; 0: gets no requests
+	Weight  int64 // the configured weight times weightScale; 0: the service gets no requests
 }
 
-// Route is one rule: which requests it is for, who may send them, and how they are sent on. A route
-// is bound to a host and a prefix, or, without a host, to a path, methods and callers.
+// Route defines which requests it matches, who may send them, and how they are forwarded. A route matches
+// by host and prefix or, without a host, by path and method.
 type Route struct {
 	Name string
 
 	Host    string          // in lower case; "": any
 	Path    string          // the path, or the prefix
 	Prefix  bool            // Path is a prefix, of whole segments
-	Methods map[string]bool // none: any, on a route that is bound to a host
+	Methods map[string]bool // empty on a route that is bound to a host: any
 
-	Callers map[string]bool // calling services; anyName: all
-	Tenants map[string]bool // none or anyName: all
+	Callers map[string]bool // calling services; wildcard, or empty on a route that is bound to a host: all
+	Tenants map[string]bool // empty or wildcard: all
 	Public  bool            // no key is needed
 
-	Service string            // all requests go to it, if there is no split
-	Split   []WeightedService // shares the requests among services
+	Service string            // receives all requests if there is no split
+	Split   []WeightedService // services among which the requests are distributed
 
 	Timeout       time.Duration
-	LatencyTarget time.Duration // within which an answer has its full worth; 0: not set
-	MaxAttempts   int64         // upstreams that one request may be sent to; 0: as the retry budget allows
-	AtMostOnce    bool          // a request that may have run isn't sent again
+	LatencyTarget time.Duration // within which a response has its full value; 0: not set
+	MaxAttempts   int64         // upstreams to which one request may be sent; 0: limited by the retry budget only
+	AtMostOnce    bool          // a request that may have run is not retried
 	MaxBodyBytes  int64         // 0: not set
-	Priority      int64         // 0 goes first
+	Priority      int64         // the lowest number goes first
 	Calendar      *Calendar     // when the route is open; nil: always
 }
 
-// PickService chooses the service of a request by a number from 0 to below 1.
+// PickService returns the service for a request. The fraction, from 0 to below 1, selects it from the split.
 func (r Route) PickService(fraction float64) string {
 	total := int64(0)
 	for _, share := range r.Split {
@@ -58,7 +58,7 @@
 	return r.Service
 }
 
-// RoutesTo says that the route may send a request to a service.
+// RoutesTo reports whether the route may send requests to a service.
 func (r Route) RoutesTo(service string) bool {
 	for _, share := range r.Split {
 		if share.Service == service && share.Weight > 0 {
@@ -68,14 +68,14 @@
 	return len(r.Split) == 0 && r.Service == service
 }
 
-// Allows says that the route is for a tenant and a calling service.
+// Allows reports whether a tenant and a calling service may use the route.
 func (r Route) Allows(tenant, caller string) bool {
 	tenantAllowed := len(r.Tenants) == 0 || r.Tenants[wildcard] || r.Tenants[tenant]
 	callerAllowed := r.Host != "" && len(r.Callers) == 0 || r.Callers[wildcard] || r.Callers[caller]
 	return tenantAllowed && callerAllowed
 }
 
-// matchesPath says that the route is for a normalised path.
+// matchesPath reports whether a normalised path matches the route.
 func (r Route) matchesPath(path string) bool {
 	if !r.Prefix {
 		return path == r.Path
@@ -86,7 +86,7 @@
 	return strings.HasSuffix(r.Path, "/") || len(path) == len(r.Path) || path[len(r.Path)] == '/'
 }
 
-// compare orders exact routes before prefixes, and longer paths before shorter ones.
+// compare orders routes by precedence: exact routes before prefixes, and longer paths before shorter ones.
 func (r *Route) compare(other *Route) int {
 	switch {
 	case r.Prefix == other.Prefix:
--- a/internal/routeconfig/routeconfig_test.go
+++ b/internal/routeconfig/routeconfig_test.go
@@ -1,4 +1,4 @@
-// Configurations: what is refused and why, what matches, when a calendar is open.
+// Tests of refused configurations, of matching by path, of path normalisation and of calendars.
 package routeconfig
 
 import (
@@ -89,7 +89,8 @@
 	}
 }
 
-// Berlin changes its clocks; openings there join, shift and fall away as documented.
+// The time zone of Berlin has daylight saving time. Overlapping openings are merged, openings follow the local
+// time, and one whose local time does not exist is skipped.
 func TestCalendars(t *testing.T) {
 	c := qt.New(t)
 	withCalendar := func(calendar string) string {
--- a/internal/safeguard/rules.go
+++ b/internal/safeguard/rules.go
@@ -6,14 +6,14 @@
 	"unsafe"
 )
 
-// WithoutField calls do while one bool field of a struct of rules is set, which switches that rule of a
-// control machine off. The rules are an unexported struct in each package, which only the test files
-// of that package reach. It is for test files only, and not for tests that run in parallel. It panics
-// for a name that the struct does not have.
+// WithoutField disables one rule of a control machine while it calls run. The rules are a pointer to an
+// unexported struct of another package, whose test files have access to it; a rule is disabled while its bool
+// field is true. WithoutField must be called only by tests, and not by tests that run in parallel. It panics
+// for a name that is not a field of the struct.
 func WithoutField(rules any, name string, run func()) {
 	field := reflect.ValueOf(rules).Elem().FieldByName(name)
 	if !field.IsValid() {
-		panic(fmt.Sprintf("safeguard: no rule %q", name))
+		panic(fmt.Sprintf("safeguard: no rule %q in %T", name, rules))
 	}
 	disabled := (*bool)(unsafe.Pointer(field.UnsafeAddr()))
 	*disabled = true
--- a/internal/safeguard/safeguard.go
+++ b/internal/safeguard/safeguard.go
@@ -1,54 +1,55 @@
-// Package safeguard names the checks that keep requests safe (docs/request-safety.md lists each with
-// its reason). All are in force in every program. A test may switch one off, to show that its model or
-// its simulated run fails without it; a test of this package verifies that only test files do so.
+// Package safeguard defines a switch for each check that keeps requests safe (docs/request-safety.md lists
+// the checks with their reasons). All checks are enabled in every program. A test may disable one to show
+// that its model or simulation detects the violation; a test of this package verifies that only test files
+// do so.
 package safeguard
 
 import "sync/atomic"
 
-// Guard names one check.
+// Guard identifies one check.
 type Guard int
 
 // The checks, in the order of docs/request-safety.md.
 const (
-	// AnswerOfAnother skips an answer that names another request.
+	// AnswerOfAnother discards a response that names another request.
 	AnswerOfAnother Guard = iota
-	// AnswerWithoutName accepts no answer without a name where the request has one.
+	// AnswerWithoutName rejects a response without a request name if the request has one.
 	AnswerWithoutName
-	// QuietConnection reuses an idle connection only while nothing has arrived on it.
+	// QuietConnection reuses an idle connection only if no data has arrived on it since the last response.
 	QuietConnection
-	// BytesBehind reuses no connection on which more arrived than the answer.
+	// BytesBehind doesn't reuse a connection on which more data than the response arrived.
 	BytesBehind
-	// WholeAnswer accepts an answer only when its end can be recognised and has arrived.
+	// WholeAnswer accepts a response only if its end is defined by its framing and has arrived.
 	WholeAnswer
-	// HiddenPromise accepts no status that means "not run" from an upstream that does not say so.
+	// HiddenPromise doesn't take an ambiguous status as proof that the upstream did not run the request.
 	HiddenPromise
-	// OnceOnly retries no request that may have run, where its route does not allow it.
+	// OnceOnly doesn't retry a request that may have run if its route forbids it.
 	OnceOnly
-	// NoPromiseAfterRun answers "not run" only while no attempt may have run.
+	// NoPromiseAfterRun responds "not run" only if no attempt may have run.
 	NoPromiseAfterRun
 	// MostUpstreams sends a request to no more upstreams than its route allows.
 	MostUpstreams
-	// BarredQuestion starts no request whose outcome was asked for before it arrived.
+	// BarredQuestion doesn't start a request whose outcome was queried before the request arrived.
 	BarredQuestion
-	// NeverAttached reports "not started" for a lost connection only if it was never established.
+	// NeverAttached reports "not started" for a lost connection only if the connection was never established.
 	NeverAttached
-	// OtherLife lets no later incarnation of a serving proxy answer for an earlier one.
+	// OtherLife prevents a serving proxy from reporting outcomes on behalf of its earlier incarnations.
 	OtherLife
 	guardCount
 )
 
 var disabled [guardCount]atomic.Bool
 
-// On reports whether the check is in force.
+// On reports whether the check is enabled.
 func (g Guard) On() bool { return !disabled[g].Load() }
 
-// Test is the part of a running test that Without needs.
+// Test is the subset of testing.TB that Without needs.
 type Test interface {
 	Cleanup(func())
 	Helper()
 }
 
-// Without switches one check off until the test ends. It is for test files only, and not for tests that
+// Without disables one check until the test ends. It must be called only by tests, and not by tests that
 // run in parallel.
 func Without(test Test, g Guard) {
 	test.Helper()
@@ -66,8 +67,8 @@
 }
 
 // guardNames are the guards' guardNames, as docs/request-safety.md writes them.
-var guardNames = [guardCount]string{"AnswerOfAnother", "AnswerWithoutName", "QuietConnection", "BytesBehind", "WholeAnswer", "HiddenPromise",
-	"OnceOnly", "NoPromiseAfterRun", "MostUpstreams", "BarredQuestion", "NeverAttached", "OtherLife"}
+var guardNames = [guardCount]string{"AnswerOfAnother", "AnswerWithoutName", "QuietConnection", "BytesBehind", "WholeAnswer",
+	"HiddenPromise", "OnceOnly", "NoPromiseAfterRun", "MostUpstreams", "BarredQuestion", "NeverAttached", "OtherLife"}
 
 // String returns the name as docs/request-safety.md writes it.
 func (g Guard) String() string { return guardNames[g] }
--- a/internal/safeguard/safeguard_test.go
+++ b/internal/safeguard/safeguard_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// No program switches a check off: only test files call it.
+// Programs never disable a check or a rule: Without and WithoutField are called in test files only.
 func TestOnlyTestFilesDisableChecks(t *testing.T) {
 	c := qt.New(t)
 	calls := []string{"safeguard." + "Without(", "safeguard." + "WithoutField("}
@@ -40,7 +40,7 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// Every check stands in the page, under its name.
+// docs/request-safety.md names every check.
 func TestPageListsEveryCheck(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../docs/request-safety.md")
--- a/internal/settings/adjust.go
+++ b/internal/settings/adjust.go
@@ -35,8 +35,8 @@
 // String returns the warning as one line of text.
 func (w Warning) String() string { return w.Path + ": " + w.Text }
 
-// Expected are times that the deployment expects to be kept but from which no timer is derived. A takeover
-// has to be over within them. 0: not given.
+// Expected are times that the deployment expects but from which no timer is derived. A takeover has to be over
+// within them. 0: not given.
 type Expected struct {
 	Contact   time.Duration // from the end of a fault until service is normal
 	WriteAcks time.Duration // within which a write is acknowledged in normal service
--- a/internal/settings/adjust_test.go
+++ b/internal/settings/adjust_test.go
@@ -36,12 +36,12 @@
 		warning string
 	}{
 		{"usage", func(b *Bounds, _ *Expected) { b.HolderCooldown, b.UsageReportDelay = 4300, 6000 }, 2400 * time.Millisecond, ""},
-		{"usage, no room", func(b *Bounds, _ *Expected) { b.UsageReportDelay = 2000 }, 0, "bounds.usage_late_ms"},
+		{"usage, too short", func(b *Bounds, _ *Expected) { b.UsageReportDelay = 2000 }, 0, "bounds.usage_late_ms"},
 		{"keys", func(b *Bounds, _ *Expected) { b.HolderCooldown, b.KeyWithdrawal = 4300, 2000 }, 1800 * time.Millisecond, ""},
-		{"keys, no room", func(b *Bounds, _ *Expected) { b.KeyWithdrawal = 1000 }, 0, "bounds.key_withdrawal_ms"},
+		{"keys, too short", func(b *Bounds, _ *Expected) { b.KeyWithdrawal = 1000 }, 0, "bounds.key_withdrawal_ms"},
 		{"restore", func(b *Bounds, _ *Expected) { b.Restore = 5000 }, 2500 * time.Millisecond, ""},
 		{"writes", func(_ *Bounds, e *Expected) { e.Contact, e.WriteAcks = time.Second, 2*time.Second }, 1800 * time.Millisecond, ""},
-		{"writes, no room", func(_ *Bounds, e *Expected) { e.WriteAcks = 500 * time.Millisecond }, 0, "acknowledgement of writes"},
+		{"writes, too short", func(_ *Bounds, e *Expected) { e.WriteAcks = 500 * time.Millisecond }, 0, "acknowledgement of writes"},
 	} {
 		cfg, expected := Default(), Expected{}
 		test.change(&cfg.Bounds, &expected)
--- a/internal/settings/timers.go
+++ b/internal/settings/timers.go
@@ -127,7 +127,7 @@
 // HandoverTimeout is how long a stopping process waits for its voter to be handed over.
 func (c Settings) HandoverTimeout() time.Duration { return c.Grace() / 4 }
 
-// ForgetAfter is how long the record of a dead member, or of another process that is gone, is kept.
+// ForgetAfter is how long the record of a dead member, a retired upstream or an absent proxy is retained.
 func (c Settings) ForgetAfter() time.Duration { return milliseconds(c.Bounds.Restore) * 4 }
 
 // JoinEvery is the interval at which a process without peers contacts its seeds to join.
