--- a/internal/routeconfig/lenient_test.go
+++ b/internal/routeconfig/lenient_test.go
@@ -94,7 +94,7 @@
 }
 
 // Each change makes a valid configuration invalid in one way: those that the platform page calls invalid, and
-// those that the platform's test runs send. Check refuses them all, and also truncated configurations.
+// those of the action bad_config in internal/tools/days. Check refuses them all, and also truncated configurations.
 func TestEveryInvalidConfigurationIsRefused(t *testing.T) {
 	c := qt.New(t)
 	invalidations := map[string]func(configuration, route map[string]any){
--- a/internal/safeguard/safeguard.go
+++ b/internal/safeguard/safeguard.go
@@ -66,7 +66,7 @@
 	return all
 }
 
-// guardNames are the guards' guardNames, as docs/request-safety.md writes them.
+// guardNames are the names of the checks, as docs/request-safety.md writes them.
 var guardNames = [guardCount]string{"AnswerOfAnother", "AnswerWithoutName", "QuietConnection", "BytesBehind", "WholeAnswer",
 	"HiddenPromise", "OnceOnly", "NoPromiseAfterRun", "MostUpstreams", "BarredQuestion", "NeverAttached", "OtherLife"}
 
