--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -9,8 +9,8 @@
 	"beaconvane/internal/routeconfig"
 )
 
-// admission carries one request through the admission checks. Each check reads what earlier
-// ones have found.
+// admission holds the state of one request's admission. Each check reads the results of the
+// earlier checks.
 type admission struct {
 	frontend *Frontend
 	snapshot *proxy.Snapshot
@@ -20,15 +20,16 @@
 
 	metadata      Metadata
 	delegation    backend.Delegation
-	delegated     bool // the request shows the token of a running request
+	delegated     bool // the request carries the delegation token of a running request
 	configuration *routeconfig.Configuration
 	route         routeconfig.Route
 	tenant        string
 	caller        string
 }
 
-// admissionChecks run in this order, and the first refusal is the caller's answer. The order is
-// part of the interface: it decides which of several faults of a request is reported.
+// admissionChecks lists the checks in the order in which they run. The first refusal is the
+// caller's answer. The order is part of the interface: it determines which fault is reported when
+// a request has several.
 var admissionChecks = []func(*admission) *refusal{
 	(*admission).checkSnapshot,
 	(*admission).checkPath,
@@ -40,8 +41,8 @@
 	(*admission).checkBodySize,
 }
 
-// admit authenticates a request, finds its route and authorizes its caller. It returns nil when
-// the request may go on to an upstream.
+// admit authenticates a request, finds its route and authorizes its caller. It returns the refusal,
+// or nil if the request is admitted.
 func (f *Frontend) admit(now time.Duration, wall time.Time, request *Request) *Response {
 	a := &admission{frontend: f, snapshot: f.currentSnapshot(), now: now, wall: wall, request: request}
 	for _, check := range admissionChecks {
@@ -53,7 +54,8 @@
 	return nil
 }
 
-// checkSnapshot refuses while the control state is unknown, or too old to rely on.
+// checkSnapshot refuses requests while the configurations are unknown, or older than the configured
+// limit.
 func (a *admission) checkSnapshot() *refusal {
 	if a.snapshot == nil || !a.snapshot.ConfigurationsKnown {
 		return refuseWith(errcode.BusyNotReady)
@@ -64,8 +66,8 @@
 	return nil
 }
 
-// checkPath finds the path by which the request is routed, and reads what the request says of
-// its caller. A path that exposes a key is refused, since it can't be cleaned as headers are.
+// checkPath determines the routing path and reads the caller metadata. A path that contains an API
+// key is refused, since a key can't be removed from a path as it can from headers.
 func (a *admission) checkPath() *refusal {
 	path, code := a.frontend.protocol.RoutingPath(a.request)
 	if code != errcode.OK {
@@ -79,7 +81,7 @@
 	return nil
 }
 
-// checkDelegation resolves the token of a running request, if the request shows one.
+// checkDelegation resolves the request's delegation token, if it has one.
 func (a *admission) checkDelegation() *refusal {
 	if a.metadata.DelegationToken == "" {
 		return nil
@@ -91,7 +93,8 @@
 	return nil
 }
 
-// checkKey refuses a request that nobody vouches for, unless its route is open to all.
+// checkKey refuses a request that has neither a delegation nor a valid API key, unless its route
+// requires no key.
 func (a *admission) checkKey() *refusal {
 	switch {
 	case a.delegated || a.isOpen() || a.isKeyKnown():
@@ -102,7 +105,7 @@
 	return refuseWith(errcode.RequestKeyUnknown)
 }
 
-// key is the API key that counts: the first of those that the request shows.
+// key returns the request's first API key, which is the one that authenticates it, or "".
 func (a *admission) key() string {
 	if len(a.metadata.APIKeys) == 0 {
 		return ""
@@ -110,10 +113,10 @@
 	return a.metadata.APIKeys[0]
 }
 
-// isOpen reports whether some configuration lets anybody use the request's route.
+// isOpen reports whether some configuration has a route for the request that requires no key.
 func (a *admission) isOpen() bool {
 	for _, configuration := range a.snapshot.Configurations {
-		route, found := a.find(configuration)
+		route, found := a.matchRoute(configuration)
 		if found && (route.Public || a.request.Host != "" && configuration.Keyless()) {
 			return true
 		}
@@ -121,7 +124,7 @@
 	return false
 }
 
-// isKeyKnown reports whether some configuration honours the request's key.
+// isKeyKnown reports whether the request's key is valid in some configuration.
 func (a *admission) isKeyKnown() bool {
 	key := a.key()
 	for _, configuration := range a.snapshot.Configurations {
@@ -132,14 +135,15 @@
 	return false
 }
 
-func (a *admission) find(configuration *routeconfig.Configuration) (routeconfig.Route, bool) {
+// matchRoute returns a configuration's route for the request.
+func (a *admission) matchRoute(configuration *routeconfig.Configuration) (routeconfig.Route, bool) {
 	return configuration.MatchHost(a.request.Host, a.request.Method, a.request.Path)
 }
 
-// checkRoute takes the first configuration that has a route for the request.
+// checkRoute selects the route from the first configuration that has one for the request.
 func (a *admission) checkRoute() *refusal {
 	for _, configuration := range a.snapshot.Configurations {
-		if route, found := a.find(configuration); found {
+		if route, found := a.matchRoute(configuration); found {
 			a.configuration, a.route = configuration, route
 			return nil
 		}
@@ -147,8 +151,8 @@
 	return refuseWith(errcode.RequestNoRoute)
 }
 
-// checkCaller settles the tenant and the calling service, and refuses those that the route does
-// not allow. A delegation is worth what its tenant's keys are: nothing once all are withdrawn.
+// checkCaller determines the tenant and the calling service, and refuses those that the route does
+// not allow. A delegation is valid only while its tenant has at least one valid key.
 func (a *admission) checkCaller() *refusal {
 	tenant, authenticated := a.configuration.Tenant(a.key())
 	caller := a.metadata.CallingService
@@ -167,7 +171,7 @@
 	return nil
 }
 
-// checkCalendar refuses outside the route's opening hours.
+// checkCalendar refuses requests outside the route's opening hours.
 func (a *admission) checkCalendar() *refusal {
 	if a.route.Calendar == nil || a.route.Calendar.IsOpen(a.wall) {
 		return nil
@@ -175,7 +179,7 @@
 	return &refusal{code: errcode.RequestRouteClosed, retryAfter: a.route.Calendar.UntilOpen(a.wall)}
 }
 
-// checkBodySize refuses a body that is larger than the route allows.
+// checkBodySize refuses bodies larger than the route allows.
 func (a *admission) checkBodySize() *refusal {
 	if a.route.MaxBodyBytes > 0 && int64(len(a.request.Body)) > a.route.MaxBodyBytes {
 		return refuseWith(errcode.RequestTooLarge)
@@ -183,8 +187,8 @@
 	return nil
 }
 
-// accept writes what the checks have found into the request, and removes from it what must not
-// reach an upstream.
+// accept stores the results of the checks in the request, and removes keys and mesh headers from
+// it.
 func (a *admission) accept() {
 	request := a.request
 	request.Configuration, request.Route = a.configuration, a.route
--- a/internal/frontend/authorize.go
+++ b/internal/frontend/authorize.go
@@ -6,8 +6,8 @@
 	"beaconvane/internal/routeconfig"
 )
 
-// AuthorizeForward is the serving proxy's check of a forwarded request against its own
-// configurations, which may be older or newer than those of the proxy that admitted it.
+// AuthorizeForward checks a forwarded request against the configurations of the serving proxy,
+// which may be older or newer than those of the proxy that admitted the request.
 func (f *Frontend) AuthorizeForward(forward message.Forward) errcode.Code {
 	snapshot := f.currentSnapshot()
 	if snapshot == nil || !snapshot.ConfigurationsKnown {
@@ -21,10 +21,10 @@
 	return errcode.BusyConfigurationDiffers
 }
 
-// permits reports whether a configuration lets a forwarded request reach its upstream.
+// permits reports whether a configuration allows a forwarded request to reach its upstream.
 func (f *Frontend) permits(configuration *routeconfig.Configuration, forward message.Forward) bool {
 	if f.settings.ProofByTarget() && configuration.Version <= forward.Version {
-		// The configuration by which it was admitted is no older than this one.
+		// The request was admitted under this version or a newer one.
 		return true
 	}
 	route, found := configuration.MatchHost(forward.Host, forward.Method, forward.Path)
--- a/internal/frontend/bodyquota.go
+++ b/internal/frontend/bodyquota.go
@@ -12,24 +12,26 @@
 )
 
 const (
-	// bodyChunk is by how much the reservation of a body of unknown length grows.
+	// bodyChunk is the number of bytes for which the reservation of a body of unknown length is
+	// extended at a time.
 	bodyChunk = 64 << 10
 
-	// growthFactor is how much larger than what it holds a growing slice may be.
+	// growthFactor is the maximum ratio of capacity to length of a slice that append grows. The
+	// reservation covers the capacity.
 	growthFactor = 2
 
-	// maxBodyTime bounds how long any body may take.
+	// maxBodyTime is the maximum time for reading a body.
 	maxBodyTime = 20 * time.Minute
 )
 
-// bodyQuota bounds the memory that the bodies of callers' requests take together. A body that
-// doesn't fit now is refused at once.
+// bodyQuota limits the total memory for the bodies of callers' requests. A body that exceeds the
+// available quota is refused immediately.
 type bodyQuota struct {
 	lock      sync.Mutex
-	available int64
+	available int64 // bytes
 }
 
-// reserve takes a part of the quota. It returns false when so much is not left.
+// reserve takes size bytes from the quota. It returns false if fewer are available.
 func (q *bodyQuota) reserve(size int64) bool {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -40,13 +42,15 @@
 	return true
 }
 
+// release returns reserved bytes to the quota.
 func (q *bodyQuota) release(size int64) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.available += size
 }
 
-// readBody reads a body whole. Whoever calls it releases what was reserved, also after a refusal.
+// readBody reads a complete body of at most limit bytes. The caller must release the reserved
+// bytes, also after a refusal.
 func (q *bodyQuota) readBody(in *http.Request, limit int64) (body []byte, reserved int64, code errcode.Code) {
 	switch {
 	case in.ContentLength > limit:
@@ -57,6 +61,7 @@
 	return q.readUnknownLength(in.Body, limit)
 }
 
+// readKnownLength reads a body whose length the request's head declares.
 func (q *bodyQuota) readKnownLength(in io.Reader, length int64) (body []byte, reserved int64, code errcode.Code) {
 	if !q.reserve(length) {
 		return nil, 0, errcode.BusyBodies
@@ -68,6 +73,7 @@
 	return body, length, errcode.OK
 }
 
+// readUnknownLength reads a chunked body, and extends the reservation as the body grows.
 func (q *bodyQuota) readUnknownLength(in io.Reader, limit int64) (body []byte, reserved int64, code errcode.Code) {
 	for {
 		if int64(len(body))+bodyChunk > reserved {
@@ -79,8 +85,8 @@
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
 		}
-		size, err := in.Read(body[len(body):cap(body)])
-		body = body[:len(body)+size]
+		count, err := in.Read(body[len(body):cap(body)])
+		body = body[:len(body)+count]
 		switch {
 		case int64(len(body)) > limit:
 			return nil, reserved, errcode.RequestTooLarge
@@ -92,7 +98,7 @@
 	}
 }
 
-// readErrorCode tells a body that was too slow from one that broke off.
+// readErrorCode distinguishes a body that exceeded the read deadline from one that was truncated.
 func readErrorCode(err error) errcode.Code {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return errcode.RequestTooSlow
@@ -100,7 +106,7 @@
 	return errcode.RequestUnreadable
 }
 
-// headerBytes is the size of a request's head as callers write it.
+// headerBytes returns the size in bytes of a request's head in HTTP/1.1 form.
 func headerBytes(in *http.Request) int64 {
 	size := len(in.Method) + len(in.RequestURI) + len(in.Proto) + len("  \r\n\r\n") + len("Host: \r\n") + len(in.Host)
 	for name, values := range in.Header {
--- a/internal/frontend/callerlimits.go
+++ b/internal/frontend/callerlimits.go
@@ -8,33 +8,33 @@
 	"beaconvane/internal/settings"
 )
 
-// The limits for callers where the configurations set none.
+// The limits that apply where the configurations set none.
 const (
 	defaultHeadBytes = 64 << 10
 	defaultHeadTime  = 10 * time.Second
 	defaultIdleTime  = 2 * time.Minute
 )
 
-// idleGrace is how much longer than configured a connection may idle here: callers go by clocks
-// of their own, and what they send is a while on its way.
+// idleGrace is added to the configured idle time, to allow for the callers' clocks and for the
+// network delay of a request that is sent just before the idle time ends.
 const idleGrace = time.Second
 
-// callerLimits are the limits in force for callers: those of the configurations, within what the
-// machine can hold. A connection may idle as long as any limit says that was in force when it
-// began to, so a limit that was lowered counts on for its span.
+// callerLimits holds the limits on callers' requests and connections: those of the configurations,
+// bounded by the process settings. When the idle time is lowered, the previous value stays in force
+// for its own duration, since connections that became idle before the change may rely on it.
 type callerLimits struct {
-	lock       sync.Mutex
-	configured routeconfig.CallerLimits
-	lowered    []loweredIdleTime
+	lock             sync.Mutex
+	configured       routeconfig.CallerLimits
+	loweredIdleTimes []loweredIdleTime
 }
 
-// loweredIdleTime is an idle time that was in force before.
+// loweredIdleTime is an earlier, longer idle time, and the time until which it stays in force.
 type loweredIdleTime struct {
 	idleTime time.Duration
 	expires  time.Duration
 }
 
-// update takes the limits of a new snapshot's configurations: the widest of each.
+// update sets each limit to the widest value among the configurations of a new snapshot.
 func (c *callerLimits) update(now time.Duration, configurations []*routeconfig.Configuration) {
 	if len(configurations) == 0 {
 		return
@@ -45,13 +45,14 @@
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	before := idleTimeOrDefault(c.configured.IdleTime)
-	if before > idleTimeOrDefault(configured.IdleTime) {
-		c.lowered = append(c.lowered, loweredIdleTime{before, now + before + idleGrace})
+	previous := idleTimeOrDefault(c.configured.IdleTime)
+	if previous > idleTimeOrDefault(configured.IdleTime) {
+		c.loweredIdleTimes = append(c.loweredIdleTimes, loweredIdleTime{previous, now + previous + idleGrace})
 	}
 	c.configured = configured
 }
 
+// idleTimeOrDefault returns the configured idle time, or the default if none is configured.
 func idleTimeOrDefault(configured time.Duration) time.Duration {
 	if configured == 0 {
 		return defaultIdleTime
@@ -59,22 +60,22 @@
 	return configured
 }
 
-// idleTime is how long a connection may idle.
+// idleTime returns how long a connection may stay idle, including idleGrace.
 func (c *callerLimits) idleTime(now time.Duration) time.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	longest, kept := idleTimeOrDefault(c.configured.IdleTime), c.lowered[:0]
-	for _, lowered := range c.lowered {
+	longest, unexpired := idleTimeOrDefault(c.configured.IdleTime), c.loweredIdleTimes[:0]
+	for _, lowered := range c.loweredIdleTimes {
 		if now < lowered.expires {
-			kept = append(kept, lowered)
+			unexpired = append(unexpired, lowered)
 			longest = max(longest, lowered.idleTime)
 		}
 	}
-	c.lowered = kept
+	c.loweredIdleTimes = unexpired
 	return longest + idleGrace
 }
 
-// headTime is how long a request's head may take from its first byte.
+// headTime returns the maximum time for reading a request's head, counted from its first byte.
 func (c *callerLimits) headTime() time.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -84,7 +85,7 @@
 	return c.configured.HeadTime
 }
 
-// headBytes is how large a request's head may be.
+// headBytes returns the maximum size of a request's head.
 func (c *callerLimits) headBytes() int64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -94,7 +95,8 @@
 	return c.configured.HeadBytes
 }
 
-// bodyBytes is how large a request's body may be: as configured, within what this machine holds.
+// bodyBytes returns the maximum size of a request's body: the configured limit, but at most the
+// limit in the process settings.
 func (c *callerLimits) bodyBytes(cfg settings.Settings) int64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -104,8 +106,8 @@
 	return min(c.configured.BodyBytes, cfg.Limits.Body)
 }
 
-// IdleTime is how long a caller's connection may idle now.
+// IdleTime returns how long a caller's connection may stay idle.
 func (f *Frontend) IdleTime(now time.Duration) time.Duration { return f.callerLimits.idleTime(now) }
 
-// HeadTime is how long the head of a caller's request may take.
+// HeadTime returns the maximum time for reading the head of a caller's request.
 func (f *Frontend) HeadTime() time.Duration { return f.callerLimits.headTime() }
--- a/internal/frontend/callerlimits_test.go
+++ b/internal/frontend/callerlimits_test.go
@@ -24,7 +24,7 @@
 	"beaconvane/internal/settings"
 )
 
-func limited(limits string) *routeconfig.Configuration {
+func configurationWithLimits(limits string) *routeconfig.Configuration {
 	return routeconfig.Parse(
 		"main",
 		1,
@@ -34,15 +34,15 @@
 }
 
 // newLimitedPipeline has the read stage only: what passes it waits for ever.
-func newLimitedPipeline(limits string, alter func(cfg *settings.Settings)) *Pipeline {
+func newLimitedPipeline(limits string, adjust func(cfg *settings.Settings)) *Pipeline {
 	cfg := settings.Default()
 	cfg.Limits.Body = 16 << 20
-	alter(&cfg)
+	adjust(&cfg)
 	front := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 	group := goroutine.New()
 	serving := backend.New(cfg, nil)
 	pipeline := NewPipeline(cfg, front, serving, backend.NewUpstreamClient(cfg, serving, group), group, message.Member{}, func(any) {})
-	front.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{limited(limits)}})
+	front.UpdateSnapshot(0, &proxy.Snapshot{Configurations: []*routeconfig.Configuration{configurationWithLimits(limits)}})
 	return pipeline
 }
 
@@ -63,9 +63,9 @@
 
 // A body of more than 4 MiB was refused whatever the configuration allowed, and one that it
 // forbids was taken.
-func TestBodiesByTheConfiguration(t *testing.T) {
+func TestBodySizeFollowsConfiguration(t *testing.T) {
 	c := qt.New(t)
-	for _, tried := range []struct {
+	for _, test := range []struct {
 		limits  string
 		size    int
 		chunked bool
@@ -81,16 +81,16 @@
 		{`{}`, 15 << 20, false, 0},
 		{`{"body_bytes":67108864}`, 17 << 20, false, http.StatusRequestEntityTooLarge}, // over what this machine holds
 	} {
-		pipeline := newLimitedPipeline(tried.limits, func(*settings.Settings) {})
-		request := httptest.NewRequest(http.MethodPost, "/x", bytes.NewReader(make([]byte, tried.size)))
-		if tried.chunked {
+		pipeline := newLimitedPipeline(test.limits, func(*settings.Settings) {})
+		request := httptest.NewRequest(http.MethodPost, "/x", bytes.NewReader(make([]byte, test.size)))
+		if test.chunked {
 			request.ContentLength = -1
 		}
-		c.Check(statusOf(pipeline, request), qt.Equals, tried.status, qt.Commentf("%+v", tried))
+		c.Check(statusOf(pipeline, request), qt.Equals, test.status, qt.Commentf("%+v", test))
 	}
 }
 
-func TestHeadsByTheConfiguration(t *testing.T) {
+func TestHeadSizeFollowsConfiguration(t *testing.T) {
 	c := qt.New(t)
 	for size, status := range map[int]int{3000: 0, 4200: http.StatusRequestHeaderFieldsTooLarge} {
 		request := httptest.NewRequest(http.MethodGet, "/x", nil)
@@ -101,7 +101,7 @@
 
 // Bodies that together take more than their part of the memory are refused at once, with a
 // promise and a time; what others took is free again when they are done.
-func TestBodiesTogether(t *testing.T) {
+func TestBodyQuotaBoundsConcurrentBodies(t *testing.T) {
 	c := qt.New(t)
 	pipeline := newLimitedPipeline(`{}`, func(cfg *settings.Settings) { cfg.Limits.Memory, cfg.Limits.Body = 64, 4<<20 })
 	c.Assert(pipeline.settings.BodyMemory(), qt.Equals, int64(8<<20))
@@ -119,56 +119,56 @@
 	c.Assert(statusOf(pipeline, post(2<<20)), qt.Equals, 0)
 }
 
-// stuck is a body that never comes whole.
-type stuck struct{}
+// timedOutBody is a body that never comes whole.
+type timedOutBody struct{}
 
-func (stuck) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
+func (timedOutBody) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
 // A body that is too slow has not run: 408, with a time, and nothing is kept of it.
-func TestASlowBody(t *testing.T) {
+func TestSlowBodyIsRefusedAndReleased(t *testing.T) {
 	c := qt.New(t)
 	pipeline := newLimitedPipeline(`{}`, func(*settings.Settings) {})
-	before := pipeline.bodies.available
+	available := pipeline.bodies.available
 	for _, length := range []int64{10, -1} {
-		request := httptest.NewRequest(http.MethodPost, "/x", io.NopCloser(stuck{}))
+		request := httptest.NewRequest(http.MethodPost, "/x", io.NopCloser(timedOutBody{}))
 		request.ContentLength = length
 		recorder := httptest.NewRecorder()
 		pipeline.ServeHTTP(recorder, request)
 		c.Check(recorder.Code, qt.Equals, http.StatusRequestTimeout)
 		c.Check(recorder.Header().Get("Retry-After"), qt.Not(qt.Equals), "")
-		c.Check(pipeline.bodies.available, qt.Equals, before)
+		c.Check(pipeline.bodies.available, qt.Equals, available)
 	}
 }
 
 // A lowered idle time counts on for the span that connections may have rested by the old
 // one; a raised one counts at once.
-func TestIdleTimesThatChange(t *testing.T) {
+func TestIdleTimeAfterConfigurationChange(t *testing.T) {
 	c := qt.New(t)
 	limits := callerLimits{}
-	show := func(now time.Duration, idle int) {
-		limits.update(now, []*routeconfig.Configuration{limited(fmt.Sprintf(`{"idle_ms":%d}`, idle))})
+	update := func(now time.Duration, idle int) {
+		limits.update(now, []*routeconfig.Configuration{configurationWithLimits(fmt.Sprintf(`{"idle_ms":%d}`, idle))})
 	}
 	c.Assert(limits.idleTime(0), qt.Equals, defaultIdleTime+idleGrace)
-	show(0, 15000)
+	update(0, 15000)
 	c.Assert(limits.idleTime(defaultIdleTime), qt.Equals, defaultIdleTime+idleGrace)
 	now := 1000 * time.Second
 	c.Assert(limits.idleTime(now), qt.Equals, 15*time.Second+idleGrace)
-	show(now, 5000)
+	update(now, 5000)
 	c.Assert(limits.idleTime(now), qt.Equals, 15*time.Second+idleGrace)
-	show(now+time.Second, 3000)
+	update(now+time.Second, 3000)
 	c.Assert(limits.idleTime(now+15*time.Second), qt.Equals, 15*time.Second+idleGrace)
 	c.Assert(limits.idleTime(now+17*time.Second), qt.Equals, 3*time.Second+idleGrace)
-	show(now+20*time.Second, 30000)
+	update(now+20*time.Second, 30000)
 	c.Assert(limits.idleTime(now+20*time.Second), qt.Equals, 30*time.Second+idleGrace)
 }
 
 // A request's time begins with its first byte: one that waited behind another on its
 // connection is not held past its route's time.
-func TestTimeBeginsWithTheFirstByte(t *testing.T) {
+func TestDeadlineCountsFromFirstByte(t *testing.T) {
 	c := qt.New(t)
-	f := hostedFrontend(c, upstream("one", "here"))
-	request := asked("/pay/x", "secret")
-	request.ArrivedAt = old - time.Second
-	c.Assert(f.admit(old, time.Now(), request), qt.IsNil)
-	c.Assert(request.Deadline, qt.Equals, old+2*time.Second)
+	f := newHostFrontend(c, readyUpstream("one", "here"))
+	request := newHostRequest("/pay/x", "secret")
+	request.ArrivedAt = pastRetryWindow - time.Second
+	c.Assert(f.admit(pastRetryWindow, time.Now(), request), qt.IsNil)
+	c.Assert(request.Deadline, qt.Equals, pastRetryWindow+2*time.Second)
 }
--- a/internal/frontend/connections.go
+++ b/internal/frontend/connections.go
@@ -8,8 +8,8 @@
 	"beaconvane/internal/safeguard"
 )
 
-// connectionTo returns the connection to a serving proxy, opened anew where it broke, or nil for
-// this proxy itself.
+// connectionTo returns the connection to a serving proxy, or nil if that is this proxy. It opens a
+// new connection if there is none or the existing one is broken.
 func (d *Dispatcher) connectionTo(servingProxy string) Connection {
 	if servingProxy == d.address {
 		return nil
@@ -24,7 +24,7 @@
 	return connection
 }
 
-// AttemptsOn counts the attempts that are out on a connection.
+// AttemptsOn returns the number of attempts without an outcome that were sent on a connection.
 func (d *Dispatcher) AttemptsOn(connection Connection) int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -37,11 +37,11 @@
 	return count
 }
 
-// connectionLost settles the attempts that were out on a connection that broke. Another
-// connection to the same serving proxy says nothing of what this one carried, so only attempts
-// of this very connection are settled.
+// connectionLost resolves the attempts without an outcome that were sent on a broken connection.
+// Only attempts of this connection are resolved: the state of another connection to the same
+// serving proxy is no evidence about them.
 func (d *Dispatcher) connectionLost(servingProxy string, connection Connection) {
-	births, ids := d.forgetConnection(servingProxy, connection)
+	startTimes, ids := d.removeConnection(servingProxy, connection)
 	if len(ids) == 0 {
 		return
 	}
@@ -51,18 +51,18 @@
 		}
 		return
 	}
-	d.queryOutcomes(servingProxy, births, maxOutcomeQueries)
+	d.queryOutcomes(servingProxy, startTimes, maxOutcomeQueries)
 }
 
-// forgetConnection removes a broken connection, and returns the attempts that were out on it, in
-// order, and for each the birth of the serving proxy that it was sent to.
-func (d *Dispatcher) forgetConnection(servingProxy string, connection Connection) (births map[string]int64, ids []string) {
+// removeConnection removes a broken connection. It returns the sorted ids of the attempts without
+// an outcome that were sent on it, and for each the start time of its serving proxy.
+func (d *Dispatcher) removeConnection(servingProxy string, connection Connection) (startTimes map[string]int64, ids []string) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	births = map[string]int64{}
+	startTimes = map[string]int64{}
 	for id, pending := range d.pending {
 		if pending.sentOn(connection) {
-			births[id] = pending.Request.Target.ServingProxyStartTime
+			startTimes[id] = pending.Request.Target.ServingProxyStartTime
 			ids = append(ids, id)
 		}
 	}
@@ -70,35 +70,36 @@
 		delete(d.connections, servingProxy)
 	}
 	sort.Strings(ids)
-	return births, ids
+	return startTimes, ids
 }
 
-// handleReply takes what a serving proxy sends back.
+// handleReply processes a frame that a serving proxy sent back. Frames other than final outcomes
+// are ignored.
 func (d *Dispatcher) handleReply(msg any) {
 	if outcome, isOutcome := msg.(message.Outcome); isOutcome && outcome.Kind != message.StillRunning {
 		d.deliverOutcome(outcome)
 	}
 }
 
-// deliverOutcome passes the first outcome of an attempt on. Later ones, and those of requests
-// that nobody waits for, are dropped.
+// deliverOutcome enqueues the first outcome of an attempt for StageOutcome. It drops later
+// outcomes, and those of attempts that are no longer pending.
 func (d *Dispatcher) deliverOutcome(outcome message.Outcome) {
 	d.lock.Lock()
 	pending, known := d.pending[outcome.ID]
 	delete(d.pending, outcome.ID)
 	d.lock.Unlock()
 	if known && pending.claimOutcome(outcome.ID) {
-		// Never refused: the queue has room for every request inside.
+		// Enqueue can't fail here: the queue holds an outcome of every request in flight.
 		d.environment.Enqueue(StageOutcome, AttemptOutcome{pending, outcome})
 	}
 }
 
-// notStartedOutcome is the outcome of an attempt that never reached its serving proxy.
+// notStartedOutcome returns the outcome of an attempt that did not reach its serving proxy.
 func notStartedOutcome(attemptID string) message.Outcome {
 	return message.Outcome{ID: attemptID, Kind: message.NotStarted, Code: int64(errcode.BusyServingProxyLost)}
 }
 
-// unknownOutcome is the outcome of an attempt that nobody can answer for.
+// unknownOutcome returns the outcome of an attempt whose result can't be determined.
 func unknownOutcome(attemptID string) message.Outcome {
 	return message.Outcome{ID: attemptID, Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}
 }
--- a/internal/frontend/dispatcher.go
+++ b/internal/frontend/dispatcher.go
@@ -14,14 +14,14 @@
 	"beaconvane/internal/settings"
 )
 
-// nestedLinkFactor is how much longer a running request's calls may wait for the link.
+// nestedLinkFactor multiplies the maximum link wait for calls that a running request makes.
 const nestedLinkFactor = 2
 
-// Dispatcher takes requests through their steps as events: one is submitted, admitted, given an
-// upstream and forwarded; an outcome comes, or a connection breaks; a decision of the backend is
-// executed or completed. It joins the frontend and the backend of one proxy, and keeps no
-// goroutine, clock or socket of its own. Those come from the Environment, so that the simulator
-// runs the very code of the real process.
+// Dispatcher connects the frontend and the backend of one proxy. It processes each request as a
+// sequence of events: submission, admission, selection of an upstream, forwarding, and the outcome
+// or the loss of the connection; and it executes and completes the backend's decisions. It has no
+// goroutines, clocks or sockets: these come from the Environment, so that the simulator runs the
+// same code as the real process.
 type Dispatcher struct {
 	settings    settings.Settings
 	frontend    *Frontend
@@ -29,18 +29,18 @@
 	environment Environment
 	address     string
 	nodeName    string
-	birth       int64 // names this run of the process; nothing is known here of an earlier one's requests
+	birth       int64 // identifies this run of the process, which has no state of earlier runs' requests
 	startedAt   time.Duration
 
-	heardAnnouncement atomic.Bool // an upstream has announced itself in this run
+	processStartTime atomic.Bool // an upstream has announced itself since this process started
 
 	lock        sync.Mutex
 	connections map[string]Connection          // by address of the serving proxy
-	pending     map[string]*PendingRequest     // by id of the attempt that is out
-	replies     map[string]func(msg any) error // by id of the attempt that was forwarded here
+	pending     map[string]*PendingRequest     // by id of the attempt without an outcome
+	replies     map[string]func(msg any) error // by id of the attempt that was forwarded to this proxy
 }
 
-// NewDispatcher makes the dispatcher of the proxy that self describes.
+// NewDispatcher creates the dispatcher of the proxy that self describes.
 func NewDispatcher(
 	cfg settings.Settings,
 	front *Frontend,
@@ -63,7 +63,7 @@
 	}
 }
 
-// UpdateSnapshot takes a new snapshot of the control state to both sides.
+// UpdateSnapshot passes a new snapshot of the control state to the frontend and the backend.
 func (d *Dispatcher) UpdateSnapshot(snapshot *proxy.Snapshot) {
 	d.frontend.UpdateSnapshot(d.environment.Now(), snapshot)
 	d.execute(d.serving.UpdateRoster(snapshot.Upstreams))
@@ -72,8 +72,8 @@
 	}
 }
 
-// Submit begins a request. onAdmitted is called at most once, with the deadline that the request
-// has by its route; onDone is called once, with the final answer.
+// Submit starts processing a request. onAdmitted is called at most once, with the request's
+// deadline after admission; onDone is called once, with the final answer.
 func (d *Dispatcher) Submit(
 	request *Request,
 	onAdmitted func(deadline time.Duration),
@@ -84,29 +84,31 @@
 	return pending
 }
 
+// enqueueAdmission enqueues a request for StageAdmit, and refuses it if the queue is full.
 func (d *Dispatcher) enqueueAdmission(pending *PendingRequest) {
 	if !d.environment.Enqueue(StageAdmit, pending) {
 		d.respond(pending, NewRefusal(errcode.BusyQueueFull))
 	}
 }
 
-// Admit is the step of StageAdmit.
+// Admit implements StageAdmit: it admits the request, refuses it, or retries later if the first
+// snapshot is still due.
 func (d *Dispatcher) Admit(pending *PendingRequest) {
 	if d.awaitsSnapshot(pending) {
 		d.environment.After(d.settings.TickEvery(), func() { d.enqueueAdmission(pending) })
 		return
 	}
-	refused := d.frontend.admit(d.environment.Now(), d.environment.Wall(), pending.Request)
-	if refused != nil {
-		d.respond(pending, refused)
+	response := d.frontend.admit(d.environment.Now(), d.environment.Wall(), pending.Request)
+	if response != nil {
+		d.respond(pending, response)
 		return
 	}
 	pending.onAdmitted(pending.Request.Deadline)
 	d.enqueueSelection(pending)
 }
 
-// awaitsSnapshot reports whether a request is better held back a moment than refused, since this
-// proxy has only just started and its first snapshot is due.
+// awaitsSnapshot reports whether a request should wait instead of being refused, because this
+// proxy started a short time ago and its first complete snapshot is due.
 func (d *Dispatcher) awaitsSnapshot(pending *PendingRequest) bool {
 	now := d.environment.Now()
 	return now-d.startedAt < d.settings.ReparentAfter() &&
@@ -114,24 +116,26 @@
 		!d.frontend.synced()
 }
 
+// enqueueSelection enqueues a request for StageSelect, and ends it if the queue is full.
 func (d *Dispatcher) enqueueSelection(pending *PendingRequest) {
 	if !d.environment.Enqueue(StageSelect, pending) {
 		d.respond(pending, d.frontend.abandon(pending.Request, false, errcode.BusyQueueFull))
 	}
 }
 
-// SelectUpstream is the step of StageSelect. It forwards the request to the chosen upstream.
+// SelectUpstream implements StageSelect: it selects an upstream and forwards the request to it.
 func (d *Dispatcher) SelectUpstream(pending *PendingRequest) {
-	refused := d.frontend.selectUpstream(d.environment.Now(), pending.Request, d.environment.Random())
-	if refused != nil {
-		d.respond(pending, refused)
+	response := d.frontend.selectUpstream(d.environment.Now(), pending.Request, d.environment.Random())
+	if response != nil {
+		d.respond(pending, response)
 		return
 	}
 	d.forward(pending)
 }
 
-// forward sends an attempt to the chosen upstream's serving proxy. Where the frame provably never
-// left, the attempt was not started; otherwise only the serving proxy may say so.
+// forward sends an attempt to the selected upstream's serving proxy. The attempt counts as not
+// started here only if the frame could not be posted; after that, only the serving proxy can
+// report that it did not start.
 func (d *Dispatcher) forward(pending *PendingRequest) {
 	request := pending.Request
 	if request.Target.ServingProxyAddress != d.address && d.linkSaturated(request) {
@@ -155,9 +159,9 @@
 	}
 }
 
-// linkSaturated reports whether a request would wait so long for this machine's link that it is
-// better refused at once. A running request's calls may wait longer, since refusing one wastes
-// that request's work.
+// linkSaturated reports whether a request would wait longer than allowed for this machine's link,
+// and should be refused immediately. Calls of a running request may wait longer, since refusing
+// one wastes the work of the running request.
 func (d *Dispatcher) linkSaturated(request *Request) bool {
 	limit := d.settings.LinkWait()
 	if request.nested() {
@@ -166,7 +170,7 @@
 	return d.environment.Backlog() > limit
 }
 
-// HandleOutcome is the step of StageOutcome: the final answer, or another attempt.
+// HandleOutcome implements StageOutcome: it answers the request or enqueues another attempt.
 func (d *Dispatcher) HandleOutcome(item AttemptOutcome) {
 	response := d.frontend.evaluateOutcome(d.environment.Now(), item.Pending.Request, item.Outcome)
 	if response != nil {
@@ -176,25 +180,26 @@
 	d.enqueueSelection(item.Pending)
 }
 
-// respond gives a request its final answer, unless it has one.
+// respond passes the final answer to the request's submitter, unless it has had one.
 func (d *Dispatcher) respond(pending *PendingRequest, response *Response) {
 	if !pending.finish() {
 		return
 	}
-	response = d.frontend.setRetryAfter(response)
+	response = d.frontend.adjustRetryAfter(response)
 	d.frontend.countResponse(d.wallClock(), pending.Request, response)
 	pending.onDone(response)
 }
 
-// Abandon ends a request whose time is up or whose caller hung up. It returns false when an
-// answer was already on its way.
+// Abandon ends a request whose deadline has passed or whose caller has disconnected. It returns
+// false if the request has its final answer or is processing an outcome; onDone is then called for
+// that answer.
 func (d *Dispatcher) Abandon(pending *PendingRequest) bool {
 	attemptID, connection, abandoned := pending.abandon()
 	if !abandoned {
 		return false
 	}
 	if attemptID != "" {
-		d.withdraw(pending.Request, attemptID, connection)
+		d.cancelAttempt(pending.Request, attemptID, connection)
 	}
 	response := d.frontend.abandon(pending.Request, attemptID != "", errcode.BusyDeadline)
 	d.frontend.countResponse(d.wallClock(), pending.Request, response)
@@ -202,23 +207,24 @@
 	return true
 }
 
-// withdraw tells the serving proxy that nobody waits for an attempt any more.
-func (d *Dispatcher) withdraw(request *Request, attemptID string, connection Connection) {
+// cancelAttempt tells the serving proxy that the result of an attempt is no longer needed.
+func (d *Dispatcher) cancelAttempt(request *Request, attemptID string, connection Connection) {
 	d.lock.Lock()
 	delete(d.pending, attemptID)
 	d.lock.Unlock()
 	d.frontend.release(request)
 	d.frontend.abandonAttempt(d.environment.Now(), request)
-	withdrawal := message.Cancel{ID: attemptID}
+	cancellation := message.Cancel{ID: attemptID}
 	if connection == nil {
-		d.deliverLocally(withdrawal)
+		d.deliverLocally(cancellation)
 		return
 	}
-	// Where the connection has broken, the attempt ends at its own deadline.
-	_ = connection.Post(withdrawal)
+	// If the connection is broken, the attempt ends at its own deadline.
+	_ = connection.Post(cancellation)
 }
 
-// wallClock is the time of day as a duration since the epoch, by which usage is counted.
+// wallClock returns the wall-clock time as a duration since the Unix epoch. Usage windows are
+// based on it.
 func (d *Dispatcher) wallClock() time.Duration {
 	return time.Duration(d.environment.Wall().UnixNano())
 }
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,18 +1,20 @@
-// Package frontend is the caller's side of a proxy's traffic. A request passes through it in
-// steps, each in files of its own:
+// Package frontend implements the caller-facing side of a proxy. It processes a request in these
+// steps:
 //
-//   - http.go reads it whole and waits for its answer;
-//   - admission.go authenticates it, finds its route and authorizes its caller;
-//   - selection.go chooses an upstream by what upstreamstats.go has learned;
+//   - http.go reads the request, including its body, and waits for the answer;
+//   - admission.go authenticates the request, finds its route and authorizes its caller;
+//   - selection.go chooses an upstream by the statistics of upstreamstats.go;
 //   - forward.go and dispatcher.go send an attempt to that upstream's serving proxy;
-//   - outcome.go and retry.go decide, by the attempt's outcome, on the answer or another attempt,
-//     within the budget of retrybudget.go.
+//   - outcome.go and retry.go turn the attempt's outcome into the final answer or a retry, within
+//     the budget of retrybudget.go.
 //
-// The Frontend takes these decisions under one short lock and with the time given to it. The
-// Dispatcher carries a request from step to step, and at the serving proxy passes forwarded
-// requests to the backend. The Pipeline runs the Dispatcher in a real process.
+// The Frontend makes these decisions. It holds its lock only briefly and receives the current
+// time as an argument. The Dispatcher moves a request from step to step and, at the serving proxy,
+// passes forwarded requests to the backend. The Pipeline runs the Dispatcher in a real process.
 //
-// Two invariants hold (docs/request-safety.md argues them): a request that has begun at an
-// upstream is never begun again on a once-only route unless its serving proxy said that it had
-// not started; and an answer that promises that nothing ran is given only where nothing ran.
+// Two invariants hold (docs/request-safety.md has the arguments):
+//
+//   - On an at-most-once route, a request that an upstream may have started is not sent again,
+//     unless the serving proxy reported that the upstream had not started it.
+//   - An answer that guarantees that the request did not run is given only if it did not run.
 package frontend
--- a/internal/frontend/environment.go
+++ b/internal/frontend/environment.go
@@ -5,55 +5,63 @@
 	"time"
 )
 
-// Stage names the step before which a queue stands.
+// Stage identifies a processing step and its queue.
 type Stage int
 
-// The stages behind the reading of a request.
+// The stages that follow the reading of a request.
 const (
-	// StageAdmit takes a *PendingRequest that was just submitted.
+	// StageAdmit admits a submitted request. Its items are of type *PendingRequest.
 	StageAdmit Stage = iota
-	// StageSelect takes a *PendingRequest that needs an upstream for its next attempt.
+	// StageSelect selects an upstream for a request's next attempt. Its items are of type
+	// *PendingRequest.
 	StageSelect
-	// StageOutcome takes the AttemptOutcome of an attempt.
+	// StageOutcome evaluates the outcome of an attempt. Its items are of type AttemptOutcome.
 	StageOutcome
-	// StageStart, at the serving proxy, takes the backend.Decision to call an upstream.
+	// StageStart, at the serving proxy, calls an upstream. Its items are of type
+	// backend.Decision.
 	StageStart
 )
 
 // Connection carries traffic frames to one serving proxy.
 type Connection interface {
+	// Post queues a frame for sending. It returns an error if the frame was not queued.
 	Post(msg any) error
 	// Broken reports whether the connection has ended.
 	Broken() bool
-	// Established reports whether the connection was ever made. What was posted on one that never
-	// was has not reached anybody.
+	// Established reports whether the connection was established at any time. If it was not, no
+	// posted frame has reached the serving proxy.
 	Established() bool
+	// Close ends the connection.
 	Close()
 }
 
-// Environment is what a Dispatcher needs of its surroundings: clocks, randomness, queues and
-// connections. The Pipeline gives those of a real process, the simulator those of a simulated one.
+// Environment provides the clocks, randomness, queues and connections of a Dispatcher. The Pipeline
+// implements it for a real process, the simulator for a simulated one.
 type Environment interface {
+	// Now returns the monotonic process clock.
 	Now() time.Duration
+	// Wall returns the wall-clock time.
 	Wall() time.Time
+	// Random returns the random source for decisions on requests.
 	Random() *rand.Rand
 
-	// Enqueue puts an item into the queue before a stage. It returns false when the queue is full.
+	// Enqueue adds an item to the queue of a stage. It returns false if the queue is full.
 	Enqueue(stage Stage, item any) bool
 
-	// Open makes a connection to a serving proxy. closed is called once when it breaks.
-	Open(servingProxy string, received func(msg any), closed func(connection Connection)) Connection
+	// Open opens a connection to a serving proxy. onMessage is called for each frame received, and
+	// onClosed once when the connection breaks.
+	Open(servingProxy string, onMessage func(msg any), onClosed func(connection Connection)) Connection
 
-	// After calls back once the time has passed.
-	After(wait time.Duration, then func())
+	// After calls callback once delay has passed.
+	After(delay time.Duration, callback func())
 
-	// Notify hands a notice to the control state.
+	// Notify passes a notice to the control state.
 	Notify(notice any)
 
-	// Cancel breaks off the exchange of an attempt that this serving proxy has started. Its
-	// outcome is completed as any other.
+	// Cancel aborts the upstream exchange of an attempt that this serving proxy has started. The
+	// attempt's outcome is still passed to Dispatcher.Complete.
 	Cancel(attemptID string)
 
-	// Backlog is how long a frame that was posted now would wait for the machine's link.
+	// Backlog returns how long a frame posted now would wait for the machine's link.
 	Backlog() time.Duration
 }
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -8,17 +8,17 @@
 	"beaconvane/internal/message"
 )
 
-// The serving proxy gets a little less time than the request has left, so that its answer comes
-// back in time: less by a twentieth, and by a tenth of the update interval at most.
+// The serving proxy gets less time than the request has left, so that its answer arrives before the
+// deadline. The reserve is 1/20 of the remaining time, but at most 1/10 of the update interval.
 const (
-	answerTimeDivisor    = 20
-	answerTimeMaxDivisor = 10
+	responseReserveDivisor    = 20
+	maxResponseReserveDivisor = 10
 )
 
-// forwardFrame makes the frame that takes an attempt to the chosen serving proxy.
+// forwardFrame builds the frame that forwards an attempt to the selected serving proxy.
 func (f *Frontend) forwardFrame(now time.Duration, request *Request, self string, attempt string) message.Forward {
 	remaining := request.Deadline - now
-	reserve := min(remaining/answerTimeDivisor, f.settings.UpdatesEvery()/answerTimeMaxDivisor)
+	reserve := min(remaining/responseReserveDivisor, f.settings.UpdatesEvery()/maxResponseReserveDivisor)
 	forward := message.Forward{
 		ID:                    request.ID + "." + attempt,
 		Proxy:                 self,
@@ -53,7 +53,7 @@
 	return forward
 }
 
-// headerLines lists a request's headers in a steady order.
+// headerLines returns a request's headers sorted by name.
 func headerLines(request *Request) []message.HeaderLine {
 	lines := []message.HeaderLine{}
 	for _, name := range slices.Sorted(maps.Keys(request.Header)) {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -11,7 +11,8 @@
 	"beaconvane/internal/settings"
 )
 
-// Frontend takes the decisions of the caller's side of one proxy.
+// Frontend admits requests, selects upstreams and decides on retries for the callers of one proxy.
+// It is safe for concurrent use.
 type Frontend struct {
 	settings         settings.Settings
 	protocol         Protocol
@@ -19,19 +20,19 @@
 	retryMonitor     RetryMonitor
 	callerLimits     callerLimits
 
-	lock         sync.Mutex // of what follows
+	lock         sync.Mutex // guards the fields below
 	snapshot     *proxy.Snapshot
 	upstreams    map[string]*upstreamStats  // by upstreamKey
-	routeLatency map[string]float64         // by route: logarithm of the usual time of a request
+	routeLatency map[string]float64         // by route: natural logarithm of the typical service time in nanoseconds
 	retryBudgets map[string]*retryBudget    // by service
-	retries      int64                      // that were made, of all services
-	usage        map[int64]map[string]int64 // by window and tenant: requests that count
-	openRequests map[string]int64           // by tenant: admitted, not answered yet
-	resultCounts map[errcode.Code]int64     // answers by their codes
+	retries      int64                      // sent so far, of all services
+	usage        map[int64]map[string]int64 // by window and tenant: counted requests
+	openRequests map[string]int64           // by tenant: admitted and not answered yet
+	resultCounts map[errcode.Code]int64     // final answers by result code
 }
 
-// New makes a frontend. lookupDelegation asks the backend of the same proxy for the running request
-// that a token stands for.
+// New creates a frontend. lookupDelegation returns the running request that a delegation token
+// identifies, from the backend of the same proxy.
 func New(cfg settings.Settings, lookupDelegation func(token string) (backend.Delegation, bool)) *Frontend {
 	return &Frontend{
 		settings:         cfg,
@@ -46,20 +47,22 @@
 	}
 }
 
-// UseProtocol sets how callers speak. It is called before the first request.
+// UseProtocol replaces NativeProtocol as the callers' protocol. It must be called before the first
+// request.
 func (f *Frontend) UseProtocol(protocol Protocol) { f.protocol = protocol }
 
-// UpdateSnapshot takes a new snapshot of the control state.
+// UpdateSnapshot replaces the snapshot of the control state, and drops the statistics of upstreams
+// that are neither registered nor processing an attempt from this proxy.
 func (f *Frontend) UpdateSnapshot(now time.Duration, snapshot *proxy.Snapshot) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.snapshot = snapshot
 	f.callerLimits.update(now, snapshot.Configurations)
-	present := map[string]bool{}
+	registered := map[string]bool{}
 	for _, registrations := range snapshot.Upstreams {
 		for _, registration := range registrations {
 			key := upstreamKey(registration)
-			present[key] = true
+			registered[key] = true
 			stats := f.statsOf(key)
 			if registration.State == message.StateReady && !stats.readySeen {
 				stats.readySeen, stats.readySince = true, now
@@ -67,27 +70,27 @@
 		}
 	}
 	for key, stats := range f.upstreams {
-		if !present[key] && stats.inFlight == 0 {
+		if !registered[key] && stats.inFlight == 0 {
 			delete(f.upstreams, key)
 		}
 	}
 }
 
-// currentSnapshot is the latest snapshot of the control state, or nil before the first.
+// currentSnapshot returns the latest snapshot of the control state, or nil before the first one.
 func (f *Frontend) currentSnapshot() *proxy.Snapshot {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.snapshot
 }
 
-// Ready reports whether this proxy can serve requests, as the platform asks.
+// Ready reports whether this proxy can serve requests. It answers the platform's readiness probe.
 func (f *Frontend) Ready(now time.Duration) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.snapshot.Ready(now, f.settings.MaxAgeReady())
 }
 
-// synced reports whether configurations and roster have come since this proxy started.
+// synced reports whether this proxy has received configurations and the roster since it started.
 func (f *Frontend) synced() bool {
 	snapshot := f.currentSnapshot()
 	return snapshot != nil && snapshot.ConfigurationsKnown && snapshot.RosterKnown
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -19,20 +19,20 @@
 	"beaconvane/internal/settings"
 )
 
-const configName = `{"services":["pay"],"tenants":[{"name":"t","keys":["secret"]},{"name":"u","keys":["second"]}],"routes":[
+const testRoutes = `{"services":["pay"],"tenants":[{"name":"t","keys":["secret"]},{"name":"u","keys":["second"]}],"routes":[
 {"name":"pay","service":"pay","path":"/pay","methods":["POST"],"callers":["shop","pay"]},
 {"name":"look","service":"pay","path":"/look","methods":["GET"],"callers":["shop"],"body_bytes":4}]}`
 
-func ready(c *qt.C, withdrawal int64, upstreams ...message.Registration) *Frontend {
+func newReadyFrontend(c *qt.C, keyWithdrawalMillis int64, upstreams ...message.Registration) *Frontend {
 	cfg := settings.Default()
-	cfg.Zone, cfg.Bounds.KeyWithdrawal = "here", withdrawal
-	faults, _ := routeconfig.Check([]byte(configName), cfg.ConfigurationLimits())
+	cfg.Zone, cfg.Bounds.KeyWithdrawal = "here", keyWithdrawalMillis
+	faults, _ := routeconfig.Check([]byte(testRoutes), cfg.ConfigurationLimits())
 	c.Assert(faults, qt.HasLen, 0)
-	f := New(cfg, func(pass string) (backend.Delegation, bool) {
-		return backend.Delegation{Tenant: "t", Service: "pay"}, pass == "good"
+	f := New(cfg, func(token string) (backend.Delegation, bool) {
+		return backend.Delegation{Tenant: "t", Service: "pay"}, token == "good"
 	})
 	f.UpdateSnapshot(0, &proxy.Snapshot{
-		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(configName), cfg.ConfigurationLimits())},
+		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(testRoutes), cfg.ConfigurationLimits())},
 		ConfigurationsKnown: true,
 		RosterKnown:         true,
 		Joined:              true,
@@ -42,16 +42,16 @@
 	return f
 }
 
-func request(method, path string, headers ...string) *Request {
+func newTestRequest(method, path string, headers ...string) *Request {
 	header := http.Header{}
 	for index := 0; index < len(headers); index += 2 {
 		header.Add(headers[index], headers[index+1])
 	}
-	raw, params, _ := strings.Cut(path, "?")
-	return &Request{ID: "q", Method: method, RawPath: raw, RawQuery: params, Header: header, Deadline: 5 * time.Second}
+	rawPath, rawQuery, _ := strings.Cut(path, "?")
+	return &Request{ID: "q", Method: method, RawPath: rawPath, RawQuery: rawQuery, Header: header, Deadline: 5 * time.Second}
 }
 
-func code(response *Response) errcode.Code {
+func responseCode(response *Response) errcode.Code {
 	if response == nil {
 		return errcode.OK
 	}
@@ -60,47 +60,47 @@
 
 func TestAdmit(t *testing.T) {
 	c := qt.New(t)
-	f := ready(c, 0)
-	for _, tried := range []struct {
+	f := newReadyFrontend(c, 0)
+	for _, test := range []struct {
 		request *Request
 		code    errcode.Code
 	}{
-		{request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.OK},
-		{request("POST", "/pay", "Authorization", "Bearer secret", backend.CallerHeader, "shop"), errcode.OK},
-		{request("POST", "/pay?api_key=secret", backend.CallerHeader, "shop"), errcode.OK},
-		{request("POST", "/pay", backend.DelegationHeader, "good"), errcode.OK},
-		{request("POST", "/pay", backend.DelegationHeader, "old", APIKeyHeader, "secret"), errcode.RequestPassInvalid},
-		{request("GET", "/look", backend.DelegationHeader, "good"), errcode.RequestCallerRefused},
-		{request("POST", "/pay", backend.CallerHeader, "shop"), errcode.RequestNoKey},
-		{request("POST", "/pay", APIKeyHeader, "wrong", backend.CallerHeader, "shop"), errcode.RequestKeyUnknown},
-		{request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "thief"), errcode.RequestCallerRefused},
-		{request("POST", "/other", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestNoRoute},
-		{request("POST", "/pay/%2e%2e/x", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestBadPath},
+		{newTestRequest("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.OK},
+		{newTestRequest("POST", "/pay", "Authorization", "Bearer secret", backend.CallerHeader, "shop"), errcode.OK},
+		{newTestRequest("POST", "/pay?api_key=secret", backend.CallerHeader, "shop"), errcode.OK},
+		{newTestRequest("POST", "/pay", backend.DelegationHeader, "good"), errcode.OK},
+		{newTestRequest("POST", "/pay", backend.DelegationHeader, "old", APIKeyHeader, "secret"), errcode.RequestPassInvalid},
+		{newTestRequest("GET", "/look", backend.DelegationHeader, "good"), errcode.RequestCallerRefused},
+		{newTestRequest("POST", "/pay", backend.CallerHeader, "shop"), errcode.RequestNoKey},
+		{newTestRequest("POST", "/pay", APIKeyHeader, "wrong", backend.CallerHeader, "shop"), errcode.RequestKeyUnknown},
+		{newTestRequest("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "thief"), errcode.RequestCallerRefused},
+		{newTestRequest("POST", "/other", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestNoRoute},
+		{newTestRequest("POST", "/pay/%2e%2e/x", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestBadPath},
 	} {
-		c.Check(code(f.admit(time.Second, time.Now(), tried.request)), qt.Equals, tried.code, qt.Commentf("%v", tried.request.Header))
+		c.Check(responseCode(f.admit(time.Second, time.Now(), test.request)), qt.Equals, test.code, qt.Commentf("%v", test.request.Header))
 	}
-	large := request("GET", "/look", APIKeyHeader, "secret", backend.CallerHeader, "shop")
+	large := newTestRequest("GET", "/look", APIKeyHeader, "secret", backend.CallerHeader, "shop")
 	large.Body = []byte("12345")
-	c.Assert(code(f.admit(time.Second, time.Now(), large)), qt.Equals, errcode.RequestTooLarge)
+	c.Assert(responseCode(f.admit(time.Second, time.Now(), large)), qt.Equals, errcode.RequestTooLarge)
 }
 
 // Where key withdrawal is bound, a node that can't know refuses in time by itself.
-func TestStaleAdmit(t *testing.T) {
+func TestAdmitRefusesStaleConfigurations(t *testing.T) {
 	c := qt.New(t)
-	for withdrawal, wanted := range map[int64]errcode.Code{0: errcode.OK, 5000: errcode.BusyStale} {
-		f := ready(c, withdrawal)
-		asked := func(now time.Duration) errcode.Code {
-			return code(f.admit(now, time.Now(), request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")))
+	for keyWithdrawalMillis, expected := range map[int64]errcode.Code{0: errcode.OK, 5000: errcode.BusyStale} {
+		f := newReadyFrontend(c, keyWithdrawalMillis)
+		admitAt := func(now time.Duration) errcode.Code {
+			return responseCode(f.admit(now, time.Now(), newTestRequest("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")))
 		}
-		c.Assert(asked(4400*time.Millisecond), qt.Equals, errcode.OK)
-		c.Assert(asked(4600*time.Millisecond), qt.Equals, wanted)
+		c.Assert(admitAt(4400*time.Millisecond), qt.Equals, errcode.OK)
+		c.Assert(admitAt(4600*time.Millisecond), qt.Equals, expected)
 	}
 }
 
-func TestKeyAndOwnHeadersAreDropped(t *testing.T) {
+func TestKeysAndMeshHeadersAreRemoved(t *testing.T) {
 	c := qt.New(t)
-	f := ready(c, 0)
-	asked := request(
+	f := newReadyFrontend(c, 0)
+	request := newTestRequest(
 		"POST",
 		"/pay?a=1&api_key=secret&b=secret&c=%73ecret&e=%2573ecret&d=2&api_key=extra",
 		APIKeyHeader,
@@ -134,19 +134,19 @@
 		"X-Kept",
 		"yes",
 	)
-	c.Assert(f.admit(time.Second, time.Now(), asked), qt.IsNil)
-	c.Assert(asked.Header, qt.DeepEquals, http.Header{"X-Kept": {"yes"}})
-	c.Assert(asked.RawQuery, qt.Equals, "a=1&d=2")
+	c.Assert(f.admit(time.Second, time.Now(), request), qt.IsNil)
+	c.Assert(request.Header, qt.DeepEquals, http.Header{"X-Kept": {"yes"}})
+	c.Assert(request.RawQuery, qt.Equals, "a=1&d=2")
 	for _, path := range []string{"/pay/secret", "/pay/%73ecret", "/pay/SECRET/x", "/pay/second"} {
 		c.Assert(
-			code(f.admit(time.Second, time.Now(), request("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop"))),
+			responseCode(f.admit(time.Second, time.Now(), newTestRequest("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop"))),
 			qt.Equals,
 			errcode.RequestBadPath,
 		)
 	}
 }
 
-func upstream(name, zone string) message.Registration {
+func readyUpstream(name, zone string) message.Registration {
 	return message.Registration{
 		Service:             "pay",
 		Instance:            name,
@@ -160,30 +160,30 @@
 }
 
 // Own zone first; the other only when that one is full or clearly worse.
-func TestChoiceSpills(t *testing.T) {
+func TestSelectionSpillsToOtherZone(t *testing.T) {
 	c := qt.New(t)
-	f := ready(c, 0, upstream("near", "here"), upstream("far", "there"))
+	f := newReadyFrontend(c, 0, readyUpstream("near", "here"), readyUpstream("far", "there"))
 	random := rand.New(rand.NewPCG(1, 2))
 	chosen := map[string]int{}
 	for range 6 {
-		asked := request("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")
-		c.Assert(f.admit(10*time.Second, time.Now(), asked), qt.IsNil)
-		asked.Deadline = 20 * time.Second
-		c.Assert(f.selectUpstream(10*time.Second, asked, random), qt.IsNil)
-		chosen[asked.Target.Instance]++
+		request := newTestRequest("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")
+		c.Assert(f.admit(10*time.Second, time.Now(), request), qt.IsNil)
+		request.Deadline = 20 * time.Second
+		c.Assert(f.selectUpstream(10*time.Second, request, random), qt.IsNil)
+		chosen[request.Target.Instance]++
 	}
 	c.Assert(chosen["near"] > chosen["far"], qt.IsTrue)
 	c.Assert(chosen["far"] > 0, qt.IsTrue)
 }
 
 // Each outcome with each kind of route: who is told what, and who tries again.
-func TestOutcomes(t *testing.T) {
+func TestEvaluateOutcome(t *testing.T) {
 	c := qt.New(t)
-	for _, tried := range []struct {
+	for _, test := range []struct {
 		path     string
 		outcome  message.Outcome
 		response errcode.Code
-		again    bool
+		retried  bool
 	}{
 		{"/pay", message.Outcome{Kind: message.Completed, Status: 200}, errcode.OK, false},
 		{"/pay", message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull)}, errcode.OK, true},
@@ -192,28 +192,28 @@
 		{"/pay", message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.AnswerMalformed)}, errcode.AnswerMalformed, false},
 		{"/look", message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}, errcode.OK, true},
 	} {
-		f := ready(c, 0, upstream("one", "here"), upstream("two", "here"))
-		method := map[string]string{"/pay": "POST", "/look": "GET"}[tried.path]
-		asked := request(method, tried.path, APIKeyHeader, "secret", backend.CallerHeader, "shop")
-		begin := 10 * time.Second // a process as old as the retry window has its allowance
-		asked.Deadline += begin
-		c.Assert(f.admit(begin, time.Now(), asked), qt.IsNil)
-		c.Assert(f.selectUpstream(begin, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
-		response := f.evaluateOutcome(begin+time.Millisecond, asked, tried.outcome)
-		c.Check(response == nil, qt.Equals, tried.again, qt.Commentf("%+v", tried))
-		c.Check(code(response), qt.Equals, tried.response, qt.Commentf("%+v", tried))
+		f := newReadyFrontend(c, 0, readyUpstream("one", "here"), readyUpstream("two", "here"))
+		method := map[string]string{"/pay": "POST", "/look": "GET"}[test.path]
+		request := newTestRequest(method, test.path, APIKeyHeader, "secret", backend.CallerHeader, "shop")
+		start := 10 * time.Second // a process as old as the retry window has its allowance
+		request.Deadline += start
+		c.Assert(f.admit(start, time.Now(), request), qt.IsNil)
+		c.Assert(f.selectUpstream(start, request, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
+		response := f.evaluateOutcome(start+time.Millisecond, request, test.outcome)
+		c.Check(response == nil, qt.Equals, test.retried, qt.Commentf("%+v", test))
+		c.Check(responseCode(response), qt.Equals, test.response, qt.Commentf("%+v", test))
 		if response != nil {
 			busy := response.Status == http.StatusServiceUnavailable
 			c.Check(response.RetryAfter > 0, qt.Equals, busy)
 		}
 		// Once something may have run, no later refusal says that nothing did.
-		if response == nil && tried.outcome.Kind == message.OutcomeUnknown {
-			c.Assert(f.selectUpstream(begin+2*time.Millisecond, asked, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
-			last := f.evaluateOutcome(begin+6*time.Second, asked, message.Outcome{
+		if response == nil && test.outcome.Kind == message.OutcomeUnknown {
+			c.Assert(f.selectUpstream(start+2*time.Millisecond, request, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
+			later := f.evaluateOutcome(start+6*time.Second, request, message.Outcome{
 				Kind: message.NotStarted,
 				Code: int64(errcode.BusySlotsFull),
 			})
-			c.Check(code(last), qt.Equals, errcode.UnknownOutcome)
+			c.Check(responseCode(later), qt.Equals, errcode.UnknownOutcome)
 		}
 	}
 }
@@ -221,10 +221,10 @@
 // Retries stay below the share plus this proxy's part of the allowance.
 func TestRetryBudget(t *testing.T) {
 	c := qt.New(t)
-	f := ready(c, 0)
+	f := newReadyFrontend(c, 0)
 	granted := 0
-	for number := range 1000 {
-		now := time.Duration(number) * 10 * time.Millisecond
+	for index := range 1000 {
+		now := time.Duration(index) * 10 * time.Millisecond
 		f.lock.Lock()
 		f.countFirstAttempt(now, "pay")
 		if f.spendRetry(now, "pay") {
@@ -235,9 +235,9 @@
 	c.Assert(granted <= 201, qt.IsTrue, qt.Commentf(fmt.Sprint(granted)))
 	c.Assert(granted >= 150, qt.IsTrue, qt.Commentf(fmt.Sprint(granted)))
 	// A life that has just begun has no allowance of its own yet.
-	young := ready(c, 0)
-	young.lock.Lock()
-	defer young.lock.Unlock()
-	c.Assert(young.spendRetry(time.Second, "pay"), qt.IsFalse)
-	c.Assert(young.spendRetry(10*time.Second, "pay"), qt.IsTrue)
+	recent := newReadyFrontend(c, 0)
+	recent.lock.Lock()
+	defer recent.lock.Unlock()
+	c.Assert(recent.spendRetry(time.Second, "pay"), qt.IsFalse)
+	c.Assert(recent.spendRetry(10*time.Second, "pay"), qt.IsTrue)
 }
--- a/internal/frontend/hosted_test.go
+++ b/internal/frontend/hosted_test.go
@@ -18,19 +18,19 @@
 	"beaconvane/internal/settings"
 )
 
-const hosted = `{"services":["pay"],"tenants":[{"name":"t","keys":["secret"],"priority":1},{"name":"plain","keys":["other"]}],"routes":[
+const hostRoutes = `{"services":["pay"],"tenants":[{"name":"t","keys":["secret"],"priority":1},{"name":"plain","keys":["other"]}],"routes":[
 {"name":"pay","host":"shop.example","prefix":"/pay/","service":"pay","kind":"once","timeout_ms":3000,
 "attempts":2,"aim_ms":500,"priority":4},
 {"name":"free","host":"shop.example","prefix":"/free/","service":"pay","kind":"repeatable","timeout_ms":3000,"open":true}]}`
 
-func hostedFrontend(c *qt.C, upstreams ...message.Registration) *Frontend {
+func newHostFrontend(c *qt.C, upstreams ...message.Registration) *Frontend {
 	cfg := settings.Default()
 	cfg.Zone, cfg.TargetProof, cfg.Service = "here", settings.ProofTarget, "clinic"
-	faults, _ := routeconfig.Check([]byte(hosted), cfg.ConfigurationLimits())
+	faults, _ := routeconfig.Check([]byte(hostRoutes), cfg.ConfigurationLimits())
 	c.Assert(faults, qt.HasLen, 0)
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 	f.UpdateSnapshot(0, &proxy.Snapshot{
-		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hosted), cfg.ConfigurationLimits())},
+		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(hostRoutes), cfg.ConfigurationLimits())},
 		ConfigurationsKnown: true,
 		RosterKnown:         true,
 		Joined:              true,
@@ -40,78 +40,78 @@
 	return f
 }
 
-func asked(path, key string) *Request {
-	made := request("POST", path, APIKeyHeader, key)
+func newHostRequest(path, key string) *Request {
+	request := newTestRequest("POST", path, APIKeyHeader, key)
 	if key == "" {
-		made = request("POST", path)
+		request = newTestRequest("POST", path)
 	}
-	made.Host, made.Deadline = "shop.example", 30*time.Second
-	return made
+	request.Host, request.Deadline = "shop.example", 30*time.Second
+	return request
 }
 
-const old = 20 * time.Second // a process as old as the retry window has its allowance
+const pastRetryWindow = 20 * time.Second // a process as old as the retry window has its allowance
 
-func TestMisdirectedGoesToAnotherUpstream(t *testing.T) {
+func TestMisdirectedRequestRetriesOnAnotherUpstream(t *testing.T) {
 	c := qt.New(t)
-	f := hostedFrontend(c, upstream("one", "here"), upstream("two", "here"))
+	f := newHostFrontend(c, readyUpstream("one", "here"), readyUpstream("two", "here"))
 	random := rand.New(rand.NewPCG(1, 2))
-	going := asked("/pay/x", "secret")
-	c.Assert(f.admit(old, time.Now(), going), qt.IsNil)
-	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
-	first := going.Target.Instance
+	request := newHostRequest("/pay/x", "secret")
+	c.Assert(f.admit(pastRetryWindow, time.Now(), request), qt.IsNil)
+	c.Assert(f.selectUpstream(pastRetryWindow, request, random), qt.IsNil)
+	first := request.Target.Instance
 	misdirected := message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyUpstreamGone), ReachedUpstream: true}
-	c.Assert(f.evaluateOutcome(old, going, misdirected), qt.IsNil)
-	c.Assert(f.selectUpstream(old, going, random), qt.IsNil)
-	c.Assert(going.Target.Instance, qt.Not(qt.Equals), first)
+	c.Assert(f.evaluateOutcome(pastRetryWindow, request, misdirected), qt.IsNil)
+	c.Assert(f.selectUpstream(pastRetryWindow, request, random), qt.IsNil)
+	c.Assert(request.Target.Instance, qt.Not(qt.Equals), first)
 	// The configuration allows two upstreams: then it is refused, and may be asked again.
-	response := f.evaluateOutcome(old, going, misdirected)
-	c.Assert(code(response), qt.Equals, errcode.BusyUpstreamGone)
+	response := f.evaluateOutcome(pastRetryWindow, request, misdirected)
+	c.Assert(responseCode(response), qt.Equals, errcode.BusyUpstreamGone)
 	c.Assert(response.Status, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(response.RetryAfter > 0, qt.IsTrue)
 	// Neither is chosen again for a moment; then both are.
-	later := asked("/pay/x", "secret")
-	c.Assert(f.admit(old, time.Now(), later), qt.IsNil)
-	c.Assert(code(f.selectUpstream(old, later, random)), qt.Equals, errcode.BusySlotsFull)
-	c.Assert(f.selectUpstream(old+f.settings.HeartbeatEvery()*2, later, random), qt.IsNil)
+	laterRequest := newHostRequest("/pay/x", "secret")
+	c.Assert(f.admit(pastRetryWindow, time.Now(), laterRequest), qt.IsNil)
+	c.Assert(responseCode(f.selectUpstream(pastRetryWindow, laterRequest, random)), qt.Equals, errcode.BusySlotsFull)
+	c.Assert(f.selectUpstream(pastRetryWindow+f.settings.HeartbeatEvery()*2, laterRequest, random), qt.IsNil)
 }
 
 // Homes that turn a request away which no upstream has seen cost no retries, up to a
 // number of looks; what an upstream has seen does.
-func TestLooksCostNothing(t *testing.T) {
+func TestUnseenAttemptsSpendNoRetryBudget(t *testing.T) {
 	c := qt.New(t)
-	for sent, wanted := range map[bool]int{false: freeAttempts, true: 1} {
-		list := []message.Registration{}
+	for reached, expected := range map[bool]int{false: budgetFreeAttempts, true: 1} {
+		upstreams := []message.Registration{}
 		for _, name := range strings.Split("abcdefgh", "") {
-			list = append(list, upstream(name, "here"))
+			upstreams = append(upstreams, readyUpstream(name, "here"))
 		}
-		f := hostedFrontend(c, list...)
+		f := newHostFrontend(c, upstreams...)
 		random := rand.New(rand.NewPCG(1, 2))
 		now := time.Second // too young for an allowance
-		going := asked("/free/x", "")
-		c.Assert(f.admit(now, time.Now(), going), qt.IsNil)
-		tries := 0
+		request := newHostRequest("/free/x", "")
+		c.Assert(f.admit(now, time.Now(), request), qt.IsNil)
+		attempts := 0
 		for {
-			c.Assert(f.selectUpstream(now, going, random), qt.IsNil)
-			tries++
-			if response := f.evaluateOutcome(now, going, message.Outcome{
+			c.Assert(f.selectUpstream(now, request, random), qt.IsNil)
+			attempts++
+			if response := f.evaluateOutcome(now, request, message.Outcome{
 				Kind:            message.NotStarted,
 				Code:            int64(errcode.BusySlotsFull),
-				ReachedUpstream: sent,
+				ReachedUpstream: reached,
 			}); response != nil {
 				c.Assert(response.Code, qt.Equals, errcode.BusyBudget)
 				break
 			}
 		}
-		c.Assert(tries, qt.Equals, wanted)
+		c.Assert(attempts, qt.Equals, expected)
 	}
 }
 
 // Who asks is the machine's own service; an open route wants no key and shows none that
 // is unknown; a host's routes want one, and there is no route beside them.
-func TestAdmitOfAHost(t *testing.T) {
+func TestAdmitOnHostRoutes(t *testing.T) {
 	c := qt.New(t)
-	f := hostedFrontend(c)
-	for _, tried := range []struct {
+	f := newHostFrontend(c)
+	for _, test := range []struct {
 		path, key, caller string
 		code              errcode.Code
 		tenant            string
@@ -125,12 +125,12 @@
 		{"/free/x", "other", "", errcode.OK, "plain"},
 		{"/paying", "secret", "", errcode.RequestNoRoute, ""},
 	} {
-		going := asked(tried.path, tried.key)
-		going.Header.Set(backend.CallerHeader, tried.caller)
-		c.Check(code(f.admit(time.Second, time.Now(), going)), qt.Equals, tried.code, qt.Commentf("%+v", tried))
-		if tried.code == errcode.OK {
-			c.Check(going.Caller, qt.Equals, "clinic")
-			c.Check(going.Tenant, qt.Equals, tried.tenant)
+		request := newHostRequest(test.path, test.key)
+		request.Header.Set(backend.CallerHeader, test.caller)
+		c.Check(responseCode(f.admit(time.Second, time.Now(), request)), qt.Equals, test.code, qt.Commentf("%+v", test))
+		if test.code == errcode.OK {
+			c.Check(request.Caller, qt.Equals, "clinic")
+			c.Check(request.Tenant, qt.Equals, test.tenant)
 		}
 	}
 }
--- a/internal/frontend/linkbacklog_test.go
+++ b/internal/frontend/linkbacklog_test.go
@@ -16,13 +16,13 @@
 // A request that would wait too long for the link is refused at once and told when to
 // come back. The call of a running request may wait longer, and an upstream beside this
 // proxy needs no link.
-func TestABusyLinkRefusesAtOnce(t *testing.T) {
+func TestLinkBacklogRefusesAtOnce(t *testing.T) {
 	c := qt.New(t)
-	for _, tried := range []struct {
+	for _, test := range []struct {
 		name    string
 		path    string
 		key     string
-		waits   float64 // backlog, in times of what a request may wait
+		backlog float64 // backlog, in times of what a request may wait
 		local   bool
 		refused bool
 	}{
@@ -32,28 +32,28 @@
 		{"busy link, nested call", "/check/x", "", 1.5, false, false},
 		{"very busy link, nested call", "/check/x", "", 2.5, false, true},
 	} {
-		f := crowded(77)
-		back := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
-		back.backlog = time.Duration(tried.waits * float64(f.settings.LinkWait()))
+		f := newFrontendAmong(77)
+		environment := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
+		environment.backlog = time.Duration(test.backlog * float64(f.settings.LinkWait()))
 		address := "here:1"
-		if tried.local {
+		if test.local {
 			address = "serving-a"
 			f.snapshot.Upstreams["pay"] = f.snapshot.Upstreams["pay"][:1]
 		}
 		serving := backend.New(f.settings, f.AuthorizeForward)
-		back.dispatcher = NewDispatcher(f.settings, f, serving, back, message.Member{Name: "me", Address: address})
+		environment.dispatcher = NewDispatcher(f.settings, f, serving, environment, message.Member{Name: "me", Address: address})
 		var response *Response
-		back.dispatcher.Submit(asked(tried.path, tried.key), func(time.Duration) {}, func(answer *Response) { response = answer })
-		if !tried.refused {
-			c.Check(response, qt.IsNil, qt.Commentf(tried.name))
+		environment.dispatcher.Submit(newHostRequest(test.path, test.key), func(time.Duration) {}, func(answer *Response) { response = answer })
+		if !test.refused {
+			c.Check(response, qt.IsNil, qt.Commentf(test.name))
 			continue
 		}
-		c.Assert(response, qt.IsNotNil, qt.Commentf(tried.name))
-		c.Check(response.Code, qt.Equals, errcode.BusyQueueFull, qt.Commentf(tried.name))
-		c.Check(response.RetryAfter > 0, qt.IsTrue, qt.Commentf(tried.name))
-		c.Check(back.connections, qt.HasLen, 0, qt.Commentf(tried.name))
-		for _, held := range f.upstreams {
-			c.Check(held.inFlight, qt.Equals, int64(0), qt.Commentf(tried.name))
+		c.Assert(response, qt.IsNotNil, qt.Commentf(test.name))
+		c.Check(response.Code, qt.Equals, errcode.BusyQueueFull, qt.Commentf(test.name))
+		c.Check(response.RetryAfter > 0, qt.IsTrue, qt.Commentf(test.name))
+		c.Check(environment.connections, qt.HasLen, 0, qt.Commentf(test.name))
+		for _, stats := range f.upstreams {
+			c.Check(stats.inFlight, qt.Equals, int64(0), qt.Commentf(test.name))
 		}
 	}
 }
--- a/internal/frontend/model_test.go
+++ b/internal/frontend/model_test.go
@@ -13,75 +13,75 @@
 	"beaconvane/internal/safeguard"
 )
 
-// modelExplored is what exploring gave.
-type modelExplored struct {
-	runs    int
-	first   string // the first wrong run, with its choices
-	reached map[string]int
+// exploration is what exploring gave.
+type exploration struct {
+	runs           int
+	firstViolation string // the first wrong run, with its choices
+	faults         map[string]int
 
 	cancelled int // exchanges that were broken off
 }
 
-// explore plays every run with at most so many choices other than 0, or until one is wrong.
-func explore(named bool, most int, stopAtWrong bool) modelExplored {
-	explored := modelExplored{reached: map[string]int{}}
-	var branch func(prefix []int, left int) bool
-	branch = func(prefix []int, left int) bool {
-		chooser := &modelChooser{wanted: prefix}
-		w := newModel(chooser, named)
-		w.modelPlan()
-		w.play()
-		w.group.Stop(0)
-		explored.runs++
-		explored.cancelled += len(w.cancelled)
-		for fault := range w.faults {
-			explored.reached[fault]++
+// exploreRuns plays every run with at most so many choices other than 0, or until one is wrong.
+func exploreRuns(namedAnswers bool, maxFaults int, stopAtViolation bool) exploration {
+	result := exploration{faults: map[string]int{}}
+	var branch func(prefix []int, remaining int) bool
+	branch = func(prefix []int, remaining int) bool {
+		chooser := &modelChooser{preset: prefix}
+		world := newModel(chooser, namedAnswers)
+		world.submitRequests()
+		world.run()
+		world.group.Stop(0)
+		result.runs++
+		result.cancelled += len(world.cancelled)
+		for fault := range world.faults {
+			result.faults[fault]++
 		}
-		if wrong := w.faulty(); len(wrong) > 0 && explored.first == "" {
-			text := []string{}
-			for number, chosen := range chooser.made {
-				if chosen > 0 {
-					text = append(text, fmt.Sprintf("%d: %s = %d", number, chooser.places[number], chosen))
+		if violations := world.violations(); len(violations) > 0 && result.firstViolation == "" {
+			choices := []string{}
+			for index, choice := range chooser.choices {
+				if choice > 0 {
+					choices = append(choices, fmt.Sprintf("%d: %s = %d", index, chooser.points[index], choice))
 				}
 			}
-			explored.first = strings.Join(wrong, "; ") + "\nchoices:\n" + strings.Join(text, "\n")
-			if stopAtWrong {
+			result.firstViolation = strings.Join(violations, "; ") + "\nchoices:\n" + strings.Join(choices, "\n")
+			if stopAtViolation {
 				return true
 			}
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return false
 		}
-		for number := len(prefix); number < len(chooser.made); number++ {
-			for other := 1; other < chooser.ranges[number]; other++ {
-				next := append(append([]int{}, chooser.made[:number]...), other)
-				if branch(next, left-1) {
+		for index := len(prefix); index < len(chooser.choices); index++ {
+			for alternative := 1; alternative < chooser.ranges[index]; alternative++ {
+				next := append(append([]int{}, chooser.choices[:index]...), alternative)
+				if branch(next, remaining-1) {
 					return true
 				}
 			}
 		}
 		return false
 	}
-	branch(nil, most)
-	return explored
+	branch(nil, maxFaults)
+	return result
 }
 
-// modelFaults is how many things go wrong in one explored run; with -short fewer.
-func modelFaults() int {
+// maxModelFaults is how many things go wrong in one explored run; with -short fewer.
+func maxModelFaults() int {
 	if testing.Short() {
 		return 1
 	}
 	return 2
 }
 
-func TestModelOfTheTwoHops(t *testing.T) {
-	for _, named := range []bool{true, false} {
-		t.Run(fmt.Sprintf("answers named %t", named), func(t *testing.T) {
-			explored := explore(named, modelFaults(), true)
-			qt.Assert(t, explored.first, qt.Equals, "")
-			t.Logf("%d runs, %d kinds of fault at %d places", explored.runs, modelFaults(), len(explored.reached))
-			qt.Assert(t, explored.runs > 100, qt.IsTrue)
-			qt.Assert(t, explored.cancelled > 0, qt.IsTrue, qt.Commentf("no caller left while repeatable work ran"))
+func TestModelInvariants(t *testing.T) {
+	for _, namedAnswers := range []bool{true, false} {
+		t.Run(fmt.Sprintf("answers named %t", namedAnswers), func(t *testing.T) {
+			result := exploreRuns(namedAnswers, maxModelFaults(), true)
+			qt.Assert(t, result.firstViolation, qt.Equals, "")
+			t.Logf("%d runs, %d kinds of fault at %d places", result.runs, maxModelFaults(), len(result.faults))
+			qt.Assert(t, result.runs > 100, qt.IsTrue)
+			qt.Assert(t, result.cancelled > 0, qt.IsTrue, qt.Commentf("no caller left while repeatable work ran"))
 		})
 	}
 }
@@ -89,62 +89,62 @@
 // A connection that breaks while the upstream is at work costs no request its answer: the
 // serving proxy is asked, says that it runs, and the answer comes on the new connection.
 // Without the waiting it was 502 after 0.4 s.
-func TestModelWaitsForWhatRuns(t *testing.T) {
+func TestModelWaitsForRunningAttempts(t *testing.T) {
 	c := qt.New(t)
-	broken := 0
-	for number := range 12 {
-		chooser := &modelChooser{wanted: make([]int, number+1)}
-		chooser.wanted[number] = onWayThenBroken
+	brokenConnections := 0
+	for choicePoint := range 12 {
+		chooser := &modelChooser{preset: make([]int, choicePoint+1)}
+		chooser.preset[choicePoint] = frameDeliveredThenBroken
 		w := newModel(chooser, true)
-		w.modelPlan()
-		w.play()
+		w.submitRequests()
+		w.run()
 		w.group.Stop(0)
-		if len(chooser.places) <= number || !strings.HasSuffix(chooser.places[number], "message.Forward") {
+		if len(chooser.points) <= choicePoint || !strings.HasSuffix(chooser.points[choicePoint], "message.Forward") {
 			continue
 		}
-		broken++
-		c.Assert(w.faulty(), qt.HasLen, 0)
-		for _, asked := range w.asked {
-			c.Check(asked.finals[0].Code, qt.Equals, errcode.OK, qt.Commentf("%s, broken at %s", asked.name, chooser.places[number]))
+		brokenConnections++
+		c.Assert(w.violations(), qt.HasLen, 0)
+		for _, request := range w.requests {
+			c.Check(request.responses[0].Code, qt.Equals, errcode.OK, qt.Commentf("%s, broken at %s", request.name, chooser.points[choicePoint]))
 		}
 	}
-	c.Assert(broken >= 3, qt.IsTrue)
+	c.Assert(brokenConnections >= 3, qt.IsTrue)
 }
 
 // Runs in which many things go wrong at once, drawn at random from fixed seeds.
-func TestModelAtRandom(t *testing.T) {
-	walks := 3000
+func TestModelRandomFaults(t *testing.T) {
+	runs := 3000
 	if testing.Short() {
-		walks = 300
+		runs = 300
 	}
-	for _, named := range []bool{true, false} {
-		for seed := range walks {
+	for _, namedAnswers := range []bool{true, false} {
+		for seed := range runs {
 			random := rand.New(rand.NewPCG(uint64(seed), 7))
-			chooser := &modelChooser{wanted: make([]int, 200)}
-			share := 0.05 + 0.4*random.Float64()
-			for number := range chooser.wanted {
-				if random.Float64() < share {
-					chosen := 1 + random.IntN(atUpstreamChoices-1)
-					chooser.wanted[number] = chosen
+			chooser := &modelChooser{preset: make([]int, 200)}
+			faultProbability := 0.05 + 0.4*random.Float64()
+			for index := range chooser.preset {
+				if random.Float64() < faultProbability {
+					choice := 1 + random.IntN(upstreamChoices-1)
+					chooser.preset[index] = choice
 				}
 			}
-			w := newModel(chooser, named)
-			w.modelPlan()
-			w.play()
+			w := newModel(chooser, namedAnswers)
+			w.submitRequests()
+			w.run()
 			w.group.Stop(0)
-			if wrong := w.faulty(); len(wrong) > 0 {
-				t.Fatalf("seed %d, named %t: %v\nchoices %v\nat %v", seed, named, wrong, chooser.made, chooser.places)
+			if violations := w.violations(); len(violations) > 0 {
+				t.Fatalf("seed %d, named %t: %v\nchoices %v\nat %v", seed, namedAnswers, violations, chooser.choices, chooser.points)
 			}
 		}
 	}
 }
 
 // Each check that the model exercises is needed: without it some explored run is wrong.
-func TestModelWithoutEachCheck(t *testing.T) {
-	for _, tried := range []struct {
-		guard safeguard.Guard
-		named bool
-		rule  string
+func TestModelNeedsEachSafeguard(t *testing.T) {
+	for _, test := range []struct {
+		guard        safeguard.Guard
+		namedAnswers bool
+		rule         string
 	}{
 		{safeguard.AnswerOfAnother, true, "own-answer"},
 		{safeguard.AnswerWithoutName, true, "own-answer"},
@@ -159,13 +159,13 @@
 		{safeguard.NeverAttached, true, "once"},
 		{safeguard.OtherLife, true, "once"},
 	} {
-		t.Run(tried.guard.String(), func(t *testing.T) {
-			safeguard.Without(t, tried.guard)
-			explored := explore(tried.named, 2, true)
-			qt.Assert(t, explored.first, qt.Not(qt.Equals), "", qt.Commentf("%d runs, none wrong", explored.runs))
-			t.Logf("wrong after %d runs: %s", explored.runs, explored.first)
-			rule, _, _ := strings.Cut(explored.first, ":")
-			qt.Assert(t, rule, qt.Equals, tried.rule)
+		t.Run(test.guard.String(), func(t *testing.T) {
+			safeguard.Without(t, test.guard)
+			result := exploreRuns(test.namedAnswers, 2, true)
+			qt.Assert(t, result.firstViolation, qt.Not(qt.Equals), "", qt.Commentf("%d runs, none wrong", result.runs))
+			t.Logf("wrong after %d runs: %s", result.runs, result.firstViolation)
+			rule, _, _ := strings.Cut(result.firstViolation, ":")
+			qt.Assert(t, rule, qt.Equals, test.rule)
 		})
 	}
 }
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -30,116 +30,116 @@
 
 // What an upstream and its connection do with one request.
 const (
-	atUpstreamWell = iota
-	atUpstreamExtraBehind
-	atUpstreamExtraNext
-	atUpstreamExtraLate
-	atUpstreamNamelessLate
-	atUpstreamHalf
-	atUpstreamNoLength
-	atUpstreamGarbage
-	atUpstreamResetUnrun
-	atUpstreamResetRun
-	atUpstreamSilentUnrun
-	atUpstreamSilentRun
-	atUpstreamTurnsAway
-	atUpstreamPromisesFalsely
-	atUpstreamMisdirected
-	atUpstreamChoices
+	upstreamAnswers = iota
+	upstreamExtraAnswerAtOnce
+	upstreamExtraAnswerAfterwards
+	upstreamExtraAnswerLate
+	upstreamUnnamedAnswerLate
+	upstreamTruncatedAnswer
+	upstreamTruncatedWithoutLength
+	upstreamMalformedAnswer
+	upstreamResetNotRun
+	upstreamResetAfterRun
+	upstreamSilentNotRun
+	upstreamSilentAfterRun
+	upstreamRefuses
+	upstreamRefusesAfterRun
+	upstreamMisdirected
+	upstreamChoices
 )
 
 // What becomes of one frame from a caller's proxy to a serving proxy.
 const (
-	onWayWell = iota
-	onWayLost
-	onWayThenBroken
-	onWayLateAfterBreak
-	onWayMuchLater
-	onWaySilent
-	onWayNeverAttached
-	onWayRestart
-	onWayChoices
+	frameDelivered = iota
+	frameLost
+	frameDeliveredThenBroken
+	frameDeliveredAfterBreak
+	frameDeliveredAfterDeadline
+	frameLostSilently
+	frameNeverConnected
+	frameDeliveredThenRestart
+	frameChoices
 )
 
 // What becomes of one frame back.
 const (
-	backWell = iota
-	backBroken
-	backTwice
-	backLate
-	backChoices
+	replyDelivered = iota
+	replyLost
+	replyDuplicated
+	replyAfterDeadline
+	replyChoices
 )
 
 // What the caller of one request does.
 const (
-	callerStays = iota
+	callerWaits = iota
 	callerLeavesAtOnce
 	callerLeavesMidway
 	callerChoices
 )
 
 const (
-	modelBegin    = 20 * time.Second // an age at which a process has its retry allowance
-	modelDeadline = 3 * time.Second
-	modelMoment   = time.Millisecond
-	modelWork     = 700 * time.Millisecond // longer than a question waits for an answer
-	modelLater    = 5 * time.Second
-	modelSteps    = 5000
+	modelStart       = 20 * time.Second // an age at which a process has its retry allowance
+	modelDeadline    = 3 * time.Second
+	modelShortDelay  = time.Millisecond
+	modelServiceTime = 700 * time.Millisecond // longer than a question waits for an answer
+	modelLongDelay   = 5 * time.Second
+	modelMaxSteps    = 5000
 )
 
 // modelChooser makes the choices of one run, and notes what it could have chosen.
 type modelChooser struct {
-	wanted []int // by number of the choice; those behind are 0
-	made   []int
-	ranges []int
-	places []string
+	preset  []int // by number of the choice; those behind are 0
+	choices []int
+	ranges  []int
+	points  []string
 }
 
-func (c *modelChooser) choose(place string, choices int) int {
-	chosen := 0
-	if number := len(c.made); number < len(c.wanted) {
-		chosen = c.wanted[number] % choices
+func (c *modelChooser) choose(point string, count int) int {
+	choice := 0
+	if number := len(c.choices); number < len(c.preset) {
+		choice = c.preset[number] % count
 	}
-	c.made, c.ranges, c.places = append(c.made, chosen), append(c.ranges, choices), append(c.places, place)
-	return chosen
+	c.choices, c.ranges, c.points = append(c.choices, choice), append(c.ranges, count), append(c.points, point)
+	return choice
 }
 
 type modelEvent struct {
 	at     time.Duration
 	number int
-	do     func()
+	action func()
 }
 
 type modelRun struct {
-	upstream string
-	path     string
-	whole    string // the answer's body, if it was sent whole
-	status   int
+	upstream     string
+	path         string
+	completeBody string // the answer's body, if it was sent whole
+	status       int
 }
 
-type modelAsked struct {
-	name    string
-	once    bool
-	finals  []*Response
-	pending *PendingRequest
-	lost    bool // with the process of its proxy: its caller's connection is closed, which says nothing
-	left    bool // its caller hung up
+type modelRequest struct {
+	name           string
+	atMostOnce     bool
+	responses      []*Response
+	pending        *PendingRequest
+	proxyRestarted bool // with the process of its proxy: its caller's connection is closed, which says nothing
+	callerLeft     bool // its caller hung up
 }
 
 // model is one run's world.
 type model struct {
-	chooser *modelChooser
-	now     time.Duration
-	events  []modelEvent
-	number  int
-	named   bool
-	proxies map[string]*modelProxy
-	runs    map[string][]modelRun
-	offers  map[string]map[string]bool
-	asked   []*modelAsked
-	answers int
-	group   *goroutine.Group
-	faults  map[string]int
+	chooser      *modelChooser
+	now          time.Duration
+	events       []modelEvent
+	eventCount   int
+	namedAnswers bool
+	proxies      map[string]*modelProxy
+	runs         map[string][]modelRun
+	offers       map[string]map[string]bool
+	requests     []*modelRequest
+	answerCount  int
+	group        *goroutine.Group
+	faults       map[string]int
 
 	cancelled []string // ids of attempts
 }
@@ -148,37 +148,37 @@
 type modelProxy struct {
 	world      *model
 	address    string
-	life       int64
+	startTime  int64
 	running    map[string]bool // exchanges by attempt; false: cancelled
 	dispatcher *Dispatcher
 	front      *Frontend
 	serving    *backend.Backend
-	caller     *backend.UpstreamClient
-	inside     []*modelLink
+	client     *backend.UpstreamClient
+	incoming   []*modelConnection
 }
 
-func (w *model) after(wait time.Duration, do func()) {
-	w.number++
-	w.events = append(w.events, modelEvent{w.now + wait, w.number, do})
+func (m *model) after(delay time.Duration, action func()) {
+	m.eventCount++
+	m.events = append(m.events, modelEvent{m.now + delay, m.eventCount, action})
 }
 
-func (w *model) play() {
-	for step := 0; len(w.events) > 0 && step < modelSteps; step++ {
-		sort.SliceStable(w.events, func(i, j int) bool {
-			return w.events[i].at < w.events[j].at || w.events[i].at == w.events[j].at && w.events[i].number < w.events[j].number
+func (m *model) run() {
+	for step := 0; len(m.events) > 0 && step < modelMaxSteps; step++ {
+		sort.SliceStable(m.events, func(i, j int) bool {
+			return m.events[i].at < m.events[j].at || m.events[i].at == m.events[j].at && m.events[i].number < m.events[j].number
 		})
-		next := w.events[0]
-		w.events = w.events[1:]
-		w.now = max(w.now, next.at)
-		next.do()
+		next := m.events[0]
+		m.events = m.events[1:]
+		m.now = max(m.now, next.at)
+		next.action()
 	}
 }
 
-func modelSettings(named bool) settings.Settings {
+func modelSettings(namedAnswers bool) settings.Settings {
 	cfg := settings.Default()
 	cfg.Zone, cfg.Service = "here", "clinic"
 	cfg.Bounds.RetryAllowance = 1000
-	if named {
+	if namedAnswers {
 		cfg.TargetProof = settings.ProofTarget
 	}
 	return cfg
@@ -188,91 +188,93 @@
 {"name":"pay","host":"shop.example","prefix":"/once/","service":"pay","kind":"once","timeout_ms":3000,"attempts":2},
 {"name":"free","host":"shop.example","prefix":"/free/","service":"pay","kind":"repeatable","timeout_ms":3000,"attempts":2}]}`
 
-var modelHomes = map[string]string{"one": "b:1", "two": "c:1", "three": "d:1"}
+var modelServingProxies = map[string]string{"one": "b:1", "two": "c:1", "three": "d:1"}
 
-// modelNamer is how upstreams speak in the model: answers bear their request's name.
-type modelNamer struct{}
+// modelUpstreamProtocol is how upstreams speak in the model: answers bear their request's name.
+type modelUpstreamProtocol struct{}
 
-func (modelNamer) SetHeaders(header http.Header, forward message.Forward, _ backend.Target, _ time.Duration) {
+func (modelUpstreamProtocol) SetHeaders(header http.Header, forward message.Forward, _ backend.Target, _ time.Duration) {
 	header.Set("Name", forward.AttemptName)
 	header.Set("For", forward.Instance)
 }
 
-func (modelNamer) RequestName(answer *http.Response) string { return answer.Header.Get("Name") }
+func (modelUpstreamProtocol) RequestName(answer *http.Response) string {
+	return answer.Header.Get("Name")
+}
 
-func (m modelNamer) Interpret(answer *http.Response, forward message.Forward, _ backend.Target) backend.ResponseMetadata {
-	received := backend.ResponseMetadata{}
+func (m modelUpstreamProtocol) Interpret(answer *http.Response, forward message.Forward, _ backend.Target) backend.ResponseMetadata {
+	metadata := backend.ResponseMetadata{}
 	switch name := m.RequestName(answer); {
 	case name != "" && name != forward.AttemptName:
-		received.OtherRequest = true
+		metadata.OtherRequest = true
 	case answer.StatusCode == http.StatusMisdirectedRequest:
-		received.Refusal = errcode.BusyUpstreamGone
+		metadata.Refusal = errcode.BusyUpstreamGone
 	case answer.Header.Get("Unrun") != "":
-		received.Refusal = errcode.BusySlotsFull
+		metadata.Refusal = errcode.BusySlotsFull
 	case answer.StatusCode == http.StatusServiceUnavailable:
-		received.AmbiguousRefusal = true
+		metadata.AmbiguousRefusal = true
 	}
-	return received
+	return metadata
 }
 
-// modelCallers name each try, as the platform's callers do.
-type modelCallers struct{ NativeProtocol }
+// modelCallerProtocol name each try, as the platform's callers do.
+type modelCallerProtocol struct{ NativeProtocol }
 
-func (modelCallers) Metadata(request *Request) Metadata {
+func (modelCallerProtocol) Metadata(request *Request) Metadata {
 	return Metadata{AttemptName: request.Header.Get("Try"), APIKeys: nil}
 }
 
-func newModel(chooser *modelChooser, named bool) *model {
+func newModel(chooser *modelChooser, namedAnswers bool) *model {
 	w := &model{
-		chooser: chooser,
-		now:     modelBegin,
-		named:   named,
-		proxies: map[string]*modelProxy{},
-		runs:    map[string][]modelRun{},
-		offers:  map[string]map[string]bool{},
-		group:   goroutine.New(),
-		faults:  map[string]int{},
+		chooser:      chooser,
+		now:          modelStart,
+		namedAnswers: namedAnswers,
+		proxies:      map[string]*modelProxy{},
+		runs:         map[string][]modelRun{},
+		offers:       map[string]map[string]bool{},
+		group:        goroutine.New(),
+		faults:       map[string]int{},
 	}
 	for _, address := range []string{"a:1", "b:1", "c:1", "d:1"} {
 		p := &modelProxy{world: w, address: address}
 		w.proxies[address] = p
-		p.begin()
+		p.start()
 	}
 	return w
 }
 
-// begin starts the process of the proxy anew; of an earlier one nothing is known.
-func (p *modelProxy) begin() {
+// start starts the process of the proxy anew; of an earlier one nothing is known.
+func (p *modelProxy) start() {
 	w := p.world
-	cfg := modelSettings(w.named)
-	p.life++
+	cfg := modelSettings(w.namedAnswers)
+	p.startTime++
 	p.running = map[string]bool{}
 	p.serving = backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	p.front = New(cfg, p.serving.LookupDelegation)
-	p.front.UseProtocol(modelCallers{})
-	p.caller = backend.NewUpstreamClient(cfg, p.serving, w.group)
-	if w.named {
-		p.caller.UseProtocol(modelNamer{})
+	p.front.UseProtocol(modelCallerProtocol{})
+	p.client = backend.NewUpstreamClient(cfg, p.serving, w.group)
+	if w.namedAnswers {
+		p.client.UseProtocol(modelUpstreamProtocol{})
 	}
-	life := p.life
-	p.caller.UseDialer(func(address string, _ time.Time) (net.Conn, error) {
+	startTime := p.startTime
+	p.client.UseDialer(func(address string, _ time.Time) (net.Conn, error) {
 		return &modelUpstreamConn{world: w, upstream: address}, nil
 	})
-	p.dispatcher = NewDispatcher(cfg, p.front, p.serving, &modelEnvironment{p, life, rand.New(rand.NewPCG(1, 2))}, message.Member{
+	p.dispatcher = NewDispatcher(cfg, p.front, p.serving, &modelEnvironment{p, startTime, rand.New(rand.NewPCG(1, 2))}, message.Member{
 		Name:      p.address,
 		Address:   p.address,
-		StartTime: life,
+		StartTime: startTime,
 	})
-	list := []message.Registration{}
+	registrations := []message.Registration{}
 	for _, name := range []string{"one", "two", "three"} {
-		if modelHomes[name] == p.address {
+		if modelServingProxies[name] == p.address {
 			announcement := backend.Announcement{Service: "pay", Instance: name, Incarnation: 1, Address: name, Zone: "here", Slots: 4}
 			p.serving.Announce(w.now, announcement)
-			if !w.named {
-				p.caller.Guard(announcement)
+			if !w.namedAnswers {
+				p.client.Guard(announcement)
 			}
 		}
-		list = append(list, message.Registration{
+		registrations = append(registrations, message.Registration{
 			Service:               "pay",
 			Instance:              name,
 			Incarnation:           1,
@@ -280,9 +282,9 @@
 			Zone:                  "here",
 			Slots:                 4,
 			State:                 message.StateReady,
-			ServingProxy:          modelHomes[name],
-			ServingProxyAddress:   modelHomes[name],
-			ServingProxyStartTime: w.proxies[modelHomes[name]].lifeOr(life),
+			ServingProxy:          modelServingProxies[name],
+			ServingProxyAddress:   modelServingProxies[name],
+			ServingProxyStartTime: w.proxies[modelServingProxies[name]].startTimeOr(startTime),
 		})
 	}
 	p.front.UpdateSnapshot(w.now, &proxy.Snapshot{
@@ -291,55 +293,55 @@
 		RosterKnown:         true,
 		Joined:              true,
 		ProxyCount:          1,
-		Upstreams:           map[string][]message.Registration{"pay": list},
+		Upstreams:           map[string][]message.Registration{"pay": registrations},
 	})
 }
 
-func (p *modelProxy) lifeOr(other int64) int64 {
+func (p *modelProxy) startTimeOr(fallback int64) int64 {
 	if p == nil {
-		return other
+		return fallback
 	}
-	return p.life
+	return p.startTime
 }
 
 // modelEnvironment is the Environment of one process of a proxy.
 type modelEnvironment struct {
-	proxy  *modelProxy
-	life   int64
-	random *rand.Rand
+	proxy     *modelProxy
+	startTime int64
+	random    *rand.Rand
 }
 
-func (b *modelEnvironment) Now() time.Duration { return b.proxy.world.now }
-func (b *modelEnvironment) Wall() time.Time    { return time.Unix(0, int64(b.proxy.world.now)) }
-func (b *modelEnvironment) Random() *rand.Rand { return b.random }
-func (b *modelEnvironment) Notify(any)         {}
+func (e *modelEnvironment) Now() time.Duration { return e.proxy.world.now }
+func (e *modelEnvironment) Wall() time.Time    { return time.Unix(0, int64(e.proxy.world.now)) }
+func (e *modelEnvironment) Random() *rand.Rand { return e.random }
+func (e *modelEnvironment) Notify(any)         {}
 
-// alive does something in the process, as long as it lasts.
-func (b *modelEnvironment) alive(do func()) func() {
+// whileRunning does something in the process, as long as it lasts.
+func (e *modelEnvironment) whileRunning(action func()) func() {
 	return func() {
-		if b.proxy.life == b.life {
-			do()
+		if e.proxy.startTime == e.startTime {
+			action()
 		}
 	}
 }
 
-func (b *modelEnvironment) Backlog() time.Duration { return 0 }
+func (e *modelEnvironment) Backlog() time.Duration { return 0 }
 
 // Cancel breaks off what runs; once-only work is never broken off.
-func (b *modelEnvironment) Cancel(id string) {
-	if b.proxy.running[id] {
-		b.proxy.running[id] = false
-		b.proxy.world.cancelled = append(b.proxy.world.cancelled, id)
+func (e *modelEnvironment) Cancel(id string) {
+	if e.proxy.running[id] {
+		e.proxy.running[id] = false
+		e.proxy.world.cancelled = append(e.proxy.world.cancelled, id)
 	}
 }
 
-func (b *modelEnvironment) After(wait time.Duration, then func()) {
-	b.proxy.world.after(wait, b.alive(then))
+func (e *modelEnvironment) After(delay time.Duration, callback func()) {
+	e.proxy.world.after(delay, e.whileRunning(callback))
 }
 
-func (b *modelEnvironment) Enqueue(stage Stage, item any) bool {
-	p := b.proxy
-	p.world.after(0, b.alive(func() {
+func (e *modelEnvironment) Enqueue(stage Stage, item any) bool {
+	p := e.proxy
+	p.world.after(0, e.whileRunning(func() {
 		switch stage {
 		case StageAdmit:
 			p.dispatcher.Admit(item.(*PendingRequest))
@@ -348,170 +350,170 @@
 		case StageOutcome:
 			p.dispatcher.HandleOutcome(item.(AttemptOutcome))
 		case StageStart:
-			b.start(item.(backend.Decision))
+			e.startExchange(item.(backend.Decision))
 		}
 	}))
 	return true
 }
 
-// start makes an exchange, which takes the time of the work; one that is cancelled in that
+// startExchange makes an exchange, which takes the time of the work; one that is cancelled in that
 // time ends without an answer.
-func (b *modelEnvironment) start(order backend.Decision) {
-	p := b.proxy
-	outcome := p.caller.Call(order)
-	p.running[order.Forward.ID] = true
-	p.world.after(modelWork, b.alive(func() {
-		if !p.running[order.Forward.ID] {
+func (e *modelEnvironment) startExchange(decision backend.Decision) {
+	p := e.proxy
+	outcome := p.client.Call(decision)
+	p.running[decision.Forward.ID] = true
+	p.world.after(modelServiceTime, e.whileRunning(func() {
+		if !p.running[decision.Forward.ID] {
 			outcome = message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}
 		}
-		delete(p.running, order.Forward.ID)
-		p.dispatcher.Complete(order, outcome)
+		delete(p.running, decision.Forward.ID)
+		p.dispatcher.Complete(decision, outcome)
 	}))
 }
 
-func (b *modelEnvironment) Open(address string, received func(msg any), closed func(connection Connection)) Connection {
-	link := &modelLink{from: b, to: b.proxy.world.proxies[address], received: received, told: closed, fresh: true}
-	link.toLife = link.to.life
-	link.to.inside = append(link.to.inside, link)
-	return link
+func (e *modelEnvironment) Open(address string, onMessage func(msg any), onClosed func(connection Connection)) Connection {
+	connection := &modelConnection{from: e, to: e.proxy.world.proxies[address], onMessage: onMessage, onClosed: onClosed, unused: true}
+	connection.toLife = connection.to.startTime
+	connection.to.incoming = append(connection.to.incoming, connection)
+	return connection
 }
 
-// modelLink is a connection between two proxies.
-type modelLink struct {
-	from     *modelEnvironment
-	to       *modelProxy
-	toLife   int64
-	received func(msg any)
-	told     func(connection Connection)
-	fresh    bool // nothing was sent on it yet
-	attached bool
-	closed   bool
-	cut      bool
+// modelConnection is a connection between two proxies.
+type modelConnection struct {
+	from        *modelEnvironment
+	to          *modelProxy
+	toLife      int64
+	onMessage   func(msg any)
+	onClosed    func(connection Connection)
+	unused      bool // nothing was sent on it yet
+	established bool
+	closed      bool
+	silent      bool
 }
 
-func (l *modelLink) Broken() bool      { return l.closed }
-func (l *modelLink) Established() bool { return l.attached }
-func (l *modelLink) Close()            { l.closed = true }
+func (l *modelConnection) Broken() bool      { return l.closed }
+func (l *modelConnection) Established() bool { return l.established }
+func (l *modelConnection) Close()            { l.closed = true }
 
 // end breaks the connection; its opener is told a moment later.
-func (l *modelLink) end() {
+func (l *modelConnection) end() {
 	if !l.closed {
 		l.closed = true
-		l.from.proxy.world.after(0, l.from.alive(func() { l.told(l) }))
+		l.from.proxy.world.after(0, l.from.whileRunning(func() { l.onClosed(l) }))
 	}
 }
 
-func (l *modelLink) Post(msg any) error {
+func (l *modelConnection) Post(msg any) error {
 	if l.closed {
 		return errcode.Wrap("model.post", errcode.ConnectionLost, nil)
 	}
 	w := l.from.proxy.world
-	choices := onWayChoices
-	if !l.fresh {
-		choices = onWayNeverAttached // a made connection can't fail to be made, nor is the end of its process told on it twice
+	choices := frameChoices
+	if !l.unused {
+		choices = frameNeverConnected // a made connection can't fail to be made, nor is the end of its process told on it twice
 	}
-	place := fmt.Sprintf("%s>%s %T", l.from.proxy.address, l.to.address, msg)
-	switch l.fresh = false; w.fault(place, choices) {
-	case onWayNeverAttached:
+	point := fmt.Sprintf("%s>%s %T", l.from.proxy.address, l.to.address, msg)
+	switch l.unused = false; w.fault(point, choices) {
+	case frameNeverConnected:
 		l.end()
 		return nil
-	case onWayLost:
-		l.attached = true
+	case frameLost:
+		l.established = true
 		l.end()
-	case onWayThenBroken:
-		l.attached = true
+	case frameDeliveredThenBroken:
+		l.established = true
 		l.deliver(0, msg)
 		w.after(0, l.end)
-	case onWayLateAfterBreak:
-		l.attached = true
+	case frameDeliveredAfterBreak:
+		l.established = true
 		l.end()
-		l.deliver(modelMoment, msg)
-	case onWayMuchLater:
-		l.attached = true
+		l.deliver(modelShortDelay, msg)
+	case frameDeliveredAfterDeadline:
+		l.established = true
 		l.end()
-		l.deliver(modelLater, msg)
-	case onWaySilent:
-		l.attached, l.cut = true, true
-	case onWayRestart:
-		l.attached = true
+		l.deliver(modelLongDelay, msg)
+	case frameLostSilently:
+		l.established, l.silent = true, true
+	case frameDeliveredThenRestart:
+		l.established = true
 		l.deliver(0, msg)
-		w.after(modelMoment/2, func() {
-			l.to.begin()
-			for _, link := range l.to.inside {
-				link.end()
+		w.after(modelShortDelay/2, func() {
+			l.to.start()
+			for _, connection := range l.to.incoming {
+				connection.end()
 			}
 		})
 	default:
-		l.attached = true
+		l.established = true
 		l.deliver(0, msg)
 	}
 	return nil
 }
 
-func (l *modelLink) deliver(wait time.Duration, msg any) {
-	w, life := l.from.proxy.world, l.to.life
-	w.after(wait, func() {
-		if l.cut || l.to.life != life {
+func (l *modelConnection) deliver(delay time.Duration, msg any) {
+	w, startTime := l.from.proxy.world, l.to.startTime
+	w.after(delay, func() {
+		if l.silent || l.to.startTime != startTime {
 			return
 		}
 		l.to.dispatcher.HandleFrame(msg, l.reply)
 	})
 }
 
-func (l *modelLink) reply(msg any) error {
+func (l *modelConnection) reply(msg any) error {
 	w := l.from.proxy.world
 	if l.closed {
 		return errcode.Wrap("model.back", errcode.ConnectionLost, nil)
 	}
-	take := l.from.alive(func() {
-		if !l.cut {
-			l.received(msg)
+	receive := l.from.whileRunning(func() {
+		if !l.silent {
+			l.onMessage(msg)
 		}
 	})
-	switch w.fault(fmt.Sprintf("%s<%s %T", l.from.proxy.address, l.to.address, msg), backChoices) {
-	case backBroken:
+	switch w.fault(fmt.Sprintf("%s<%s %T", l.from.proxy.address, l.to.address, msg), replyChoices) {
+	case replyLost:
 		l.end()
-	case backTwice:
-		w.after(0, take)
-		w.after(modelMoment, take)
-	case backLate:
-		w.after(modelLater, take)
+	case replyDuplicated:
+		w.after(0, receive)
+		w.after(modelShortDelay, receive)
+	case replyAfterDeadline:
+		w.after(modelLongDelay, receive)
 	default:
-		w.after(0, take)
+		w.after(0, receive)
 	}
 	return nil
 }
 
 // fault chooses, and counts what was chosen other than "well".
-func (w *model) fault(place string, choices int) int {
-	chosen := w.chooser.choose(place, choices)
-	if chosen > 0 {
-		w.faults[fmt.Sprintf("%s:%d", place, chosen)]++
+func (m *model) fault(point string, count int) int {
+	choice := m.chooser.choose(point, count)
+	if choice > 0 {
+		m.faults[fmt.Sprintf("%s:%d", point, choice)]++
 	}
-	return chosen
+	return choice
 }
 
 // modelUpstreamConn is a connection to an upstream. What it sends comes in pieces; each
 // read gives one, and silence is a time that is up.
 type modelUpstreamConn struct {
 	net.Conn
-	world    *model
-	upstream string
-	pieces   [][]byte
-	late     [][]byte // come once the next request is on its way
-	last     string   // name of the request before
-	failure  error
-	closed   bool
+	world      *model
+	upstream   string
+	pieces     [][]byte
+	latePieces [][]byte // come once the next request is on its way
+	last       string   // name of the request before
+	failure    error
+	closed     bool
 }
 
 func (u *modelUpstreamConn) SetDeadline(time.Time) error { return nil }
 func (u *modelUpstreamConn) Close() error                { u.closed = true; return nil }
 func (u *modelUpstreamConn) Quiet() bool                 { return len(u.pieces) == 0 && u.failure == nil }
 
-func (u *modelUpstreamConn) Read(into []byte) (int, error) {
+func (u *modelUpstreamConn) Read(buffer []byte) (int, error) {
 	switch {
 	case len(u.pieces) > 0:
-		size := copy(into, u.pieces[0])
+		size := copy(buffer, u.pieces[0])
 		if u.pieces[0] = u.pieces[0][size:]; len(u.pieces[0]) == 0 {
 			u.pieces = u.pieces[1:]
 		}
@@ -529,109 +531,111 @@
 	}
 	w, path := u.world, request.URL.Path
 	name := request.Header.Get("Name")
-	u.pieces, u.late = append(u.pieces, u.late...), nil
+	u.pieces, u.latePieces = append(u.pieces, u.latePieces...), nil
 	if w.offers[path] == nil {
 		w.offers[path] = map[string]bool{}
 	}
 	w.offers[path][u.upstream] = true
-	w.answers++
-	body := fmt.Sprintf("%s by %s, %d", path, u.upstream, w.answers)
-	say := func(status int, head, body string) []byte {
-		line := ""
-		if w.named {
-			line = "Name: " + name + "\r\n"
+	w.answerCount++
+	body := fmt.Sprintf("%s by %s, %d", path, u.upstream, w.answerCount)
+	answer := func(status int, head, body string) []byte {
+		nameHeader := ""
+		if w.namedAnswers {
+			nameHeader = "Name: " + name + "\r\n"
 		}
-		return fmt.Appendf(nil, "HTTP/1.1 %d X\r\n%s%sContent-Length: %d\r\n\r\n%s", status, line, head, len(body), body)
+		return fmt.Appendf(nil, "HTTP/1.1 %d X\r\n%s%sContent-Length: %d\r\n\r\n%s", status, nameHeader, head, len(body), body)
 	}
-	run := func(status int, whole string) {
-		w.runs[path] = append(w.runs[path], modelRun{u.upstream, path, whole, status})
-		if path == modelCalling {
+	recordRun := func(status int, completeBody string) {
+		w.runs[path] = append(w.runs[path], modelRun{u.upstream, path, completeBody, status})
+		if path == modelCallingPath {
 			// Its upstream calls on, each time that it runs, through the proxy beside it.
-			w.askAt(modelHomes[u.upstream], fmt.Sprintf("/once/call%d", w.answers), true, func() {})
+			w.submitAt(modelServingProxies[u.upstream], fmt.Sprintf("/once/call%d", w.answerCount), true, func() {})
 		}
 	}
-	own, extra := say(200, "", body), say(200, "", "a second answer")
-	choice := w.fault("at "+u.upstream+" "+path, atUpstreamChoices)
-	if !w.named && (choice == atUpstreamExtraLate || choice == atUpstreamNamelessLate) {
-		choice = atUpstreamExtraNext // without names nobody can know a late one; the platform's have names
+	regular, extra := answer(200, "", body), answer(200, "", "a second answer")
+	choice := w.fault("at "+u.upstream+" "+path, upstreamChoices)
+	if !w.namedAnswers && (choice == upstreamExtraAnswerLate || choice == upstreamUnnamedAnswerLate) {
+		choice = upstreamExtraAnswerAfterwards // without names nobody can know a late one; the platform's have names
 	}
 	switch choice {
-	case atUpstreamExtraBehind:
-		run(200, body)
-		if w.named {
-			u.pieces = append(u.pieces, append(own, extra...))
+	case upstreamExtraAnswerAtOnce:
+		recordRun(200, body)
+		if w.namedAnswers {
+			u.pieces = append(u.pieces, append(regular, extra...))
 		} else {
-			u.pieces = append(u.pieces, append(extra, own...)) // which of the two is its own can't be told
+			u.pieces = append(u.pieces, append(extra, regular...)) // which of the two is its own can't be told
 		}
-	case atUpstreamExtraNext:
-		run(200, body)
-		u.pieces = append(u.pieces, own, extra)
-	case atUpstreamExtraLate:
-		run(200, body)
-		u.pieces, u.late = append(u.pieces, own), [][]byte{extra}
-	case atUpstreamNamelessLate:
-		run(200, body)
-		u.pieces, u.late = append(u.pieces, own), [][]byte{[]byte("HTTP/1.1 200 X\r\nContent-Length: 8\r\n\r\nnobody's")}
-	case atUpstreamHalf:
-		run(200, "")
-		u.pieces, u.failure = append(u.pieces, own[:len(own)-3]), io.EOF
-	case atUpstreamNoLength:
-		run(200, "")
+	case upstreamExtraAnswerAfterwards:
+		recordRun(200, body)
+		u.pieces = append(u.pieces, regular, extra)
+	case upstreamExtraAnswerLate:
+		recordRun(200, body)
+		u.pieces, u.latePieces = append(u.pieces, regular), [][]byte{extra}
+	case upstreamUnnamedAnswerLate:
+		recordRun(200, body)
+		u.pieces, u.latePieces = append(u.pieces, regular), [][]byte{[]byte("HTTP/1.1 200 X\r\nContent-Length: 8\r\n\r\nnobody's")}
+	case upstreamTruncatedAnswer:
+		recordRun(200, "")
+		u.pieces, u.failure = append(u.pieces, regular[:len(regular)-3]), io.EOF
+	case upstreamTruncatedWithoutLength:
+		recordRun(200, "")
 		u.pieces, u.failure = append(
 			u.pieces,
-			bytes.Replace(own[:len(own)-3], fmt.Appendf(nil, "Content-Length: %d\r\n", len(body)), nil, 1),
+			bytes.Replace(regular[:len(regular)-3], fmt.Appendf(nil, "Content-Length: %d\r\n", len(body)), nil, 1),
 		), io.EOF
-	case atUpstreamGarbage:
-		run(200, "")
+	case upstreamMalformedAnswer:
+		recordRun(200, "")
 		u.pieces = append(u.pieces, []byte("\x00\x01 nothing of the kind\r\n\r\n"))
-	case atUpstreamResetUnrun:
+	case upstreamResetNotRun:
 		u.failure = &net.OpError{Op: "read", Err: os.ErrClosed}
-	case atUpstreamResetRun:
-		run(200, "")
+	case upstreamResetAfterRun:
+		recordRun(200, "")
 		u.failure = &net.OpError{Op: "read", Err: os.ErrClosed}
-	case atUpstreamSilentUnrun:
-	case atUpstreamSilentRun:
-		run(200, "")
-	case atUpstreamTurnsAway:
-		if w.named {
-			u.pieces = append(u.pieces, say(503, "Unrun: full\r\n", "full"))
+	case upstreamSilentNotRun:
+	case upstreamSilentAfterRun:
+		recordRun(200, "")
+	case upstreamRefuses:
+		if w.namedAnswers {
+			u.pieces = append(u.pieces, answer(503, "Unrun: full\r\n", "full"))
 		} else {
-			run(200, body)
-			u.pieces = append(u.pieces, own)
+			recordRun(200, body)
+			u.pieces = append(u.pieces, regular)
 		}
-	case atUpstreamPromisesFalsely:
-		run(503, "")
-		if w.named {
-			u.pieces = append(u.pieces, say(503, "", "busy"))
+	case upstreamRefusesAfterRun:
+		recordRun(503, "")
+		if w.namedAnswers {
+			u.pieces = append(u.pieces, answer(503, "", "busy"))
 		} else {
 			u.failure = io.EOF
 		}
-	case atUpstreamMisdirected:
-		if w.named {
-			u.pieces = append(u.pieces, say(421, "", ""))
+	case upstreamMisdirected:
+		if w.namedAnswers {
+			u.pieces = append(u.pieces, answer(421, "", ""))
 		} else {
 			u.failure = io.EOF
 		}
 	default:
-		run(200, body)
-		u.pieces = append(u.pieces, own)
+		recordRun(200, body)
+		u.pieces = append(u.pieces, regular)
 	}
 	u.last = name
 	return len(text), nil
 }
 
-// modelCalling is the request whose runs call on.
-const modelCalling = "/free/2"
+// modelCallingPath is the request whose runs call on.
+const modelCallingPath = "/free/2"
 
-// ask sends a request to the first caller's proxy.
-func (w *model) ask(path string, once bool, then func()) { w.askAt("a:1", path, once, then) }
+// submit sends a request to the first caller's proxy.
+func (m *model) submit(path string, atMostOnce bool, onAnswer func()) {
+	m.submitAt("a:1", path, atMostOnce, onAnswer)
+}
 
-// askAt sends a request to a proxy; its caller waits until the deadline.
-func (w *model) askAt(address, path string, once bool, then func()) {
-	p := w.proxies[address]
-	life := p.life
-	asked := &modelAsked{name: path, once: once}
-	w.asked = append(w.asked, asked)
+// submitAt sends a request to a proxy; its caller waits until the deadline.
+func (m *model) submitAt(address, path string, atMostOnce bool, onAnswer func()) {
+	p := m.proxies[address]
+	startTime := p.startTime
+	submitted := &modelRequest{name: path, atMostOnce: atMostOnce}
+	m.requests = append(m.requests, submitted)
 	request := &Request{
 		ID:        "id" + path,
 		Method:    http.MethodPost,
@@ -639,84 +643,86 @@
 		Header:    http.Header{"Try": {"try" + path}},
 		Host:      "shop.example",
 		Body:      []byte("body"),
-		ArrivedAt: w.now,
-		Deadline:  w.now + modelDeadline,
+		ArrivedAt: m.now,
+		Deadline:  m.now + modelDeadline,
 	}
-	asked.pending = p.dispatcher.Submit(request, func(time.Duration) {}, func(response *Response) {
-		asked.finals = append(asked.finals, response)
-		if len(asked.finals) == 1 {
-			w.after(0, then)
+	submitted.pending = p.dispatcher.Submit(request, func(time.Duration) {}, func(response *Response) {
+		submitted.responses = append(submitted.responses, response)
+		if len(submitted.responses) == 1 {
+			m.after(0, onAnswer)
 		}
 	})
 	abandon := func() {
-		if asked.lost = p.life != life; !asked.lost {
-			p.dispatcher.Abandon(asked.pending)
+		if submitted.proxyRestarted = p.startTime != startTime; !submitted.proxyRestarted {
+			p.dispatcher.Abandon(submitted.pending)
 		}
 	}
-	w.after(modelDeadline, abandon)
-	leave := func() { asked.left = true; abandon() }
-	switch w.fault("caller of "+path, callerChoices) {
+	m.after(modelDeadline, abandon)
+	leave := func() { submitted.callerLeft = true; abandon() }
+	switch m.fault("caller of "+path, callerChoices) {
 	case callerLeavesAtOnce:
-		w.after(0, leave)
+		m.after(0, leave)
 	case callerLeavesMidway:
-		w.after(modelWork/2, leave)
+		m.after(modelServiceTime/2, leave)
 	}
 }
 
-// modelPlan is who asks for what: two at once, and one behind the first on its caller's
+// submitRequests is who asks for what: two at once, and one behind the first on its caller's
 // connection (a pipelined one, or one on a kept connection).
-func (w *model) modelPlan() {
-	w.ask("/once/1", true, func() { w.ask("/free/3", false, func() { w.ask("/once/4", true, func() {}) }) })
-	w.ask("/free/2", false, func() {})
+func (m *model) submitRequests() {
+	m.submit("/once/1", true, func() { m.submit("/free/3", false, func() { m.submit("/once/4", true, func() {}) }) })
+	m.submit("/free/2", false, func() {})
 }
 
-// faulty lists what a run did wrong.
-func (w *model) faulty() []string {
-	wrong := []string{}
-	add := func(rule, text string, values ...any) { wrong = append(wrong, rule+": "+fmt.Sprintf(text, values...)) }
-	for _, id := range w.cancelled {
+// violations lists what a run did wrong.
+func (m *model) violations() []string {
+	violations := []string{}
+	add := func(rule, text string, values ...any) {
+		violations = append(violations, rule+": "+fmt.Sprintf(text, values...))
+	}
+	for _, id := range m.cancelled {
 		if strings.Contains(id, "/once/") {
 			add("cancelled", "%s was broken off", id)
 		}
 	}
-	for _, asked := range w.asked {
-		runs := w.runs[asked.name]
-		if asked.lost || asked.left {
-			if asked.once && len(runs) > 1 {
-				add("once", "%s ran %d times", asked.name, len(runs))
+	for _, request := range m.requests {
+		runs := m.runs[request.name]
+		if request.proxyRestarted || request.callerLeft {
+			if request.atMostOnce && len(runs) > 1 {
+				add("once", "%s ran %d times", request.name, len(runs))
 			}
 			continue
 		}
-		if len(asked.finals) != 1 {
-			add("one-answer", "%s got %d final answers", asked.name, len(asked.finals))
+		if len(request.responses) != 1 {
+			add("one-answer", "%s got %d final answers", request.name, len(request.responses))
 			continue
 		}
-		response := asked.finals[0]
-		if asked.once && len(runs) > 1 {
-			add("once", "%s ran %d times", asked.name, len(runs))
+		response := request.responses[0]
+		if request.atMostOnce && len(runs) > 1 {
+			add("once", "%s ran %d times", request.name, len(runs))
 		}
-		if len(w.offers[asked.name]) > 2 {
-			add("most-upstreams", "%s was offered to %d upstreams", asked.name, len(w.offers[asked.name]))
+		if len(m.offers[request.name]) > 2 {
+			add("most-upstreams", "%s was offered to %d upstreams", request.name, len(m.offers[request.name]))
 		}
 		switch response.Status {
 		case http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusMisdirectedRequest:
 			if len(runs) > 0 {
-				add("promise", "%s was told %d (%s) and ran", asked.name, response.Status, response.Code)
+				add("promise", "%s was told %d (%s) and ran", request.name, response.Status, response.Code)
 			}
 			if response.Code != errcode.OK && response.RetryAfter <= 0 {
-				add("retry-after", "%s was told %d without a time", asked.name, response.Status)
+				add("retry-after", "%s was told %d without a time", request.name, response.Status)
 			}
 		}
 		if response.Code != errcode.OK {
 			continue
 		}
-		own := false
+		found := false
 		for _, run := range runs {
-			own = own || run.whole != "" && run.whole == string(response.Body) && run.status == response.Status
+			found = found || run.completeBody != "" && run.completeBody == string(response.Body) && run.status == response.Status
 		}
-		if !own {
-			add("own-answer", "%s was answered %d %q", asked.name, response.Status, response.Body)
+		if !found {
+			add("own-answer", "%s was answered %d %q", request.name, response.Status, response.Body)
 		}
 	}
-	return wrong
+	return violations
 }
--- a/internal/frontend/native.go
+++ b/internal/frontend/native.go
@@ -14,16 +14,17 @@
 	"beaconvane/internal/routeconfig"
 )
 
-// Names under which a caller shows its tenant's key.
+// The header and the query parameter that carry a tenant's API key.
 const (
 	APIKeyHeader = "X-Api-Key"
 	KeyParam     = "api_key"
 )
 
-// NativeProtocol is the product's own way for callers to speak (docs/operators/requests.md).
+// NativeProtocol is the default protocol for callers (docs/operators/requests.md).
 type NativeProtocol struct{}
 
-// Metadata takes keys from the header of their own, from Authorization and from the query.
+// Metadata reads API keys from APIKeyHeader, Authorization and the query, and the delegation token
+// and the calling service from their headers.
 func (NativeProtocol) Metadata(request *Request) Metadata {
 	return Metadata{
 		APIKeys:         apiKeys(request),
@@ -32,7 +33,7 @@
 	}
 }
 
-// RoutingPath returns the normalised path.
+// RoutingPath returns the normalized path.
 func (NativeProtocol) RoutingPath(request *Request) (string, errcode.Code) {
 	path, err := routeconfig.NormalizePath(request.RawPath)
 	if err != nil {
@@ -41,19 +42,19 @@
 	return path, errcode.OK
 }
 
-// PathExposesKey reports whether a key stands in the path, in whatever form.
+// PathExposesKey reports whether the path contains a key, plain or percent-encoded.
 func (NativeProtocol) PathExposesKey(request *Request, keys []string, configurations []*routeconfig.Configuration) bool {
 	return exposesKey(request.RawPath, keys, configurations)
 }
 
-// Sanitize removes what the mesh sets itself, headers that end at this hop, and keys wherever
-// they stand.
+// Sanitize removes headers that the mesh sets, hop-by-hop headers, and every header and query
+// parameter that contains a key.
 func (NativeProtocol) Sanitize(request *Request, keys []string, configurations []*routeconfig.Configuration) {
 	sanitizeHeaders(request, keys, configurations)
 	sanitizeQuery(request, keys, configurations)
 }
 
-// WriteResponse writes a refusal, with the time to come back in whole seconds.
+// WriteResponse writes a refusal, with Retry-After rounded up to whole seconds.
 func (NativeProtocol) WriteResponse(out http.ResponseWriter, response *Response) {
 	if response.RetryAfter > 0 {
 		seconds := (response.RetryAfter + time.Second - 1) / time.Second
@@ -62,12 +63,13 @@
 	WriteRefusal(out, response)
 }
 
-// WriteRefusal writes a refusal's head, with its code, and its body, which says the same in JSON.
+// WriteRefusal writes a refusal: its status, CodeHeader, and a JSON body with the code's number,
+// name and description.
 func WriteRefusal(out http.ResponseWriter, response *Response) {
 	out.Header().Set(CodeHeader, strconv.Itoa(int(response.Code)))
 	out.Header().Set("Content-Type", "application/json")
 	out.WriteHeader(response.Status)
-	// A caller that has gone sees its connection end; there is nobody else to tell.
+	// A write fails only if the caller has disconnected.
 	_ = json.NewEncoder(out).Encode(map[string]any{
 		"code":   int(response.Code),
 		"result": response.Code.String(),
@@ -75,7 +77,7 @@
 	})
 }
 
-// apiKeys returns every key that a request shows where keys belong.
+// apiKeys returns the non-empty keys of APIKeyHeader, Authorization and the query, in this order.
 func apiKeys(request *Request) []string {
 	keys := slices.Clone(request.Header.Values(APIKeyHeader))
 	for _, value := range request.Header.Values("Authorization") {
--- a/internal/frontend/outcome.go
+++ b/internal/frontend/outcome.go
@@ -10,18 +10,18 @@
 	"beaconvane/internal/message"
 )
 
-// reservedHeaderPrefix begins the headers that only the mesh itself may send.
+// reservedHeaderPrefix is the prefix of response headers that only the mesh may send.
 const reservedHeaderPrefix = "X-Beacon-"
 
-// A saturated upstream's backoff doubles up to maxBackoffDoublings times, and is bounded by one
-// shortest backoff for every proxiesPerBackoff proxies.
+// The backoff of a saturated upstream doubles up to maxBackoffDoublings times. Its upper bound
+// grows by one shortest backoff for every proxiesPerBackoff proxies.
 const (
 	maxBackoffDoublings = 4
 	proxiesPerBackoff   = 8
 )
 
-// evaluateOutcome takes the outcome of an attempt: it learns from it, and returns the final answer,
-// or nil for another attempt.
+// evaluateOutcome updates the upstream's statistics with the outcome of an attempt. It returns the
+// final answer, or nil for another attempt.
 func (f *Frontend) evaluateOutcome(now time.Duration, request *Request, outcome message.Outcome) *Response {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -48,8 +48,8 @@
 	return f.decideRetry(now, request, status, code)
 }
 
-// upstreamResponse is an upstream's own answer. An upstream that sends a header of the mesh's must
-// not pass for the mesh.
+// upstreamResponse returns an upstream's answer without headers reserved for the mesh, so that an
+// upstream can't impersonate the mesh.
 func upstreamResponse(outcome message.Outcome) *Response {
 	headers := slices.DeleteFunc(slices.Clone(outcome.Headers), func(line message.HeaderLine) bool {
 		return strings.HasPrefix(http.CanonicalHeaderKey(line.Name), reservedHeaderPrefix)
@@ -57,7 +57,8 @@
 	return &Response{Code: errcode.OK, Status: int(outcome.Status), Headers: headers, Body: outcome.Body}
 }
 
-// observeRefusal takes a serving proxy's refusal into the selection at once.
+// observeRefusal excludes the refusing upstream, or all upstreams of a lost serving proxy, from
+// selection for a time that depends on the code.
 func (f *Frontend) observeRefusal(now time.Duration, stats *upstreamStats, request *Request, code errcode.Code) {
 	switch code {
 	case errcode.BusySlotsFull, errcode.BusyQueueFull:
@@ -75,7 +76,8 @@
 	}
 }
 
-// avoidServingProxy keeps requests for a while from every upstream beside a serving proxy.
+// avoidServingProxy excludes every upstream of a serving proxy from selection for two update
+// intervals.
 func (f *Frontend) avoidServingProxy(now time.Duration, address string) {
 	for _, registrations := range f.snapshot.Upstreams {
 		for _, registration := range registrations {
@@ -86,17 +88,17 @@
 	}
 }
 
-// saturationBackoff is how long an upstream that refused so many times in a row for want of a slot
-// is left alone. Where many proxies ask the same upstreams each may ask more seldom, and their
-// requests must not fill its proxy's link only to be refused.
+// saturationBackoff returns how long an upstream gets no requests after a number of consecutive
+// refusals because its slots or its queue were full. With many proxies, each must try less often:
+// otherwise requests that are only refused fill the link of the upstream's serving proxy.
 func (f *Frontend) saturationBackoff(refusals int) time.Duration {
 	shortest := f.settings.UpdatesEvery() / 4
 	longest := min(shortest*time.Duration(max(1, f.snapshot.ProxyCount/proxiesPerBackoff)), f.settings.UpdatesEvery()*4)
 	return min(shortest<<min(refusals-1, maxBackoffDoublings), longest)
 }
 
-// abandon gives the answer to a request that ends without an outcome. Where an attempt is out,
-// nobody knows whether it runs.
+// abandon returns the answer to a request that ends without an outcome. attemptOut reports whether
+// an attempt was sent; it is then unknown whether the attempt ran.
 func (f *Frontend) abandon(request *Request, attemptOut bool, code errcode.Code) *Response {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -106,17 +108,18 @@
 	return request.refuse(code)
 }
 
-// release takes back the count of an attempt that no outcome will end.
+// release decrements the upstream's attempts in flight for an attempt that will have no outcome.
 func (f *Frontend) release(request *Request) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.statsOf(upstreamKey(request.Target)).attemptEnded()
 }
 
-// abandonAttempt learns from an attempt that was given up before its outcome was here.
+// abandonAttempt updates the upstream's transit delay with an attempt that was abandoned before its
+// outcome arrived.
 func (f *Frontend) abandonAttempt(now time.Duration, request *Request) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	usual := f.usualLatency(request.Route.Name)
-	f.statsOf(upstreamKey(request.Target)).observeUnanswered(now, now-request.selectedAt-usual)
+	typical := f.typicalLatency(request.Route.Name)
+	f.statsOf(upstreamKey(request.Target)).observeUnanswered(now, now-request.selectedAt-typical)
 }
--- a/internal/frontend/outcomequery.go
+++ b/internal/frontend/outcomequery.go
@@ -8,50 +8,52 @@
 	"beaconvane/internal/message"
 )
 
-// maxOutcomeQueries is how often one attempt is asked about, each time on a new connection.
+// maxOutcomeQueries is the maximum number of queries for one attempt, each on a new connection.
 const maxOutcomeQueries = 4
 
-// outcomeQuery asks a serving proxy what became of attempts whose connection broke. What it says
-// is running is waited for as long as a connection to it stands and the request has time: an
-// upstream at work is no reason to end a request. Only what nobody answers for is unknown.
+// outcomeQuery asks a serving proxy for the outcomes of attempts whose connection broke. An attempt
+// that the serving proxy reports as running stays pending until the request's deadline, or until
+// connections to the serving proxy fail: a running upstream is no reason to end a request. Only an
+// attempt without a reply becomes unknown.
 type outcomeQuery struct {
-	dispatcher   *Dispatcher
-	servingProxy string
-	remaining    int // further queries
-	connection   Connection
+	dispatcher       *Dispatcher
+	servingProxy     string
+	remainingQueries int // after this one
+	connection       Connection
 
-	lock    sync.Mutex
-	births  map[string]int64 // of the serving proxies that the attempts were sent to, by attempt
-	running map[string]bool
+	lock       sync.Mutex
+	startTimes map[string]int64 // by attempt id: start time of the serving proxy it was sent to
+	running    map[string]bool
 }
 
 // queryOutcomes asks about attempts, each given with the birth of the serving proxy that it was
 // sent to.
-func (d *Dispatcher) queryOutcomes(servingProxy string, births map[string]int64, remaining int) {
+func (d *Dispatcher) queryOutcomes(servingProxy string, startTimes map[string]int64, remaining int) {
 	q := &outcomeQuery{
-		dispatcher:   d,
-		servingProxy: servingProxy,
-		remaining:    remaining - 1,
-		births:       births,
-		running:      map[string]bool{},
+		dispatcher:       d,
+		servingProxy:     servingProxy,
+		remainingQueries: remaining - 1,
+		startTimes:       startTimes,
+		running:          map[string]bool{},
 	}
-	ids := slices.Sorted(maps.Keys(births))
+	ids := slices.Sorted(maps.Keys(startTimes))
 	requests := make([]message.OutcomeRequest, 0, len(ids))
 	for _, id := range ids {
-		requests = append(requests, message.OutcomeRequest{ID: id, ServingProxyStartTime: births[id]})
+		requests = append(requests, message.OutcomeRequest{ID: id, ServingProxyStartTime: startTimes[id]})
 	}
 	connection := d.environment.Open(servingProxy, q.received, q.connectionLost)
 	q.lock.Lock()
 	q.connection = connection
 	q.lock.Unlock()
 	for _, request := range requests {
-		// An attempt whose query can't be posted goes unanswered, and expires below.
+		// An attempt whose query can't be posted gets no reply, and expires below.
 		_ = connection.Post(request)
 	}
 	d.environment.After(d.settings.UpdatesEvery()*2, func() { q.expireUnanswered(ids) })
 }
 
-// received takes an answer to the query, or the outcome that comes later.
+// received processes a reply to the query, or the outcome of an attempt that was reported as
+// running. It closes the connection once every attempt is resolved.
 func (q *outcomeQuery) received(msg any) {
 	outcome, isOutcome := msg.(message.Outcome)
 	if !isOutcome {
@@ -61,17 +63,17 @@
 	if outcome.Kind == message.StillRunning {
 		q.running[outcome.ID] = true
 	} else {
-		delete(q.births, outcome.ID)
+		delete(q.startTimes, outcome.ID)
 	}
-	settled, connection := len(q.births) == 0, q.connection
+	resolved, connection := len(q.startTimes) == 0, q.connection
 	q.lock.Unlock()
 	q.dispatcher.handleReply(msg)
-	if settled {
+	if resolved {
 		connection.Close()
 	}
 }
 
-// expireUnanswered ends the attempts for which the serving proxy has not answered in time.
+// expireUnanswered resolves the attempts without a reply as unknown.
 func (q *outcomeQuery) expireUnanswered(ids []string) {
 	for _, id := range ids {
 		if q.dropUnanswered(id) {
@@ -81,24 +83,24 @@
 	q.closeWhenSettled()
 }
 
-// dropUnanswered stops asking about an attempt of which nothing was heard, and reports whether it
-// was one.
+// dropUnanswered removes an attempt if the serving proxy has sent no reply for it, and reports
+// whether it did.
 func (q *outcomeQuery) dropUnanswered(id string) bool {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	_, open := q.births[id]
-	if !open || q.running[id] {
+	_, unresolved := q.startTimes[id]
+	if !unresolved || q.running[id] {
 		return false
 	}
-	delete(q.births, id)
+	delete(q.startTimes, id)
 	return true
 }
 
-// closeWhenSettled closes the connection once no request waits for anything on it, and otherwise
-// looks again a while later.
+// closeWhenSettled closes the connection if none of its attempts is pending. Otherwise it checks
+// again after one heartbeat timeout.
 func (q *outcomeQuery) closeWhenSettled() {
 	q.lock.Lock()
-	ids, connection := slices.Collect(maps.Keys(q.births)), q.connection
+	ids, connection := slices.Collect(maps.Keys(q.startTimes)), q.connection
 	q.lock.Unlock()
 	if !q.dispatcher.anyPending(ids) {
 		connection.Close()
@@ -107,27 +109,27 @@
 	q.dispatcher.environment.After(q.dispatcher.settings.HeartbeatTimeout(), q.closeWhenSettled)
 }
 
-// connectionLost asks again about what is still open, if this connection came about and not too
-// often. Otherwise it is unknown.
+// connectionLost starts another query for the attempts that are still pending, if this connection
+// was established and queries remain. Otherwise it resolves them as unknown.
 func (q *outcomeQuery) connectionLost(connection Connection) {
 	q.lock.Lock()
-	births := maps.Clone(q.births)
-	clear(q.births)
+	startTimes := maps.Clone(q.startTimes)
+	clear(q.startTimes)
 	q.lock.Unlock()
-	maps.DeleteFunc(births, func(id string, _ int64) bool { return !q.dispatcher.anyPending([]string{id}) })
-	if len(births) == 0 {
+	maps.DeleteFunc(startTimes, func(id string, _ int64) bool { return !q.dispatcher.anyPending([]string{id}) })
+	if len(startTimes) == 0 {
 		return
 	}
-	if connection.Established() && q.remaining > 0 {
-		q.dispatcher.queryOutcomes(q.servingProxy, births, q.remaining)
+	if connection.Established() && q.remainingQueries > 0 {
+		q.dispatcher.queryOutcomes(q.servingProxy, startTimes, q.remainingQueries)
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(births)) {
+	for _, id := range slices.Sorted(maps.Keys(startTimes)) {
 		q.dispatcher.deliverOutcome(unknownOutcome(id))
 	}
 }
 
-// anyPending reports whether some request still waits for one of these attempts.
+// anyPending reports whether at least one of the attempts has no outcome yet.
 func (d *Dispatcher) anyPending(attemptIDs []string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/frontend/pending.go
+++ b/internal/frontend/pending.go
@@ -7,8 +7,8 @@
 	"beaconvane/internal/message"
 )
 
-// PendingRequest is a request without a final answer yet. At most one attempt of it is out at a
-// time.
+// PendingRequest is a request without a final answer. At most one of its attempts is in progress at
+// a time.
 type PendingRequest struct {
 	Request     *Request
 	onAdmitted  func(deadline time.Duration)
@@ -16,20 +16,20 @@
 	submittedAt time.Duration
 
 	lock       sync.Mutex
-	attemptID  string     // of the attempt that is out; "" for none
-	connection Connection // on which that attempt went out; nil for this proxy itself
-	resolving  bool       // an outcome is in; the answer or the next attempt follows from it
+	attemptID  string     // of the attempt in progress; "" for none
+	connection Connection // on which that attempt was sent; nil if this proxy is the serving proxy
+	resolving  bool       // an outcome has arrived; the answer or the next attempt follows
 	finished   bool
 }
 
-// AttemptOutcome is the outcome of an attempt on its way to StageOutcome.
+// AttemptOutcome is an item of StageOutcome: an attempt's outcome and its request.
 type AttemptOutcome struct {
 	Pending *PendingRequest
 	Outcome message.Outcome
 }
 
-// beginAttempt notes the attempt that goes out now. It returns false when the request has been
-// answered meanwhile.
+// beginAttempt records the attempt that is about to be sent. It returns false if the request has
+// its final answer.
 func (p *PendingRequest) beginAttempt(attemptID string, connection Connection) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -40,8 +40,8 @@
 	return true
 }
 
-// claimOutcome reports whether an outcome is the first one of the attempt that is out. From then
-// on no other outcome counts for that attempt.
+// claimOutcome reports whether an outcome is the first one of the attempt in progress. After that,
+// it returns false for every other outcome of that attempt.
 func (p *PendingRequest) claimOutcome(attemptID string) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -52,14 +52,14 @@
 	return true
 }
 
-// sentOn reports whether the attempt that is out went on a certain connection.
+// sentOn reports whether the latest attempt was sent on the given connection.
 func (p *PendingRequest) sentOn(connection Connection) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.connection == connection
 }
 
-// finish reports whether the request had no final answer before. Only the first call does.
+// finish marks the request as answered. It returns false if it already was.
 func (p *PendingRequest) finish() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -70,8 +70,8 @@
 	return true
 }
 
-// abandon ends the request, unless an answer is on its way. It gives the attempt that is out, if
-// there is one, and its connection.
+// abandon marks the request as answered, unless it already is or an outcome is being processed. It
+// returns the attempt in progress, if any, and its connection.
 func (p *PendingRequest) abandon() (attemptID string, connection Connection, abandoned bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/frontend/pipeline.go
+++ b/internal/frontend/pipeline.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// stageWorkers is how many goroutines serve each stage of the pipeline.
+	// stageWorkers is the number of goroutines of each of the stages admit, select and outcome.
 	stageWorkers = 4
 
-	// Queue lengths of the stages, in units of the limit on requests inside. The outcome queue
-	// takes an outcome of every request inside, and some that come late, so it is never full.
+	// Queue capacities as multiples of the limit on requests in flight. The outcome queue is
+	// never full, since it can hold an outcome of every request in flight and some late ones.
 	outcomeQueueFactor = 2
 	outcomeQueueExtra  = 16
 	startQueueFactor   = 4
 )
 
-// Pipeline runs the Dispatcher of a real process: stages of a few workers each, joined by bounded
-// queues. ServeHTTP is its first stage; it bounds the number of requests inside, and waits for
-// each one's answer. A full queue refuses at once.
+// Pipeline runs the Dispatcher of a real process in stages, connected by bounded queues. ServeHTTP
+// is the first stage: it limits the number of requests in flight, and waits for the answer to each.
+// A request is refused immediately if a queue is full.
 type Pipeline struct {
 	*Dispatcher
 	settings   settings.Settings
@@ -47,8 +47,8 @@
 	random       *mathrand.Rand
 }
 
-// NewPipeline joins a frontend and a backend to the queues and connections of a real process.
-// Notices for the control state go to notify.
+// NewPipeline creates the pipeline of a frontend and a backend, with the queues and connections of a
+// real process. notify receives the notices for the control state.
 func NewPipeline(
 	cfg settings.Settings,
 	front *Frontend,
@@ -76,12 +76,13 @@
 	return p
 }
 
-// lockedSource lets the workers of a stage share a random source.
+// lockedSource is a random source that is safe for concurrent use by the workers.
 type lockedSource struct {
 	lock   *sync.Mutex
 	source mathrand.Source
 }
 
+// newLockedSource returns a source with a random seed.
 func newLockedSource() lockedSource {
 	return lockedSource{&sync.Mutex{}, mathrand.NewPCG(mathrand.Uint64(), mathrand.Uint64())}
 }
@@ -93,22 +94,22 @@
 	return l.source.Uint64()
 }
 
-// Start begins the workers.
+// Start starts the workers. network carries the frames to other proxies.
 func (p *Pipeline) Start(network *transport.Transport) {
 	p.transport = network
 	for range stageWorkers {
-		p.goroutines.Go("stage.admit", func(ctx context.Context) { work(ctx, p.admitQueue, p.Admit) })
-		p.goroutines.Go("stage.select", func(ctx context.Context) { work(ctx, p.selectQueue, p.SelectUpstream) })
+		p.goroutines.Go("stage.admit", func(ctx context.Context) { runWorker(ctx, p.admitQueue, p.Admit) })
+		p.goroutines.Go("stage.select", func(ctx context.Context) { runWorker(ctx, p.selectQueue, p.SelectUpstream) })
 		p.goroutines.Go("stage.outcome", func(ctx context.Context) {
-			work(ctx, p.outcomeQueue, func(item *AttemptOutcome) { p.HandleOutcome(*item) })
+			runWorker(ctx, p.outcomeQueue, func(item *AttemptOutcome) { p.HandleOutcome(*item) })
 		})
 	}
-	p.goroutines.Go("stage.serving", func(ctx context.Context) { work(ctx, p.startQueue, p.startCall) })
-	p.goroutines.Go("stage.expire", p.runExpire)
+	p.goroutines.Go("stage.serving", func(ctx context.Context) { runWorker(ctx, p.startQueue, p.startCall) })
+	p.goroutines.Go("stage.expire", p.runExpiry)
 }
 
-// work runs a stage's step on each item of its queue.
-func work[T any](ctx context.Context, queue chan T, step func(item T)) {
+// runWorker runs a stage's step on each item of its queue until ctx ends.
+func runWorker[T any](ctx context.Context, queue chan T, step func(item T)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -119,15 +120,15 @@
 	}
 }
 
-// startCall calls the upstream in a goroutine of its own.
+// startCall calls the upstream in a new goroutine.
 func (p *Pipeline) startCall(decision *backend.Decision) {
 	p.goroutines.Go("stage.call", func(context.Context) {
 		p.Complete(*decision, p.client.Call(*decision))
 	})
 }
 
-// runExpire ends, in steady steps, queued requests and idle connections whose time is up.
-func (p *Pipeline) runExpire(ctx context.Context) {
+// runExpiry periodically ends expired queued requests and idle connections to upstreams.
+func (p *Pipeline) runExpiry(ctx context.Context) {
 	ticker := time.NewTicker(p.settings.UpdatesEvery() / 4)
 	defer ticker.Stop()
 	for {
@@ -141,8 +142,8 @@
 	}
 }
 
-// Announce takes a heartbeat of an upstream, and renews the guard connection to it where
-// upstreams do not prove themselves. It returns false when a higher incarnation is known.
+// Announce processes an upstream's heartbeat. If the proof is by connection, it also renews the
+// guard connection to the upstream. It returns false if a higher incarnation is known.
 func (p *Pipeline) Announce(announcement backend.Announcement) bool {
 	if !p.Dispatcher.Announce(announcement) {
 		return false
@@ -154,14 +155,14 @@
 	return true
 }
 
-// HandlePeerFrame takes a frame from another proxy. It returns false for frames that are not
-// part of the traffic of requests.
+// HandlePeerFrame processes a frame from another proxy. It returns false if the frame is not request
+// traffic.
 func (p *Pipeline) HandlePeerFrame(_ string, msg any, reply func(msg any) error) bool {
 	return p.HandleFrame(msg, reply)
 }
 
-// InFlight counts the requests that are not finished: those of callers here, and those forwarded
-// to upstreams here.
+// InFlight returns the number of unfinished requests: those of this proxy's callers, and those
+// forwarded to its upstreams.
 func (p *Pipeline) InFlight() int64 {
 	running, queued := p.serving.Running()
 	return p.inFlight.Load() + int64(running+queued)
--- a/internal/frontend/pipeline_environment.go
+++ b/internal/frontend/pipeline_environment.go
@@ -9,45 +9,46 @@
 	"beaconvane/internal/backend"
 )
 
-// The Pipeline is the Environment of its own Dispatcher.
+// Pipeline implements the Environment of its Dispatcher.
 var _ Environment = (*Pipeline)(nil)
 
 // Now returns the process clock.
 func (p *Pipeline) Now() time.Duration { return p.goroutines.Now() }
 
-// Wall returns the time of day.
+// Wall returns the wall-clock time.
 func (p *Pipeline) Wall() time.Time { return time.Unix(0, int64(p.goroutines.Wall())) }
 
-// Random returns the random source of the traffic side.
+// Random returns the random source for decisions on requests.
 func (p *Pipeline) Random() *mathrand.Rand { return p.random }
 
-// Notify hands a notice to the control state.
+// Notify passes a notice to the control state.
 func (p *Pipeline) Notify(notice any) { p.notify(notice) }
 
-// Cancel breaks off the exchange of an attempt with its upstream.
+// Cancel aborts the exchange of an attempt with its upstream.
 func (p *Pipeline) Cancel(attemptID string) { p.client.Cancel(attemptID) }
 
-// Backlog is how long a frame that was posted now would wait for the machine's link.
+// Backlog returns how long a frame posted now would wait for the machine's link.
 func (p *Pipeline) Backlog() time.Duration { return p.transport.Backlog() }
 
-// Enqueue puts an item into the queue before a stage. It returns false when the queue is full.
+// Enqueue adds an item to the queue of a stage. It returns false if the queue is full.
 func (p *Pipeline) Enqueue(stage Stage, item any) bool {
 	switch queued := item.(type) {
 	case *PendingRequest:
 		if stage == StageAdmit {
-			return offer(p.admitQueue, queued)
+			return tryEnqueue(p.admitQueue, queued)
 		}
-		return offer(p.selectQueue, queued)
+		return tryEnqueue(p.selectQueue, queued)
 	case AttemptOutcome:
-		return offer(p.outcomeQueue, &queued)
+		return tryEnqueue(p.outcomeQueue, &queued)
 	case backend.Decision:
-		return offer(p.startQueue, &queued)
+		return tryEnqueue(p.startQueue, &queued)
 	}
-	// A programming error: the Dispatcher knows what each stage takes.
-	panic(fmt.Sprintf("frontend: stage %d takes no %T", stage, item))
+	// A programming error in the Dispatcher.
+	panic(fmt.Sprintf("frontend: enqueue an item for stage %d: unsupported type %T", stage, item))
 }
 
-func offer[T any](queue chan T, item T) bool {
+// tryEnqueue adds an item to a queue without blocking. It returns false if the queue is full.
+func tryEnqueue[T any](queue chan T, item T) bool {
 	select {
 	case queue <- item:
 		return true
@@ -56,28 +57,29 @@
 	}
 }
 
-// Open makes a traffic connection to a serving proxy. closed is called once when it breaks.
-func (p *Pipeline) Open(servingProxy string, received func(msg any), closed func(connection Connection)) Connection {
-	connection := p.transport.OpenTraffic(servingProxy, received)
+// Open opens a traffic connection to a serving proxy. onMessage is called for each frame received,
+// and onClosed once when the connection breaks, unless the process stops first.
+func (p *Pipeline) Open(servingProxy string, onMessage func(msg any), onClosed func(connection Connection)) Connection {
+	connection := p.transport.OpenTraffic(servingProxy, onMessage)
 	p.goroutines.Go("stage.watch", func(ctx context.Context) {
 		select {
 		case <-ctx.Done():
 		case <-connection.Closed():
-			closed(connection)
+			onClosed(connection)
 		}
 	})
 	return connection
 }
 
-// After calls back once the time has passed.
-func (p *Pipeline) After(wait time.Duration, then func()) {
+// After calls callback once delay has passed, unless the process stops first.
+func (p *Pipeline) After(delay time.Duration, callback func()) {
 	p.goroutines.Go("stage.after", func(ctx context.Context) {
-		timer := time.NewTimer(wait)
+		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-			then()
+			callback()
 		}
 	})
 }
--- a/internal/frontend/protocol.go
+++ b/internal/frontend/protocol.go
@@ -8,31 +8,31 @@
 	"beaconvane/internal/routeconfig"
 )
 
-// Metadata is what a request says of its caller.
+// Metadata is the information about the caller that a request carries.
 type Metadata struct {
-	APIKeys         []string      // of tenants; the first one counts
-	DelegationToken string        // of a running request, on whose behalf its upstream asks
-	CallingService  string        // where callers name theirs
-	AttemptName     string        // the caller's own name of this try; "" for none
-	Timeout         time.Duration // how long the caller waits; 0: not told
+	APIKeys         []string      // of tenants; the first one authenticates the request
+	DelegationToken string        // identifies the running request on whose behalf its upstream calls
+	CallingService  string        // as named by the caller; "" if not named
+	AttemptName     string        // the caller's name for this attempt; "" for none
+	Timeout         time.Duration // how long the caller waits; 0 if unknown
 }
 
-// Protocol is how callers speak: where a request says who asks, by which path it is routed, what
-// of it must not reach an upstream, and how the mesh's own answers are written. NativeProtocol is
-// the product's own; adapters bring others.
+// Protocol defines how callers identify themselves, the path by which a request is routed, which
+// data of a request must not reach an upstream, and the form of the mesh's own answers.
+// NativeProtocol is the default; adapters implement others.
 type Protocol interface {
-	// Metadata reads what a request says of its caller.
+	// Metadata reads the caller's information from a request.
 	Metadata(request *Request) Metadata
 
 	// RoutingPath returns the path by which the request's route is found.
 	RoutingPath(request *Request) (path string, code errcode.Code)
 
-	// PathExposesKey reports whether the path shows a key, which can't be taken out of it.
+	// PathExposesKey reports whether the path contains a key, which Sanitize can't remove from it.
 	PathExposesKey(request *Request, keys []string, configurations []*routeconfig.Configuration) bool
 
-	// Sanitize removes what must not reach an upstream: keys, and what the mesh sets itself.
+	// Sanitize removes what must not reach an upstream: keys, and headers that the mesh sets.
 	Sanitize(request *Request, keys []string, configurations []*routeconfig.Configuration)
 
-	// WriteResponse writes an answer of the mesh's own.
+	// WriteResponse writes an answer that the mesh generated.
 	WriteResponse(out http.ResponseWriter, response *Response)
 }
--- a/internal/frontend/registration.go
+++ b/internal/frontend/registration.go
@@ -6,23 +6,23 @@
 	"beaconvane/internal/proxy"
 )
 
-// Announce takes the announcement of an upstream here. It returns false when a higher incarnation
-// of that upstream is known.
+// Announce processes the announcement of an upstream of this serving proxy. It returns false if a
+// higher incarnation of that upstream is known.
 func (d *Dispatcher) Announce(announcement backend.Announcement) bool {
-	d.heardAnnouncement.Store(true)
+	d.processStartTime.Store(true)
 	return d.register(announcement)
 }
 
-// register lets an announcement take effect here, and tells the control state.
+// register applies an announcement to the backend and notifies the control state of the result.
 func (d *Dispatcher) register(announcement backend.Announcement) bool {
 	accepted, ended, decisions := d.serving.Announce(d.environment.Now(), announcement)
 	if !accepted {
 		return false
 	}
-	for _, former := range ended {
-		d.environment.Notify(proxy.SignedOff{Service: former.Service, Instance: former.Instance, Incarnation: former.Incarnation})
+	for _, previous := range ended {
+		d.environment.Notify(proxy.SignedOff{Service: previous.Service, Instance: previous.Instance, Incarnation: previous.Incarnation})
 	}
-	// What is registered now, which a late announcement has not altered.
+	// The notice carries the stored registration, since a late announcement may have had no effect.
 	if registered, known := d.serving.Lookup(announcement.Service, announcement.Instance); known {
 		d.environment.Notify(proxy.Announced{Registration: registered.Registration()})
 	}
@@ -30,17 +30,17 @@
 	return true
 }
 
-// mayAdoptUpstreams reports whether this proxy has started so recently that its upstreams have
-// not announced themselves to it yet.
+// mayAdoptUpstreams reports whether this proxy started less than a heartbeat timeout ago and no
+// upstream has announced itself since, and upstreams verify their requests' target themselves.
 func (d *Dispatcher) mayAdoptUpstreams() bool {
 	return d.settings.ProofByTarget() &&
 		d.environment.Now()-d.startedAt < d.settings.HeartbeatTimeout() &&
-		!d.heardAnnouncement.Load()
+		!d.processStartTime.Load()
 }
 
-// adoptUpstreams takes over what the roster says of the upstreams of an earlier run of this
-// proxy, until any upstream has announced itself. That is safe where upstreams prove themselves:
-// a request names its upstream, so whoever stands at the address of one that has gone refuses it.
+// adoptUpstreams registers the upstreams that the roster lists for an earlier run of this proxy. It
+// is safe only where the proof is by target: each request names its upstream, so another process at
+// the address of an upstream that has ended refuses the request.
 func (d *Dispatcher) adoptUpstreams(snapshot *proxy.Snapshot) {
 	for _, registrations := range snapshot.Upstreams {
 		for _, registration := range registrations {
@@ -51,13 +51,15 @@
 	}
 }
 
-// isOrphan reports whether a registration was made at an earlier run of this proxy, and not since.
+// isOrphan reports whether a registration was made with an earlier run of this proxy and its
+// instance is not registered with the present one.
 func (d *Dispatcher) isOrphan(registration message.Registration) bool {
 	return registration.ServingProxy == d.nodeName &&
 		registration.ServingProxyStartTime < d.birth &&
 		!d.serving.HasInstance(registration.Instance)
 }
 
+// announcementOf returns the announcement that corresponds to a registration.
 func announcementOf(registration message.Registration) backend.Announcement {
 	return backend.Announcement{
 		Service:     registration.Service,
@@ -70,17 +72,17 @@
 	}
 }
 
-// RetireInstance ends whatever an instance has registered here. Its name never comes back.
+// RetireInstance ends an instance's registration and bars its name from registering again.
 func (d *Dispatcher) RetireInstance(instance string) {
-	former, found, decisions := d.serving.RetireInstance(d.environment.Now(), instance)
+	previous, found, decisions := d.serving.RetireInstance(d.environment.Now(), instance)
 	if found {
-		d.environment.Notify(proxy.SignedOff{Service: former.Service, Instance: instance, Incarnation: former.Incarnation})
+		d.environment.Notify(proxy.SignedOff{Service: previous.Service, Instance: instance, Incarnation: previous.Incarnation})
 	}
 	d.execute(decisions)
 }
 
-// Deregister ends an upstream's registration. It returns false when it is not registered here;
-// the control state is told all the same.
+// Deregister ends an upstream's registration. It returns false if the upstream is not registered
+// with this proxy; the control state is notified in either case.
 func (d *Dispatcher) Deregister(service, instance string, incarnation int64) bool {
 	found, decisions := d.serving.Deregister(service, instance, incarnation)
 	d.environment.Notify(proxy.SignedOff{Service: service, Instance: instance, Incarnation: incarnation})
--- a/internal/frontend/registration_test.go
+++ b/internal/frontend/registration_test.go
@@ -20,65 +20,65 @@
 	dispatcher *Dispatcher
 	now        time.Duration
 	wall       time.Time
-	response   []any
+	received   []any
 	starts     []backend.Decision
 	full       bool
 }
 
-func (p *recordingEnvironment) Now() time.Duration     { return p.now }
-func (p *recordingEnvironment) Wall() time.Time        { return p.wall }
-func (p *recordingEnvironment) Random() *rand.Rand     { return rand.New(rand.NewPCG(1, 2)) }
-func (p *recordingEnvironment) Backlog() time.Duration { return 0 }
-func (p *recordingEnvironment) Cancel(string)          {}
+func (r *recordingEnvironment) Now() time.Duration     { return r.now }
+func (r *recordingEnvironment) Wall() time.Time        { return r.wall }
+func (r *recordingEnvironment) Random() *rand.Rand     { return rand.New(rand.NewPCG(1, 2)) }
+func (r *recordingEnvironment) Backlog() time.Duration { return 0 }
+func (r *recordingEnvironment) Cancel(string)          {}
 
-func (p *recordingEnvironment) After(time.Duration, func()) {}
-func (p *recordingEnvironment) Notify(notice any)           { p.response = append(p.response, notice) }
+func (r *recordingEnvironment) After(time.Duration, func()) {}
+func (r *recordingEnvironment) Notify(notice any)           { r.received = append(r.received, notice) }
 
-func (p *recordingEnvironment) Enqueue(env Stage, item any) bool {
-	if env == StageStart && !p.full {
-		p.starts = append(p.starts, item.(backend.Decision))
+func (r *recordingEnvironment) Enqueue(stage Stage, item any) bool {
+	if stage == StageStart && !r.full {
+		r.starts = append(r.starts, item.(backend.Decision))
 	}
-	return !p.full
+	return !r.full
 }
 
-func (p *recordingEnvironment) Open(string, func(msg any), func(connection Connection)) Connection {
+func (r *recordingEnvironment) Open(string, func(msg any), func(connection Connection)) Connection {
 	return &fakeConnection{}
 }
 
-// notices gives, in short, what the control machine was told since it was last asked.
-func (p *recordingEnvironment) notices() []string {
-	words := []string{}
-	for _, notice := range p.response {
-		switch response := notice.(type) {
+// takeNotices gives, in short, what the control machine was told since it was last asked.
+func (r *recordingEnvironment) takeNotices() []string {
+	summaries := []string{}
+	for _, notice := range r.received {
+		switch typed := notice.(type) {
 		case proxy.Announced:
-			words = append(words, response.Registration.Instance+" "+response.Registration.State)
+			summaries = append(summaries, typed.Registration.Instance+" "+typed.Registration.State)
 		case proxy.SignedOff:
-			words = append(words, response.Instance+" off")
+			summaries = append(summaries, typed.Instance+" off")
 		}
 	}
-	p.response = nil
-	return words
+	r.received = nil
+	return summaries
 }
 
 func newServingDispatcher(proof string) (*recordingEnvironment, *backend.Backend, settings.Settings) {
 	cfg := settings.Default()
 	cfg.Zone, cfg.TargetProof, cfg.CountedRequests = "here", proof, settings.CountBegun
 	serving := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
-	p := &recordingEnvironment{}
-	p.dispatcher = NewDispatcher(cfg, New(cfg, serving.LookupDelegation), serving, p, message.Member{
+	environment := &recordingEnvironment{}
+	environment.dispatcher = NewDispatcher(cfg, New(cfg, serving.LookupDelegation), serving, environment, message.Member{
 		Name:      "proxy/me",
 		Address:   "here:1",
 		StartTime: 7,
 	})
-	return p, serving, cfg
+	return environment, serving, cfg
 }
 
-func beside(instance, address, state string, birth int64) message.Registration {
+func localRegistration(instance, address, state string, servingProxyStartTime int64) message.Registration {
 	return message.Registration{Service: "pay", Instance: instance, Incarnation: 1, Address: address, Zone: "here", Slots: 2, State: state,
-		ServingProxy: "proxy/me", ServingProxyAddress: "here:1", ServingProxyStartTime: birth}
+		ServingProxy: "proxy/me", ServingProxyAddress: "here:1", ServingProxyStartTime: servingProxyStartTime}
 }
 
-func rosterOf(registrations ...message.Registration) *proxy.Snapshot {
+func snapshotWith(registrations ...message.Registration) *proxy.Snapshot {
 	return &proxy.Snapshot{
 		ConfigurationsKnown: true,
 		RosterKnown:         true,
@@ -87,7 +87,7 @@
 	}
 }
 
-func announced(instance, address string, number int64) backend.Announcement {
+func newAnnouncement(instance, address string, sequence int64) backend.Announcement {
 	return backend.Announcement{
 		Service:     "pay",
 		Instance:    instance,
@@ -95,26 +95,26 @@
 		Address:     address,
 		Zone:        "here",
 		Slots:       2,
-		Sequence:    number,
+		Sequence:    sequence,
 	}
 }
 
 // After a power cut the upstream has another name at the old address. The roster still
 // holds the old one; the two must not end each other in turn.
-func TestAdoptionEndsWithTheFirstAnnouncement(t *testing.T) {
+func TestAdoptionEndsWithFirstAnnouncement(t *testing.T) {
 	c := qt.New(t)
-	p, serving, _ := newServingDispatcher(settings.ProofTarget)
-	snapshot := rosterOf(beside("old", "up:1", message.StateReady, 6))
-	p.dispatcher.UpdateSnapshot(snapshot)
-	c.Assert(p.notices(), qt.DeepEquals, []string{"old ready"})
-	p.dispatcher.UpdateSnapshot(snapshot)
-	c.Assert(p.notices(), qt.HasLen, 0)
-	c.Assert(p.dispatcher.Announce(announced("new", "up:1", 1)), qt.IsTrue)
-	c.Assert(p.notices(), qt.DeepEquals, []string{"old off", "new ready"})
+	environment, serving, _ := newServingDispatcher(settings.ProofTarget)
+	snapshot := snapshotWith(localRegistration("old", "up:1", message.StateReady, 6))
+	environment.dispatcher.UpdateSnapshot(snapshot)
+	c.Assert(environment.takeNotices(), qt.DeepEquals, []string{"old ready"})
+	environment.dispatcher.UpdateSnapshot(snapshot)
+	c.Assert(environment.takeNotices(), qt.HasLen, 0)
+	c.Assert(environment.dispatcher.Announce(newAnnouncement("new", "up:1", 1)), qt.IsTrue)
+	c.Assert(environment.takeNotices(), qt.DeepEquals, []string{"old off", "new ready"})
 	for range 3 {
-		p.now += 100 * time.Millisecond
-		p.dispatcher.UpdateSnapshot(snapshot)
-		c.Assert(p.notices(), qt.HasLen, 0)
+		environment.now += 100 * time.Millisecond
+		environment.dispatcher.UpdateSnapshot(snapshot)
+		c.Assert(environment.takeNotices(), qt.HasLen, 0)
 		c.Assert(serving.HasInstance("old"), qt.IsFalse)
 		c.Assert(serving.HasInstance("new"), qt.IsTrue)
 	}
@@ -122,33 +122,33 @@
 
 // Nobody is adopted of this process, of another serving proxy, late after the start, or where connections are
 // the proof; one that was leaving is taken as such.
-func TestWhoIsAdopted(t *testing.T) {
-	other := beside("other", "up:1", message.StateReady, 6)
+func TestAdoptedRegistrations(t *testing.T) {
+	other := localRegistration("other", "up:1", message.StateReady, 6)
 	other.ServingProxy = "proxy/other"
-	for name, tried := range map[string]struct {
-		proof    string
-		now      time.Duration
-		response message.Registration
-		wanted   []string
+	for name, test := range map[string]struct {
+		proof        string
+		now          time.Duration
+		registration message.Registration
+		expected     []string
 	}{
-		"an earlier life's": {settings.ProofTarget, 0, beside("old", "up:1", message.StateReady, 6), []string{"old ready"}},
-		"one that leaves":   {settings.ProofTarget, 0, beside("old", "up:1", message.StateDraining, 6), []string{"old leaving"}},
-		"this life's":       {settings.ProofTarget, 0, beside("old", "up:1", message.StateReady, 7), []string{}},
+		"an earlier life's": {settings.ProofTarget, 0, localRegistration("old", "up:1", message.StateReady, 6), []string{"old ready"}},
+		"one that leaves":   {settings.ProofTarget, 0, localRegistration("old", "up:1", message.StateDraining, 6), []string{"old leaving"}},
+		"this life's":       {settings.ProofTarget, 0, localRegistration("old", "up:1", message.StateReady, 7), []string{}},
 		"another home's":    {settings.ProofTarget, 0, other, []string{}},
 		"late": {
 			settings.ProofTarget,
 			settings.Default().HeartbeatTimeout(),
-			beside("old", "up:1", message.StateReady, 6),
+			localRegistration("old", "up:1", message.StateReady, 6),
 			[]string{},
 		},
-		"proof by connection": {settings.ProofConnection, 0, beside("old", "up:1", message.StateReady, 6), []string{}},
+		"proof by connection": {settings.ProofConnection, 0, localRegistration("old", "up:1", message.StateReady, 6), []string{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			p, _, _ := newServingDispatcher(tried.proof)
-			p.now = tried.now
-			p.dispatcher.UpdateSnapshot(rosterOf(tried.response))
-			c.Assert(p.notices(), qt.DeepEquals, tried.wanted)
+			environment, _, _ := newServingDispatcher(test.proof)
+			environment.now = test.now
+			environment.dispatcher.UpdateSnapshot(snapshotWith(test.registration))
+			c.Assert(environment.takeNotices(), qt.DeepEquals, test.expected)
 		})
 	}
 }
@@ -157,37 +157,37 @@
 // a newer one, one behind the last word, and one of an upstream that leaves.
 func TestLateAnnouncementsAreNotPassedOn(t *testing.T) {
 	c := qt.New(t)
-	p, serving, _ := newServingDispatcher(settings.ProofTarget)
-	p.dispatcher.Announce(announced("one", "up:1", 4))
-	c.Assert(p.notices(), qt.DeepEquals, []string{"one ready"})
-	leaving := announced("one", "up:1", 6)
-	leaving.Draining = true
-	p.dispatcher.Announce(leaving)
-	c.Assert(p.notices(), qt.DeepEquals, []string{"one leaving"})
-	p.dispatcher.Announce(announced("one", "up:1", 5))
-	p.dispatcher.Announce(announced("one", "up:1", 7))
-	for _, word := range p.notices() {
-		c.Assert(word, qt.Equals, "one leaving")
+	environment, serving, _ := newServingDispatcher(settings.ProofTarget)
+	environment.dispatcher.Announce(newAnnouncement("one", "up:1", 4))
+	c.Assert(environment.takeNotices(), qt.DeepEquals, []string{"one ready"})
+	draining := newAnnouncement("one", "up:1", 6)
+	draining.Draining = true
+	environment.dispatcher.Announce(draining)
+	c.Assert(environment.takeNotices(), qt.DeepEquals, []string{"one leaving"})
+	environment.dispatcher.Announce(newAnnouncement("one", "up:1", 5))
+	environment.dispatcher.Announce(newAnnouncement("one", "up:1", 7))
+	for _, notice := range environment.takeNotices() {
+		c.Assert(notice, qt.Equals, "one leaving")
 	}
-	p.dispatcher.RetireInstance("one")
-	c.Assert(p.notices(), qt.DeepEquals, []string{"one off"})
-	p.dispatcher.Announce(announced("one", "up:1", 8))
-	p.dispatcher.UpdateSnapshot(rosterOf(beside("one", "up:1", message.StateReady, 6)))
-	c.Assert(p.notices(), qt.HasLen, 0)
+	environment.dispatcher.RetireInstance("one")
+	c.Assert(environment.takeNotices(), qt.DeepEquals, []string{"one off"})
+	environment.dispatcher.Announce(newAnnouncement("one", "up:1", 8))
+	environment.dispatcher.UpdateSnapshot(snapshotWith(localRegistration("one", "up:1", message.StateReady, 6)))
+	c.Assert(environment.takeNotices(), qt.HasLen, 0)
 	c.Assert(serving.HasInstance("one"), qt.IsFalse)
 }
 
 // Usage of what upstreams began: counted as a request begins, in the window in which it
 // did; taken back from that window when the upstream says that it did not run.
-func TestBegunIsCountedAndTakenBack(t *testing.T) {
+func TestUsageOfStartedRequests(t *testing.T) {
 	c := qt.New(t)
-	p, _, cfg := newServingDispatcher(settings.ProofTarget)
-	p.wall = time.Unix(100, 0)
-	window := int64(time.Duration(p.wall.UnixNano()) / cfg.UsageWindow())
-	p.dispatcher.Announce(announced("one", "up:1", 1))
+	environment, _, cfg := newServingDispatcher(settings.ProofTarget)
+	environment.wall = time.Unix(100, 0)
+	window := int64(time.Duration(environment.wall.UnixNano()) / cfg.UsageWindow())
+	environment.dispatcher.Announce(newAnnouncement("one", "up:1", 1))
 	outcomes := []message.Outcome{}
 	forward := func(id, tenant string) {
-		p.dispatcher.HandleFrame(message.Forward{
+		environment.dispatcher.HandleFrame(message.Forward{
 			ID:          id,
 			Service:     "pay",
 			Instance:    "one",
@@ -198,10 +198,10 @@
 			func(msg any) error { outcomes = append(outcomes, msg.(message.Outcome)); return nil })
 	}
 	counts := func(window int64) map[string]int64 {
-		usage, _ := p.dispatcher.frontend.Usage(time.Duration(p.wall.UnixNano()), 0)
-		for _, response := range usage {
-			if response.Window == window {
-				return response.Counts
+		usage, _ := environment.dispatcher.frontend.Usage(time.Duration(environment.wall.UnixNano()), 0)
+		for _, report := range usage {
+			if report.Window == window {
+				return report.Counts
 			}
 		}
 		return nil
@@ -209,22 +209,22 @@
 	forward("a", "t")
 	forward("b", "t")
 	forward("queue", "u")
-	c.Assert(p.starts, qt.HasLen, 2)
+	c.Assert(environment.starts, qt.HasLen, 2)
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 2})
 	// The outcomes come in the next window; so does the start of the one that waited.
-	p.wall = p.wall.Add(cfg.UsageWindow())
-	p.dispatcher.Complete(p.starts[0], message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: true})
+	environment.wall = environment.wall.Add(cfg.UsageWindow())
+	environment.dispatcher.Complete(environment.starts[0], message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: true})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
-	p.dispatcher.Complete(p.starts[1], message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)})
+	environment.dispatcher.Complete(environment.starts[1], message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
 	c.Assert(outcomes, qt.HasLen, 2)
-	p.now += cfg.AddressProofTTL()
-	p.dispatcher.Expire()
-	c.Assert(p.starts, qt.HasLen, 3)
+	environment.now += cfg.AddressProofTTL()
+	environment.dispatcher.Expire()
+	c.Assert(environment.starts, qt.HasLen, 3)
 	c.Assert(counts(window+1), qt.DeepEquals, map[string]int64{"u": 1})
 	// One that finds no room before it is sent was not begun.
-	p.dispatcher.Complete(p.starts[2], message.Outcome{Kind: message.Completed, Status: 200})
-	p.full = true
+	environment.dispatcher.Complete(environment.starts[2], message.Outcome{Kind: message.Completed, Status: 200})
+	environment.full = true
 	forward("late", "t")
 	c.Assert(counts(window + 1)["t"], qt.Equals, int64(0))
 	c.Assert(counts(window + 1)["u"], qt.Equals, int64(1))
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -8,7 +8,7 @@
 	"beaconvane/internal/routeconfig"
 )
 
-// Request is one caller's request, with what each step has found out about it.
+// Request is a caller's request and the state that the processing steps keep for it.
 type Request struct {
 	ID        string
 	Method    string
@@ -17,36 +17,37 @@
 	Header    http.Header
 	Host      string
 	Body      []byte
-	ArrivedAt time.Duration // when its first byte came; 0: not known
+	ArrivedAt time.Duration // when the first byte was received; 0 if unknown
 	Deadline  time.Duration
 
-	// Found at admission.
+	// Set at admission.
 	Path          string
-	AttemptName   string // the caller's own name of this try; "" for none
+	AttemptName   string // the caller's name for this attempt; "" for none
 	Priority      int64
 	Configuration *routeconfig.Configuration
 	Route         routeconfig.Route
 	Tenant        string
 	Caller        string // the calling service
-	countedOpen   bool   // for the usage report
+	countedOpen   bool   // included in Frontend.openRequests
 
-	// The state of its attempts.
-	Service          string // the one that the route's split fell on
-	Tried            map[string]bool
-	Attempts         int   // made so far
-	UpstreamAttempts int64 // of these, those that reached an upstream, or may have
-	MayHaveRun       bool  // by one of these attempts; never taken back
+	// The state of the attempts.
+	Service          string          // picked from the route's traffic split
+	Tried            map[string]bool // by upstreamKey
+	Attempts         int             // made so far
+	UpstreamAttempts int64           // those of Attempts that reached an upstream, or may have
+	MayHaveRun       bool            // an attempt ran or may have run; never reset
 	Target           message.Registration
-	selectedAt       time.Duration // when the target was selected
+	selectedAt       time.Duration // when Target was selected
 }
 
-// nested reports whether the upstream of a running request makes this one. Refusing it, even
-// where it is too late for its own aim, would waste the work of the running one.
+// nested reports whether the upstream of a running request made this request. Refusing it, even if
+// it misses its latency target, would waste the work of the running request.
 func (r *Request) nested() bool {
 	return r.Tenant == "" && r.Configuration != nil && !r.Configuration.Keyless()
 }
 
-// startedAt is when the request's time began: with its first byte, where that is known.
+// startedAt returns the time from which the request's timeout counts: the arrival of its first
+// byte, or now if that is unknown.
 func (r *Request) startedAt(now time.Duration) time.Duration {
 	if r.ArrivedAt > 0 {
 		return r.ArrivedAt
@@ -54,7 +55,8 @@
 	return now
 }
 
-// callerTimeout is how long a caller waits at most, before its route's own deadline is known.
+// callerTimeout returns the maximum time that a request may take. It applies until the route's
+// timeout is known.
 func (f *Frontend) callerTimeout(request *Request) time.Duration {
 	limit := f.settings.RequestTimeout()
 	if timeout := f.protocol.Metadata(request).Timeout; timeout > 0 {
@@ -63,8 +65,8 @@
 	return limit
 }
 
-// startupGrace is how long a request may wait for the first snapshot of a proxy that has only
-// just started.
+// startupGrace returns how long a request may wait for the first complete snapshot after this proxy
+// has started.
 func (f *Frontend) startupGrace(request *Request) time.Duration {
 	if f.settings.ProofByTarget() {
 		return min(f.settings.UpdatesEvery()*4, f.callerTimeout(request)/2)
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -8,11 +8,11 @@
 	"beaconvane/internal/message"
 )
 
-// defaultRetryAfter is when a caller may come back after a refusal whose cause has no known end.
+// defaultRetryAfter is the retry delay for a refusal whose cause has no known duration.
 const defaultRetryAfter = time.Second
 
-// Response is the one final answer to a caller: the upstream's own, or one of the mesh's with its
-// result code.
+// Response is the final answer to a caller: the upstream's answer with errcode.OK, or an answer of
+// the mesh with its result code.
 type Response struct {
 	Code       errcode.Code
 	Status     int
@@ -21,33 +21,34 @@
 	RetryAfter time.Duration
 }
 
-// refusal is why a request is turned away.
+// refusal is the reason for which a request is refused.
 type refusal struct {
 	code       errcode.Code
 	retryAfter time.Duration
 }
 
-// refuseWith makes a refusal of a code. One that a caller may try again says when to come back.
+// refuseWith returns a refusal with a code. It sets a retry delay if the caller may retry.
 func refuseWith(code errcode.Code) *refusal {
-	refused := &refusal{code: code}
+	result := &refusal{code: code}
 	switch code.Status() {
 	case http.StatusServiceUnavailable, http.StatusRequestTimeout:
-		refused.retryAfter = defaultRetryAfter
+		result.retryAfter = defaultRetryAfter
 	}
-	return refused
+	return result
 }
 
-// response is the answer that the caller of a refused request gets.
+// response returns the answer to the refused request.
 func (r *refusal) response() *Response {
 	return &Response{Code: r.code, Status: r.code.Status(), RetryAfter: r.retryAfter}
 }
 
-// NewRefusal makes the answer to a request that is turned away with a code.
+// NewRefusal returns the answer to a request that is refused with a code.
 func NewRefusal(code errcode.Code) *Response { return refuseWith(code).response() }
 
-// setRetryAfter says when the cause of a refusal will most likely be over: news of the control
-// state is a few update intervals away, and a slot is free after a part of a request's time.
-func (f *Frontend) setRetryAfter(response *Response) *Response {
+// adjustRetryAfter sets the retry delay of a refusal to the expected duration of its cause: a new
+// snapshot takes a few update intervals, and a slot becomes free within a fraction of a request's
+// service time. It changes only responses that already have a delay, and returns its argument.
+func (f *Frontend) adjustRetryAfter(response *Response) *Response {
 	switch {
 	case response.RetryAfter == 0 || !f.settings.ProofByTarget() || response.Code == errcode.RequestRouteClosed:
 	case response.Code == errcode.BusyNotReady || response.Code == errcode.BusyStale:
--- a/internal/frontend/retry.go
+++ b/internal/frontend/retry.go
@@ -9,25 +9,25 @@
 	"beaconvane/internal/safeguard"
 )
 
-// freeAttempts is how many attempts a request has that no upstream has seen before retries of it
-// draw on the retry budget.
-const freeAttempts = 4
+// budgetFreeAttempts is the number of attempts that a request may make without spending the retry
+// budget, while none of them has reached an upstream.
+const budgetFreeAttempts = 4
 
-// attemptStatus is what a proxy knows of a request after one attempt.
+// attemptStatus is the result of one attempt, as far as the proxy knows it.
 type attemptStatus int
 
 const (
-	// statusNotSent: no upstream has seen the attempt, and none will.
+	// statusNotSent means that the attempt has not reached an upstream and never will.
 	statusNotSent attemptStatus = iota
-	// statusRejected: an upstream has seen it, and said that it has not run it.
+	// statusRejected means that an upstream received the attempt and reported that it did not run.
 	statusRejected
-	// statusAnswered: the upstream's own whole answer is here.
+	// statusAnswered means that the upstream's complete answer has arrived.
 	statusAnswered
-	// statusUnknown: it has run, runs, or may yet run.
+	// statusUnknown means that the attempt has run, is running, or may run later.
 	statusUnknown
 )
 
-// attemptStatusOf reads an outcome. Whatever it does not know counts as unknown.
+// attemptStatusOf returns the status that an outcome describes. Unrecognized kinds count as unknown.
 func attemptStatusOf(outcome message.Outcome) attemptStatus {
 	switch {
 	case outcome.Kind == message.Completed:
@@ -40,12 +40,13 @@
 	return statusUnknown
 }
 
-// attemptEffect is what the status of an attempt means for those that may follow.
+// attemptEffect is the effect of an attempt's status on further attempts and on the answer.
 type attemptEffect struct {
-	usesUpstream bool // it has used up one of the upstreams that the route allows
-	mayHaveRun   bool // from now on nobody may be told that the request has not run
+	usesUpstream bool // counts towards the route's maximum number of attempts
+	mayHaveRun   bool // from now on, no answer may state that the request did not run
 }
 
+// attemptEffects lists the effect of each status.
 var attemptEffects = map[attemptStatus]attemptEffect{
 	statusNotSent:  {},
 	statusRejected: {usesUpstream: true},
@@ -53,7 +54,7 @@
 	statusUnknown:  {usesUpstream: true, mayHaveRun: true},
 }
 
-// recordAttempt notes the status of an attempt in the request.
+// recordAttempt applies the status of an attempt to the request.
 func (r *Request) recordAttempt(status attemptStatus) {
 	effect := attemptEffects[status]
 	if effect.usesUpstream {
@@ -62,21 +63,22 @@
 	r.MayHaveRun = r.MayHaveRun || effect.mayHaveRun
 }
 
-// provablyNotRun reports whether the caller may still be told that the request has not run.
+// provablyNotRun reports whether an answer may state that the request did not run.
 func (r *Request) provablyNotRun() bool { return !r.MayHaveRun || !safeguard.NoPromiseAfterRun.On() }
 
-// upstreamLimitReached reports whether no further upstream may be offered the request.
+// upstreamLimitReached reports whether the request has made the route's maximum number of attempts
+// at upstreams.
 func (r *Request) upstreamLimitReached() bool {
 	return r.Route.MaxAttempts > 0 && r.UpstreamAttempts >= r.Route.MaxAttempts && safeguard.MostUpstreams.On()
 }
 
-// decideRetry returns the final answer after an attempt that brought none, or nil for another
-// attempt. It is the only place that decides on another attempt; the table "After an attempt" of
-// docs/request-safety.md says the same.
+// decideRetry returns the final answer after an attempt without an upstream's answer, or nil for
+// another attempt. No other function decides on retries. It implements the table "After an attempt"
+// of docs/request-safety.md.
 func (f *Frontend) decideRetry(now time.Duration, request *Request, status attemptStatus, code errcode.Code) *Response {
 	if status == statusUnknown {
 		if request.Route.AtMostOnce && safeguard.OnceOnly.On() || now >= request.Deadline {
-			return NewRefusal(unknownStatusCode(code))
+			return NewRefusal(codeForUnknownStatus(code))
 		}
 	} else {
 		if now >= request.Deadline || code == errcode.BusyDeadline {
@@ -89,8 +91,8 @@
 	switch {
 	case request.upstreamLimitReached():
 		return request.refuse(code)
-	case f.settings.ProofByTarget() && request.UpstreamAttempts == 0 && request.Attempts < freeAttempts:
-		// No upstream has seen it, so nothing is spent.
+	case f.settings.ProofByTarget() && request.UpstreamAttempts == 0 && request.Attempts < budgetFreeAttempts:
+		// The attempt put no load on an upstream, so the retry budget isn't charged.
 		return nil
 	case !f.spendRetry(now, request.Service):
 		return request.refuse(errcode.BusyBudget)
@@ -98,17 +100,17 @@
 	return nil
 }
 
-// unknownStatusCode is what the caller of a request that may have run is told. A code that
-// promises that it has not run is replaced.
-func unknownStatusCode(code errcode.Code) errcode.Code {
+// codeForUnknownStatus returns the code for the caller of a request that may have run. It replaces
+// codes that state that the request did not run.
+func codeForUnknownStatus(code errcode.Code) errcode.Code {
 	if code == errcode.OK || code.Status() == http.StatusServiceUnavailable {
 		return errcode.UnknownOutcome
 	}
 	return code
 }
 
-// refuse ends a request that gets no further attempt. Its answer promises that the request has
-// not run only while that is so.
+// refuse returns the answer to a request that gets no further attempt. The answer states that the
+// request did not run only if no attempt may have run.
 func (r *Request) refuse(code errcode.Code) *Response {
 	if !r.provablyNotRun() {
 		return NewRefusal(errcode.UnknownOutcome)
--- a/internal/frontend/retrybudget.go
+++ b/internal/frontend/retrybudget.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// budgetBuckets is into how many parts the window of a retry budget is split.
+	// budgetBuckets is the number of buckets of a retry budget's window.
 	budgetBuckets = 20
 
-	// retryShareUsed is the part of the allowed share of retries that a proxy spends, so that the sum
-	// over the fleet keeps clear of the bound.
-	retryShareUsed = 0.9
+	// retryShareFactor is the fraction of the configured retry share that a proxy spends. The
+	// margin keeps the total of the fleet below the bound.
+	retryShareFactor = 0.9
 )
 
-// retryBudget counts a service's first attempts and retries of the last window, in a ring of
-// buckets. One bucket more than the window has is kept, for retries that have just left it.
+// retryBudget counts a service's first attempts and retries of the last window in a ring of
+// buckets. The ring has one bucket more than the window, so that retries that have just left the
+// window still count.
 type retryBudget struct {
 	bucketNumbers [budgetBuckets + 1]int64
 	firstAttempts [budgetBuckets + 1]int64
 	retries       [budgetBuckets + 1]int64
 }
 
-// bucketSpan is the time that one bucket covers.
+// bucketSpan returns the duration that one bucket covers.
 func (f *Frontend) bucketSpan() time.Duration { return f.settings.RetryWindow() / budgetBuckets }
 
-// budgetOf returns a service's budget, which begins with the first asking.
+// budgetOf returns a service's budget and creates it on first use.
 func (f *Frontend) budgetOf(service string) *retryBudget {
 	budget, known := f.retryBudgets[service]
 	if !known {
@@ -35,7 +36,7 @@
 	return budget
 }
 
-// advance returns the slot of a bucket, emptied if an older one stood there.
+// advance returns the ring slot of a bucket. It clears the slot if it held an older bucket.
 func (b *retryBudget) advance(bucketNumber int64) (slot int) {
 	slot = int(bucketNumber % (budgetBuckets + 1))
 	if b.bucketNumbers[slot] != bucketNumber {
@@ -46,7 +47,8 @@
 	return slot
 }
 
-// totals sums up the window that ends with a slot's bucket.
+// totals returns the sums over the window that ends with the bucket in a slot. The retries include
+// one bucket more than the first attempts.
 func (b *retryBudget) totals(slot int) (firstAttempts, retries int64) {
 	for index := range b.bucketNumbers {
 		age := b.bucketNumbers[slot] - b.bucketNumbers[index]
@@ -60,22 +62,22 @@
 	return firstAttempts, retries
 }
 
-// countFirstAttempt counts a first attempt that leaves this proxy. What is refused here, for want
-// of any upstream, pays for no retries.
+// countFirstAttempt counts a first attempt that this proxy sends. Requests that it refuses because
+// no upstream is available do not add to the budget.
 func (f *Frontend) countFirstAttempt(now time.Duration, service string) {
 	budget := f.budgetOf(service)
 	slot := budget.advance(int64(now / f.bucketSpan()))
 	budget.firstAttempts[slot]++
 }
 
-// spendRetry takes one retry from a service's budget, and reports whether there was one. The
-// budget is a share of the first attempts of the last window, and this proxy's part of the fleet's
-// allowance.
+// spendRetry takes one retry from a service's budget. It returns false if the budget is exhausted.
+// The budget is a share of the first attempts in the last window plus this proxy's fraction of the
+// fleet's allowance.
 func (f *Frontend) spendRetry(now time.Duration, service string) bool {
 	budget := f.budgetOf(service)
 	slot := budget.advance(int64(now / f.bucketSpan()))
 	firstAttempts, retries := budget.totals(slot)
-	limit := f.settings.Bounds.RetryShare*float64(firstAttempts)*retryShareUsed + f.retryAllowance(now)
+	limit := f.settings.Bounds.RetryShare*float64(firstAttempts)*retryShareFactor + f.retryAllowance(now)
 	if float64(retries+1) > limit {
 		return false
 	}
@@ -84,8 +86,9 @@
 	return true
 }
 
-// retryAllowance is this proxy's part of the fleet's allowance. A proxy has it only once it is as
-// old as the window, or proxies that restart in turn would refill it for the fleet.
+// retryAllowance returns this proxy's fraction of the fleet's retry allowance. It is 0 until the
+// proxy has run for a full window: otherwise proxies that restart one after another would renew the
+// fleet's allowance each time.
 func (f *Frontend) retryAllowance(now time.Duration) float64 {
 	if now < f.settings.RetryWindow() {
 		return 0
@@ -93,22 +96,24 @@
 	return float64(f.settings.Bounds.RetryAllowance) / float64(max(1, f.snapshot.ProxyCount))
 }
 
-// RetryMonitor is what the serving side of this proxy knows of retries, and does about them.
+// RetryMonitor measures and pauses the retries that start at the upstreams of this proxy.
 type RetryMonitor interface {
-	// RetryShare is the share of retries in what starts at the upstreams here.
+	// RetryShare returns the share of retries among the requests that start at these upstreams.
 	RetryShare() float64
-	// PauseRetries lets no retry start at them until a time.
+	// PauseRetries prevents retries from starting at these upstreams until the given time.
 	PauseRetries(until time.Duration)
 }
 
-// UseRetryMonitor sets the serving side. It is called before the first request.
+// UseRetryMonitor sets the monitor of this proxy's upstreams. It must be called before the first
+// request.
 func (f *Frontend) UseRetryMonitor(monitor RetryMonitor) { f.retryMonitor = monitor }
 
-// spendFirstAttempt counts a request's first attempt, and reports whether it may be made. A call
-// that a running retry makes is itself a retry at the service called, and draws on its budget.
-// Since calls don't say which run makes them, the share of retries among those that start decides.
-// Refusing calls when the budget is spent would mostly hit those of first runs, so retries
-// themselves don't start here for a while, which ends what they call.
+// spendFirstAttempt counts a request's first attempt and reports whether it may be made. A call made
+// by a running retry counts as a retry of the called service and spends that service's budget. A
+// call does not identify the attempt that makes it, so a random draw by the share of retries among
+// started requests decides whether it counts as one. When the budget is exhausted, refusing calls
+// alone would mostly hit calls of first attempts; so retries are also prevented from starting here
+// for one bucket span, which stops their calls at the source.
 func (f *Frontend) spendFirstAttempt(now time.Duration, request *Request, random *rand.Rand) bool {
 	if !f.isCallOfRetry(request, random) {
 		f.countFirstAttempt(now, request.Service)
@@ -121,7 +126,8 @@
 	return false
 }
 
-// isCallOfRetry decides by the share of retries whether a running retry makes a request.
+// isCallOfRetry reports whether a request counts as the call of a running retry, by a random draw
+// with the share of retries as the probability.
 func (f *Frontend) isCallOfRetry(request *Request, random *rand.Rand) bool {
 	if !request.nested() || f.retryMonitor == nil {
 		return false
--- a/internal/frontend/sanitize.go
+++ b/internal/frontend/sanitize.go
@@ -9,14 +9,15 @@
 	"beaconvane/internal/routeconfig"
 )
 
-// maxEncodings is how many layers of percent-encoding are looked through for a key.
-const maxEncodings = 3
+// maxDecodings is the number of forms of a text that are searched for a key: the text itself and
+// its repeated percent-decodings.
+const maxDecodings = 3
 
-// partSeparators are the characters between the parts of a text, each of which may be a key.
-const partSeparators = " ;,=/\""
+// tokenSeparators are the characters that separate the tokens of a text. Each token may be a key.
+const tokenSeparators = " ;,=/\""
 
-// meshHeaders are removed from every request, in any letters and with - or _: the mesh sets them
-// itself, or they end at this hop.
+// meshHeaders lists the headers that are removed from every request, in any letter case and with
+// "-" or "_": the mesh sets them itself, or they apply to this hop only.
 var meshHeaders = map[string]bool{
 	"x-tenant":          true,
 	"x-calling-service": true,
@@ -28,12 +29,12 @@
 	"expect":            true,
 }
 
-// exposesKey reports whether a text shows a key: one of the request's own in any letters, plain or
-// percent-encoded, or any key that a configuration honours where it stands alone or as one of
-// several parts.
+// exposesKey reports whether a text contains, plain or percent-encoded, one of the request's keys in
+// any letter case, or a key that is valid in some configuration as the entire text or as one of its
+// tokens.
 func exposesKey(text string, keys []string, configurations []*routeconfig.Configuration) bool {
-	for range maxEncodings {
-		if containsKey(text, keys) || hasHonouredPart(text, configurations) {
+	for range maxDecodings {
+		if containsKey(text, keys) || containsAnyValidKey(text, configurations) {
 			return true
 		}
 		decoded, err := url.PathUnescape(text)
@@ -45,6 +46,7 @@
 	return false
 }
 
+// containsKey reports whether a text contains one of the keys in any letter case.
 func containsKey(text string, keys []string) bool {
 	lower := strings.ToLower(text)
 	for _, key := range keys {
@@ -55,12 +57,14 @@
 	return false
 }
 
-func hasHonouredPart(text string, configurations []*routeconfig.Configuration) bool {
-	isSeparator := func(letter rune) bool { return strings.ContainsRune(partSeparators, letter) }
-	parts := append(strings.FieldsFunc(text, isSeparator), text)
-	for _, part := range parts {
+// containsAnyValidKey reports whether a text or one of its tokens is a valid key in some
+// configuration.
+func containsAnyValidKey(text string, configurations []*routeconfig.Configuration) bool {
+	isSeparator := func(letter rune) bool { return strings.ContainsRune(tokenSeparators, letter) }
+	tokens := append(strings.FieldsFunc(text, isSeparator), text)
+	for _, token := range tokens {
 		for _, configuration := range configurations {
-			if _, honoured := configuration.Tenant(part); honoured {
+			if _, valid := configuration.Tenant(token); valid {
 				return true
 			}
 		}
@@ -68,9 +72,9 @@
 	return false
 }
 
-// sanitizeHeaders keeps only the headers that may go on to an upstream.
+// sanitizeHeaders replaces the request's headers by those that may reach an upstream.
 func sanitizeHeaders(request *Request, keys []string, configurations []*routeconfig.Configuration) {
-	clean := http.Header{}
+	sanitized := http.Header{}
 	hopByHop := backend.HopByHopHeaders(request.Header)
 	for name, values := range request.Header {
 		if hopByHop[name] || isMeshHeader(name) || exposesKey(name, keys, configurations) {
@@ -78,32 +82,34 @@
 		}
 		for _, value := range values {
 			if !exposesKey(value, keys, configurations) {
-				clean.Add(name, value)
+				sanitized.Add(name, value)
 			}
 		}
 	}
-	request.Header = clean
+	request.Header = sanitized
 }
 
+// isMeshHeader reports whether meshHeaders lists a header.
 func isMeshHeader(name string) bool {
 	return meshHeaders[strings.ReplaceAll(strings.ToLower(name), "_", "-")]
 }
 
-// sanitizeQuery keeps only the parameters that may go on to an upstream, to the byte.
+// sanitizeQuery removes the query parameters that must not reach an upstream. The others stay
+// unchanged.
 func sanitizeQuery(request *Request, keys []string, configurations []*routeconfig.Configuration) {
 	if request.RawQuery == "" {
 		return
 	}
-	kept := []string{}
+	sanitized := []string{}
 	for _, parameter := range strings.Split(request.RawQuery, "&") {
 		if mayKeepParameter(parameter, keys, configurations) {
-			kept = append(kept, parameter)
+			sanitized = append(sanitized, parameter)
 		}
 	}
-	request.RawQuery = strings.Join(kept, "&")
+	request.RawQuery = strings.Join(sanitized, "&")
 }
 
-// mayKeepParameter reports whether a parameter is readable and shows no key.
+// mayKeepParameter reports whether a query parameter is well-formed and contains no key.
 func mayKeepParameter(parameter string, keys []string, configurations []*routeconfig.Configuration) bool {
 	rawName, rawValue, _ := strings.Cut(parameter, "=")
 	name, nameErr := url.QueryUnescape(rawName)
