--- a/internal/frontend/selection.go
+++ b/internal/frontend/selection.go
@@ -9,16 +9,16 @@
 	"beaconvane/internal/message"
 )
 
-// The cost of an upstream, in units of the usual time of a request.
+// The terms of an upstream's cost, in units of a request's typical service time.
 const (
-	candidateSamples = 6   // drawn from each kind of candidates
-	utilizationCost  = 0.5 // when all slots are taken
-	failureCost      = 4.0 // when every attempt failed lately
-	transitDelayCost = 4.0 // for a second's delay
+	candidateSamples = 6   // drawn from each list of candidates
+	utilizationCost  = 0.5 // when all slots are in use
+	failureCost      = 4.0 // when every recent attempt failed
+	transitDelayCost = 4.0 // per second of delay
 )
 
-// selectUpstream picks the upstream for a request's next attempt. It returns nil, or the final
-// answer where no attempt can be made.
+// selectUpstream picks the upstream for a request's next attempt and stores it in the request. It
+// returns the final answer if no attempt can be made, and nil otherwise.
 func (f *Frontend) selectUpstream(now time.Duration, request *Request, random *rand.Rand) *Response {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -28,19 +28,19 @@
 	if request.Service == "" {
 		request.Service = request.Route.PickService(random.Float64())
 	}
-	near, far, ready := f.candidates(now, request, false)
-	if len(near)+len(far) == 0 && request.nested() {
-		near, far, ready = f.candidates(now, request, true)
+	sameZone, otherZones, ready := f.candidates(now, request, false)
+	if len(sameZone)+len(otherZones) == 0 && request.nested() {
+		sameZone, otherZones, ready = f.candidates(now, request, true)
 	}
-	if len(near)+len(far) == 0 {
+	if len(sameZone)+len(otherZones) == 0 {
 		if ready > 0 {
 			return request.refuse(errcode.BusySlotsFull)
 		}
 		return request.refuse(errcode.BusyNoUpstream)
 	}
-	chosen, cost := f.pickCheapest(now, near, random)
-	if other, otherCost := f.pickCheapest(now, far, random); otherCost < cost {
-		chosen = other
+	chosen, cost := f.pickCheapest(now, sameZone, random)
+	if farther, otherCost := f.pickCheapest(now, otherZones, random); otherCost < cost {
+		chosen = farther
 	}
 	if request.Attempts == 0 && !f.spendFirstAttempt(now, request, random) {
 		return request.refuse(errcode.BusyBudget)
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// beginAttempt notes that the request's next attempt goes to an upstream.
+// beginAttempt records that the request's next attempt goes to the target.
 func (f *Frontend) beginAttempt(now time.Duration, request *Request, target message.Registration) {
 	key := upstreamKey(target)
 	request.Target = target
@@ -59,9 +59,10 @@
 	f.statsOf(key).inFlight++
 }
 
-// candidates lists the upstreams of a request's service that may be tried now, those in this zone
-// apart from the others, and counts those that are ready at all.
-func (f *Frontend) candidates(now time.Duration, request *Request, evenSaturated bool) (near, far []message.Registration, ready int) {
+// candidates lists the upstreams of a request's service that may be tried now, separately for this
+// zone and for other zones. ready is the number of ready upstreams, including those that may not be
+// tried now.
+func (f *Frontend) candidates(now time.Duration, request *Request, includeSaturated bool) (sameZone, otherZones []message.Registration, ready int) {
 	for _, registration := range f.snapshot.Upstreams[request.Service] {
 		if registration.State != message.StateReady {
 			continue
@@ -69,46 +70,47 @@
 		ready++
 		key := upstreamKey(registration)
 		stats := f.statsOf(key)
-		saturated := now < stats.saturatedUntil && !evenSaturated
+		saturated := now < stats.saturatedUntil && !includeSaturated
 		if request.Tried[key] || now < stats.avoidUntil || saturated {
 			continue
 		}
 		if registration.Zone == f.settings.Zone {
-			near = append(near, registration)
+			sameZone = append(sameZone, registration)
 		} else {
-			far = append(far, registration)
+			otherZones = append(otherZones, registration)
 		}
 	}
-	return near, far, ready
+	return sameZone, otherZones, ready
 }
 
-// pickCheapest draws some candidates at random and keeps the one of least cost.
+// pickCheapest draws up to candidateSamples candidates at random and returns the one with the lowest
+// cost. It reorders candidates.
 func (f *Frontend) pickCheapest(
 	now time.Duration,
 	candidates []message.Registration,
 	random *rand.Rand,
-) (chosen message.Registration, least float64) {
-	least = math.Inf(1)
-	for number := range min(candidateSamples, len(candidates)) {
-		// Drawn without replacement: the drawn one changes places with the first that is left.
-		other := number + random.IntN(len(candidates)-number)
-		candidates[number], candidates[other] = candidates[other], candidates[number]
-		if cost := f.cost(now, candidates[number]); cost < least {
-			chosen, least = candidates[number], cost
+) (chosen message.Registration, lowestCost float64) {
+	lowestCost = math.Inf(1)
+	for index := range min(candidateSamples, len(candidates)) {
+		// Drawn without replacement: the drawn candidate is swapped to the front of the remaining ones.
+		swapIndex := index + random.IntN(len(candidates)-index)
+		candidates[index], candidates[swapIndex] = candidates[swapIndex], candidates[index]
+		if cost := f.cost(now, candidates[index]); cost < lowestCost {
+			chosen, lowestCost = candidates[index], cost
 		}
 	}
-	return chosen, least
+	return chosen, lowestCost
 }
 
-// cost of giving an upstream one more request. It is the upstream's relative latency, more when
-// its slots fill up, when it failed lately, when it has only just become ready, when requests are
-// delayed on their way to it, and by a margin when it is in another zone.
+// cost returns the cost of sending an upstream one more request. It is the upstream's relative
+// latency, increased by the use of its slots, by recent failures, during warm-up, by the transit
+// delay, and by a margin if it is in another zone.
 func (f *Frontend) cost(now time.Duration, registration message.Registration) float64 {
 	stats := f.statsOf(upstreamKey(registration))
-	use := (f.outstanding(now, stats) + 1) / float64(max(1, registration.Slots))
-	cost := math.Exp(stats.relativeLatency) * (1 + utilizationCost*use*use + max(0, use-1) + min(max(stats.load, 0), 1)/4)
-	if since := now - stats.readySince; since < f.settings.WarmUpTime() {
-		cost *= 2 - float64(since)/float64(f.settings.WarmUpTime())
+	utilization := (f.outstanding(now, stats) + 1) / float64(max(1, registration.Slots))
+	cost := math.Exp(stats.relativeLatency) * (1 + utilizationCost*utilization*utilization + max(0, utilization-1) + min(max(stats.load, 0), 1)/4)
+	if readyFor := now - stats.readySince; readyFor < f.settings.WarmUpTime() {
+		cost *= 2 - float64(readyFor)/float64(f.settings.WarmUpTime())
 	}
 	cost += failureCost * stats.failureRate
 	cost += transitDelayCost * stats.transitDelayNow(now).Seconds()
@@ -118,8 +120,8 @@
 	return cost
 }
 
-// outstanding is the work that an upstream has, as far as this proxy can tell: what its serving
-// proxy reported last, and what was sent from here since.
+// outstanding estimates an upstream's outstanding requests: those that its serving proxy reported
+// last, plus those sent from this proxy since. Reports older than two update intervals are ignored.
 func (f *Frontend) outstanding(now time.Duration, stats *upstreamStats) float64 {
 	if now-stats.reportedAt > f.settings.UpdatesEvery()*2 {
 		return float64(stats.inFlight)
--- a/internal/frontend/serving.go
+++ b/internal/frontend/serving.go
@@ -7,9 +7,8 @@
 	"beaconvane/internal/safeguard"
 )
 
-// HandleFrame takes a frame from another proxy, or from this one, as the serving proxy of the
-// upstreams here. Replies go back through reply. It returns false for frames that are not part of
-// the traffic of requests.
+// HandleFrame processes a frame that another proxy, or this one, sent to this proxy as a serving
+// proxy. Replies are sent with reply. It returns false if the frame is not request traffic.
 func (d *Dispatcher) HandleFrame(msg any, reply func(msg any) error) bool {
 	switch frame := msg.(type) {
 	case message.Forward:
@@ -17,14 +16,14 @@
 	case message.OutcomeRequest:
 		d.handleOutcomeRequest(frame, reply)
 	case message.Cancel:
-		d.handleWithdraw(frame)
+		d.handleCancel(frame)
 	default:
 		return false
 	}
 	return true
 }
 
-// deliverLocally passes a frame to this proxy's own backend.
+// deliverLocally passes a frame to the backend of this proxy.
 func (d *Dispatcher) deliverLocally(frame any) {
 	d.HandleFrame(frame, func(reply any) error {
 		d.handleReply(reply)
@@ -32,21 +31,22 @@
 	})
 }
 
+// handleForward passes a forwarded request to the backend and executes the resulting decisions.
 func (d *Dispatcher) handleForward(forward message.Forward, reply func(msg any) error) {
-	d.noteReply(forward.ID, reply)
+	d.registerReply(forward.ID, reply)
 	d.execute(d.serving.HandleForward(d.environment.Now(), forward))
 }
 
-// handleOutcomeRequest tells a proxy that lost its connection what became of an attempt. Where
-// there is no outcome yet, the proxy gets it later.
+// handleOutcomeRequest sends the outcome of an attempt to a proxy whose connection was lost. If the
+// attempt is still running, it replies so and sends the outcome once the attempt has ended.
 func (d *Dispatcher) handleOutcomeRequest(request message.OutcomeRequest, reply func(msg any) error) {
 	if request.ServingProxyStartTime != d.birth && safeguard.OtherLife.On() {
 		// The attempt was sent to an earlier run of this process.
 		sendReply(reply, unknownOutcome(request.ID))
 		return
 	}
-	// Noted before the backend is asked, since the outcome may come at that very moment.
-	d.noteReply(request.ID, reply)
+	// Registered before the backend is queried, since the attempt may complete concurrently.
+	d.registerReply(request.ID, reply)
 	outcome := d.serving.Outcome(d.environment.Now(), request.ID)
 	if outcome.Kind != message.StillRunning {
 		d.takeReply(request.ID)
@@ -54,22 +54,23 @@
 	sendReply(reply, outcome)
 }
 
-func (d *Dispatcher) handleWithdraw(withdrawal message.Cancel) {
-	decisions, cancel := d.serving.Withdraw(withdrawal.ID)
+// handleCancel removes a queued attempt, or aborts a running one if the backend allows it.
+func (d *Dispatcher) handleCancel(cancellation message.Cancel) {
+	decisions, cancel := d.serving.Withdraw(cancellation.ID)
 	d.execute(decisions)
 	if cancel {
-		d.environment.Cancel(withdrawal.ID)
+		d.environment.Cancel(cancellation.ID)
 	}
 }
 
-// noteReply keeps the way back for an attempt's outcome. A later asking replaces an earlier one.
-func (d *Dispatcher) noteReply(attemptID string, reply func(msg any) error) {
+// registerReply stores the function that sends an attempt's outcome. It replaces an earlier one.
+func (d *Dispatcher) registerReply(attemptID string, reply func(msg any) error) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.replies[attemptID] = reply
 }
 
-// takeReply returns the way back for an attempt's outcome, and forgets it.
+// takeReply removes and returns the function that sends an attempt's outcome, or nil.
 func (d *Dispatcher) takeReply(attemptID string) func(msg any) error {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -78,8 +79,8 @@
 	return reply
 }
 
-// sendReply sends an outcome back. The encoding wants lists that are not nil. An error needs no
-// answer here: the other side sees its connection break, and asks again.
+// sendReply sends an outcome to the caller's proxy. The encoding requires non-nil lists. Errors are
+// ignored: the other side detects the broken connection and sends an outcome request.
 func sendReply(reply func(msg any) error, outcome message.Outcome) {
 	if outcome.Headers == nil {
 		outcome.Headers = []message.HeaderLine{}
@@ -90,8 +91,8 @@
 	_ = reply(outcome)
 }
 
-// execute carries out the backend's decisions: refusals are sent back, and what is to start goes
-// to StageStart. A full queue refuses at once.
+// execute executes the backend's decisions: it sends refusals, and enqueues requests that may start
+// for StageStart. If that queue is full, the request is refused.
 func (d *Dispatcher) execute(decisions []backend.Decision) {
 	for _, decision := range decisions {
 		if !decision.Start {
@@ -107,7 +108,8 @@
 	}
 }
 
-// Complete takes the outcome of a decision: it is sent back, and what may start next is started.
+// Complete sends the outcome of a decision to the caller's proxy, and executes the decisions that
+// follow from the freed slot.
 func (d *Dispatcher) Complete(decision backend.Decision, outcome message.Outcome) {
 	if decision.Start && outcome.Kind == message.NotStarted && d.settings.CountsBegun() {
 		d.frontend.uncountStarted(decision.Window, decision.Forward.Tenant)
@@ -119,8 +121,8 @@
 	d.execute(next)
 }
 
-// Expire refuses queued requests whose time is up. It is called in steady steps.
+// Expire refuses expired queued requests. It is called periodically.
 func (d *Dispatcher) Expire() { d.execute(d.serving.Expire(d.environment.Now())) }
 
-// Drain refuses all that has not started at the upstreams here, from now on.
+// Drain refuses, from now on, all requests that have not started at this proxy's upstreams.
 func (d *Dispatcher) Drain() { d.execute(d.serving.Drain()) }
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -9,10 +9,11 @@
 	"beaconvane/internal/message"
 )
 
-// maxUsageWindows is how many windows are kept for which nobody has said that they are sealed.
+// maxUsageWindows is the number of windows for which counts are kept until they are sealed.
 const maxUsageWindows = 720
 
-// countOpen counts an admitted request as open, for the usage report.
+// countOpen counts an admitted request as open for the usage report, unless usage counts started
+// requests.
 func (f *Frontend) countOpen(request *Request) {
 	if f.settings.CountsBegun() {
 		return
@@ -23,22 +24,24 @@
 	f.openRequests[request.Tenant]++
 }
 
-// countStarted counts a request that its serving proxy has started, where the usage is of those,
-// and returns the window in which it counts. uncountStarted takes the count back when the upstream
-// says that it did not run.
+// countStarted counts a request that its serving proxy starts, and returns the window in which it
+// counts. It is used where usage counts started requests. uncountStarted reverts it if the upstream
+// reports that the request did not run.
 func (f *Frontend) countStarted(wall time.Duration, tenant string) (window int64) {
 	window = f.usageWindow(wall)
 	f.addUsage(window, tenant, 1)
 	return window
 }
 
+// uncountStarted reverts countStarted for a request that did not run.
 func (f *Frontend) uncountStarted(window int64, tenant string) { f.addUsage(window, tenant, -1) }
 
-// usageWindow numbers the window in which a time of day falls.
+// usageWindow returns the number of the window that contains a wall-clock time.
 func (f *Frontend) usageWindow(wall time.Duration) int64 {
 	return int64(wall / f.settings.UsageWindow())
 }
 
+// addUsage adds to a tenant's count in a window. Requests without a tenant are not counted.
 func (f *Frontend) addUsage(window int64, tenant string, count int64) {
 	if tenant == "" {
 		return
@@ -48,7 +51,7 @@
 	f.usageOf(window)[tenant] += count
 }
 
-// usageOf returns the counts by tenant of a window, which begin with the first asking.
+// usageOf returns a window's counts by tenant and creates them on first use.
 func (f *Frontend) usageOf(window int64) map[string]int64 {
 	if f.usage[window] == nil {
 		f.usage[window] = map[string]int64{}
@@ -56,8 +59,8 @@
 	return f.usage[window]
 }
 
-// countResponse counts a final answer by its code, and for the usage report when it is the
-// upstream's own.
+// countResponse counts a final answer by its code. If usage counts answered requests, it also counts
+// an upstream's answer for the usage report.
 func (f *Frontend) countResponse(wall time.Duration, request *Request, response *Response) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -73,6 +76,7 @@
 	}
 }
 
+// uncountOpen removes an answered request from the open requests. The caller holds the lock.
 func (f *Frontend) uncountOpen(request *Request) {
 	request.countedOpen = false
 	f.openRequests[request.Tenant]--
@@ -81,8 +85,8 @@
 	}
 }
 
-// Usage returns the windows that are not sealed yet. The counts of those below closed won't change
-// any more.
+// Usage returns the counts of the windows that are not sealed, in order, and drops sealed windows
+// and windows older than maxUsageWindows. The counts of windows below closed are final.
 func (f *Frontend) Usage(wall time.Duration, sealedBelow int64) (usage []message.UsageCount, closed int64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -105,8 +109,8 @@
 	return usage, closed
 }
 
-// ResultCounts returns how many answers were given, by the names of their codes, and how many
-// retries were made.
+// ResultCounts returns the number of final answers by the name of their code, and the number of
+// retries.
 func (f *Frontend) ResultCounts() (answers map[string]int64, retries int64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
