--- a/internal/frontend/callerlimits_test.go
+++ b/internal/frontend/callerlimits_test.go
@@ -1,5 +1,5 @@
-// The limits of the configuration in force: sizes of heads and bodies, idle times that
-// change, and the memory that bodies take together.
+// Tests of the limits on callers: sizes of heads and bodies, idle times after a configuration
+// change, the body quota, and the start of a request's deadline.
 package frontend
 
 import (
@@ -24,6 +24,7 @@
 	"beaconvane/internal/settings"
 )
 
+// configurationWithLimits returns a configuration with the given JSON as its "limits".
 func configurationWithLimits(limits string) *routeconfig.Configuration {
 	return routeconfig.Parse(
 		"main",
@@ -33,7 +34,8 @@
 	)
 }
 
-// newLimitedPipeline has the read stage only: what passes it waits for ever.
+// newLimitedPipeline returns a pipeline without workers: a request that is submitted stays in the
+// admission queue.
 func newLimitedPipeline(limits string, adjust func(cfg *settings.Settings)) *Pipeline {
 	cfg := settings.Default()
 	cfg.Limits.Body = 16 << 20
@@ -46,6 +48,7 @@
 	return pipeline
 }
 
+// statusOf returns the status of the pipeline's refusal, or 0 if the request was submitted.
 func statusOf(pipeline *Pipeline, request *http.Request) int {
 	recorder := httptest.NewRecorder()
 	done := make(chan struct{})
@@ -57,12 +60,12 @@
 	case <-done:
 		return recorder.Code
 	case <-pipeline.admitQueue:
-		return 0 // passed on
+		return 0
 	}
 }
 
-// A body of more than 4 MiB was refused whatever the configuration allowed, and one that it
-// forbids was taken.
+// Guards against a fixed limit of 4 MiB: bodies above it were refused even if the configuration
+// allowed them, and bodies below it were accepted even if the configuration forbade them.
 func TestBodySizeFollowsConfiguration(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -79,7 +82,7 @@
 		{`{"body_bytes":1000}`, 1001, false, http.StatusRequestEntityTooLarge},
 		{`{"body_bytes":1000}`, 1001, true, http.StatusRequestEntityTooLarge},
 		{`{}`, 15 << 20, false, 0},
-		{`{"body_bytes":67108864}`, 17 << 20, false, http.StatusRequestEntityTooLarge}, // over what this machine holds
+		{`{"body_bytes":67108864}`, 17 << 20, false, http.StatusRequestEntityTooLarge}, // exceeds the process limit
 	} {
 		pipeline := newLimitedPipeline(test.limits, func(*settings.Settings) {})
 		request := httptest.NewRequest(http.MethodPost, "/x", bytes.NewReader(make([]byte, test.size)))
@@ -90,6 +93,7 @@
 	}
 }
 
+// Request heads larger than the configured limit are refused.
 func TestHeadSizeFollowsConfiguration(t *testing.T) {
 	c := qt.New(t)
 	for size, status := range map[int]int{3000: 0, 4200: http.StatusRequestHeaderFieldsTooLarge} {
@@ -99,8 +103,8 @@
 	}
 }
 
-// Bodies that together take more than their part of the memory are refused at once, with a
-// promise and a time; what others took is free again when they are done.
+// A body that exceeds the memory left for bodies is refused immediately, with a code that states
+// that the request did not run, and with Retry-After. Released memory is available again.
 func TestBodyQuotaBoundsConcurrentBodies(t *testing.T) {
 	c := qt.New(t)
 	pipeline := newLimitedPipeline(`{}`, func(cfg *settings.Settings) { cfg.Limits.Memory, cfg.Limits.Body = 64, 4<<20 })
@@ -119,12 +123,12 @@
 	c.Assert(statusOf(pipeline, post(2<<20)), qt.Equals, 0)
 }
 
-// timedOutBody is a body that never comes whole.
+// timedOutBody is a body whose reads exceed the read deadline.
 type timedOutBody struct{}
 
 func (timedOutBody) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
-// A body that is too slow has not run: 408, with a time, and nothing is kept of it.
+// A body that is too slow is refused with 408 and Retry-After, and its reservation is released.
 func TestSlowBodyIsRefusedAndReleased(t *testing.T) {
 	c := qt.New(t)
 	pipeline := newLimitedPipeline(`{}`, func(*settings.Settings) {})
@@ -140,13 +144,13 @@
 	}
 }
 
-// A lowered idle time counts on for the span that connections may have rested by the old
-// one; a raised one counts at once.
+// After the idle time is lowered, the old one stays in force for its own duration, since connections
+// may have become idle before the change. A raised idle time applies immediately.
 func TestIdleTimeAfterConfigurationChange(t *testing.T) {
 	c := qt.New(t)
 	limits := callerLimits{}
-	update := func(now time.Duration, idle int) {
-		limits.update(now, []*routeconfig.Configuration{configurationWithLimits(fmt.Sprintf(`{"idle_ms":%d}`, idle))})
+	update := func(now time.Duration, idleMillis int) {
+		limits.update(now, []*routeconfig.Configuration{configurationWithLimits(fmt.Sprintf(`{"idle_ms":%d}`, idleMillis))})
 	}
 	c.Assert(limits.idleTime(0), qt.Equals, defaultIdleTime+idleGrace)
 	update(0, 15000)
@@ -162,8 +166,8 @@
 	c.Assert(limits.idleTime(now+20*time.Second), qt.Equals, 30*time.Second+idleGrace)
 }
 
-// A request's time begins with its first byte: one that waited behind another on its
-// connection is not held past its route's time.
+// The route's timeout counts from a request's first byte, so that a pipelined request that waited
+// behind another does not exceed it.
 func TestDeadlineCountsFromFirstByte(t *testing.T) {
 	c := qt.New(t)
 	f := newHostFrontend(c, readyUpstream("one", "here"))
--- a/internal/frontend/dispatcher.go
+++ b/internal/frontend/dispatcher.go
@@ -23,16 +23,16 @@
 // goroutines, clocks or sockets: these come from the Environment, so that the simulator runs the
 // same code as the real process.
 type Dispatcher struct {
-	settings    settings.Settings
-	frontend    *Frontend
-	serving     *backend.Backend
-	environment Environment
-	address     string
-	nodeName    string
-	birth       int64 // identifies this run of the process, which has no state of earlier runs' requests
-	startedAt   time.Duration
+	settings         settings.Settings
+	frontend         *Frontend
+	serving          *backend.Backend
+	environment      Environment
+	address          string
+	nodeName         string
+	processStartTime int64 // identifies this run of the process, which has no state of earlier runs' requests
+	startedAt        time.Duration
 
-	processStartTime atomic.Bool // an upstream has announced itself since this process started
+	announcementReceived atomic.Bool // an upstream has announced itself since this process started
 
 	lock        sync.Mutex
 	connections map[string]Connection          // by address of the serving proxy
@@ -49,17 +49,17 @@
 	self message.Member,
 ) *Dispatcher {
 	return &Dispatcher{
-		settings:    cfg,
-		frontend:    front,
-		serving:     serving,
-		environment: environment,
-		address:     self.Address,
-		nodeName:    self.Name,
-		birth:       self.StartTime,
-		startedAt:   environment.Now(),
-		connections: map[string]Connection{},
-		pending:     map[string]*PendingRequest{},
-		replies:     map[string]func(msg any) error{},
+		settings:         cfg,
+		frontend:         front,
+		serving:          serving,
+		environment:      environment,
+		address:          self.Address,
+		nodeName:         self.Name,
+		processStartTime: self.StartTime,
+		startedAt:        environment.Now(),
+		connections:      map[string]Connection{},
+		pending:          map[string]*PendingRequest{},
+		replies:          map[string]func(msg any) error{},
 	}
 }
 
@@ -191,8 +191,8 @@
 }
 
 // Abandon ends a request whose deadline has passed or whose caller has disconnected. It returns
-// false if the request has its final answer or is processing an outcome; onDone is then called for
-// that answer.
+// false, and changes nothing, if the request is finished or an outcome of it is being processed;
+// the processing of that outcome then produces the final answer.
 func (d *Dispatcher) Abandon(pending *PendingRequest) bool {
 	attemptID, connection, abandoned := pending.abandon()
 	if !abandoned {
--- a/internal/frontend/dispatcher_test.go
+++ b/internal/frontend/dispatcher_test.go
@@ -1,4 +1,5 @@
-// Connections that break, in whatever order the breaks are noticed, and requests that are withdrawn.
+// Tests of the dispatcher: broken connections that are detected in any order, and cancelled
+// attempts.
 package frontend
 
 import (
@@ -16,6 +17,7 @@
 	"beaconvane/internal/settings"
 )
 
+// fakeConnection records posted frames. The test sets its state.
 type fakeConnection struct {
 	broken, established bool
 	onClosed            func(connection Connection)
@@ -30,6 +32,8 @@
 func (f *fakeConnection) Established() bool { return f.established }
 func (f *fakeConnection) Close()            { f.broken = true }
 
+// fakeEnvironment runs the stages synchronously. It records outcomes instead of evaluating them,
+// and opened connections and cancelled attempts.
 type fakeEnvironment struct {
 	dispatcher  *Dispatcher
 	connections []*fakeConnection
@@ -66,7 +70,8 @@
 	return connection
 }
 
-// A second connection that never came about says nothing of a request sent on the first.
+// A connection that could not be established is no evidence about attempts that were sent on an
+// earlier connection to the same serving proxy.
 func TestFailedDialDoesNotSettleAttemptsOfEarlierConnection(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
@@ -88,18 +93,18 @@
 	}
 	submit("sent")
 	c.Assert(environment.connections, qt.HasLen, 1)
-	first := environment.connections[0]
-	first.established, first.broken = true, true
+	firstConnection := environment.connections[0]
+	firstConnection.established, firstConnection.broken = true, true
 	submit("later")
 	c.Assert(environment.connections, qt.HasLen, 2)
-	second := environment.connections[1]
-	second.broken = true
-	second.onClosed(second)
+	secondConnection := environment.connections[1]
+	secondConnection.broken = true
+	secondConnection.onClosed(secondConnection)
 	c.Assert(environment.outcomes, qt.HasLen, 1)
 	c.Assert(environment.outcomes[0].Pending.Request.ID, qt.Equals, "later")
 	c.Assert(environment.outcomes[0].Outcome.Kind, qt.Equals, message.NotStarted)
-	// The first connection's end is asked about at the serving proxy, and unknown when that fails.
-	first.onClosed(first)
+	// The loss of the first connection causes an outcome query; the outcome is unknown if it fails.
+	firstConnection.onClosed(firstConnection)
 	c.Assert(environment.connections, qt.HasLen, 3)
 	c.Assert(environment.connections[2].posted, qt.HasLen, 1)
 	environment.connections[2].onClosed(environment.connections[2])
@@ -108,8 +113,8 @@
 	c.Assert(errcode.Code(environment.outcomes[1].Outcome.Code), qt.Equals, errcode.UnknownOutcome)
 }
 
-// A serving proxy breaks off what runs for a caller that has left, unless it may run only
-// once.
+// When an attempt is cancelled, the serving proxy aborts it if the route is repeatable, but not if
+// it is at-most-once.
 func TestCancelStopsOnlyRepeatableAttempts(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -1,4 +1,5 @@
-// Admission, the removal of keys, the retry budget, and what outcomes mean.
+// Tests of admission, the removal of keys, selection, the retry budget, and the evaluation of
+// outcomes.
 package frontend
 
 import (
@@ -23,6 +24,8 @@
 {"name":"pay","service":"pay","path":"/pay","methods":["POST"],"callers":["shop","pay"]},
 {"name":"look","service":"pay","path":"/look","methods":["GET"],"callers":["shop"],"body_bytes":4}]}`
 
+// newReadyFrontend returns a frontend with testRoutes, in a fleet of 10 proxies.
+// keyWithdrawalMillis bounds the time until a withdrawn key is refused; 0 for no bound.
 func newReadyFrontend(c *qt.C, keyWithdrawalMillis int64, upstreams ...message.Registration) *Frontend {
 	cfg := settings.Default()
 	cfg.Zone, cfg.Bounds.KeyWithdrawal = "here", keyWithdrawalMillis
@@ -42,6 +45,8 @@
 	return f
 }
 
+// newTestRequest returns a request with a path that may have a query, and with headers given as
+// alternating names and values.
 func newTestRequest(method, path string, headers ...string) *Request {
 	header := http.Header{}
 	for index := 0; index < len(headers); index += 2 {
@@ -51,6 +56,7 @@
 	return &Request{ID: "q", Method: method, RawPath: rawPath, RawQuery: rawQuery, Header: header, Deadline: 5 * time.Second}
 }
 
+// responseCode returns a response's code, or errcode.OK for nil.
 func responseCode(response *Response) errcode.Code {
 	if response == nil {
 		return errcode.OK
@@ -58,6 +64,7 @@
 	return response.Code
 }
 
+// Each admission check refuses with its code.
 func TestAdmit(t *testing.T) {
 	c := qt.New(t)
 	f := newReadyFrontend(c, 0)
@@ -73,7 +80,7 @@
 		{newTestRequest("GET", "/look", backend.DelegationHeader, "good"), errcode.RequestCallerRefused},
 		{newTestRequest("POST", "/pay", backend.CallerHeader, "shop"), errcode.RequestNoKey},
 		{newTestRequest("POST", "/pay", APIKeyHeader, "wrong", backend.CallerHeader, "shop"), errcode.RequestKeyUnknown},
-		{newTestRequest("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "thief"), errcode.RequestCallerRefused},
+		{newTestRequest("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "unlisted"), errcode.RequestCallerRefused},
 		{newTestRequest("POST", "/other", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestNoRoute},
 		{newTestRequest("POST", "/pay/%2e%2e/x", APIKeyHeader, "secret", backend.CallerHeader, "shop"), errcode.RequestBadPath},
 	} {
@@ -84,19 +91,23 @@
 	c.Assert(responseCode(f.admit(time.Second, time.Now(), large)), qt.Equals, errcode.RequestTooLarge)
 }
 
-// Where key withdrawal is bound, a node that can't know refuses in time by itself.
+// If the time for key withdrawal is bounded, a proxy whose configurations are too old to include
+// a withdrawal refuses requests within that bound.
 func TestAdmitRefusesStaleConfigurations(t *testing.T) {
 	c := qt.New(t)
 	for keyWithdrawalMillis, expected := range map[int64]errcode.Code{0: errcode.OK, 5000: errcode.BusyStale} {
 		f := newReadyFrontend(c, keyWithdrawalMillis)
 		admitAt := func(now time.Duration) errcode.Code {
-			return responseCode(f.admit(now, time.Now(), newTestRequest("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")))
+			request := newTestRequest("POST", "/pay", APIKeyHeader, "secret", backend.CallerHeader, "shop")
+			return responseCode(f.admit(now, time.Now(), request))
 		}
 		c.Assert(admitAt(4400*time.Millisecond), qt.Equals, errcode.OK)
 		c.Assert(admitAt(4600*time.Millisecond), qt.Equals, expected)
 	}
 }
 
+// Keys, mesh headers and hop-by-hop headers do not reach an upstream, and a path with a key is
+// refused.
 func TestKeysAndMeshHeadersAreRemoved(t *testing.T) {
 	c := qt.New(t)
 	f := newReadyFrontend(c, 0)
@@ -138,14 +149,12 @@
 	c.Assert(request.Header, qt.DeepEquals, http.Header{"X-Kept": {"yes"}})
 	c.Assert(request.RawQuery, qt.Equals, "a=1&d=2")
 	for _, path := range []string{"/pay/secret", "/pay/%73ecret", "/pay/SECRET/x", "/pay/second"} {
-		c.Assert(
-			responseCode(f.admit(time.Second, time.Now(), newTestRequest("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop"))),
-			qt.Equals,
-			errcode.RequestBadPath,
-		)
+		exposing := newTestRequest("POST", path, APIKeyHeader, "secret", backend.CallerHeader, "shop")
+		c.Assert(responseCode(f.admit(time.Second, time.Now(), exposing)), qt.Equals, errcode.RequestBadPath)
 	}
 }
 
+// readyUpstream returns the registration of a ready upstream with 4 slots.
 func readyUpstream(name, zone string) message.Registration {
 	return message.Registration{
 		Service:             "pay",
@@ -159,7 +168,8 @@
 	}
 }
 
-// Own zone first; the other only when that one is full or clearly worse.
+// Selection prefers the proxy's own zone, and uses another zone only if the own one is full or
+// clearly worse.
 func TestSelectionSpillsToOtherZone(t *testing.T) {
 	c := qt.New(t)
 	f := newReadyFrontend(c, 0, readyUpstream("near", "here"), readyUpstream("far", "there"))
@@ -176,7 +186,7 @@
 	c.Assert(chosen["far"] > 0, qt.IsTrue)
 }
 
-// Each outcome with each kind of route: who is told what, and who tries again.
+// Outcomes on at-most-once and repeatable routes: the caller's answer, or another attempt.
 func TestEvaluateOutcome(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
@@ -195,7 +205,7 @@
 		f := newReadyFrontend(c, 0, readyUpstream("one", "here"), readyUpstream("two", "here"))
 		method := map[string]string{"/pay": "POST", "/look": "GET"}[test.path]
 		request := newTestRequest(method, test.path, APIKeyHeader, "secret", backend.CallerHeader, "shop")
-		start := 10 * time.Second // a process as old as the retry window has its allowance
+		start := 10 * time.Second // past the retry window, so that the retry allowance applies
 		request.Deadline += start
 		c.Assert(f.admit(start, time.Now(), request), qt.IsNil)
 		c.Assert(f.selectUpstream(start, request, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
@@ -206,7 +216,7 @@
 			busy := response.Status == http.StatusServiceUnavailable
 			c.Check(response.RetryAfter > 0, qt.Equals, busy)
 		}
-		// Once something may have run, no later refusal says that nothing did.
+		// Once an attempt may have run, no later answer states that the request did not run.
 		if response == nil && test.outcome.Kind == message.OutcomeUnknown {
 			c.Assert(f.selectUpstream(start+2*time.Millisecond, request, rand.New(rand.NewPCG(1, 2))), qt.IsNil)
 			later := f.evaluateOutcome(start+6*time.Second, request, message.Outcome{
@@ -218,7 +228,7 @@
 	}
 }
 
-// Retries stay below the share plus this proxy's part of the allowance.
+// Retries stay below the configured share plus this proxy's fraction of the allowance.
 func TestRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	f := newReadyFrontend(c, 0)
@@ -234,7 +244,7 @@
 	}
 	c.Assert(granted <= 201, qt.IsTrue, qt.Commentf(fmt.Sprint(granted)))
 	c.Assert(granted >= 150, qt.IsTrue, qt.Commentf(fmt.Sprint(granted)))
-	// A life that has just begun has no allowance of its own yet.
+	// A process that started less than a retry window ago has no allowance.
 	recent := newReadyFrontend(c, 0)
 	recent.lock.Lock()
 	defer recent.lock.Unlock()
--- a/internal/frontend/hosted_test.go
+++ b/internal/frontend/hosted_test.go
@@ -1,4 +1,5 @@
-// What the refusals of a serving proxy mean where a request names its upstream.
+// Tests with proof by target and routes that belong to a host: admission, and how a serving proxy's
+// refusals affect retries.
 package frontend
 
 import (
@@ -23,6 +24,7 @@
 "attempts":2,"aim_ms":500,"priority":4},
 {"name":"free","host":"shop.example","prefix":"/free/","service":"pay","kind":"repeatable","timeout_ms":3000,"open":true}]}`
 
+// newHostFrontend returns a frontend with hostRoutes and proof by target, in a fleet of one proxy.
 func newHostFrontend(c *qt.C, upstreams ...message.Registration) *Frontend {
 	cfg := settings.Default()
 	cfg.Zone, cfg.TargetProof, cfg.Service = "here", settings.ProofTarget, "clinic"
@@ -40,6 +42,7 @@
 	return f
 }
 
+// newHostRequest returns a request to the host of hostRoutes. An empty key is not sent.
 func newHostRequest(path, key string) *Request {
 	request := newTestRequest("POST", path, APIKeyHeader, key)
 	if key == "" {
@@ -49,8 +52,11 @@
 	return request
 }
 
-const pastRetryWindow = 20 * time.Second // a process as old as the retry window has its allowance
+// pastRetryWindow is a process time at which the retry allowance applies.
+const pastRetryWindow = 20 * time.Second
 
+// A request that reached the wrong upstream is retried on another one, up to the route's maximum.
+// Both upstreams are then excluded from selection for two heartbeat intervals.
 func TestMisdirectedRequestRetriesOnAnotherUpstream(t *testing.T) {
 	c := qt.New(t)
 	f := newHostFrontend(c, readyUpstream("one", "here"), readyUpstream("two", "here"))
@@ -58,25 +64,25 @@
 	request := newHostRequest("/pay/x", "secret")
 	c.Assert(f.admit(pastRetryWindow, time.Now(), request), qt.IsNil)
 	c.Assert(f.selectUpstream(pastRetryWindow, request, random), qt.IsNil)
-	first := request.Target.Instance
+	firstInstance := request.Target.Instance
 	misdirected := message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusyUpstreamGone), ReachedUpstream: true}
 	c.Assert(f.evaluateOutcome(pastRetryWindow, request, misdirected), qt.IsNil)
 	c.Assert(f.selectUpstream(pastRetryWindow, request, random), qt.IsNil)
-	c.Assert(request.Target.Instance, qt.Not(qt.Equals), first)
-	// The configuration allows two upstreams: then it is refused, and may be asked again.
+	c.Assert(request.Target.Instance, qt.Not(qt.Equals), firstInstance)
+	// The route allows two attempts; after them, the request is refused with Retry-After.
 	response := f.evaluateOutcome(pastRetryWindow, request, misdirected)
 	c.Assert(responseCode(response), qt.Equals, errcode.BusyUpstreamGone)
 	c.Assert(response.Status, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(response.RetryAfter > 0, qt.IsTrue)
-	// Neither is chosen again for a moment; then both are.
+	// Neither upstream is selected until two heartbeat intervals have passed.
 	laterRequest := newHostRequest("/pay/x", "secret")
 	c.Assert(f.admit(pastRetryWindow, time.Now(), laterRequest), qt.IsNil)
 	c.Assert(responseCode(f.selectUpstream(pastRetryWindow, laterRequest, random)), qt.Equals, errcode.BusySlotsFull)
 	c.Assert(f.selectUpstream(pastRetryWindow+f.settings.HeartbeatEvery()*2, laterRequest, random), qt.IsNil)
 }
 
-// Homes that turn a request away which no upstream has seen cost no retries, up to a
-// number of looks; what an upstream has seen does.
+// Attempts refused by serving proxies before they reach an upstream do not spend the retry budget,
+// up to budgetFreeAttempts. Attempts that reached an upstream do.
 func TestUnseenAttemptsSpendNoRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	for reached, expected := range map[bool]int{false: budgetFreeAttempts, true: 1} {
@@ -86,7 +92,7 @@
 		}
 		f := newHostFrontend(c, upstreams...)
 		random := rand.New(rand.NewPCG(1, 2))
-		now := time.Second // too young for an allowance
+		now := time.Second // within the retry window, so without an allowance
 		request := newHostRequest("/free/x", "")
 		c.Assert(f.admit(now, time.Now(), request), qt.IsNil)
 		attempts := 0
@@ -106,8 +112,9 @@
 	}
 }
 
-// Who asks is the machine's own service; an open route wants no key and shows none that
-// is unknown; a host's routes want one, and there is no route beside them.
+// On routes of a host, the caller is the service of the process settings, whatever the caller's
+// header says. An open route requires no key and accepts an unknown one; the other routes require a
+// valid key; a path without a route is refused.
 func TestAdmitOnHostRoutes(t *testing.T) {
 	c := qt.New(t)
 	f := newHostFrontend(c)
@@ -117,7 +124,7 @@
 		tenant            string
 	}{
 		{"/pay/x", "secret", "", errcode.OK, "t"},
-		{"/pay/x", "secret", "thief", errcode.OK, "t"},
+		{"/pay/x", "secret", "unlisted", errcode.OK, "t"},
 		{"/pay/x", "", "", errcode.RequestNoKey, ""},
 		{"/pay/x", "wrong", "", errcode.RequestKeyUnknown, ""},
 		{"/free/x", "", "", errcode.OK, ""},
--- a/internal/frontend/linkbacklog_test.go
+++ b/internal/frontend/linkbacklog_test.go
@@ -1,4 +1,4 @@
-// A machine's link that is full of what was sent before.
+// Tests with a backlog on the machine's link.
 package frontend
 
 import (
@@ -13,16 +13,15 @@
 	"beaconvane/internal/message"
 )
 
-// A request that would wait too long for the link is refused at once and told when to
-// come back. The call of a running request may wait longer, and an upstream beside this
-// proxy needs no link.
+// A request that would wait too long for the link is refused immediately, with a retry delay. The
+// call of a running request may wait longer, and an upstream of this proxy needs no link.
 func TestLinkBacklogRefusesAtOnce(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		name    string
 		path    string
 		key     string
-		backlog float64 // backlog, in times of what a request may wait
+		backlog float64 // as a multiple of the maximum link wait
 		local   bool
 		refused bool
 	}{
@@ -32,7 +31,7 @@
 		{"busy link, nested call", "/check/x", "", 1.5, false, false},
 		{"very busy link, nested call", "/check/x", "", 2.5, false, true},
 	} {
-		f := newFrontendAmong(77)
+		f := newFrontendWithProxies(77)
 		environment := &fakeEnvironment{random: rand.New(rand.NewPCG(1, 2))}
 		environment.backlog = time.Duration(test.backlog * float64(f.settings.LinkWait()))
 		address := "here:1"
@@ -43,7 +42,8 @@
 		serving := backend.New(f.settings, f.AuthorizeForward)
 		environment.dispatcher = NewDispatcher(f.settings, f, serving, environment, message.Member{Name: "me", Address: address})
 		var response *Response
-		environment.dispatcher.Submit(newHostRequest(test.path, test.key), func(time.Duration) {}, func(answer *Response) { response = answer })
+		request := newHostRequest(test.path, test.key)
+		environment.dispatcher.Submit(request, func(time.Duration) {}, func(answer *Response) { response = answer })
 		if !test.refused {
 			c.Check(response, qt.IsNil, qt.Commentf(test.name))
 			continue
--- a/internal/frontend/model_test.go
+++ b/internal/frontend/model_test.go
@@ -1,4 +1,5 @@
-// The explorer of the model of the two hops (modelworld_test.go), and what it must find.
+// Exploration of the model of both hops: no run with faults violates a rule, and without any one of
+// the safeguards some run does.
 package frontend
 
 import (
@@ -13,16 +14,17 @@
 	"beaconvane/internal/safeguard"
 )
 
-// exploration is what exploring gave.
+// exploration is the result of exploring the model.
 type exploration struct {
 	runs           int
-	firstViolation string // the first wrong run, with its choices
-	faults         map[string]int
+	firstViolation string         // the violations of the first wrong run, and its choices
+	faults         map[string]int // number of runs by fault
 
-	cancelled int // exchanges that were broken off
+	cancelled int // exchanges that were aborted
 }
 
-// exploreRuns plays every run with at most so many choices other than 0, or until one is wrong.
+// exploreRuns executes every run with at most maxFaults choices other than 0, or stops at the first
+// violation.
 func exploreRuns(namedAnswers bool, maxFaults int, stopAtViolation bool) exploration {
 	result := exploration{faults: map[string]int{}}
 	var branch func(prefix []int, remaining int) bool
@@ -66,7 +68,8 @@
 	return result
 }
 
-// maxModelFaults is how many things go wrong in one explored run; with -short fewer.
+// maxModelFaults returns the maximum number of faults in one explored run, which is lower with
+// -short.
 func maxModelFaults() int {
 	if testing.Short() {
 		return 1
@@ -74,44 +77,46 @@
 	return 2
 }
 
+// No run with a few faults violates a rule.
 func TestModelInvariants(t *testing.T) {
 	for _, namedAnswers := range []bool{true, false} {
 		t.Run(fmt.Sprintf("answers named %t", namedAnswers), func(t *testing.T) {
 			result := exploreRuns(namedAnswers, maxModelFaults(), true)
 			qt.Assert(t, result.firstViolation, qt.Equals, "")
-			t.Logf("%d runs, %d kinds of fault at %d places", result.runs, maxModelFaults(), len(result.faults))
+			t.Logf("%d runs with at most %d faults each, %d distinct faults", result.runs, maxModelFaults(), len(result.faults))
 			qt.Assert(t, result.runs > 100, qt.IsTrue)
-			qt.Assert(t, result.cancelled > 0, qt.IsTrue, qt.Commentf("no caller left while repeatable work ran"))
+			qt.Assert(t, result.cancelled > 0, qt.IsTrue, qt.Commentf("no run cancelled a repeatable exchange"))
 		})
 	}
 }
 
-// A connection that breaks while the upstream is at work costs no request its answer: the
-// serving proxy is asked, says that it runs, and the answer comes on the new connection.
-// Without the waiting it was 502 after 0.4 s.
+// If a connection breaks while the upstream runs the request, the caller still gets the answer: the
+// serving proxy reports the attempt as running, and sends its outcome on the new connection. Before
+// outcome queries waited for running attempts, the caller got 502 after 0.4 s.
 func TestModelWaitsForRunningAttempts(t *testing.T) {
 	c := qt.New(t)
 	brokenConnections := 0
 	for choicePoint := range 12 {
 		chooser := &modelChooser{preset: make([]int, choicePoint+1)}
 		chooser.preset[choicePoint] = frameDeliveredThenBroken
-		w := newModel(chooser, true)
-		w.submitRequests()
-		w.run()
-		w.group.Stop(0)
+		world := newModel(chooser, true)
+		world.submitRequests()
+		world.run()
+		world.group.Stop(0)
 		if len(chooser.points) <= choicePoint || !strings.HasSuffix(chooser.points[choicePoint], "message.Forward") {
 			continue
 		}
 		brokenConnections++
-		c.Assert(w.violations(), qt.HasLen, 0)
-		for _, request := range w.requests {
-			c.Check(request.responses[0].Code, qt.Equals, errcode.OK, qt.Commentf("%s, broken at %s", request.name, chooser.points[choicePoint]))
+		c.Assert(world.violations(), qt.HasLen, 0)
+		for _, request := range world.requests {
+			comment := qt.Commentf("%s, broken at %s", request.name, chooser.points[choicePoint])
+			c.Check(request.responses[0].Code, qt.Equals, errcode.OK, comment)
 		}
 	}
 	c.Assert(brokenConnections >= 3, qt.IsTrue)
 }
 
-// Runs in which many things go wrong at once, drawn at random from fixed seeds.
+// No run with many faults, drawn at random from fixed seeds, violates a rule.
 func TestModelRandomFaults(t *testing.T) {
 	runs := 3000
 	if testing.Short() {
@@ -128,18 +133,18 @@
 					chooser.preset[index] = choice
 				}
 			}
-			w := newModel(chooser, namedAnswers)
-			w.submitRequests()
-			w.run()
-			w.group.Stop(0)
-			if violations := w.violations(); len(violations) > 0 {
+			world := newModel(chooser, namedAnswers)
+			world.submitRequests()
+			world.run()
+			world.group.Stop(0)
+			if violations := world.violations(); len(violations) > 0 {
 				t.Fatalf("seed %d, named %t: %v\nchoices %v\nat %v", seed, namedAnswers, violations, chooser.choices, chooser.points)
 			}
 		}
 	}
 }
 
-// Each check that the model exercises is needed: without it some explored run is wrong.
+// Each listed safeguard is necessary: without it, some explored run violates the given rule.
 func TestModelNeedsEachSafeguard(t *testing.T) {
 	for _, test := range []struct {
 		guard        safeguard.Guard
@@ -162,8 +167,8 @@
 		t.Run(test.guard.String(), func(t *testing.T) {
 			safeguard.Without(t, test.guard)
 			result := exploreRuns(test.namedAnswers, 2, true)
-			qt.Assert(t, result.firstViolation, qt.Not(qt.Equals), "", qt.Commentf("%d runs, none wrong", result.runs))
-			t.Logf("wrong after %d runs: %s", result.runs, result.firstViolation)
+			qt.Assert(t, result.firstViolation, qt.Not(qt.Equals), "", qt.Commentf("no violation in %d runs", result.runs))
+			t.Logf("violation after %d runs: %s", result.runs, result.firstViolation)
 			rule, _, _ := strings.Cut(result.firstViolation, ":")
 			qt.Assert(t, rule, qt.Equals, test.rule)
 		})
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -1,9 +1,9 @@
-// The two hops of a request as one explored state space, over the real frontend, dispatcher,
-// backend, upstream client and response matcher. Only what lies between processes is a stand-in:
-// connections between proxies, connections to upstreams, and the clock. At each place where something
-// can break, be silent, speak twice or late, the run makes a numbered choice; the explorer
-// plays every way of making at most a few choices other than "all is well". A run is fully
-// given by its choices, so a failing one is printed and can be played again.
+// A model of both hops of a request, from the caller's proxy to the serving proxy and from there to
+// the upstream. It uses the real frontend, dispatcher, backend, upstream client and response
+// matcher. Connections between proxies, connections to upstreams, and the clock are simulated. At
+// each choice point, where something can fail, stay silent, be duplicated or be delayed, a run makes
+// a numbered choice; 0 means no fault. The explorer runs every combination with a limited number of
+// faults. A run is determined by its choices, so that a failing run can be printed and repeated.
 package frontend
 
 import (
@@ -28,7 +28,8 @@
 	"beaconvane/internal/settings"
 )
 
-// What an upstream and its connection do with one request.
+// What an upstream and its connection do with one request. "Extra" answers follow the regular one
+// at once, in a later read, or only after the next request was sent.
 const (
 	upstreamAnswers = iota
 	upstreamExtraAnswerAtOnce
@@ -48,7 +49,7 @@
 	upstreamChoices
 )
 
-// What becomes of one frame from a caller's proxy to a serving proxy.
+// What happens to one frame from a caller's proxy to a serving proxy.
 const (
 	frameDelivered = iota
 	frameLost
@@ -61,7 +62,7 @@
 	frameChoices
 )
 
-// What becomes of one frame back.
+// What happens to one reply from a serving proxy.
 const (
 	replyDelivered = iota
 	replyLost
@@ -79,22 +80,23 @@
 )
 
 const (
-	modelStart       = 20 * time.Second // an age at which a process has its retry allowance
+	modelStart       = 20 * time.Second // past the retry window, so that the retry allowance applies
 	modelDeadline    = 3 * time.Second
 	modelShortDelay  = time.Millisecond
-	modelServiceTime = 700 * time.Millisecond // longer than a question waits for an answer
+	modelServiceTime = 700 * time.Millisecond // longer than an outcome query waits for a reply
 	modelLongDelay   = 5 * time.Second
 	modelMaxSteps    = 5000
 )
 
-// modelChooser makes the choices of one run, and notes what it could have chosen.
+// modelChooser makes the choices of one run from a preset, and records the choice points.
 type modelChooser struct {
-	preset  []int // by number of the choice; those behind are 0
-	choices []int
-	ranges  []int
-	points  []string
+	preset  []int    // the first choices; all later ones are 0
+	choices []int    // made so far
+	ranges  []int    // number of alternatives, by choice
+	points  []string // description of the choice point, by choice
 }
 
+// choose returns the next choice, in the range from 0 to count-1.
 func (c *modelChooser) choose(point string, count int) int {
 	choice := 0
 	if number := len(c.choices); number < len(c.preset) {
@@ -104,42 +106,45 @@
 	return choice
 }
 
+// modelEvent is a scheduled action. Events at the same time run in the order of their numbers.
 type modelEvent struct {
 	at     time.Duration
 	number int
 	action func()
 }
 
+// modelRun is one execution of a request by an upstream.
 type modelRun struct {
 	upstream     string
 	path         string
-	completeBody string // the answer's body, if it was sent whole
+	completeBody string // the answer's body, if the complete answer was sent
 	status       int
 }
 
+// modelRequest is a submitted request and its final answers.
 type modelRequest struct {
 	name           string
 	atMostOnce     bool
 	responses      []*Response
 	pending        *PendingRequest
-	proxyRestarted bool // with the process of its proxy: its caller's connection is closed, which says nothing
-	callerLeft     bool // its caller hung up
+	proxyRestarted bool // its proxy restarted: the caller's connection closes without an answer
+	callerLeft     bool // its caller disconnected
 }
 
-// model is one run's world.
+// model is the state of one run: its clock, proxies, requests and recorded faults.
 type model struct {
-	chooser      *modelChooser
-	now          time.Duration
-	events       []modelEvent
-	eventCount   int
-	namedAnswers bool
-	proxies      map[string]*modelProxy
-	runs         map[string][]modelRun
-	offers       map[string]map[string]bool
-	requests     []*modelRequest
-	answerCount  int
-	group        *goroutine.Group
-	faults       map[string]int
+	chooser        *modelChooser
+	now            time.Duration
+	events         []modelEvent
+	eventCount     int
+	namedAnswers   bool
+	proxies        map[string]*modelProxy
+	runs           map[string][]modelRun
+	offers         map[string]map[string]bool
+	requests       []*modelRequest
+	writtenAnswers int
+	group          *goroutine.Group
+	faults         map[string]int
 
 	cancelled []string // ids of attempts
 }
@@ -149,7 +154,7 @@
 	world      *model
 	address    string
 	startTime  int64
-	running    map[string]bool // exchanges by attempt; false: cancelled
+	running    map[string]bool // exchanges by attempt id; false if cancelled
 	dispatcher *Dispatcher
 	front      *Frontend
 	serving    *backend.Backend
@@ -157,11 +162,13 @@
 	incoming   []*modelConnection
 }
 
+// after schedules an action.
 func (m *model) after(delay time.Duration, action func()) {
 	m.eventCount++
 	m.events = append(m.events, modelEvent{m.now + delay, m.eventCount, action})
 }
 
+// run executes events in order until none is left, or modelMaxSteps were executed.
 func (m *model) run() {
 	for step := 0; len(m.events) > 0 && step < modelMaxSteps; step++ {
 		sort.SliceStable(m.events, func(i, j int) bool {
@@ -188,9 +195,11 @@
 {"name":"pay","host":"shop.example","prefix":"/once/","service":"pay","kind":"once","timeout_ms":3000,"attempts":2},
 {"name":"free","host":"shop.example","prefix":"/free/","service":"pay","kind":"repeatable","timeout_ms":3000,"attempts":2}]}`
 
+// modelServingProxies has the address of the serving proxy by upstream instance.
 var modelServingProxies = map[string]string{"one": "b:1", "two": "c:1", "three": "d:1"}
 
-// modelUpstreamProtocol is how upstreams speak in the model: answers bear their request's name.
+// modelUpstreamProtocol is the upstream protocol of runs with named answers: each answer carries the
+// name of its request's attempt.
 type modelUpstreamProtocol struct{}
 
 func (modelUpstreamProtocol) SetHeaders(header http.Header, forward message.Forward, _ backend.Target, _ time.Duration) {
@@ -217,15 +226,17 @@
 	return metadata
 }
 
-// modelCallerProtocol name each try, as the platform's callers do.
+// modelCallerProtocol reads the name of each attempt from the request, as the platform's protocol
+// does.
 type modelCallerProtocol struct{ NativeProtocol }
 
 func (modelCallerProtocol) Metadata(request *Request) Metadata {
 	return Metadata{AttemptName: request.Header.Get("Try"), APIKeys: nil}
 }
 
+// newModel returns a model with the caller's proxy a:1 and the serving proxies b:1, c:1 and d:1.
 func newModel(chooser *modelChooser, namedAnswers bool) *model {
-	w := &model{
+	m := &model{
 		chooser:      chooser,
 		now:          modelStart,
 		namedAnswers: namedAnswers,
@@ -236,29 +247,29 @@
 		faults:       map[string]int{},
 	}
 	for _, address := range []string{"a:1", "b:1", "c:1", "d:1"} {
-		p := &modelProxy{world: w, address: address}
-		w.proxies[address] = p
+		p := &modelProxy{world: m, address: address}
+		m.proxies[address] = p
 		p.start()
 	}
-	return w
+	return m
 }
 
-// start starts the process of the proxy anew; of an earlier one nothing is known.
+// start starts a new process of the proxy. It has no state of an earlier process.
 func (p *modelProxy) start() {
-	w := p.world
-	cfg := modelSettings(w.namedAnswers)
+	world := p.world
+	cfg := modelSettings(world.namedAnswers)
 	p.startTime++
 	p.running = map[string]bool{}
 	p.serving = backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
 	p.front = New(cfg, p.serving.LookupDelegation)
 	p.front.UseProtocol(modelCallerProtocol{})
-	p.client = backend.NewUpstreamClient(cfg, p.serving, w.group)
-	if w.namedAnswers {
+	p.client = backend.NewUpstreamClient(cfg, p.serving, world.group)
+	if world.namedAnswers {
 		p.client.UseProtocol(modelUpstreamProtocol{})
 	}
 	startTime := p.startTime
 	p.client.UseDialer(func(address string, _ time.Time) (net.Conn, error) {
-		return &modelUpstreamConn{world: w, upstream: address}, nil
+		return &modelUpstreamConn{world: world, upstream: address}, nil
 	})
 	p.dispatcher = NewDispatcher(cfg, p.front, p.serving, &modelEnvironment{p, startTime, rand.New(rand.NewPCG(1, 2))}, message.Member{
 		Name:      p.address,
@@ -269,8 +280,8 @@
 	for _, name := range []string{"one", "two", "three"} {
 		if modelServingProxies[name] == p.address {
 			announcement := backend.Announcement{Service: "pay", Instance: name, Incarnation: 1, Address: name, Zone: "here", Slots: 4}
-			p.serving.Announce(w.now, announcement)
-			if !w.namedAnswers {
+			p.serving.Announce(world.now, announcement)
+			if !world.namedAnswers {
 				p.client.Guard(announcement)
 			}
 		}
@@ -284,10 +295,10 @@
 			State:                 message.StateReady,
 			ServingProxy:          modelServingProxies[name],
 			ServingProxyAddress:   modelServingProxies[name],
-			ServingProxyStartTime: w.proxies[modelServingProxies[name]].startTimeOr(startTime),
+			ServingProxyStartTime: world.proxies[modelServingProxies[name]].startTimeOr(startTime),
 		})
 	}
-	p.front.UpdateSnapshot(w.now, &proxy.Snapshot{
+	p.front.UpdateSnapshot(world.now, &proxy.Snapshot{
 		Configurations:      []*routeconfig.Configuration{routeconfig.Parse("main", 1, []byte(modelRoutes), cfg.ConfigurationLimits())},
 		ConfigurationsKnown: true,
 		RosterKnown:         true,
@@ -297,6 +308,7 @@
 	})
 }
 
+// startTimeOr returns the proxy's start time, or fallback if the proxy does not exist yet.
 func (p *modelProxy) startTimeOr(fallback int64) int64 {
 	if p == nil {
 		return fallback
@@ -316,7 +328,7 @@
 func (e *modelEnvironment) Random() *rand.Rand { return e.random }
 func (e *modelEnvironment) Notify(any)         {}
 
-// whileRunning does something in the process, as long as it lasts.
+// whileRunning returns a function that runs action unless the process has been replaced.
 func (e *modelEnvironment) whileRunning(action func()) func() {
 	return func() {
 		if e.proxy.startTime == e.startTime {
@@ -327,7 +339,8 @@
 
 func (e *modelEnvironment) Backlog() time.Duration { return 0 }
 
-// Cancel breaks off what runs; once-only work is never broken off.
+// Cancel aborts a running exchange and records its attempt. violations checks that the attempt is
+// not at-most-once.
 func (e *modelEnvironment) Cancel(id string) {
 	if e.proxy.running[id] {
 		e.proxy.running[id] = false
@@ -356,8 +369,8 @@
 	return true
 }
 
-// startExchange makes an exchange, which takes the time of the work; one that is cancelled in that
-// time ends without an answer.
+// startExchange performs an exchange that takes modelServiceTime. If it is cancelled in that time,
+// its outcome is unknown.
 func (e *modelEnvironment) startExchange(decision backend.Decision) {
 	p := e.proxy
 	outcome := p.client.Call(decision)
@@ -373,7 +386,7 @@
 
 func (e *modelEnvironment) Open(address string, onMessage func(msg any), onClosed func(connection Connection)) Connection {
 	connection := &modelConnection{from: e, to: e.proxy.world.proxies[address], onMessage: onMessage, onClosed: onClosed, unused: true}
-	connection.toLife = connection.to.startTime
+	connection.toStartTime = connection.to.startTime
 	connection.to.incoming = append(connection.to.incoming, connection)
 	return connection
 }
@@ -382,109 +395,113 @@
 type modelConnection struct {
 	from        *modelEnvironment
 	to          *modelProxy
-	toLife      int64
+	toStartTime int64
 	onMessage   func(msg any)
 	onClosed    func(connection Connection)
-	unused      bool // nothing was sent on it yet
+	unused      bool // no frame was posted on it
 	established bool
 	closed      bool
 	silent      bool
 }
 
-func (l *modelConnection) Broken() bool      { return l.closed }
-func (l *modelConnection) Established() bool { return l.established }
-func (l *modelConnection) Close()            { l.closed = true }
+func (c *modelConnection) Broken() bool      { return c.closed }
+func (c *modelConnection) Established() bool { return c.established }
+func (c *modelConnection) Close()            { c.closed = true }
 
-// end breaks the connection; its opener is told a moment later.
-func (l *modelConnection) end() {
-	if !l.closed {
-		l.closed = true
-		l.from.proxy.world.after(0, l.from.whileRunning(func() { l.onClosed(l) }))
+// end breaks the connection. onClosed is called in a later event.
+func (c *modelConnection) end() {
+	if !c.closed {
+		c.closed = true
+		c.from.proxy.world.after(0, c.from.whileRunning(func() { c.onClosed(c) }))
 	}
 }
 
-func (l *modelConnection) Post(msg any) error {
-	if l.closed {
+// Post sends a frame to the serving proxy, with the fault chosen for it.
+func (c *modelConnection) Post(msg any) error {
+	if c.closed {
 		return errcode.Wrap("model.post", errcode.ConnectionLost, nil)
 	}
-	w := l.from.proxy.world
+	world := c.from.proxy.world
 	choices := frameChoices
-	if !l.unused {
-		choices = frameNeverConnected // a made connection can't fail to be made, nor is the end of its process told on it twice
+	if !c.unused {
+		// Only the first frame on a connection can fail to connect, or restart the serving proxy.
+		choices = frameNeverConnected
 	}
-	point := fmt.Sprintf("%s>%s %T", l.from.proxy.address, l.to.address, msg)
-	switch l.unused = false; w.fault(point, choices) {
+	point := fmt.Sprintf("%s>%s %T", c.from.proxy.address, c.to.address, msg)
+	switch c.unused = false; world.fault(point, choices) {
 	case frameNeverConnected:
-		l.end()
+		c.end()
 		return nil
 	case frameLost:
-		l.established = true
-		l.end()
+		c.established = true
+		c.end()
 	case frameDeliveredThenBroken:
-		l.established = true
-		l.deliver(0, msg)
-		w.after(0, l.end)
+		c.established = true
+		c.deliver(0, msg)
+		world.after(0, c.end)
 	case frameDeliveredAfterBreak:
-		l.established = true
-		l.end()
-		l.deliver(modelShortDelay, msg)
+		c.established = true
+		c.end()
+		c.deliver(modelShortDelay, msg)
 	case frameDeliveredAfterDeadline:
-		l.established = true
-		l.end()
-		l.deliver(modelLongDelay, msg)
+		c.established = true
+		c.end()
+		c.deliver(modelLongDelay, msg)
 	case frameLostSilently:
-		l.established, l.silent = true, true
+		c.established, c.silent = true, true
 	case frameDeliveredThenRestart:
-		l.established = true
-		l.deliver(0, msg)
-		w.after(modelShortDelay/2, func() {
-			l.to.start()
-			for _, connection := range l.to.incoming {
+		c.established = true
+		c.deliver(0, msg)
+		world.after(modelShortDelay/2, func() {
+			c.to.start()
+			for _, connection := range c.to.incoming {
 				connection.end()
 			}
 		})
 	default:
-		l.established = true
-		l.deliver(0, msg)
+		c.established = true
+		c.deliver(0, msg)
 	}
 	return nil
 }
 
-func (l *modelConnection) deliver(delay time.Duration, msg any) {
-	w, startTime := l.from.proxy.world, l.to.startTime
-	w.after(delay, func() {
-		if l.silent || l.to.startTime != startTime {
+// deliver schedules the delivery of a frame, unless the serving proxy restarts before it.
+func (c *modelConnection) deliver(delay time.Duration, msg any) {
+	world, startTime := c.from.proxy.world, c.to.startTime
+	world.after(delay, func() {
+		if c.silent || c.to.startTime != startTime {
 			return
 		}
-		l.to.dispatcher.HandleFrame(msg, l.reply)
+		c.to.dispatcher.HandleFrame(msg, c.reply)
 	})
 }
 
-func (l *modelConnection) reply(msg any) error {
-	w := l.from.proxy.world
-	if l.closed {
+// reply sends a frame back to the caller's proxy, with the fault chosen for it.
+func (c *modelConnection) reply(msg any) error {
+	world := c.from.proxy.world
+	if c.closed {
 		return errcode.Wrap("model.back", errcode.ConnectionLost, nil)
 	}
-	receive := l.from.whileRunning(func() {
-		if !l.silent {
-			l.onMessage(msg)
+	receive := c.from.whileRunning(func() {
+		if !c.silent {
+			c.onMessage(msg)
 		}
 	})
-	switch w.fault(fmt.Sprintf("%s<%s %T", l.from.proxy.address, l.to.address, msg), replyChoices) {
+	switch world.fault(fmt.Sprintf("%s<%s %T", c.from.proxy.address, c.to.address, msg), replyChoices) {
 	case replyLost:
-		l.end()
+		c.end()
 	case replyDuplicated:
-		w.after(0, receive)
-		w.after(modelShortDelay, receive)
+		world.after(0, receive)
+		world.after(modelShortDelay, receive)
 	case replyAfterDeadline:
-		w.after(modelLongDelay, receive)
+		world.after(modelLongDelay, receive)
 	default:
-		w.after(0, receive)
+		world.after(0, receive)
 	}
 	return nil
 }
 
-// fault chooses, and counts what was chosen other than "well".
+// fault makes the choice at a choice point, and counts it if it is a fault.
 func (m *model) fault(point string, count int) int {
 	choice := m.chooser.choose(point, count)
 	if choice > 0 {
@@ -493,17 +510,17 @@
 	return choice
 }
 
-// modelUpstreamConn is a connection to an upstream. What it sends comes in pieces; each
-// read gives one, and silence is a time that is up.
+// modelUpstreamConn is a connection to an upstream. Each read returns data of one piece. A read
+// without data returns the failure, or exceeds its deadline.
 type modelUpstreamConn struct {
 	net.Conn
-	world      *model
-	upstream   string
-	pieces     [][]byte
-	latePieces [][]byte // come once the next request is on its way
-	last       string   // name of the request before
-	failure    error
-	closed     bool
+	world        *model
+	upstream     string
+	pieces       [][]byte
+	latePieces   [][]byte // arrive after the next request was sent
+	previousName string   // name of the previous request
+	failure      error
+	closed       bool
 }
 
 func (u *modelUpstreamConn) SetDeadline(time.Time) error { return nil }
@@ -524,46 +541,47 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
+// Write receives a request, and prepares the answer according to the choice for this upstream.
 func (u *modelUpstreamConn) Write(text []byte) (int, error) {
 	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
 	if err != nil {
 		return 0, err
 	}
-	w, path := u.world, request.URL.Path
+	world, path := u.world, request.URL.Path
 	name := request.Header.Get("Name")
 	u.pieces, u.latePieces = append(u.pieces, u.latePieces...), nil
-	if w.offers[path] == nil {
-		w.offers[path] = map[string]bool{}
+	if world.offers[path] == nil {
+		world.offers[path] = map[string]bool{}
 	}
-	w.offers[path][u.upstream] = true
-	w.answerCount++
-	body := fmt.Sprintf("%s by %s, %d", path, u.upstream, w.answerCount)
+	world.offers[path][u.upstream] = true
+	world.writtenAnswers++
+	body := fmt.Sprintf("%s by %s, %d", path, u.upstream, world.writtenAnswers)
 	answer := func(status int, head, body string) []byte {
 		nameHeader := ""
-		if w.namedAnswers {
+		if world.namedAnswers {
 			nameHeader = "Name: " + name + "\r\n"
 		}
 		return fmt.Appendf(nil, "HTTP/1.1 %d X\r\n%s%sContent-Length: %d\r\n\r\n%s", status, nameHeader, head, len(body), body)
 	}
 	recordRun := func(status int, completeBody string) {
-		w.runs[path] = append(w.runs[path], modelRun{u.upstream, path, completeBody, status})
-		if path == modelCallingPath {
-			// Its upstream calls on, each time that it runs, through the proxy beside it.
-			w.submitAt(modelServingProxies[u.upstream], fmt.Sprintf("/once/call%d", w.answerCount), true, func() {})
+		world.runs[path] = append(world.runs[path], modelRun{u.upstream, path, completeBody, status})
+		if path == modelNestingPath {
+			// The upstream makes a nested call through its serving proxy each time it runs.
+			world.submitAt(modelServingProxies[u.upstream], fmt.Sprintf("/once/call%d", world.writtenAnswers), true, func() {})
 		}
 	}
 	regular, extra := answer(200, "", body), answer(200, "", "a second answer")
-	choice := w.fault("at "+u.upstream+" "+path, upstreamChoices)
-	if !w.namedAnswers && (choice == upstreamExtraAnswerLate || choice == upstreamUnnamedAnswerLate) {
-		choice = upstreamExtraAnswerAfterwards // without names nobody can know a late one; the platform's have names
+	choice := world.fault("at "+u.upstream+" "+path, upstreamChoices)
+	if !world.namedAnswers && (choice == upstreamExtraAnswerLate || choice == upstreamUnnamedAnswerLate) {
+		choice = upstreamExtraAnswerAfterwards // without names, a late answer can't be recognized
 	}
 	switch choice {
 	case upstreamExtraAnswerAtOnce:
 		recordRun(200, body)
-		if w.namedAnswers {
+		if world.namedAnswers {
 			u.pieces = append(u.pieces, append(regular, extra...))
 		} else {
-			u.pieces = append(u.pieces, append(extra, regular...)) // which of the two is its own can't be told
+			u.pieces = append(u.pieces, append(extra, regular...)) // without names, the regular answer can't be identified
 		}
 	case upstreamExtraAnswerAfterwards:
 		recordRun(200, body)
@@ -595,7 +613,7 @@
 	case upstreamSilentAfterRun:
 		recordRun(200, "")
 	case upstreamRefuses:
-		if w.namedAnswers {
+		if world.namedAnswers {
 			u.pieces = append(u.pieces, answer(503, "Unrun: full\r\n", "full"))
 		} else {
 			recordRun(200, body)
@@ -603,13 +621,13 @@
 		}
 	case upstreamRefusesAfterRun:
 		recordRun(503, "")
-		if w.namedAnswers {
+		if world.namedAnswers {
 			u.pieces = append(u.pieces, answer(503, "", "busy"))
 		} else {
 			u.failure = io.EOF
 		}
 	case upstreamMisdirected:
-		if w.namedAnswers {
+		if world.namedAnswers {
 			u.pieces = append(u.pieces, answer(421, "", ""))
 		} else {
 			u.failure = io.EOF
@@ -618,15 +636,15 @@
 		recordRun(200, body)
 		u.pieces = append(u.pieces, regular)
 	}
-	u.last = name
+	u.previousName = name
 	return len(text), nil
 }
 
-// modelCallingPath is the request whose runs call on.
-const modelCallingPath = "/free/2"
+// modelNestingPath is the path of the request that makes a nested call in each run.
+const modelNestingPath = "/free/2"
 
-// submit sends a request to the first caller's proxy.
-func (m *model) submit(path string, atMostOnce bool, onAnswer func()) {
+// submitAtFirst sends a request to the first caller's proxy.
+func (m *model) submitAtFirst(path string, atMostOnce bool, onAnswer func()) {
 	m.submitAt("a:1", path, atMostOnce, onAnswer)
 }
 
@@ -667,14 +685,14 @@
 	}
 }
 
-// submitRequests is who asks for what: two at once, and one behind the first on its caller's
-// connection (a pipelined one, or one on a kept connection).
+// submitRequests submits two requests at once, and two more one after another once the first is
+// answered, as on a pipelined or a persistent connection of its caller.
 func (m *model) submitRequests() {
-	m.submit("/once/1", true, func() { m.submit("/free/3", false, func() { m.submit("/once/4", true, func() {}) }) })
-	m.submit("/free/2", false, func() {})
+	m.submitAtFirst("/once/1", true, func() { m.submitAtFirst("/free/3", false, func() { m.submitAtFirst("/once/4", true, func() {}) }) })
+	m.submitAtFirst("/free/2", false, func() {})
 }
 
-// violations lists what a run did wrong.
+// violations returns the violations of a run in the form "<rule>: <description>".
 func (m *model) violations() []string {
 	violations := []string{}
 	add := func(rule, text string, values ...any) {
@@ -682,7 +700,7 @@
 	}
 	for _, id := range m.cancelled {
 		if strings.Contains(id, "/once/") {
-			add("cancelled", "%s was broken off", id)
+			add("cancelled", "%s was aborted although its route is at-most-once", id)
 		}
 	}
 	for _, request := range m.requests {
@@ -707,10 +725,10 @@
 		switch response.Status {
 		case http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusMisdirectedRequest:
 			if len(runs) > 0 {
-				add("promise", "%s was told %d (%s) and ran", request.name, response.Status, response.Code)
+				add("promise", "%s was answered %d (%s) but ran", request.name, response.Status, response.Code)
 			}
 			if response.Code != errcode.OK && response.RetryAfter <= 0 {
-				add("retry-after", "%s was told %d without a time", request.name, response.Status)
+				add("retry-after", "%s was answered %d without Retry-After", request.name, response.Status)
 			}
 		}
 		if response.Code != errcode.OK {
@@ -721,7 +739,7 @@
 			found = found || run.completeBody != "" && run.completeBody == string(response.Body) && run.status == response.Status
 		}
 		if !found {
-			add("own-answer", "%s was answered %d %q", request.name, response.Status, response.Body)
+			add("own-answer", "%s was answered %d %q, which none of its runs sent", request.name, response.Status, response.Body)
 		}
 	}
 	return violations
--- a/internal/frontend/outcomequery.go
+++ b/internal/frontend/outcomequery.go
@@ -23,11 +23,11 @@
 
 	lock       sync.Mutex
 	startTimes map[string]int64 // by attempt id: start time of the serving proxy it was sent to
-	running    map[string]bool
+	running    map[string]bool  // by attempt id: reported as running
 }
 
-// queryOutcomes asks about attempts, each given with the birth of the serving proxy that it was
-// sent to.
+// queryOutcomes sends outcome requests for attempts on a new connection. startTimes has, by attempt
+// id, the start time of the serving proxy that the attempt was sent to.
 func (d *Dispatcher) queryOutcomes(servingProxy string, startTimes map[string]int64, remaining int) {
 	q := &outcomeQuery{
 		dispatcher:       d,
--- a/internal/frontend/registration.go
+++ b/internal/frontend/registration.go
@@ -9,7 +9,7 @@
 // Announce processes the announcement of an upstream of this serving proxy. It returns false if a
 // higher incarnation of that upstream is known.
 func (d *Dispatcher) Announce(announcement backend.Announcement) bool {
-	d.processStartTime.Store(true)
+	d.announcementReceived.Store(true)
 	return d.register(announcement)
 }
 
@@ -35,7 +35,7 @@
 func (d *Dispatcher) mayAdoptUpstreams() bool {
 	return d.settings.ProofByTarget() &&
 		d.environment.Now()-d.startedAt < d.settings.HeartbeatTimeout() &&
-		!d.processStartTime.Load()
+		!d.announcementReceived.Load()
 }
 
 // adoptUpstreams registers the upstreams that the roster lists for an earlier run of this proxy. It
@@ -55,7 +55,7 @@
 // instance is not registered with the present one.
 func (d *Dispatcher) isOrphan(registration message.Registration) bool {
 	return registration.ServingProxy == d.nodeName &&
-		registration.ServingProxyStartTime < d.birth &&
+		registration.ServingProxyStartTime < d.processStartTime &&
 		!d.serving.HasInstance(registration.Instance)
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-// RetireInstance ends an instance's registration and bars its name from registering again.
+// RetireInstance ends an instance's registration for good. Instance names are not reused.
 func (d *Dispatcher) RetireInstance(instance string) {
 	previous, found, decisions := d.serving.RetireInstance(d.environment.Now(), instance)
 	if found {
--- a/internal/frontend/registration_test.go
+++ b/internal/frontend/registration_test.go
@@ -1,4 +1,5 @@
-// A serving proxy takes its upstreams from the roster only until one has spoken.
+// Tests of registrations at a serving proxy: adoption from the roster after a restart, late
+// announcements, and the usage count of started requests.
 package frontend
 
 import (
@@ -15,7 +16,8 @@
 	"beaconvane/internal/settings"
 )
 
-// recordingEnvironment is a environment whose clock the test sets; orders to start are kept.
+// recordingEnvironment is an Environment whose clocks the test sets. It records notices and the
+// decisions to start a request.
 type recordingEnvironment struct {
 	dispatcher *Dispatcher
 	now        time.Duration
@@ -45,7 +47,8 @@
 	return &fakeConnection{}
 }
 
-// takeNotices gives, in short, what the control machine was told since it was last asked.
+// takeNotices returns the notices to the control state since the last call, in the form "<instance>
+// <state>" for announcements and "<instance> off" for sign-offs.
 func (r *recordingEnvironment) takeNotices() []string {
 	summaries := []string{}
 	for _, notice := range r.received {
@@ -60,6 +63,8 @@
 	return summaries
 }
 
+// newServingDispatcher returns the dispatcher of proxy/me with start time 7, which counts usage by
+// started requests.
 func newServingDispatcher(proof string) (*recordingEnvironment, *backend.Backend, settings.Settings) {
 	cfg := settings.Default()
 	cfg.Zone, cfg.TargetProof, cfg.CountedRequests = "here", proof, settings.CountBegun
@@ -73,6 +78,7 @@
 	return environment, serving, cfg
 }
 
+// localRegistration returns a registration with proxy/me as its serving proxy.
 func localRegistration(instance, address, state string, servingProxyStartTime int64) message.Registration {
 	return message.Registration{Service: "pay", Instance: instance, Incarnation: 1, Address: address, Zone: "here", Slots: 2, State: state,
 		ServingProxy: "proxy/me", ServingProxyAddress: "here:1", ServingProxyStartTime: servingProxyStartTime}
@@ -99,8 +105,8 @@
 	}
 }
 
-// After a power cut the upstream has another name at the old address. The roster still
-// holds the old one; the two must not end each other in turn.
+// After a power cut, an upstream restarts with a new instance name at its old address, while the
+// roster still lists the old instance. The two registrations must not replace each other repeatedly.
 func TestAdoptionEndsWithFirstAnnouncement(t *testing.T) {
 	c := qt.New(t)
 	environment, serving, _ := newServingDispatcher(settings.ProofTarget)
@@ -120,8 +126,9 @@
 	}
 }
 
-// Nobody is adopted of this process, of another serving proxy, late after the start, or where connections are
-// the proof; one that was leaving is taken as such.
+// A registration is adopted with its state if it was made with an earlier run of this proxy. It is
+// not adopted if it belongs to this run or to another serving proxy, once a heartbeat timeout has
+// passed since the start, or if the proof is by connection.
 func TestAdoptedRegistrations(t *testing.T) {
 	other := localRegistration("other", "up:1", message.StateReady, 6)
 	other.ServingProxy = "proxy/other"
@@ -131,10 +138,15 @@
 		registration message.Registration
 		expected     []string
 	}{
-		"an earlier life's": {settings.ProofTarget, 0, localRegistration("old", "up:1", message.StateReady, 6), []string{"old ready"}},
-		"one that leaves":   {settings.ProofTarget, 0, localRegistration("old", "up:1", message.StateDraining, 6), []string{"old leaving"}},
-		"this life's":       {settings.ProofTarget, 0, localRegistration("old", "up:1", message.StateReady, 7), []string{}},
-		"another home's":    {settings.ProofTarget, 0, other, []string{}},
+		"ready, earlier run": {settings.ProofTarget, 0, localRegistration("old", "up:1", message.StateReady, 6), []string{"old ready"}},
+		"draining, earlier run": {
+			settings.ProofTarget,
+			0,
+			localRegistration("old", "up:1", message.StateDraining, 6),
+			[]string{"old leaving"},
+		},
+		"this run":            {settings.ProofTarget, 0, localRegistration("old", "up:1", message.StateReady, 7), []string{}},
+		"other serving proxy": {settings.ProofTarget, 0, other, []string{}},
 		"late": {
 			settings.ProofTarget,
 			settings.Default().HeartbeatTimeout(),
@@ -153,8 +165,8 @@
 	}
 }
 
-// What alters nothing in the serving proxy must not be told to the roster either: a heartbeat behind
-// a newer one, one behind the last word, and one of an upstream that leaves.
+// A heartbeat that has no effect at the serving proxy must not change the roster either: one older
+// than the latest, one of an upstream that is draining, and one after the instance was retired.
 func TestLateAnnouncementsAreNotPassedOn(t *testing.T) {
 	c := qt.New(t)
 	environment, serving, _ := newServingDispatcher(settings.ProofTarget)
@@ -177,8 +189,8 @@
 	c.Assert(serving.HasInstance("one"), qt.IsFalse)
 }
 
-// Usage of what upstreams began: counted as a request begins, in the window in which it
-// did; taken back from that window when the upstream says that it did not run.
+// Where usage counts started requests, a request counts in the window in which it starts. The count
+// is reverted in that window if the upstream reports that the request did not run.
 func TestUsageOfStartedRequests(t *testing.T) {
 	c := qt.New(t)
 	environment, _, cfg := newServingDispatcher(settings.ProofTarget)
@@ -211,18 +223,25 @@
 	forward("queue", "u")
 	c.Assert(environment.starts, qt.HasLen, 2)
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 2})
-	// The outcomes come in the next window; so does the start of the one that waited.
+	// The outcomes arrive in the next window, and the queued request starts in it.
 	environment.wall = environment.wall.Add(cfg.UsageWindow())
-	environment.dispatcher.Complete(environment.starts[0], message.Outcome{Kind: message.NotStarted, Code: int64(errcode.BusySlotsFull), ReachedUpstream: true})
+	environment.dispatcher.Complete(environment.starts[0], message.Outcome{
+		Kind:            message.NotStarted,
+		Code:            int64(errcode.BusySlotsFull),
+		ReachedUpstream: true,
+	})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
-	environment.dispatcher.Complete(environment.starts[1], message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)})
+	environment.dispatcher.Complete(environment.starts[1], message.Outcome{
+		Kind: message.OutcomeUnknown,
+		Code: int64(errcode.UnknownOutcome),
+	})
 	c.Assert(counts(window), qt.DeepEquals, map[string]int64{"t": 1})
 	c.Assert(outcomes, qt.HasLen, 2)
 	environment.now += cfg.AddressProofTTL()
 	environment.dispatcher.Expire()
 	c.Assert(environment.starts, qt.HasLen, 3)
 	c.Assert(counts(window+1), qt.DeepEquals, map[string]int64{"u": 1})
-	// One that finds no room before it is sent was not begun.
+	// A request that finds the start queue full does not count as started.
 	environment.dispatcher.Complete(environment.starts[2], message.Outcome{Kind: message.Completed, Status: 200})
 	environment.full = true
 	forward("late", "t")
--- a/internal/frontend/retryshare_test.go
+++ b/internal/frontend/retryshare_test.go
@@ -1,4 +1,4 @@
-// Calls that running retries make draw on the retry budget of the service called.
+// Tests that calls made by running retries spend the retry budget of the called service.
 package frontend
 
 import (
@@ -15,7 +15,7 @@
 	"beaconvane/internal/settings"
 )
 
-// fixedRetryMonitor is a serving side of which the share is given.
+// fixedRetryMonitor is a RetryMonitor with a fixed share of retries. It records the last pause.
 type fixedRetryMonitor struct {
 	share       float64
 	pausedUntil time.Duration
@@ -24,7 +24,8 @@
 func (r *fixedRetryMonitor) RetryShare() float64              { return r.share }
 func (r *fixedRetryMonitor) PauseRetries(until time.Duration) { r.pausedUntil = until }
 
-// countForwardedCalls counts how many calls of running requests get as far as an upstream.
+// countForwardedCalls sends 200 requests and returns how many were assigned to an upstream. Without
+// a key they are calls of running requests.
 func countForwardedCalls(c *qt.C, share float64, key string) int {
 	f := newHostFrontend(c, readyUpstream("one", "here"))
 	monitor := &fixedRetryMonitor{share: share}
@@ -41,22 +42,25 @@
 		}
 		c.Assert(response.Code, qt.Equals, errcode.BusyBudget)
 		c.Assert(response.RetryAfter > 0, qt.IsTrue)
-		c.Assert(monitor.pausedUntil > time.Second, qt.IsTrue) // no repeat starts here for a while
+		c.Assert(monitor.pausedUntil > time.Second, qt.IsTrue) // retries are paused
 	}
 	return forwarded
 }
 
+// The share of retries among running requests determines how many of their calls spend the retry
+// budget.
 func TestCallsOfRetriesSpendRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(countForwardedCalls(c, 0, ""), qt.Equals, 200)
-	c.Assert(countForwardedCalls(c, 1, "secret"), qt.Equals, 200) // a client's own request
-	c.Assert(countForwardedCalls(c, 1, ""), qt.Equals, 0)         // a young process has no allowance, and no first tries
-	// Half are repeats, of which the budget lets a fifth of the others by.
+	c.Assert(countForwardedCalls(c, 1, "secret"), qt.Equals, 200) // not nested
+	c.Assert(countForwardedCalls(c, 1, ""), qt.Equals, 0)         // no allowance within the retry window, and no first attempts
+	// Half of the calls count as retries; the budget admits one fifth as many retries as first attempts.
 	forwarded := countForwardedCalls(c, 0.5, "")
 	c.Assert(forwarded > 90 && forwarded < 140, qt.IsTrue, qt.Commentf("%d", forwarded))
 }
 
-// The serving proxy knows what runs as a repeat, and the frame says it.
+// A forwarded retry is marked as one, and the serving proxy measures the share of retries from the
+// marks.
 func TestForwardMarksRetries(t *testing.T) {
 	c := qt.New(t)
 	f := newHostFrontend(c, readyUpstream("one", "here"), readyUpstream("two", "here"))
@@ -76,7 +80,8 @@
 
 	serving := backend.New(f.settings, func(message.Forward) errcode.Code { return errcode.OK })
 	for _, name := range []string{"one", "two"} {
-		serving.Announce(pastRetryWindow, backend.Announcement{Service: "pay", Instance: name, Incarnation: 1, Address: name, Zone: "here", Slots: 4})
+		announcement := backend.Announcement{Service: "pay", Instance: name, Incarnation: 1, Address: name, Zone: "here", Slots: 4}
+		serving.Announce(pastRetryWindow, announcement)
 	}
 	c.Assert(serving.RetryShare(), qt.Equals, 0.0)
 	start := func(number int, retried, once bool) {
@@ -89,7 +94,7 @@
 	}
 	for number := range 300 {
 		start(number, number%3 == 0, false)
-		start(number, false, true) // makes no repeats, and hides none
+		start(number, false, true) // at-most-once requests do not affect the share
 	}
 	share := serving.RetryShare()
 	c.Assert(share > 0.25 && share < 0.42, qt.IsTrue, qt.Commentf("%v", share))
@@ -99,12 +104,13 @@
 	c.Assert(serving.RetryShare() < 0.001, qt.IsTrue)
 }
 
-// While the services called have no room for the calls of repeats, none starts; first
-// attempts do.
+// While retries are paused, because the called services have no retry budget left, no retry starts.
+// First attempts still start.
 func TestPausedRetriesDoNotStart(t *testing.T) {
 	c := qt.New(t)
 	serving := backend.New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
-	serving.Announce(pastRetryWindow, backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "one", Zone: "here", Slots: 4})
+	announcement := backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "one", Zone: "here", Slots: 4}
+	serving.Announce(pastRetryWindow, announcement)
 	serving.PauseRetries(pastRetryWindow + time.Second)
 	start := func(id string, now time.Duration, retried bool) backend.Decision {
 		decisions := serving.HandleForward(now, message.Forward{
@@ -119,7 +125,7 @@
 		return decisions[0]
 	}
 	c.Assert(start("first", pastRetryWindow, false).Start, qt.IsTrue)
-	paused := start("repeat", pastRetryWindow, true)
+	paused := start("retry", pastRetryWindow, true)
 	c.Assert(paused.Start, qt.IsFalse)
 	c.Assert(paused.Code, qt.Equals, errcode.BusyBudget)
 	c.Assert(start("later", pastRetryWindow+time.Second, true).Start, qt.IsTrue)
--- a/internal/frontend/saturation_test.go
+++ b/internal/frontend/saturation_test.go
@@ -1,4 +1,4 @@
-// Upstreams that are full, and the requests that upstreams make while they run others.
+// Tests of saturated upstreams, and of calls that upstreams make while they run a request.
 package frontend
 
 import (
@@ -22,8 +22,8 @@
 "attempts":2,"aim_ms":500,"priority":4},
 {"name":"check","host":"shop.example","prefix":"/check/","service":"pay","kind":"repeatable","timeout_ms":3000,"aim_ms":250,"open":true}]}`
 
-// newFrontendAmong is a frontend among so many proxies, with eight upstreams.
-func newFrontendAmong(proxies int) *Frontend {
+// newFrontendWithProxies returns a frontend in a fleet with a number of proxies and eight upstreams.
+func newFrontendWithProxies(proxies int) *Frontend {
 	cfg := settings.Default()
 	cfg.Zone, cfg.TargetProof, cfg.Service = "here", settings.ProofTarget, "clinic"
 	upstreams := []message.Registration{}
@@ -42,8 +42,8 @@
 	return f
 }
 
-// countForwards plays one request to its end among upstreams that are all full, and counts
-// how often it is sent out.
+// countForwards processes one request to its end while all upstreams refuse it as full, and returns
+// the number of attempts sent.
 func countForwards(c *qt.C, f *Frontend, now time.Duration, random *rand.Rand, path, key string) int {
 	request := newHostRequest(path, key)
 	request.Deadline = now + 3*time.Second
@@ -62,14 +62,14 @@
 	}
 }
 
-// Among many proxies a full upstream is asked more and more seldom: four seconds of
-// twenty requests each would otherwise send 320 frames that are only refused. Alone, a
-// proxy goes on asking, or a slot that is free again would stay empty.
+// With many proxies, the backoff of a full upstream grows: without it, four seconds with twenty
+// requests each would send 320 frames that are only refused. A single proxy keeps trying, since
+// otherwise a slot that becomes free would stay unused.
 func TestSaturationBackoffGrowsWithProxyCount(t *testing.T) {
 	c := qt.New(t)
 	sent := map[int]int{}
 	for _, proxies := range []int{1, 77} {
-		f := newFrontendAmong(proxies)
+		f := newFrontendWithProxies(proxies)
 		random := rand.New(rand.NewPCG(1, 2))
 		for now := pastRetryWindow; now < pastRetryWindow+4*time.Second; now += 50 * time.Millisecond {
 			sent[proxies] += countForwards(c, f, now, random, "/pay/x", "secret")
@@ -79,10 +79,10 @@
 	c.Assert(sent[1] > 250, qt.IsTrue, qt.Commentf("%d sent", sent[1]))
 }
 
-// An upstream that has begun a request is no longer full.
+// An answer from an upstream ends its saturation backoff.
 func TestAnswerClearsSaturation(t *testing.T) {
 	c := qt.New(t)
-	f := newFrontendAmong(77)
+	f := newFrontendWithProxies(77)
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
 		countForwards(c, f, pastRetryWindow, random, "/pay/x", "secret")
@@ -98,11 +98,11 @@
 	c.Assert(countForwards(c, f, pastRetryWindow, random, "/pay/x", "secret") > 0, qt.IsTrue)
 }
 
-// The call of a running request goes to a full upstream too, where it takes the place of
-// one that has not begun; and no serving proxy refuses it for its own aim.
+// The call of a running request is sent to saturated upstreams too, where it displaces a queued
+// request. It carries no latency target, so that no serving proxy refuses it for missing its own.
 func TestNestedCallsReachSaturatedUpstreams(t *testing.T) {
 	c := qt.New(t)
-	f := newFrontendAmong(77)
+	f := newFrontendWithProxies(77)
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
 		countForwards(c, f, pastRetryWindow, random, "/pay/x", "secret")
@@ -111,7 +111,7 @@
 	c.Assert(countForwards(c, f, pastRetryWindow, random, "/check/x", "") > 0, qt.IsTrue)
 
 	nested, direct := newHostRequest("/check/x", ""), newHostRequest("/pay/x", "secret")
-	f = newFrontendAmong(77)
+	f = newFrontendWithProxies(77)
 	for _, request := range []*Request{nested, direct} {
 		c.Assert(f.admit(pastRetryWindow, time.Now(), request), qt.IsNil)
 		c.Assert(f.selectUpstream(pastRetryWindow, request, random), qt.IsNil)
--- a/internal/frontend/selection.go
+++ b/internal/frontend/selection.go
@@ -62,7 +62,11 @@
 // candidates lists the upstreams of a request's service that may be tried now, separately for this
 // zone and for other zones. ready is the number of ready upstreams, including those that may not be
 // tried now.
-func (f *Frontend) candidates(now time.Duration, request *Request, includeSaturated bool) (sameZone, otherZones []message.Registration, ready int) {
+func (f *Frontend) candidates(
+	now time.Duration,
+	request *Request,
+	includeSaturated bool,
+) (sameZone, otherZones []message.Registration, ready int) {
 	for _, registration := range f.snapshot.Upstreams[request.Service] {
 		if registration.State != message.StateReady {
 			continue
@@ -108,7 +112,8 @@
 func (f *Frontend) cost(now time.Duration, registration message.Registration) float64 {
 	stats := f.statsOf(upstreamKey(registration))
 	utilization := (f.outstanding(now, stats) + 1) / float64(max(1, registration.Slots))
-	cost := math.Exp(stats.relativeLatency) * (1 + utilizationCost*utilization*utilization + max(0, utilization-1) + min(max(stats.load, 0), 1)/4)
+	cost := math.Exp(stats.relativeLatency) *
+		(1 + utilizationCost*utilization*utilization + max(0, utilization-1) + min(max(stats.load, 0), 1)/4)
 	if readyFor := now - stats.readySince; readyFor < f.settings.WarmUpTime() {
 		cost *= 2 - float64(readyFor)/float64(f.settings.WarmUpTime())
 	}
--- a/internal/frontend/serving.go
+++ b/internal/frontend/serving.go
@@ -40,7 +40,7 @@
 // handleOutcomeRequest sends the outcome of an attempt to a proxy whose connection was lost. If the
 // attempt is still running, it replies so and sends the outcome once the attempt has ended.
 func (d *Dispatcher) handleOutcomeRequest(request message.OutcomeRequest, reply func(msg any) error) {
-	if request.ServingProxyStartTime != d.birth && safeguard.OtherLife.On() {
+	if request.ServingProxyStartTime != d.processStartTime && safeguard.OtherLife.On() {
 		// The attempt was sent to an earlier run of this process.
 		sendReply(reply, unknownOutcome(request.ID))
 		return
--- a/internal/frontend/transitdelay_test.go
+++ b/internal/frontend/transitdelay_test.go
@@ -1,4 +1,4 @@
-// Upstreams behind links that are full.
+// Tests of the transit delay of upstreams behind saturated links.
 package frontend
 
 import (
@@ -16,14 +16,20 @@
 	normalTransitDelay = 10 * time.Millisecond
 )
 
-// requestInterval lies between two requests of one proxy among many; it has none of its own at an
-// upstream when it chooses the next.
+// requestInterval is the time between two requests of one of many proxies. It exceeds the duration
+// of an attempt, so that the proxy has no attempt in flight when it selects the next upstream.
 const requestInterval = 500 * time.Millisecond
 
-// requestShares plays requests for a while and gives the share that each upstream was sent;
-// lags says how long an attempt takes besides the upstream's work, negative for one that
-// is never answered in time.
-func requestShares(c *qt.C, f *Frontend, random *rand.Rand, from, length time.Duration, transitDelays map[string]time.Duration) map[string]float64 {
+// requestShares sends requests for a period and returns the share that each upstream received.
+// transitDelays has the transit delay by upstream; a negative value means that attempts are
+// abandoned without an outcome, and upstreams that are not listed have normalTransitDelay.
+func requestShares(
+	c *qt.C,
+	f *Frontend,
+	random *rand.Rand,
+	from, length time.Duration,
+	transitDelays map[string]time.Duration,
+) map[string]float64 {
 	sent, total := map[string]float64{}, 0.0
 	type attempt struct {
 		request *Request
@@ -45,7 +51,11 @@
 			case endsAt > now:
 				unfinished = append(unfinished, item)
 			default:
-				f.evaluateOutcome(endsAt, item.request, message.Outcome{Kind: message.Completed, Status: 200, ServiceTime: int64(testServiceTime)})
+				f.evaluateOutcome(endsAt, item.request, message.Outcome{
+					Kind:        message.Completed,
+					Status:      200,
+					ServiceTime: int64(testServiceTime),
+				})
 			}
 		}
 		inFlight = unfinished
@@ -66,13 +76,13 @@
 	return sent
 }
 
-// An upstream that works as fast as the others, but whose machine's link is full, gets
-// far less than its share, whether its answers come late or not at all; once the link is
-// free again it gets its share.
+// An upstream that is as fast as the others, but behind a saturated link, gets much less than an
+// even share of the requests, whether its answers arrive late or never. Once the link recovers, so
+// does its share.
 func TestTransitDelayReducesShare(t *testing.T) {
 	c := qt.New(t)
 	for name, delay := range map[string]time.Duration{"late": 400 * time.Millisecond, "never": -1} {
-		f := newFrontendAmong(77)
+		f := newFrontendWithProxies(77)
 		random := rand.New(rand.NewPCG(1, 2))
 		transitDelays := map[string]time.Duration{"a": delay}
 		evenShare := 1.0 / 8
