--- a/internal/lease/group_test.go
+++ b/internal/lease/group_test.go
@@ -11,42 +11,44 @@
 	"beaconvane/internal/storage"
 )
 
-// configTag is the tag of tests that don't need another.
+// configTag is the default tag of the tests. Unlike settings.UsageLease, it tracks only the previous holder.
 const configTag = "d"
 
-// voter is a voter with its leases and a disk, without the rest of a core program.
-type voter struct {
-	group    *group
-	name     string
-	address  string
-	settings settings.Settings
-	up       bool
-	env      *statemachine.Env
-	quorum   *quorum.Quorum
-	leases   *Manager
-	state    message.VoterState
-	votes    []message.Vote // as the disk holds them
-	writes   []func()
-	failure  error
+// testVoter is a Manager with its quorum and a simulated disk, without the rest of the control machine. It
+// implements Host and the interfaces that the quorum needs.
+type testVoter struct {
+	group         *testGroup
+	name          string
+	address       string
+	settings      settings.Settings
+	running       bool
+	env           *statemachine.Env
+	quorum        *quorum.Quorum
+	leases        *Manager
+	state         message.VoterState
+	votes         []message.Vote // on the simulated disk
+	pendingWrites []func()
+	diskFailure   error
 }
 
-// group is three voters for one tag, whose clocks, links and disks the test drives.
-type group struct {
+// testGroup is a group of three voters for one tag, whose clocks, network and disks are simulated.
+type testGroup struct {
 	tag    string
-	voters []*voter
+	voters []*testVoter
 }
 
-// frame is a message on its way between two voters.
-type frame struct {
+// delivery is a message in transit between two voters.
+type delivery struct {
 	from, to string
 	message  any
 }
 
-// newGroup makes a group whose voters are named in the settings, or discovered.
-func newGroup(discovered bool) *group { return newGroupFor(configTag, discovered) }
+// newGroup returns a running group for configTag. The voters are discovered or named in the settings.
+func newGroup(discovered bool) *testGroup { return newGroupFor(configTag, discovered) }
 
-func newGroupFor(tag string, discovered bool) *group {
-	g := &group{tag: tag}
+// newGroupFor is like newGroup, for a given tag.
+func newGroupFor(tag string, discovered bool) *testGroup {
+	group := &testGroup{tag: tag}
 	names := []string{"1", "2", "3"}
 	memberList := map[string]string{}
 	for index, name := range names {
@@ -63,8 +65,8 @@
 		} else {
 			cfg.Voter = name
 		}
-		v := &voter{
-			group:    g,
+		voter := &testVoter{
+			group:    group,
 			name:     name,
 			address:  "a" + name,
 			settings: cfg,
@@ -73,15 +75,15 @@
 				Identity: memberList[name], Formed: true, Voting: true, Voter: name, MemberList: memberList,
 			},
 		}
-		g.voters = append(g.voters, v)
-		v.boot()
+		group.voters = append(group.voters, voter)
+		voter.boot()
 	}
-	return g
+	return group
 }
 
-// boot starts the voter, or starts it again, from what its disk holds.
-func (v *voter) boot() {
-	v.up, v.writes = true, nil
+// boot starts or restarts the voter from the contents of its disk. Pending writes are lost.
+func (v *testVoter) boot() {
+	v.running, v.pendingWrites = true, nil
 	v.quorum = quorum.New("config-log", v.settings, v, copyState(v.state), func(env *statemachine.Env, newGroup bool) {
 		v.leases.BeginVoting(env, newGroup)
 	})
@@ -92,8 +94,8 @@
 	})
 }
 
-func (v *voter) Persist(_ *statemachine.Env, record any, then storage.SyncCallback) {
-	v.writes = append(v.writes, func() {
+func (v *testVoter) Persist(_ *statemachine.Env, record any, then storage.SyncCallback) {
+	v.pendingWrites = append(v.pendingWrites, func() {
 		if vote, isVote := record.(message.Vote); isVote {
 			v.votes = []message.Vote{vote}
 		}
@@ -101,19 +103,19 @@
 	})
 }
 
-func (v *voter) WriteSnapshot(s *statemachine.Env, then storage.SyncCallback) {
-	v.Persist(s, nil, then)
+func (v *testVoter) WriteSnapshot(env *statemachine.Env, then storage.SyncCallback) {
+	v.Persist(env, nil, then)
 }
-func (v *voter) Failure() error                                 { return v.failure }
-func (v *voter) WriteLatency() time.Duration                    { return 0 }
-func (v *voter) StateForGrant() []byte                          { return nil }
-func (v *voter) MergeGrantedStates(*statemachine.Env, [][]byte) {}
-func (v *voter) AnnounceVoter(string)                           {}
-func (v *voter) DiscardState(s *statemachine.Env)               { v.leases.Forget(s) }
-func (v *voter) NodeDeadOrLeft(*statemachine.Env, string) bool  { return false }
-func (v *voter) Superseded() bool                               { return false }
-
-func (v *voter) Peers() []message.Member {
+func (v *testVoter) Failure() error                                 { return v.diskFailure }
+func (v *testVoter) WriteLatency() time.Duration                    { return 0 }
+func (v *testVoter) StateForGrant() []byte                          { return nil }
+func (v *testVoter) MergeGrantedStates(*statemachine.Env, [][]byte) {}
+func (v *testVoter) AnnounceVoter(string)                           {}
+func (v *testVoter) DiscardState(env *statemachine.Env)             { v.leases.Forget(env) }
+func (v *testVoter) NodeDeadOrLeft(*statemachine.Env, string) bool  { return false }
+func (v *testVoter) Superseded() bool                               { return false }
+
+func (v *testVoter) Peers() []message.Member {
 	peers := []message.Member{}
 	for _, other := range v.group.voters {
 		if other != v {
@@ -123,61 +125,63 @@
 	return peers
 }
 
-// run lets some time pass and returns how much; with untilHeld it stops as soon as a voter holds the
-// tag.
-func (g *group) run(length time.Duration, untilHeld bool) time.Duration {
+// run advances the simulated time by duration and returns the time that has passed. With stopWhenHeld it
+// returns as soon as a voter holds the tag. In each step every running voter ticks and its pending writes
+// complete, and then all messages sent in the step are delivered.
+func (g *testGroup) run(duration time.Duration, stopWhenHeld bool) time.Duration {
 	const step = 5 * time.Millisecond
-	for played := time.Duration(0); played < length; played += step {
-		if untilHeld && g.holder() != "" {
-			return played
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += step {
+		if stopWhenHeld && g.holder() != "" {
+			return elapsed
 		}
-		frames := []frame{}
-		for _, v := range g.voters {
-			v.env.Now += step
-			if !v.up {
+		deliveries := []delivery{}
+		for _, voter := range g.voters {
+			voter.env.Now += step
+			if !voter.running {
 				continue
 			}
-			v.leases.Tick(v.env)
-			writes := v.writes
-			v.writes = nil
+			voter.leases.Tick(voter.env)
+			writes := voter.pendingWrites
+			voter.pendingWrites = nil
 			for _, write := range writes {
 				write()
 			}
-			for _, effect := range v.env.Drain() {
-				if sent, isSend := effect.(statemachine.Send); isSend {
-					frames = append(frames, frame{v.address, sent.To, sent.Message})
+			for _, effect := range voter.env.Drain() {
+				if send, isSend := effect.(statemachine.Send); isSend {
+					deliveries = append(deliveries, delivery{voter.address, send.To, send.Message})
 				}
 			}
 		}
-		for _, sent := range frames {
-			if to := g.at(sent.to); to.up {
-				to.leases.Handle(to.env, sent.from, sent.message)
+		for _, msg := range deliveries {
+			if to := g.voterAt(msg.to); to.running {
+				to.leases.Handle(to.env, msg.from, msg.message)
 			}
 		}
 	}
-	return length
+	return duration
 }
 
-// at returns the voter with an address.
-func (g *group) at(address string) *voter {
-	for _, v := range g.voters {
-		if v.address == address {
-			return v
+// voterAt returns the voter with the given address, or nil.
+func (g *testGroup) voterAt(address string) *testVoter {
+	for _, voter := range g.voters {
+		if voter.address == address {
+			return voter
 		}
 	}
 	return nil
 }
 
-// holder returns the name of the voter that holds the tag, or "".
-func (g *group) holder() string {
-	for _, v := range g.voters {
-		if v.up && v.leases.IsHolder(g.tag, v.env.Now) {
-			return v.name
+// holder returns the name of the running voter that holds the tag, or "".
+func (g *testGroup) holder() string {
+	for _, voter := range g.voters {
+		if voter.running && voter.leases.IsHolder(g.tag, voter.env.Now) {
+			return voter.name
 		}
 	}
 	return ""
 }
 
+// copyState returns a deep copy of state, so that a restarted voter doesn't share its maps.
 func copyState(state message.VoterState) message.VoterState {
 	state.Proposal, state.MemberList = maps.Clone(state.Proposal), maps.Clone(state.MemberList)
 	return state
