--- a/internal/frontend/dispatcher_test.go
+++ b/internal/frontend/dispatcher_test.go
@@ -72,7 +72,7 @@
 
 // A connection that could not be established is no evidence about attempts that were sent on an
 // earlier connection to the same serving proxy.
-func TestFailedDialDoesNotSettleAttemptsOfEarlierConnection(t *testing.T) {
+func TestAFailedDialDoesNotSpeakForAnEarlierConnection(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
 	cfg.Zone = "here"
@@ -115,7 +115,7 @@
 
 // When an attempt is cancelled, the serving proxy aborts it if the route is repeatable, but not if
 // it is at-most-once.
-func TestCancelStopsOnlyRepeatableAttempts(t *testing.T) {
+func TestWithdrawnWorkIsBrokenOffWhereItMayBeRepeated(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
 	f := New(cfg, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -93,7 +93,7 @@
 
 // If the time for key withdrawal is bounded, a proxy whose configurations are too old to include
 // a withdrawal refuses requests within that bound.
-func TestAdmitRefusesStaleConfigurations(t *testing.T) {
+func TestStaleAdmit(t *testing.T) {
 	c := qt.New(t)
 	for keyWithdrawalMillis, expected := range map[int64]errcode.Code{0: errcode.OK, 5000: errcode.BusyStale} {
 		f := newReadyFrontend(c, keyWithdrawalMillis)
@@ -108,7 +108,7 @@
 
 // Keys, mesh headers and hop-by-hop headers do not reach an upstream, and a path with a key is
 // refused.
-func TestKeysAndMeshHeadersAreRemoved(t *testing.T) {
+func TestKeyAndOwnHeadersAreDropped(t *testing.T) {
 	c := qt.New(t)
 	f := newReadyFrontend(c, 0)
 	request := newTestRequest(
@@ -187,7 +187,7 @@
 }
 
 // Outcomes on at-most-once and repeatable routes: the caller's answer, or another attempt.
-func TestEvaluateOutcome(t *testing.T) {
+func TestOutcomes(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		path     string
--- a/internal/frontend/hosted_test.go
+++ b/internal/frontend/hosted_test.go
@@ -57,7 +57,7 @@
 
 // A request that reached the wrong upstream is retried on another one, up to the route's maximum.
 // Both upstreams are then excluded from selection for two heartbeat intervals.
-func TestMisdirectedRequestRetriesOnAnotherUpstream(t *testing.T) {
+func TestMisdirectedGoesToAnotherUpstream(t *testing.T) {
 	c := qt.New(t)
 	f := newHostFrontend(c, readyUpstream("one", "here"), readyUpstream("two", "here"))
 	random := rand.New(rand.NewPCG(1, 2))
@@ -83,7 +83,7 @@
 
 // Attempts refused by serving proxies before they reach an upstream do not spend the retry budget,
 // up to budgetFreeAttempts. Attempts that reached an upstream do.
-func TestUnseenAttemptsSpendNoRetryBudget(t *testing.T) {
+func TestLooksCostNothing(t *testing.T) {
 	c := qt.New(t)
 	for reached, expected := range map[bool]int{false: budgetFreeAttempts, true: 1} {
 		upstreams := []message.Registration{}
@@ -115,7 +115,7 @@
 // On routes of a host, the caller is the service of the process settings, whatever the caller's
 // header says. An open route requires no key and accepts an unknown one; the other routes require a
 // valid key; a path without a route is refused.
-func TestAdmitOnHostRoutes(t *testing.T) {
+func TestAdmitOfAHost(t *testing.T) {
 	c := qt.New(t)
 	f := newHostFrontend(c)
 	for _, test := range []struct {
--- a/internal/frontend/linkbacklog_test.go
+++ b/internal/frontend/linkbacklog_test.go
@@ -15,7 +15,7 @@
 
 // A request that would wait too long for the link is refused immediately, with a retry delay. The
 // call of a running request may wait longer, and an upstream of this proxy needs no link.
-func TestLinkBacklogRefusesAtOnce(t *testing.T) {
+func TestABusyLinkRefusesAtOnce(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		name    string
--- a/internal/frontend/model_test.go
+++ b/internal/frontend/model_test.go
@@ -78,7 +78,7 @@
 }
 
 // No run with a few faults violates a rule.
-func TestModelInvariants(t *testing.T) {
+func TestModelOfTheTwoHops(t *testing.T) {
 	for _, namedAnswers := range []bool{true, false} {
 		t.Run(fmt.Sprintf("answers named %t", namedAnswers), func(t *testing.T) {
 			result := exploreRuns(namedAnswers, maxModelFaults(), true)
--- a/internal/frontend/registration_test.go
+++ b/internal/frontend/registration_test.go
@@ -107,7 +107,7 @@
 
 // After a power cut, an upstream restarts with a new instance name at its old address, while the
 // roster still lists the old instance. The two registrations must not replace each other repeatedly.
-func TestAdoptionEndsWithFirstAnnouncement(t *testing.T) {
+func TestAdoptionEndsWithTheFirstAnnouncement(t *testing.T) {
 	c := qt.New(t)
 	environment, serving, _ := newServingDispatcher(settings.ProofTarget)
 	snapshot := snapshotWith(localRegistration("old", "up:1", message.StateReady, 6))
@@ -129,7 +129,7 @@
 // A registration is adopted with its state if it was made with an earlier run of this proxy. It is
 // not adopted if it belongs to this run or to another serving proxy, once a heartbeat timeout has
 // passed since the start, or if the proof is by connection.
-func TestAdoptedRegistrations(t *testing.T) {
+func TestWhoIsAdopted(t *testing.T) {
 	other := localRegistration("other", "up:1", message.StateReady, 6)
 	other.ServingProxy = "proxy/other"
 	for name, test := range map[string]struct {
@@ -191,7 +191,7 @@
 
 // Where usage counts started requests, a request counts in the window in which it starts. The count
 // is reverted in that window if the upstream reports that the request did not run.
-func TestUsageOfStartedRequests(t *testing.T) {
+func TestBegunIsCountedAndTakenBack(t *testing.T) {
 	c := qt.New(t)
 	environment, _, cfg := newServingDispatcher(settings.ProofTarget)
 	environment.wall = time.Unix(100, 0)
--- a/internal/frontend/retryshare_test.go
+++ b/internal/frontend/retryshare_test.go
@@ -49,7 +49,7 @@
 
 // The share of retries among running requests determines how many of their calls spend the retry
 // budget.
-func TestCallsOfRetriesSpendRetryBudget(t *testing.T) {
+func TestCallsOfRepeatsDrawOnTheBudget(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(countForwardedCalls(c, 0, ""), qt.Equals, 200)
 	c.Assert(countForwardedCalls(c, 1, "secret"), qt.Equals, 200) // not nested
@@ -61,7 +61,7 @@
 
 // A forwarded retry is marked as one, and the serving proxy measures the share of retries from the
 // marks.
-func TestForwardMarksRetries(t *testing.T) {
+func TestRepeatsAreTold(t *testing.T) {
 	c := qt.New(t)
 	f := newHostFrontend(c, readyUpstream("one", "here"), readyUpstream("two", "here"))
 	random := rand.New(rand.NewPCG(1, 2))
@@ -106,7 +106,7 @@
 
 // While retries are paused, because the called services have no retry budget left, no retry starts.
 // First attempts still start.
-func TestPausedRetriesDoNotStart(t *testing.T) {
+func TestBarredRepeatsDoNotStart(t *testing.T) {
 	c := qt.New(t)
 	serving := backend.New(settings.Default(), func(message.Forward) errcode.Code { return errcode.OK })
 	announcement := backend.Announcement{Service: "pay", Instance: "one", Incarnation: 1, Address: "one", Zone: "here", Slots: 4}
--- a/internal/frontend/saturation_test.go
+++ b/internal/frontend/saturation_test.go
@@ -65,7 +65,7 @@
 // With many proxies, the backoff of a full upstream grows: without it, four seconds with twenty
 // requests each would send 320 frames that are only refused. A single proxy keeps trying, since
 // otherwise a slot that becomes free would stay unused.
-func TestSaturationBackoffGrowsWithProxyCount(t *testing.T) {
+func TestFullUpstreamsAreAskedSeldom(t *testing.T) {
 	c := qt.New(t)
 	sent := map[int]int{}
 	for _, proxies := range []int{1, 77} {
@@ -100,7 +100,7 @@
 
 // The call of a running request is sent to saturated upstreams too, where it displaces a queued
 // request. It carries no latency target, so that no serving proxy refuses it for missing its own.
-func TestNestedCallsReachSaturatedUpstreams(t *testing.T) {
+func TestCallsOfRunningRequestsAreNotGivenUp(t *testing.T) {
 	c := qt.New(t)
 	f := newFrontendWithProxies(77)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/frontend/transitdelay_test.go
+++ b/internal/frontend/transitdelay_test.go
@@ -79,7 +79,7 @@
 // An upstream that is as fast as the others, but behind a saturated link, gets much less than an
 // even share of the requests, whether its answers arrive late or never. Once the link recovers, so
 // does its share.
-func TestTransitDelayReducesShare(t *testing.T) {
+func TestLaggingUpstreamsAreSpared(t *testing.T) {
 	c := qt.New(t)
 	for name, delay := range map[string]time.Duration{"late": 400 * time.Millisecond, "never": -1} {
 		f := newFrontendWithProxies(77)
