--- a/internal/frontend/dispatcher.go
+++ b/internal/frontend/dispatcher.go
@@ -29,8 +29,8 @@
 	environment      Environment
 	address          string
 	nodeName         string
-	processStartTime int64 // identifies this run of the process, which has no state of earlier runs' requests
-	startedAt        time.Duration
+	processStartTime int64         // identifies this run of the process, which has no state of earlier runs' requests
+	startedAt        time.Duration // on the process clock
 
 	announcementReceived atomic.Bool // an upstream has announced itself since this process started
 
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -20,6 +20,7 @@
 	"beaconvane/internal/settings"
 )
 
+// testRoutes is a configuration with an at-most-once route /pay and a repeatable route /look.
 const testRoutes = `{"services":["pay"],"tenants":[{"name":"t","keys":["secret"]},{"name":"u","keys":["second"]}],"routes":[
 {"name":"pay","service":"pay","path":"/pay","methods":["POST"],"callers":["shop","pay"]},
 {"name":"look","service":"pay","path":"/look","methods":["GET"],"callers":["shop"],"body_bytes":4}]}`
--- a/internal/frontend/hosted_test.go
+++ b/internal/frontend/hosted_test.go
@@ -19,6 +19,7 @@
 	"beaconvane/internal/settings"
 )
 
+// hostRoutes is a configuration with a route that requires a key and an open one, both of one host.
 const hostRoutes = `{"services":["pay"],"tenants":[{"name":"t","keys":["secret"],"priority":1},{"name":"plain","keys":["other"]}],"routes":[
 {"name":"pay","host":"shop.example","prefix":"/pay/","service":"pay","kind":"once","timeout_ms":3000,
 "attempts":2,"aim_ms":500,"priority":4},
--- a/internal/frontend/modelworld_test.go
+++ b/internal/frontend/modelworld_test.go
@@ -181,6 +181,8 @@
 	}
 }
 
+// modelSettings returns the settings of all proxies: proof by target if answers are named, by
+// connection otherwise.
 func modelSettings(namedAnswers bool) settings.Settings {
 	cfg := settings.Default()
 	cfg.Zone, cfg.Service = "here", "clinic"
@@ -191,6 +193,7 @@
 	return cfg
 }
 
+// modelRoutes is a configuration with an at-most-once and a repeatable route, two attempts each.
 const modelRoutes = `{"services":["pay"],"routes":[
 {"name":"pay","host":"shop.example","prefix":"/once/","service":"pay","kind":"once","timeout_ms":3000,"attempts":2},
 {"name":"free","host":"shop.example","prefix":"/free/","service":"pay","kind":"repeatable","timeout_ms":3000,"attempts":2}]}`
--- a/internal/frontend/registration_test.go
+++ b/internal/frontend/registration_test.go
@@ -84,6 +84,7 @@
 		ServingProxy: "proxy/me", ServingProxyAddress: "here:1", ServingProxyStartTime: servingProxyStartTime}
 }
 
+// snapshotWith returns a complete snapshot with the given roster.
 func snapshotWith(registrations ...message.Registration) *proxy.Snapshot {
 	return &proxy.Snapshot{
 		ConfigurationsKnown: true,
@@ -93,6 +94,7 @@
 	}
 }
 
+// newAnnouncement returns an announcement of a ready upstream with two slots.
 func newAnnouncement(instance, address string, sequence int64) backend.Announcement {
 	return backend.Announcement{
 		Service:     "pay",
--- a/internal/frontend/saturation_test.go
+++ b/internal/frontend/saturation_test.go
@@ -17,6 +17,7 @@
 	"beaconvane/internal/settings"
 )
 
+// nestedRoutes is a configuration with a route that requires a key, and an open one for nested calls.
 const nestedRoutes = `{"services":["pay"],"tenants":[{"name":"t","keys":["secret"],"priority":1}],"routes":[
 {"name":"pay","host":"shop.example","prefix":"/pay/","service":"pay","kind":"repeatable","timeout_ms":3000,
 "attempts":2,"aim_ms":500,"priority":4},
