--- a/internal/distribution/antientropy.go
+++ b/internal/distribution/antientropy.go
@@ -7,23 +7,26 @@
 	"beaconvane/internal/statemachine"
 )
 
-// missingIntervals is how many update intervals the parent has to bring a version that others told
-// of. It is asked at least once in that time, and a change on its way down the tree arrives.
+// missingIntervals is the number of update intervals the parent has to deliver a version that
+// registries have reported. This is enough for at least one request to the parent and for a change to
+// propagate down the tree.
 const missingIntervals = 2
 
-// missingVersion is a position of a configuration that registries have and this node lacks. They
-// answer each heartbeat of a proxy that has an older configuration with the newer position. A parent
-// that goes on without it is left for the registry that told: below a root that is cut off from the
-// configstore, the age of what it says tells of the cut only once the lost lease has run out and the
-// age has passed its limit, which may be later than a configuration has to be in force.
+// missingVersion is the position of a configuration version that a registry has and this node lacks.
+// Registries answer each heartbeat of a proxy whose configuration is older with the newer position. A
+// parent that does not deliver the version in time is left for the registry that reported it.
+//
+// Ages alone do not detect this case soon enough: below a root that is partitioned from the
+// configstore, the age starts to grow only after the lost lease has expired, and then has to exceed its
+// limit. This may take longer than a configuration is allowed to take until it is in force.
 type missingVersion struct {
-	position   message.Position
-	reportedBy string        // the member that told last, of those that answer requests
-	since      time.Duration // when the position was first told of
+	position        message.Position
+	reportedBy      string        // the last registry that reported it, among those that answer requests
+	firstReportedAt time.Duration // when the topic was first reported as behind
 }
 
-// HandleNewerPositions takes the positions of configurations that a registry has and this node, by its
-// heartbeat, has not.
+// HandleNewerPositions processes the configuration positions that a registry has returned because they
+// are newer than those in this node's heartbeat.
 func (d *Distribution) HandleNewerPositions(env *statemachine.Env, registry string, positions []message.Position) {
 	for _, position := range positions {
 		state, found := d.topics[position.Topic]
@@ -33,44 +36,45 @@
 		d.selection.reinstate(registry)
 		missing, reported := d.missing[position.Topic]
 		if !reported {
-			d.missing[position.Topic] = missingVersion{position: position, reportedBy: registry, since: env.Now}
+			d.missing[position.Topic] = missingVersion{position: position, reportedBy: registry, firstReportedAt: env.Now}
 			continue
 		}
-		// The older position stays: a row of changes must not put the move off.
+		// The older position and its time are kept: consecutive versions must not delay leaving the
+		// parent.
 		missing.reportedBy = registry
 		d.missing[position.Topic] = missing
 	}
 }
 
-// NewerThan returns the positions of the configurations of which this node has a newer version than
-// another node, given the positions of that one.
+// NewerThan returns this node's positions of those configurations of which it has a newer version than
+// the node with the given positions.
 func (d *Distribution) NewerThan(positions []message.Position) []message.Position {
 	newer := []message.Position{}
 	for _, position := range positions {
 		state, found := d.topics[position.Topic]
-		if found && state.known && IsConfiguration(position.Topic) && position.Before(state.position()) {
+		if found && state.hasContent && IsConfiguration(position.Topic) && position.Before(state.position()) {
 			newer = append(newer, state.position())
 		}
 	}
 	return newer
 }
 
-// resolveMissing takes a position that the parent has: it will bring the content, so that the node has
-// no reason to leave it for a registry.
+// resolveMissing drops a missing version that the parent has, given the parent's position. The parent
+// will deliver the content, so there is no reason to leave it for a registry.
 func (d *Distribution) resolveMissing(position message.Position) {
 	if missing, reported := d.missing[position.Topic]; reported && !position.Before(missing.position) {
 		delete(d.missing, position.Topic)
 	}
 }
 
-// missingLimit is how long the parent has to bring a version that others told of.
+// missingLimit returns how long the parent has to deliver a version that registries have reported.
 func (d *Distribution) missingLimit() time.Duration {
 	return d.settings.UpdatesEvery() * missingIntervals
 }
 
-// leaveForNewer moves to the registry that told of a newer version, where the parent has not brought
-// it in time.
-func (d *Distribution) leaveForNewer(env *statemachine.Env) {
+// replaceLaggingParent joins the registry that reported a newer version, if the parent has not
+// delivered it within missingLimit.
+func (d *Distribution) replaceLaggingParent(env *statemachine.Env) {
 	for _, topic := range d.topicNames() {
 		missing, reported := d.missing[topic]
 		if !reported {
@@ -80,7 +84,7 @@
 			delete(d.missing, topic)
 			continue
 		}
-		if env.Now-missing.since < d.missingLimit() || d.parent.name == missing.reportedBy {
+		if env.Now-missing.firstReportedAt < d.missingLimit() || d.parent.name == missing.reportedBy {
 			continue
 		}
 		delete(d.missing, topic)
@@ -89,7 +93,8 @@
 	}
 }
 
-// joinReporter takes the member that told of a newer version as the parent, which may not refuse.
+// joinReporter joins the member that reported a newer version. It joins as the last resort, so that the
+// member does not refuse.
 func (d *Distribution) joinReporter(env *statemachine.Env, reporter string) {
 	member, found := d.membership.Find(reporter)
 	if !found || member.State > message.Suspect {
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -11,40 +11,44 @@
 	"beaconvane/internal/statemachine"
 )
 
-// partsPerFrame is how many parts of a snapshot the largest frame would hold. Parts are this much
-// smaller than frames, so that one does not keep a narrow link busy for long.
-const partsPerFrame = 64
+// chunksPerFrame is the number of snapshot chunks that would fit into a frame of the maximum size.
+// Chunks are smaller than frames so that a single one does not occupy a slow link for long.
+const chunksPerFrame = 64
 
-// Distribution is one node's place in the relay tree. Like the machine that it is a part of, it is
-// used by one goroutine, and leaves what it does as effects on the Env.
+// Distribution is the relay tree endpoint of one node: the child of its parent and the parent of its
+// subscribers. It belongs to the node's state machine, is used by a single goroutine, and performs I/O
+// only as effects on the Env.
 type Distribution struct {
 	settings   settings.Settings
 	membership *membership.Membership
 	onChange   func(env *statemachine.Env, topic string)
 
 	topics     map[string]*topicState
-	subscribed map[string]bool // topics that this node wants for itself
+	subscribed map[string]bool // topics that this node needs for itself
 
 	parent        parentLink
 	selection     parentSelection
 	requests      requestLog
 	nextRequestAt time.Duration
-	tickedAt      time.Duration             // when the last tick came
-	downloads     map[string]*download      // snapshots that arrive in parts, by topic
-	missing       map[string]missingVersion // what others have and the parent has not brought yet, by topic
+	lastTickAt    time.Duration             // time of the last Tick
+	downloads     map[string]*download      // snapshots being received in chunks, by topic
+	missing       map[string]missingVersion // versions that registries have reported and the parent has not delivered yet, by topic
 
 	subscribers subscribers
-	partBytes   int              // of a snapshot, in one message
-	source      *sourceCondition // nil: this node always serves what it has
+	chunkBytes  int             // maximum size of a snapshot chunk
+	source      *serveCondition // nil: this node always serves its content
 }
 
-// sourceCondition says when a source may serve, and which members may where it may not.
-type sourceCondition struct {
+// serveCondition restricts when a source serves its content. At other times alternatives returns the
+// names of members that may serve it instead.
+type serveCondition struct {
 	mayServe     func(now time.Duration) bool
 	alternatives func() []string
 }
 
-// New returns the Distribution of a node. onChange is called when the content of a topic moved on.
+// New returns the Distribution of a node. onChange is called whenever the content of a topic has
+// changed, and when unchanged content is confirmed as current for the first time since the process
+// started.
 func New(cfg settings.Settings, members *membership.Membership, onChange func(env *statemachine.Env, topic string)) *Distribution {
 	return &Distribution{
 		settings:    cfg,
@@ -57,11 +61,11 @@
 		downloads:   map[string]*download{},
 		missing:     map[string]missingVersion{},
 		subscribers: subscribers{},
-		partBytes:   int(cfg.Limits.Frame / partsPerFrame),
+		chunkBytes:  int(cfg.Limits.Frame / chunksPerFrame),
 	}
 }
 
-// Subscribe adds topics that this node wants for itself.
+// Subscribe adds topics that this node needs for itself, independently of its children.
 func (d *Distribution) Subscribe(topics ...string) {
 	for _, topic := range topics {
 		d.subscribed[topic] = true
@@ -69,17 +73,18 @@
 	}
 }
 
-// ServeWhen limits serving to moments when mayServe holds. At others, children are sent on to the
-// alternatives.
+// ServeWhen restricts serving to times when mayServe returns true. At other times requests are refused
+// and children are referred to the alternatives.
 func (d *Distribution) ServeWhen(mayServe func(now time.Duration) bool, alternatives func() []string) {
-	d.source = &sourceCondition{mayServe, alternatives}
+	d.source = &serveCondition{mayServe, alternatives}
 }
 
-// WriteConfiguration sets a configuration at its source, unless a newer version is here.
+// WriteConfiguration stores a new version of a configuration at its source and pushes it. It does
+// nothing if the current version is the same or newer.
 func (d *Distribution) WriteConfiguration(env *statemachine.Env, configName string, version int64, body []byte) {
 	topic := ConfigurationTopic(configName)
 	state := d.topic(topic)
-	if state.known && state.current.Seq >= version {
+	if state.hasContent && state.current.Seq >= version {
 		return
 	}
 	state.setConfiguration(configurationPosition(topic, version, body), body)
@@ -87,22 +92,25 @@
 	d.push(env, topic)
 }
 
-// ServeSlice makes this node a source of a slice. Its owner changes it, and calls SliceChanged.
+// ServeSlice makes this node a source of a slice. The caller keeps ownership of the slice and calls
+// SliceChanged after each modification.
 func (d *Distribution) ServeSlice(slice *RosterSlice) {
 	state := d.topic(slice.Position.Topic)
-	state.slice, state.known = slice, true
+	state.slice, state.hasContent = slice, true
 }
 
-// SliceChanged pushes a slice that its owner has changed.
+// SliceChanged pushes a slice to its subscribers after its owner has modified it.
 func (d *Distribution) SliceChanged(env *statemachine.Env, topic string) { d.push(env, topic) }
 
-// SetFreshAt notes that a source knows the content of a topic to be current as of an instant.
+// SetFreshAt records that the content of a topic was current at the given time. Only sources call it.
+// An earlier time than the recorded one has no effect.
 func (d *Distribution) SetFreshAt(topic string, at time.Duration) {
 	state := d.topic(topic)
 	state.freshAt = max(state.freshAt, at)
 }
 
-// Age returns how long ago a topic was last known current, or false where it never was.
+// Age returns the time since a topic was last known to be current, or false if it has not been since
+// the process started.
 func (d *Distribution) Age(topic string, now time.Duration) (time.Duration, bool) {
 	freshAt, fresh := d.FreshAt(topic)
 	if !fresh {
@@ -111,7 +119,8 @@
 	return now - freshAt, true
 }
 
-// FreshAt returns the instant as of which a topic is known current, or false where it never was.
+// FreshAt returns the time at which a topic was last known to be current, or false if it has not been
+// since the process started.
 func (d *Distribution) FreshAt(topic string) (time.Duration, bool) {
 	state, found := d.topics[topic]
 	if !found || !state.fresh() {
@@ -120,42 +129,45 @@
 	return state.freshAt, true
 }
 
-// Configuration returns the version and the body of a configuration, if there is one.
+// Configuration returns the version and the body of a configuration, and whether this node has one.
 func (d *Distribution) Configuration(configName string) (version int64, body []byte, known bool) {
 	state, found := d.topics[ConfigurationTopic(configName)]
-	if !found || !state.known {
+	if !found || !state.hasContent {
 		return 0, nil, false
 	}
 	return state.current.Seq, state.body, true
 }
 
-// Registrations returns the registrations of a zone, if its slice is known.
+// Registrations returns the registrations of a zone in key order, and whether this node has the zone's
+// slice.
 func (d *Distribution) Registrations(zone string) ([]message.Registration, bool) {
 	state, found := d.topics[SliceTopic(zone)]
-	if !found || !state.known {
+	if !found || !state.hasContent {
 		return nil, false
 	}
 	return state.slice.List(), true
 }
 
-// Positions returns the positions of the topics that this node wants for itself.
+// Positions returns the positions of the topics that this node has subscribed to for itself and has
+// content of, ordered by topic.
 func (d *Distribution) Positions() []message.Position {
 	positions := []message.Position{}
 	for _, topic := range d.topicNames() {
-		if state := d.topics[topic]; state.known && d.subscribed[topic] {
+		if state := d.topics[topic]; state.hasContent && d.subscribed[topic] {
 			positions = append(positions, state.position())
 		}
 	}
 	return positions
 }
 
-// Parent returns the member that sends the updates, the path to it from the root, and how often
-// the parent was changed.
+// Parent returns the name of the current parent (empty if there is none), the path from the root to it,
+// and how many times a failed parent was left.
 func (d *Distribution) Parent() (name string, path []string, changes int64) {
 	return d.parent.name, d.parent.path, d.parent.changes
 }
 
-// Handle takes a message from another process, and reports whether it is one of this package's.
+// Handle processes a message from another process and reports whether this package is responsible for
+// its type.
 func (d *Distribution) Handle(env *statemachine.Env, from string, received any) bool {
 	switch received := received.(type) {
 	case message.UpdatesRequest:
@@ -168,7 +180,7 @@
 	return true
 }
 
-// topic returns the state of a topic, which begins unknown.
+// topic returns the state of a topic. If there is none yet, it adds one without content.
 func (d *Distribution) topic(topic string) *topicState {
 	state, found := d.topics[topic]
 	if !found {
@@ -178,24 +190,25 @@
 	return state
 }
 
+// topicNames returns the names of all topics in ascending order, so that iteration is deterministic.
 func (d *Distribution) topicNames() []string { return slices.Sorted(maps.Keys(d.topics)) }
 
-// wanted returns the topics that this node needs from a parent: its own and those of its
-// subscribers, less those that it is a source of.
-func (d *Distribution) wanted() []string {
-	wanted := []string{}
+// requiredTopics returns the topics that this node requests from its parent: its own and those of its
+// subscribers, without the topics that it is a source of.
+func (d *Distribution) requiredTopics() []string {
+	required := []string{}
 	for _, topic := range d.topicNames() {
 		if d.membership.Self().Role == message.RoleRegistry && !IsConfiguration(topic) {
 			continue
 		}
-		if d.subscribed[topic] || d.subscribers.want(topic) {
-			wanted = append(wanted, topic)
+		if d.subscribed[topic] || d.subscribers.subscribedTo(topic) {
+			required = append(required, topic)
 		}
 	}
-	return wanted
+	return required
 }
 
-// mayServe reports whether this node may serve what it has.
+// mayServe reports whether this node may currently serve its content to children.
 func (d *Distribution) mayServe(now time.Duration) bool {
 	return d.source == nil || d.source.mayServe(now)
 }
--- a/internal/distribution/download.go
+++ b/internal/distribution/download.go
@@ -7,19 +7,21 @@
 	"beaconvane/internal/statemachine"
 )
 
-// stalledIntervals is after how many update intervals without progress a part is requested again.
+// stalledIntervals is the number of update intervals without progress after which a chunk is requested
+// again.
 const stalledIntervals = 2
 
-// download is a snapshot that arrives in parts, each requested when the one before has arrived.
+// download is a snapshot being received in chunks. Each chunk is requested after the previous one has
+// arrived.
 type download struct {
 	position   message.Position
-	total      int64 // bytes of the whole snapshot
+	total      int64 // size of the complete snapshot in bytes
 	received   []byte
 	progressAt time.Duration
 }
 
-// receiveSnapshot takes a snapshot or a part of one. It returns the whole snapshot once all of it
-// is here, and requests the next part before that.
+// receiveSnapshot processes a complete snapshot or one chunk. It returns the body once it is complete;
+// otherwise it requests the next chunk.
 func (d *Distribution) receiveSnapshot(env *statemachine.Env, item message.UpdateItem) (body []byte, complete bool) {
 	topic := item.Position.Topic
 	if isComplete(item) {
@@ -36,12 +38,12 @@
 		delete(d.downloads, topic)
 		return current.received, true
 	}
-	d.requestPart(env, topic, current)
+	d.requestChunk(env, topic, current)
 	return nil, false
 }
 
-// downloadFor returns the download that a part belongs to. A first part begins one; it returns nil
-// for any other part of a snapshot that is not being downloaded.
+// downloadFor returns the download that a chunk belongs to. The first chunk of a snapshot starts a new
+// download and replaces one at another position. For any other chunk without a download it returns nil.
 func (d *Distribution) downloadFor(item message.UpdateItem) *download {
 	topic := item.Position.Topic
 	current, running := d.downloads[topic]
@@ -55,22 +57,22 @@
 	return d.downloads[topic]
 }
 
-// resumeDownloads requests the next part of each download that does not progress.
+// resumeDownloads requests the next chunk of each stalled download again.
 func (d *Distribution) resumeDownloads(env *statemachine.Env) {
 	for _, topic := range d.topicNames() {
 		current, running := d.downloads[topic]
 		if running && env.Now-current.progressAt > d.settings.UpdatesEvery()*stalledIntervals {
 			current.progressAt = env.Now
-			d.requestPart(env, topic, current)
+			d.requestChunk(env, topic, current)
 		}
 	}
 }
 
-// requestPart requests what follows the bytes that have arrived.
-func (d *Distribution) requestPart(env *statemachine.Env, topic string, current *download) {
+// requestChunk requests the chunk after the bytes that have been received.
+func (d *Distribution) requestChunk(env *statemachine.Env, topic string, current *download) {
 	self := d.membership.Self()
 	env.Send(d.parent.address, message.UpdatesRequest{
-		Round:     partRound,
+		Round:     chunkRound,
 		Child:     self.Name,
 		Role:      self.Role,
 		Positions: []message.Position{current.position},
--- a/internal/distribution/history.go
+++ b/internal/distribution/history.go
@@ -5,23 +5,23 @@
 	"beaconvane/internal/message"
 )
 
-// Bounds of a versionHistory.
+// Limits of a versionHistory.
 const (
 	maxPatches         = 64
 	maxPatchBytes      = 256 << 10
-	patchOverheadBytes = 64 // about what the two positions of a difference take in a frame
+	patchOverheadBytes = 64 // approximate encoded size of the two positions of a difference
 )
 
-// versionHistory is the last versions of a configuration as a chain of differences, each from the
-// version before, that ends at the current version. A child that is a few versions behind is sent
-// these in place of the whole configuration. A relay keeps the differences that it was sent, and
-// passes them on as they are.
+// versionHistory contains the most recent versions of a configuration as a chain of differences that
+// ends at the current version. A child that is a few versions behind receives these differences instead
+// of a snapshot. A relay stores the differences that it received and forwards them unchanged.
 type versionHistory struct {
 	patches    []message.ConfigurationPatch
-	compressed []byte // the current version as a snapshot; empty until it is asked for
+	compressed []byte // cached snapshot of the current version; empty until first requested
 }
 
-// add appends the difference that leads to a new current version.
+// add appends the difference that leads to a new current version, and drops the oldest differences that
+// exceed the limits.
 func (h *versionHistory) add(patch message.ConfigurationPatch) {
 	h.compressed = nil
 	h.patches = append(h.patches, patch)
@@ -30,8 +30,8 @@
 	}
 }
 
-// since returns the differences that lead from a version to the current one, or false where the
-// history does not reach back to that version.
+// since returns the differences that lead from a version to the current one, or false if that version
+// is not in the history.
 func (h *versionHistory) since(from message.Position) ([]message.ConfigurationPatch, bool) {
 	for index, patch := range h.patches {
 		if patch.From.Same(from) {
@@ -41,8 +41,7 @@
 	return nil, false
 }
 
-// snapshot returns the body of the current version compressed, and keeps the result until the next
-// version.
+// snapshot returns the compressed body of the current version and caches it until the next version.
 func (h *versionHistory) snapshot(body []byte) []byte {
 	if len(h.compressed) == 0 {
 		h.compressed = delta.Encode(nil, body)
@@ -50,7 +49,7 @@
 	return h.compressed
 }
 
-// patchBytes returns about how many bytes differences take in a frame.
+// patchBytes returns the approximate encoded size of differences.
 func patchBytes(patches []message.ConfigurationPatch) int {
 	total := 0
 	for _, patch := range patches {
--- a/internal/distribution/metrics.go
+++ b/internal/distribution/metrics.go
@@ -6,8 +6,9 @@
 	"beaconvane/internal/metrics"
 )
 
-// Metrics returns the figures of this node's place in the tree: how old each topic is, who the parent
-// is, and how often it was changed.
+// Metrics returns the metrics of this node: the sequence number and the age of each subscribed topic
+// and of each slice, the number of parent changes, the depth in the tree, the number of children, and
+// the time since the parent's last answer.
 func (d *Distribution) Metrics(now time.Duration) []metrics.Sample {
 	samples := []metrics.Sample{
 		metrics.Of("parent_changes_total", float64(d.parent.changes)),
--- a/internal/distribution/parent.go
+++ b/internal/distribution/parent.go
@@ -8,45 +8,47 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Back-off: how long a member is not asked again after it was left, in reparent times or in update
-// intervals of the settings.
+// Back-off times after a parent was left, in multiples of Settings.Reparent or Settings.UpdatesEvery.
 const (
-	backOffReparents      = 2 // one that was silent, gone or stale, or had no room
-	refusedIntervals      = 2 // one that could not serve for the moment
-	lagIntervals          = 3 // one that knew less
-	disconnectedIntervals = 3 // one whose connection ended
+	backOffReparents      = 2 // silent, unavailable, stale or full
+	refusedIntervals      = 2 // temporarily unable to serve
+	lagIntervals          = 3 // older configuration than this node's
+	disconnectedIntervals = 3 // connection closed
 )
 
-// silentRequests is how many requests must be unanswered before a parent counts as silent.
+// silentRequests is the minimum number of unanswered requests before a parent counts as silent.
 const silentRequests = 3
 
-// delayedTicks is how many tick intervals may pass without a tick before a node counts as delayed.
+// delayedTicks is the number of tick intervals without a tick after which this node counts as delayed
+// itself.
 const delayedTicks = 2
 
-// Causes for which a parent is left, as the journal tells them.
+// Causes for leaving a parent, as written to the journal.
 const (
 	leftForLoop       = "loop"
 	leftForLag        = "behind"
 	leftForConnection = "connection broke"
 )
 
-// parentLink is the edge of the tree from this node to its parent.
+// parentLink describes the current parent and the path from the root to it.
 type parentLink struct {
-	name       string // of the member; empty without a parent
+	name       string // member name; empty without a parent
 	address    string
-	path       []string // the members from the root to the parent; empty until it has answered
-	lastResort bool     // no other member would do, so that the parent is asked not to refuse
+	path       []string // members from the root to the parent; empty until the parent has answered
+	lastResort bool     // all candidates were excluded; requests ask the parent not to refuse
 	joinedAt   time.Duration
-	answeredAt time.Duration // its last answer; joinedAt before the first
-	changes    int64         // how often a parent was left
+	answeredAt time.Duration // time of the last answer; joinedAt until the first one
+	changes    int64         // how many times a failed parent was left
 }
 
+// exists reports whether there is a parent.
 func (p *parentLink) exists() bool { return p.name != "" }
 
 // answered reports whether the parent has answered a request since it was joined.
 func (p *parentLink) answered() bool { return len(p.path) > 0 }
 
-// root returns the first member on the path to the parent, or the parent where its path is not known.
+// root returns the first member on the path to the parent, or the parent itself while the path is
+// unknown.
 func (p *parentLink) root() string {
 	if len(p.path) > 0 {
 		return p.path[0]
@@ -54,36 +56,39 @@
 	return p.name
 }
 
-// pathTo returns the path to a child of the parent.
+// pathTo returns the path from the root to a child of the parent.
 func (p *parentLink) pathTo(child string) []string {
 	return append(append([]string{}, p.path...), child)
 }
 
+// clear removes the parent. It keeps the number of changes.
 func (p *parentLink) clear() { p.name, p.address, p.path = "", "", nil }
 
-// parentHealth is what a node makes of its parent at the time of a request.
+// parentHealth is the assessment of the parent before a request.
 type parentHealth struct {
-	silent bool // it has not answered for long
-	gone   bool // its process has ended or left
-	behind bool // some topic has not been known current for longer than it should
-	stale  bool // behind for as long as other parents are given
+	silent       bool // it has not answered within its limit
+	unavailable  bool // it is no longer an alive or suspected member at the same address
+	topicOverdue bool // some topic has not been known to be current within its limit
+	stale        bool // topicOverdue, and the parent has had longer than the stale grace
 }
 
+// cause returns the journal's description of an unhealthy parent.
 func (h parentHealth) cause() string {
-	return fmt.Sprintf("silent=%t gone=%t stale=%t", h.silent, h.gone, h.stale)
+	return fmt.Sprintf("silent=%t gone=%t stale=%t", h.silent, h.unavailable, h.stale)
 }
 
-// Tick sends the request that is due, and moves to another parent where this one is silent, gone or
-// stale.
+// Tick sends the next request when it is due, and changes the parent if it is silent, unavailable or
+// stale. It must be called once per tick interval.
 func (d *Distribution) Tick(env *statemachine.Env) {
-	d.excuseOwnDelay(env.Now)
-	d.subscribers.expire(env.Now, d.settings.ParentTimeout()*missedParentLimits)
+	d.compensateOwnDelay(env.Now)
+	d.subscribers.expire(env.Now, d.settings.ParentTimeout()*missedParentTimeouts)
 	if d.membership.Self().Role == message.RoleConfigStore {
 		return
 	}
 	d.selection.expire(env.Now)
-	d.leaveForNewer(env)
-	// One that has never answered is given up sooner: it may have been dead before.
+	d.replaceLaggingParent(env)
+	// A new parent that has not answered yet has a shorter limit, because it may have been dead before
+	// it was chosen.
 	unresponsive := d.parentUnresponsive(env.Now)
 	if env.Now < d.nextRequestAt && !unresponsive {
 		return
@@ -99,7 +104,8 @@
 	}
 }
 
-// ConnectionBroke leaves a parent whose process has ended, without waiting for its silence.
+// ConnectionBroke leaves the parent immediately if the connection to it was closed, instead of waiting
+// until it counts as silent.
 func (d *Distribution) ConnectionBroke(env *statemachine.Env, address string) {
 	if d.parent.exists() && d.parent.address == address {
 		d.leaveParent(env, leftForConnection, d.settings.UpdatesEvery()*disconnectedIntervals)
@@ -107,28 +113,29 @@
 	}
 }
 
-// excuseOwnDelay gives the parent more time where this node itself was held up: the answer may have
-// been waiting for it.
-func (d *Distribution) excuseOwnDelay(now time.Duration) {
-	gap := now - d.tickedAt
-	d.tickedAt = now
+// compensateOwnDelay extends the parent's limit if this node's own ticks were delayed: the answer may
+// already be in the receive queue.
+func (d *Distribution) compensateOwnDelay(now time.Duration) {
+	gap := now - d.lastTickAt
+	d.lastTickAt = now
 	if gap > d.settings.TickEvery()*delayedTicks {
 		d.parent.answeredAt = min(d.parent.answeredAt+gap, now)
 	}
 }
 
-// parentUnresponsive reports whether a new parent has not answered within its limit.
+// parentUnresponsive reports whether a new parent has not answered within firstAnswerLimit.
 func (d *Distribution) parentUnresponsive(now time.Duration) bool {
 	return d.parent.exists() && !d.parent.answered() && now-d.parent.answeredAt > d.selection.firstAnswerLimit()
 }
 
-// reviewParent leaves the parent if its health says so.
+// reviewParent records the health of the parent in the selection, and leaves the parent if it is
+// silent, unavailable or stale.
 func (d *Distribution) reviewParent(env *statemachine.Env, unresponsive bool) {
 	health := d.parentHealth(env.Now, unresponsive)
 	switch {
 	case health.stale:
 		d.selection.ejectStalePath(env.Now, d.parent.path)
-	case !health.behind:
+	case !health.topicOverdue:
 		d.selection.resetStaleGrace(env.Random)
 	}
 	if health.silent {
@@ -137,38 +144,39 @@
 	if health.silent && unresponsive {
 		d.selection.unanswered++
 	}
-	if health.silent || health.gone || health.stale {
+	if health.silent || health.unavailable || health.stale {
 		d.leaveParent(env, health.cause(), d.settings.Reparent()*backOffReparents)
 	}
 }
 
-// parentHealth judges the parent. It changes nothing.
+// parentHealth assesses the parent. It has no side effects.
 func (d *Distribution) parentHealth(now time.Duration, unresponsive bool) parentHealth {
 	limit, requests := d.settings.ParentTimeout(), silentRequests
 	if unresponsive {
 		limit, requests = d.selection.firstAnswerLimit(), 1
 	}
 	member, found := d.membership.Find(d.parent.name)
-	behind := d.behind(now)
+	overdue := d.topicOverdue(now)
 	return parentHealth{
-		silent: now-d.parent.answeredAt > limit && len(d.requests.pending) >= requests,
-		gone:   !found || member.State >= message.Dead || member.Address != d.parent.address,
-		behind: behind,
-		stale:  behind && now-d.parent.joinedAt > d.selection.staleGrace,
+		silent:       now-d.parent.answeredAt > limit && len(d.requests.pending) >= requests,
+		unavailable:  !found || member.State >= message.Dead || member.Address != d.parent.address,
+		topicOverdue: overdue,
+		stale:        overdue && now-d.parent.joinedAt > d.selection.staleGrace,
 	}
 }
 
-// behind reports whether some topic has not been known current for longer than a change of its
-// source takes. A slice whose source died is nowhere fresher until another source has taken over.
-// For what was never known current the time since the parent was joined counts.
-func (d *Distribution) behind(now time.Duration) bool {
-	for _, topic := range d.wanted() {
+// topicOverdue reports whether some required topic has not been known to be current for longer than a
+// change of its source takes. After the source of a slice has failed, no node has fresher content until
+// another source has taken over, so the takeover time is added for slices. For a topic that has never
+// been current, the time since the parent was joined counts.
+func (d *Distribution) topicOverdue(now time.Duration) bool {
+	for _, topic := range d.requiredTopics() {
 		limit := d.settings.Reparent()
 		if !IsConfiguration(topic) {
 			limit += d.settings.TakeOver()
 		}
 		since := d.topics[topic].freshAt
-		if since == never {
+		if since == neverFresh {
 			since = d.parent.joinedAt
 		}
 		if now-since > limit {
@@ -178,32 +186,35 @@
 	return false
 }
 
-// joinNextParent takes the member that the selection offers, if it offers any.
+// joinNextParent joins the member that the selection returns, if there is one.
 func (d *Distribution) joinNextParent(env *statemachine.Env) {
 	d.parent.lastResort = false
-	if next, found := d.selection.next(env.Random, d.membership); found {
-		d.joinParent(env.Now, next.member, next.lastResort)
+	if selected, found := d.selection.selectParent(env.Random, d.membership); found {
+		d.joinParent(env.Now, selected.member, selected.lastResort)
 	}
 }
 
+// joinParent makes a member the parent and resets the request log.
 func (d *Distribution) joinParent(now time.Duration, member message.Member, lastResort bool) {
 	d.parent.name, d.parent.address = member.Name, member.Address
 	d.parent.lastResort = lastResort
 	d.parent.joinedAt, d.parent.answeredAt = now, now
-	d.requests.restart(now, d.settings.Reparent()*backOffReparents)
+	d.requests.reset(now, d.settings.Reparent()*backOffReparents)
 }
 
-// leaveParent leaves a parent that failed, which counts as a change of the parent.
+// leaveParent leaves a parent that failed: it ejects it from the candidates for the back-off time and
+// counts a change of the parent.
 func (d *Distribution) leaveParent(env *statemachine.Env, cause string, backOff time.Duration) {
 	env.Event("relay-left", 0, 0, d.parent.name+": "+cause)
 	d.selection.eject(d.parent.name, env.Now+backOff)
-	d.selection.lastRoot = d.parent.root()
+	d.selection.lastLeftRoot = d.parent.root()
 	d.requests.abandon(d.parent.name)
 	d.parent.clear()
 	d.parent.changes++
 }
 
-// dropParent leaves a parent that did not take this node, or that is no better than the last one.
+// dropParent leaves a parent that refused this node or is no better than the one before. Unlike
+// leaveParent it neither ejects the member nor counts a change.
 func (d *Distribution) dropParent(now time.Duration, backOff time.Duration) {
 	d.selection.exclude(d.parent.name, now+backOff)
 	d.requests.abandon(d.parent.name)
--- a/internal/distribution/parent_selection.go
+++ b/internal/distribution/parent_selection.go
@@ -12,7 +12,7 @@
 	"beaconvane/internal/settings"
 )
 
-// Tiers of candidates: those of the lowest are asked first.
+// Tiers of candidates. Candidates of a lower tier are chosen first.
 const (
 	tierOwnRoots = iota
 	tierOwnProxies
@@ -20,16 +20,17 @@
 	tierOtherProxies
 )
 
-// Bounds of the waits that grow from parent to parent, and of those that a working parent resets.
+// Parameters of the adaptive limits for new parents.
 const (
-	constantAnswerLimits = 2 // parents in a row without an answer before the limit begins to grow
-	staleGraceIntervals  = 2 // update intervals that a new parent has to bring fresh contents
-	maxStaleGrace        = 4 // reparent times
+	answerLimitGrowthAfter = 2 // consecutive unanswering parents before firstAnswerLimit starts to grow
+	staleGraceIntervals    = 2 // update intervals that a new parent has to deliver fresh content
+	maxStaleGraceReparents = 4 // upper bound of staleGrace, in multiples of Settings.Reparent
 )
 
-// timeouts holds until when something applies to members, by name.
+// timeouts contains the expiry time of a condition, by member name.
 type timeouts map[string]time.Duration
 
+// expire removes the conditions that have ended.
 func (t timeouts) expire(now time.Duration) {
 	for name, until := range t {
 		if now > until {
@@ -38,39 +39,39 @@
 	}
 }
 
-// parentSelection chooses the parent that is asked next, from what was met with those before.
-// It knows members by their names.
+// parentSelection chooses the next parent, based on the failures of earlier ones. It identifies members
+// by name.
 type parentSelection struct {
 	settings settings.Settings
 
-	excluded timeouts // no candidates for now, for whatever reason
-	ejected  timeouts // excluded for a failure, not for lack of room
-	stale    timeouts // ejected since what they know is old, which makes each path through them stale
+	excluded timeouts // not candidates for now, for any reason
+	ejected  timeouts // excluded because of a failure, not because they were full
+	stale    timeouts // ejected because their content is stale, and with it every path through them
 	silent   timeouts // did not answer requests
 
-	lastRoot   string // of the parent that was left last
-	unanswered int    // parents in a row that never answered
+	lastLeftRoot string // root of the path of the parent that was left last
+	unanswered   int    // consecutive parents that never answered
 
-	// leftStale is set from when a parent is left as stale until another has answered. The proxies of
-	// this zone are then likely to be stale too.
-	leftStale bool
+	// leftStaleParent is set when a parent is left as stale, until another parent has answered. During
+	// that time the proxies of this zone are probably stale too.
+	leftStaleParent bool
 
-	// staleGrace is how long a parent is kept before it can be left as stale. It grows with each that
-	// is left so, for the fault may lie with the source itself.
+	// staleGrace is the minimum time after joining before a parent can be left as stale. It doubles
+	// each time a parent is left as stale, because the fault may be at the source itself.
 	staleGrace time.Duration
 }
 
-// choice is the member to be asked next.
-type choice struct {
+// selectedParent is the member to join next.
+type selectedParent struct {
 	member     message.Member
-	lastResort bool // it was excluded, as all are
+	lastResort bool // all candidates are excluded; the member was chosen despite its exclusion
 }
 
 // candidate is a member that may become the parent.
 type candidate struct {
 	member message.Member
 	tier   int
-	score  uint64 // spreads children over the members of a tier
+	score  uint64 // distributes children over the members of a tier
 }
 
 func newParentSelection(cfg settings.Settings) parentSelection {
@@ -84,22 +85,22 @@
 	}
 }
 
-// next returns the best candidate; a root as the last resort where all are excluded; or false where
-// there is no root either.
-func (p *parentSelection) next(random *rand.Rand, members *membership.Membership) (choice, bool) {
+// selectParent returns the best candidate. If all members are excluded, it returns a root as the last
+// resort, and false if there is no root either.
+func (p *parentSelection) selectParent(random *rand.Rand, members *membership.Membership) (selectedParent, bool) {
 	self := members.Self()
 	roots := members.Alive(rootRole(self.Role))
 	candidates := p.candidates(members, self, roots)
 	if len(candidates) > 0 {
-		return choice{member: slices.MinFunc(candidates, compareCandidates).member}, true
+		return selectedParent{member: slices.MinFunc(candidates, compareCandidates).member}, true
 	}
 	if len(roots) > 0 {
-		return choice{member: p.lastResort(random, roots), lastResort: true}, true
+		return selectedParent{member: p.lastResort(random, roots), lastResort: true}, true
 	}
-	return choice{}, false
+	return selectedParent{}, false
 }
 
-// rootRole returns the role of the members at the top of the tree for a node of a role.
+// rootRole returns the role of the tree's roots for a node of the given role.
 func rootRole(role string) string {
 	if role == message.RoleRegistry {
 		return message.RoleConfigStore
@@ -107,7 +108,7 @@
 	return message.RoleRegistry
 }
 
-// candidates returns the members that may become the parent of this node.
+// candidates returns the alive members that are not excluded and may become the parent of this node.
 func (p *parentSelection) candidates(members *membership.Membership, self message.Member, roots []message.Member) []candidate {
 	candidates := []candidate{}
 	add := func(member message.Member, tier int) {
@@ -133,32 +134,34 @@
 	return candidates
 }
 
-// rootTier returns the tier of a root of this node's zone, or of another. A node that left a stale
-// parent asks the roots of other zones before the proxies of its own, which are likely to be below the
+// rootTier returns the tier of a root, depending on whether it is in this node's zone. After leaving a
+// stale parent, roots of other zones rank before the proxies of this zone, which are probably below the
 // same stale root.
 func (p *parentSelection) rootTier(ownZone bool) int {
-	if ownZone || p.leftStale {
+	if ownZone || p.leftStaleParent {
 		return tierOwnRoots
 	}
 	return tierOtherRoots
 }
 
-// score returns a pseudo-random number that is the same each time for a child and a parent.
+// score returns the rendezvous hash of a child and a parent. It is the same on every call.
 func score(child, parent string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(child + "|" + parent))
 	return hash.Sum64()
 }
 
+// compareCandidates orders candidates by tier, then by score.
 func compareCandidates(a, b candidate) int {
 	return cmp.Or(cmp.Compare(a.tier, b.tier), cmp.Compare(a.score, b.score))
 }
 
-// lastResort returns the root whose ejection ends first, from a random start, so that the moves
-// of several nodes go round all roots. The root that was just left is taken only if it is alone.
+// lastResort returns the root whose ejection ends first. It starts at a random index so that concurrent
+// moves of several nodes spread over all roots. The root that was just left is chosen only if there is
+// no other.
 func (p *parentSelection) lastResort(random *rand.Rand, roots []message.Member) message.Member {
-	isLastRoot := func(root message.Member) bool { return root.Name == p.lastRoot }
-	if others := slices.DeleteFunc(slices.Clone(roots), isLastRoot); len(others) > 0 {
+	isLastLeftRoot := func(root message.Member) bool { return root.Name == p.lastLeftRoot }
+	if others := slices.DeleteFunc(slices.Clone(roots), isLastLeftRoot); len(others) > 0 {
 		roots = others
 	}
 	first := random.IntN(len(roots))
@@ -172,18 +175,18 @@
 	return chosen
 }
 
-// firstAnswerLimit is how long a new parent has to answer. Each parent may be dead, so it is short at
-// first; where links are crowded, asking one after the other would only add to their load, so it grows
-// with each that was asked in vain.
+// firstAnswerLimit returns how long a new parent has to answer its first request. It is short at first
+// because the parent may be dead. On congested links, frequent changes of the parent would only add
+// load, so the limit doubles with each consecutive parent that did not answer, up to Settings.Reparent.
 func (p *parentSelection) firstAnswerLimit() time.Duration {
 	limit := p.settings.UpdatesEvery()
-	for range max(p.unanswered-constantAnswerLimits, 0) {
+	for range max(p.unanswered-answerLimitGrowthAfter, 0) {
 		limit = min(limit*2, p.settings.Reparent())
 	}
 	return limit
 }
 
-// exclude makes a member no candidate until an instant.
+// exclude removes a member from the candidates until the given time.
 func (p *parentSelection) exclude(name string, until time.Duration) { p.excluded[name] = until }
 
 // eject excludes a member that failed.
@@ -192,56 +195,58 @@
 	p.ejected[name] = until
 }
 
-// ejectStale ejects a member whose knowledge is old.
+// ejectStale ejects a member whose content is stale.
 func (p *parentSelection) ejectStale(name string, until time.Duration) {
 	p.eject(name, until)
 	p.stale[name] = until
 }
 
-// ejectStalePath ejects all members on the path to a stale parent, which are as stale, and makes the
-// next move for staleness slower.
+// ejectStalePath ejects all members on the path to a stale parent, since they are equally stale, and
+// doubles the grace before the next parent can be left as stale.
 func (p *parentSelection) ejectStalePath(now time.Duration, path []string) {
 	for _, name := range path {
 		p.ejectStale(name, now+p.settings.Reparent()*backOffReparents)
 	}
-	p.staleGrace = min(p.staleGrace*2, p.settings.Reparent()*maxStaleGrace)
-	p.leftStale = true
+	p.staleGrace = min(p.staleGrace*2, p.settings.Reparent()*maxStaleGraceReparents)
+	p.leftStaleParent = true
 }
 
-// resetStaleGrace shortens the grace again below a parent that is not stale. The random part keeps
-// nodes from moving all at once.
+// resetStaleGrace resets the grace while the parent is not stale. The random component prevents nodes
+// from changing their parents simultaneously.
 func (p *parentSelection) resetStaleGrace(random *rand.Rand) {
 	interval := p.settings.UpdatesEvery()
 	p.staleGrace = interval*staleGraceIntervals + time.Duration(random.Int64N(int64(interval)))
 }
 
-// markSilent records that a member does not answer requests.
+// markSilent records that a member did not answer requests.
 func (p *parentSelection) markSilent(now time.Duration, name string) {
 	p.silent[name] = now + p.settings.Reparent()*backOffReparents
 }
 
-// isStale reports whether a member was ejected as stale.
+// isStale reports whether a member is currently ejected as stale.
 func (p *parentSelection) isStale(name string) bool {
 	_, stale := p.stale[name]
 	return stale
 }
 
-// isSilent reports whether a member did not answer requests lately.
+// isSilent reports whether a member recently did not answer requests.
 func (p *parentSelection) isSilent(name string) bool {
 	_, silent := p.silent[name]
 	return silent
 }
 
-// readmit makes a member a candidate again, though what it failed for still counts.
+// readmit makes a member a candidate again but keeps its recorded failures.
 func (p *parentSelection) readmit(name string) { delete(p.excluded, name) }
 
-// reinstate takes back that a member was stale, since it has shown that it has news.
+// reinstate clears the exclusion, ejection and staleness of a member that has proven to have newer
+// content.
 func (p *parentSelection) reinstate(name string) {
 	delete(p.excluded, name)
 	delete(p.ejected, name)
 	delete(p.stale, name)
 }
 
+// expire removes the conditions of all members that have ended.
 func (p *parentSelection) expire(now time.Duration) {
 	for _, members := range []timeouts{p.excluded, p.ejected, p.stale, p.silent} {
 		members.expire(now)
--- a/internal/distribution/marks_golden_test.go
+++ b/internal/distribution/position_golden_test.go
@@ -12,9 +12,10 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Positions are compared between processes of different versions. A configuration's hash is the
-// FNV-1a of its content; that of a slice is the sum over the frames of its registrations.
-func TestPositionsStayAsTheyAre(t *testing.T) {
+// Positions are compared between processes of different program versions, so their hashes must not
+// change. The hash of a configuration is the FNV-1a of its content; that of a slice is the sum of the
+// FNV-1a hashes of its encoded registrations.
+func TestPositionHashesAreUnchanged(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
 	members := membership.New(cfg, message.Member{Name: "configstore/one"}, nil)
--- a/internal/distribution/requests.go
+++ b/internal/distribution/requests.go
@@ -7,20 +7,19 @@
 	"beaconvane/internal/statemachine"
 )
 
-// maxPending is how many rounds of requests to one parent are remembered.
-const maxPending = 64
+// recordedRounds is the number of most recent requests to one parent whose send times are kept.
+const recordedRounds = 64
 
-// initialRequestRate is how many requests are sent in an update interval while some topic has not
-// been known current in this life.
+// initialRequestRate is the number of requests per update interval while some subscribed topic has not
+// been known to be current since the process started.
 const initialRequestRate = 4
 
-// requestLog is the requests that have not been answered: those to the parent, and those to the
-// parents before it. Where links are crowded an answer may come after its parent was given up, and
-// what it says is no less true.
+// requestLog contains the unanswered requests to the current parent and to earlier ones. On congested
+// links an answer may arrive after its parent was left; its content is still valid.
 type requestLog struct {
-	round     int64                      // of the last request in this life
-	pending   map[int64]time.Duration    // when each was sent to the parent, by round
-	abandoned map[int64]abandonedRequest // by round
+	round     int64                      // number of the last request since the process started
+	pending   map[int64]time.Duration    // send time of each unanswered request to the current parent, by round
+	abandoned map[int64]abandonedRequest // unanswered requests to earlier parents, by round
 }
 
 // abandonedRequest is a request to a parent that was left before it answered.
@@ -33,15 +32,15 @@
 	return requestLog{pending: map[int64]time.Duration{}, abandoned: map[int64]abandonedRequest{}}
 }
 
-// begin notes a request that is sent now and returns its round.
-func (l *requestLog) begin(now time.Duration) int64 {
+// record adds a request sent at the given time and returns its round.
+func (l *requestLog) record(now time.Duration) int64 {
 	l.round++
 	l.pending[l.round] = now
-	delete(l.pending, l.round-maxPending)
+	delete(l.pending, l.round-recordedRounds)
 	return l.round
 }
 
-// acknowledge removes the requests up to a round, which the parent has answered.
+// acknowledge removes the pending requests up to and including the answered round.
 func (l *requestLog) acknowledge(answered int64) {
 	for round := range l.pending {
 		if round <= answered {
@@ -50,7 +49,7 @@
 	}
 }
 
-// abandon keeps the pending requests apart when their parent is left.
+// abandon moves the pending requests to the abandoned ones when their parent is left.
 func (l *requestLog) abandon(parent string) {
 	for round, sentAt := range l.pending {
 		l.abandoned[round] = abandonedRequest{parent, sentAt}
@@ -58,9 +57,9 @@
 	l.pending = map[int64]time.Duration{}
 }
 
-// restart begins with a new parent, and forgets abandoned requests older than a limit, to which no
-// answer can be on its way any more.
-func (l *requestLog) restart(now, limit time.Duration) {
+// reset prepares the log for a new parent and drops abandoned requests older than limit, which can no
+// longer be answered.
+func (l *requestLog) reset(now, limit time.Duration) {
 	for round, request := range l.abandoned {
 		if now-request.sentAt > limit {
 			delete(l.abandoned, round)
@@ -69,12 +68,12 @@
 	l.pending = map[int64]time.Duration{}
 }
 
-// request asks the parent for what is new.
+// request sends the parent an UpdatesRequest with this node's positions, and resumes stalled downloads.
 func (d *Distribution) request(env *statemachine.Env) {
 	d.nextRequestAt = env.Now + d.requestInterval()
-	round := d.requests.begin(env.Now)
+	round := d.requests.record(env.Now)
 	positions := []message.Position{}
-	for _, topic := range d.wanted() {
+	for _, topic := range d.requiredTopics() {
 		positions = append(positions, d.topics[topic].requestPosition())
 	}
 	self := d.membership.Self()
@@ -88,7 +87,7 @@
 	d.resumeDownloads(env)
 }
 
-// requestInterval is the time to the next request.
+// requestInterval returns the time until the next request.
 func (d *Distribution) requestInterval() time.Duration {
 	if d.initializing() {
 		return d.settings.UpdatesEvery() / initialRequestRate
@@ -96,8 +95,8 @@
 	return d.settings.UpdatesEvery()
 }
 
-// initializing reports whether some topic that this node wants for itself has never been known
-// current in this life.
+// initializing reports whether some topic that this node has subscribed to for itself has not been
+// known to be current since the process started.
 func (d *Distribution) initializing() bool {
 	for topic := range d.subscribed {
 		if !d.topics[topic].fresh() {
--- a/internal/distribution/requests_test.go
+++ b/internal/distribution/requests_test.go
@@ -10,9 +10,9 @@
 	"beaconvane/internal/statemachine"
 )
 
-// slowAnswers plays a node whose parents answer after a while each, and says whether it has
-// the configuration current in time.
-func slowAnswers(c *qt.C, seed uint64, slow, limit time.Duration) (current bool) {
+// becomesCurrentWithSlowAnswers runs a node whose parents answer after answerDelay, and reports whether
+// its configuration is current within limit.
+func becomesCurrentWithSlowAnswers(c *qt.C, seed uint64, answerDelay, limit time.Duration) (current bool) {
 	tree := newTestTree(c, seed, "near", "far")
 	type answer struct {
 		at       time.Duration
@@ -31,52 +31,54 @@
 			if !isRequest {
 				continue
 			}
-			due = append(due, answer{tree.env.Now + slow, testResponse(request.Round, []string{sent.To}, configurationItem(2))})
+			due = append(due, answer{tree.env.Now + answerDelay, testResponse(request.Round, []string{sent.To}, configurationItem(2))})
 		}
 		_, current = tree.distribution.FreshAt(ConfigurationTopic("main"))
 	}
 	return current
 }
 
-// Every answer comes later than a new parent is waited for at first: the node has the configuration
-// all the same, as soon as the first answer is there.
-func TestLateAnswersAreTaken(t *testing.T) {
+// Answers that arrive after the limit for a new parent's first answer are still applied: the node is
+// current as soon as the first one arrives.
+func TestLateAnswersAreApplied(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
 		cfg := newTestTree(c, seed, "near").settings
-		slow := cfg.UpdatesEvery() * 3
-		c.Assert(slowAnswers(c, seed, slow, slow+cfg.UpdatesEvery()), qt.IsTrue, qt.Commentf("seed %d", seed))
+		answerDelay := cfg.UpdatesEvery() * 3
+		current := becomesCurrentWithSlowAnswers(c, seed, answerDelay, answerDelay+cfg.UpdatesEvery())
+		c.Assert(current, qt.IsTrue, qt.Commentf("seed %d", seed))
 	}
 }
 
-// A new parent is waited for longer with each that never answered.
+// The limit for a new parent's first answer grows with the number of consecutive parents that did not
+// answer.
 func TestFirstAnswerLimitGrowsWithUnansweredParents(t *testing.T) {
 	c := qt.New(t)
 	tree := newTestTree(c, 1, "near", "far")
 	first := tree.distribution.selection.firstAnswerLimit()
 	c.Assert(first, qt.Equals, tree.settings.UpdatesEvery())
-	tree.distribution.selection.unanswered = constantAnswerLimits
+	tree.distribution.selection.unanswered = answerLimitGrowthAfter
 	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, first)
-	tree.distribution.selection.unanswered = constantAnswerLimits + 2
+	tree.distribution.selection.unanswered = answerLimitGrowthAfter + 2
 	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, first*4)
 	tree.distribution.selection.unanswered = 100
 	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, tree.settings.Reparent())
 }
 
-// A node that was held up itself, right after it asked a new parent, does not leave that one: the
-// answer may be waiting for it.
+// A node whose own ticks were delayed right after it asked a new parent does not leave the parent,
+// because the answer may already have arrived.
 func TestOwnDelayIsNotCountedAgainstTheParent(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
 		tree := newTestTree(c, seed, "near", "far")
 		tree.distribution.Tick(tree.env)
 		tree.env.Drain()
-		asked, _, moves := tree.distribution.Parent()
-		c.Assert(asked, qt.Not(qt.Equals), "")
+		parentBefore, _, changesBefore := tree.distribution.Parent()
+		c.Assert(parentBefore, qt.Not(qt.Equals), "")
 		tree.env.Now += tree.settings.UpdatesEvery() * 3
 		tree.distribution.Tick(tree.env)
-		parent, _, later := tree.distribution.Parent()
-		c.Assert(parent, qt.Equals, asked, qt.Commentf("seed %d", seed))
-		c.Assert(later, qt.Equals, moves)
+		parentAfter, _, changesAfter := tree.distribution.Parent()
+		c.Assert(parentAfter, qt.Equals, parentBefore, qt.Commentf("seed %d", seed))
+		c.Assert(changesAfter, qt.Equals, changesBefore)
 	}
 }
--- a/internal/distribution/response.go
+++ b/internal/distribution/response.go
@@ -9,7 +9,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// handleResponse takes what a parent sends: the answer to a request, or a push.
+// handleResponse processes an answer to a request or a push. Messages of an earlier parent go to
+// handleLateResponse.
 func (d *Distribution) handleResponse(env *statemachine.Env, response message.UpdatesResponse) {
 	if response.Parent != d.parent.name {
 		d.handleLateResponse(env, response)
@@ -39,8 +40,9 @@
 	}
 }
 
-// handleLateResponse takes what a parent before this one sends: whole contents and changes, but no
-// parts, since the next part would be requested from the present parent.
+// handleLateResponse processes a response of an earlier parent. It applies complete snapshots,
+// differences and changes, but no chunks, because the next chunk would be requested from the current
+// parent.
 func (d *Distribution) handleLateResponse(env *statemachine.Env, response message.UpdatesResponse) {
 	request, isAnswer := d.requests.abandoned[response.Round]
 	isAnswer = isAnswer && request.parent == response.Parent
@@ -58,7 +60,8 @@
 	}
 }
 
-// handleRefusal leaves a parent that refuses. One without the lease names the member that has it.
+// handleRefusal leaves a parent that refused a request. If it refused because it does not have the
+// lease, the response names the lease holder, which is joined instead.
 func (d *Distribution) handleRefusal(env *statemachine.Env, response message.UpdatesResponse) {
 	switch response.Reason {
 	case message.RefusedNoLease:
@@ -72,7 +75,7 @@
 	d.nextRequestAt = env.Now
 }
 
-// followReferral takes the first member that a refusal names as the parent.
+// followReferral joins the first alternative of a refusal, if it is alive or suspected.
 func (d *Distribution) followReferral(now time.Duration, response message.UpdatesResponse) {
 	if len(response.Alternatives) == 0 {
 		return
@@ -85,26 +88,26 @@
 	d.joinParent(now, member, d.parent.lastResort)
 }
 
-// rejectParent leaves the parent for another where its answer shows that it is no good one, and
-// reports whether it did. A parent that was joined as the last resort is kept.
+// rejectParent leaves the parent if its answer shows that it is unsuitable, and reports whether it did.
+// A parent that was joined as the last resort is always kept.
 func (d *Distribution) rejectParent(env *statemachine.Env, response message.UpdatesResponse, sentAt time.Duration) bool {
 	if d.parent.lastResort {
 		return false
 	}
 	backOff := d.settings.Reparent() * backOffReparents
-	// A member that was full, or can't be reached from here, is a good way to others; a stale one
-	// makes every way from it stale.
+	// Only stale members disqualify a path. A member that was full, or is unreachable from this node,
+	// is still a valid relay for others.
 	if slices.ContainsFunc(response.Path, d.selection.isStale) {
 		d.dropParent(env.Now, backOff)
 		d.nextRequestAt = env.Now
 		return true
 	}
-	if d.knowsLess(response.Items) {
-		// As after a restart.
+	if d.lacksKnownConfiguration(response.Items) {
+		// A parent that has just restarted may have lost its content.
 		d.leaveParent(env, leftForLag, d.settings.UpdatesEvery()*lagIntervals)
 		return true
 	}
-	if !d.parent.answered() && d.noFresher(env.Now, sentAt, response.Items) {
+	if !d.parent.answered() && d.equallyStale(env.Now, sentAt, response.Items) {
 		d.selection.ejectStale(d.parent.name, env.Now+backOff)
 		d.dropParent(env.Now, backOff)
 		d.nextRequestAt = env.Now
@@ -113,12 +116,12 @@
 	return false
 }
 
-// knowsLess reports whether the parent lacks a configuration that is known here, or has an older
-// version.
-func (d *Distribution) knowsLess(items []message.UpdateItem) bool {
+// lacksKnownConfiguration reports whether the parent lacks a configuration that this node has, or has
+// an older version of it.
+func (d *Distribution) lacksKnownConfiguration(items []message.UpdateItem) bool {
 	for _, item := range items {
 		state, found := d.topics[item.Position.Topic]
-		if !found || !state.known || !IsConfiguration(item.Position.Topic) {
+		if !found || !state.hasContent || !IsConfiguration(item.Position.Topic) {
 			continue
 		}
 		if !item.Known || item.Position.Before(state.position()) {
@@ -128,13 +131,14 @@
 	return false
 }
 
-// noFresher reports whether a new parent is as stale as the one that was left for it: it has no
-// newer version of any configuration, and some configuration that is stale here is stale there too.
-func (d *Distribution) noFresher(now, sentAt time.Duration, items []message.UpdateItem) bool {
+// equallyStale reports whether a new parent is no improvement on the stale one before: it has no newer
+// version of any configuration, and some configuration that is stale on this node is stale on the
+// parent too.
+func (d *Distribution) equallyStale(now, sentAt time.Duration, items []message.UpdateItem) bool {
 	for _, item := range items {
 		state, found := d.topics[item.Position.Topic]
 		if found && IsConfiguration(item.Position.Topic) && state.position().Before(item.Position) {
-			// However long ago that was known current.
+			// A newer version is an improvement regardless of its age.
 			return false
 		}
 	}
@@ -144,7 +148,7 @@
 		if !found || !IsConfiguration(item.Position.Topic) {
 			continue
 		}
-		staleHere := state.freshAt == never || now-state.freshAt > limit
+		staleHere := state.freshAt == neverFresh || now-state.freshAt > limit
 		staleThere := item.Age < 0 || now-sentAt+time.Duration(item.Age) > limit
 		if staleHere && staleThere {
 			return true
@@ -153,20 +157,20 @@
 	return false
 }
 
-// acceptAnswer notes that the parent has answered, and its path.
+// acceptAnswer records the answer of the parent and its path.
 func (d *Distribution) acceptAnswer(env *statemachine.Env, response message.UpdatesResponse) {
 	d.parent.answeredAt = env.Now
 	d.selection.unanswered = 0
 	d.requests.acknowledge(response.Round)
 	if !d.parent.answered() {
 		env.Event("relay-joined", 0, 0, strings.Join(response.Path, ">"))
-		d.selection.leftStale = false
+		d.selection.leftStaleParent = false
 	}
 	d.parent.path = response.Path
 }
 
-// apply takes what a response says of a topic. Answers to requests tell the age; what is pushed, or
-// comes in parts, does not.
+// apply applies one item of a response. Only answers to requests update the age; pushes and chunks do
+// not contain one.
 func (d *Distribution) apply(env *statemachine.Env, item message.UpdateItem, sentAt time.Duration, isAnswer bool) {
 	state := d.topic(item.Position.Topic)
 	if !item.Known {
@@ -175,48 +179,48 @@
 	if item.Snapshot && state.position().Same(item.Position) {
 		state.mismatched = false
 	}
-	moved := d.applyContent(env, state, item)
-	if isAnswer && item.Age >= 0 && state.known && !state.position().Before(item.Position) {
-		if state.freshAt == never && !moved {
+	advanced := d.applyContent(env, state, item)
+	if isAnswer && item.Age >= 0 && state.hasContent && !state.position().Before(item.Position) {
+		if state.freshAt == neverFresh && !advanced {
 			d.onChange(env, item.Position.Topic)
 		}
 		state.freshAt = max(state.freshAt, sentAt-time.Duration(item.Age))
 	}
-	if moved {
+	if advanced {
 		d.onChange(env, item.Position.Topic)
 		d.push(env, item.Position.Topic)
 	}
 }
 
-// applyContent applies the content of an item, and reports whether the topic moved on.
+// applyContent applies the content of an item and reports whether the topic changed.
 func (d *Distribution) applyContent(env *statemachine.Env, state *topicState, item message.UpdateItem) bool {
 	sizeLimit := d.settings.Limits.Configuration
 	switch {
 	case item.Snapshot && state.needsSnapshot(item.Position):
 		body, complete := d.receiveSnapshot(env, item)
 		return complete && state.applySnapshot(item.Position, body, sizeLimit)
-	case len(item.Patches) > 0 && state.slice == nil && state.known:
+	case len(item.Patches) > 0 && state.slice == nil && state.hasContent:
 		return state.applyPatches(item.Patches, sizeLimit)
 	case len(item.Changes) > 0 && state.slice != nil:
 		return state.applyChanges(item.Changes)
-	case isInitial(item.Position) && state.slice != nil && !state.known:
-		// A slice that no registration has been written to yet is complete without any content.
-		state.known = true
+	case isInitial(item.Position) && state.slice != nil && !state.hasContent:
+		// The slice has no registrations at its source either, so it is complete without any content.
+		state.hasContent = true
 		return true
 	}
 	return false
 }
 
-// needsSnapshot reports whether a snapshot at a position is to be applied. A slice whose content
-// differs at the same position is replaced; a configuration never is.
+// needsSnapshot reports whether a snapshot at a position must be applied. A slice is also replaced if
+// its content differs at the same position; a configuration is not.
 func (t *topicState) needsSnapshot(position message.Position) bool {
-	if !t.known || t.position().Before(position) {
+	if !t.hasContent || t.position().Before(position) {
 		return true
 	}
 	return t.slice != nil && !position.Before(t.position()) && !position.Same(t.position())
 }
 
-// isInitial reports whether a position is that of a slice without any change.
+// isInitial reports whether a position is that of a slice that has never been changed.
 func isInitial(position message.Position) bool {
 	return position.Seq == 0 && position.Epoch == 0 && position.Count == 0
 }
--- a/internal/distribution/serve.go
+++ b/internal/distribution/serve.go
@@ -8,24 +8,25 @@
 	"beaconvane/internal/statemachine"
 )
 
-// resendIntervals is after how many update intervals a snapshot is sent again to a subscriber that
-// still does not have it.
+// resendIntervals is the number of update intervals after which a large update is sent again to a
+// subscriber that still requests it.
 const resendIntervals = 4
 
-// pushRound is the round of a response that answers no request; partRound that of the request for
-// a part of a snapshot, and of its answer.
+// pushRound is the Round of a response that does not answer a request. chunkRound is the Round of a
+// request for a snapshot chunk and of its answer.
 const (
-	pushRound = 0
-	partRound = -1
+	pushRound  = 0
+	chunkRound = -1
 )
 
-// refusal is why a request is not served, and which members may serve it instead.
+// refusal is the reason why a request is not served, and the names of members that may serve it
+// instead.
 type refusal struct {
 	reason       string // one of the message.Refused constants
 	alternatives []string
 }
 
-// handleRequest answers a child's request for updates, or for a part of a snapshot.
+// handleRequest answers a child's request for updates or for a snapshot chunk.
 func (d *Distribution) handleRequest(env *statemachine.Env, from string, request message.UpdatesRequest) {
 	if refused := d.refuse(env.Now, request); refused != nil {
 		env.Send(from, message.UpdatesResponse{
@@ -40,11 +41,11 @@
 		return
 	}
 	if request.PartOf != "" {
-		d.sendPart(env, from, request)
+		d.sendChunk(env, from, request)
 		return
 	}
-	child := d.subscribers.join(request.Child)
-	child.renew(env.Now, from, request)
+	child := d.subscribers.getOrAdd(request.Child)
+	child.update(env.Now, from, request)
 	items := []message.UpdateItem{}
 	for _, position := range request.Positions {
 		items = append(items, d.answerItem(env.Now, child, position))
@@ -52,8 +53,8 @@
 	d.send(env, from, request.Round, d.answerPath(), items)
 }
 
-// refuse returns why a request is refused, or nil where it is to be served. A request as the last
-// resort makes a registry take more children than it would.
+// refuse returns the reason to refuse a request, or nil if it is to be served. A registry accepts a
+// last-resort request even when it is full.
 func (d *Distribution) refuse(now time.Duration, request message.UpdatesRequest) *refusal {
 	role := d.membership.Self().Role
 	if role == message.RoleProxy {
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// answerItem returns what a child's request for a topic is answered with. Where a large update is on
-// its way to the child already, that is only the position and the age.
+// answerItem returns the answer to a child's request for one topic. While a large update is in transit
+// to the child, the answer contains only the position and the age.
 func (d *Distribution) answerItem(now time.Duration, child *subscriber, position message.Position) message.UpdateItem {
 	item := d.updateItem(now, position)
 	if !child.beginDelivery(now, item, d.resendAfter()) {
@@ -86,26 +87,26 @@
 	return item
 }
 
-// sendPart sends the part of a snapshot that a child asks for; its first part where the content has
+// sendChunk sends the snapshot chunk that a child has requested, or the first chunk if the content has
 // changed since.
-func (d *Distribution) sendPart(env *statemachine.Env, from string, request message.UpdatesRequest) {
+func (d *Distribution) sendChunk(env *statemachine.Env, from string, request message.UpdatesRequest) {
 	state, found := d.topics[request.PartOf]
-	if !found || !state.known || len(request.Positions) != 1 {
+	if !found || !state.hasContent || len(request.Positions) != 1 {
 		return
 	}
 	offset := request.Part
 	if !state.position().Same(request.Positions[0]) {
 		offset = 0
 	}
-	d.send(env, from, partRound, d.answerPath(), []message.UpdateItem{d.snapshotItem(state, offset)})
+	d.send(env, from, chunkRound, d.answerPath(), []message.UpdateItem{d.snapshotItem(state, offset)})
 }
 
-// push sends the subscribers of a topic what they lack of it.
+// push sends each subscriber of a topic the updates after its position.
 func (d *Distribution) push(env *statemachine.Env, topic string) {
 	for _, name := range d.subscribers.names() {
 		child := d.subscribers[name]
-		position, wanted := child.positions[topic]
-		if !wanted || !d.mayServe(env.Now) {
+		position, subscribed := child.positions[topic]
+		if !subscribed || !d.mayServe(env.Now) {
 			continue
 		}
 		item := d.updateItem(env.Now, position)
@@ -132,8 +133,8 @@
 	})
 }
 
-// answerPath returns the path that answers bear: the relays from the root to this node. A registry
-// is a root for its children.
+// answerPath returns the path that answers contain: the relays from the root to this node. Nodes other
+// than proxies are roots for their children.
 func (d *Distribution) answerPath() []string {
 	self := d.membership.Self()
 	if self.Role != message.RoleProxy {
@@ -142,6 +143,7 @@
 	return d.parent.pathTo(self.Name)
 }
 
+// resendAfter returns the time after which a large update is sent again.
 func (d *Distribution) resendAfter() time.Duration {
 	return d.settings.UpdatesEvery() * resendIntervals
 }
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/simulated_parents_test.go
@@ -12,24 +12,25 @@
 	"beaconvane/internal/statemachine"
 )
 
-// testBody is the configuration that test parents have, whatever its version.
+// testBody is the configuration body of all simulated parents, in every version.
 const testBody = "a configuration"
 
-// testTree is a proxy's Distribution among registries, one of them in its own zone, whose answers
-// the test makes.
+// testTree runs a proxy's Distribution with simulated registries as parents. The first registry is in
+// the proxy's zone, the others are in another zone.
 type testTree struct {
-	c            *qt.C
-	settings     settings.Settings
-	distribution *Distribution
-	members      *membership.Membership
-	env          *statemachine.Env
-	asked        []string // parents in the order in which they were asked, without repetitions in a row
-	lastResorts  []string // those that were told that they are the last resort
-	ages         map[string]func() time.Duration
-	full         map[string]bool
-	version      map[string]int64 // of the configuration that a parent has; 1 where it is not told
+	c                *qt.C
+	settings         settings.Settings
+	distribution     *Distribution
+	members          *membership.Membership
+	env              *statemachine.Env
+	requestedParents []string                        // parents in the order of the requests, without consecutive repetitions
+	lastResorts      []string                        // parents that received a last-resort request
+	ages             map[string]func() time.Duration // age of each parent's content
+	full             map[string]bool                 // parents that refuse all but last-resort requests
+	version          map[string]int64                // of the configuration, by parent; 1 if not set
 }
 
+// newTestTree returns a proxy whose parents may be the given roots, all of them current at first.
 func newTestTree(c *qt.C, seed uint64, roots ...string) *testTree {
 	cfg := settings.Default()
 	cfg.Zone, cfg.Seeds = "d", []string{"10.0.0.1:1"}
@@ -56,13 +57,13 @@
 	return tree
 }
 
-// addMember makes a member known, which has its name as its address.
+// addMember adds a member whose address is its name.
 func (tree *testTree) addMember(name, role, zone string) {
 	member := message.Member{Name: name, Role: role, Zone: zone, Address: name, StartTime: 1}
 	tree.members.Handle(tree.env, "", message.JoinResponse{From: member})
 }
 
-// makeStale lets what registries know be as old as the time since this moment.
+// makeStale makes the content of the given roots age from now on.
 func (tree *testTree) makeStale(roots ...string) {
 	since := tree.env.Now
 	for _, root := range roots {
@@ -70,9 +71,9 @@
 	}
 }
 
-// play answers every request at once, as its parent would, for some time or until a condition holds;
-// it reports whether that was met.
-func (tree *testTree) play(length time.Duration, until func() bool) bool {
+// run advances the time and answers every request immediately, until a condition holds or the given
+// time has passed. It reports whether the condition was met.
+func (tree *testTree) run(length time.Duration, until func() bool) bool {
 	for end := tree.env.Now + length; tree.env.Now < end; tree.env.Now += 5 * time.Millisecond {
 		tree.distribution.Tick(tree.env)
 		for _, effect := range tree.env.Drain() {
@@ -81,13 +82,13 @@
 			if !isSend || !isRequest {
 				continue
 			}
-			if len(tree.asked) == 0 || tree.asked[len(tree.asked)-1] != sent.To {
-				tree.asked = append(tree.asked, sent.To)
+			if len(tree.requestedParents) == 0 || tree.requestedParents[len(tree.requestedParents)-1] != sent.To {
+				tree.requestedParents = append(tree.requestedParents, sent.To)
 			}
 			if request.LastResort {
 				tree.lastResorts = append(tree.lastResorts, sent.To)
 			}
-			tree.answer(sent.To, request)
+			tree.respond(sent.To, request)
 		}
 		if until != nil && until() {
 			return true
@@ -96,8 +97,8 @@
 	return until == nil
 }
 
-// answer hands the answer of a parent to the node.
-func (tree *testTree) answer(parent string, request message.UpdatesRequest) {
+// respond passes a simulated parent's answer to the node.
+func (tree *testTree) respond(parent string, request message.UpdatesRequest) {
 	if tree.full[parent] && !request.LastResort {
 		tree.distribution.Handle(tree.env, parent, message.UpdatesResponse{
 			Round: request.Round, Parent: parent, Path: []string{}, Refused: true, Reason: message.RefusedFull, Alternatives: []string{},
@@ -109,22 +110,22 @@
 	tree.distribution.Handle(tree.env, parent, testResponse(request.Round, []string{parent}, item))
 }
 
-// testResponse is an answer of the last member of a path.
+// testResponse returns an answer of the last member of a path.
 func testResponse(round int64, path []string, items ...message.UpdateItem) message.UpdatesResponse {
 	return message.UpdatesResponse{Round: round, Parent: path[len(path)-1], Path: path, Alternatives: []string{}, Items: items}
 }
 
-// configurationItem is a version of the configuration as a snapshot that is known current.
+// configurationItem returns a snapshot of a version of the configuration with age zero.
 func configurationItem(version int64) message.UpdateItem {
 	body := []byte(testBody)
-	packed := delta.Encode(nil, body)
+	compressed := delta.Encode(nil, body)
 	return message.UpdateItem{
 		Position: configurationPosition(ConfigurationTopic("main"), version, body),
-		Known:    true, Snapshot: true, Body: packed, Total: int64(len(packed)),
+		Known:    true, Snapshot: true, Body: compressed, Total: int64(len(compressed)),
 	}
 }
 
-// parent returns the parent once it has answered.
+// parent returns the parent, or an empty string if it has not answered yet.
 func (tree *testTree) parent() string {
 	parent, path, _ := tree.distribution.Parent()
 	if len(path) == 0 {
@@ -133,15 +134,16 @@
 	return parent
 }
 
-// configurationVersion returns the version of the configuration that the node has.
+// configurationVersion returns the version of the node's configuration.
 func (tree *testTree) configurationVersion() int64 {
 	version, _, _ := tree.distribution.Configuration("main")
 	return version
 }
 
-// settle plays until the node is below a root that is current.
-func (tree *testTree) settle(root string) {
-	tree.play(time.Second, nil)
+// waitForRoot runs for a second, asserts that the node's parent is root, and clears the recorded
+// requests.
+func (tree *testTree) waitForRoot(root string) {
+	tree.run(time.Second, nil)
 	tree.c.Assert(tree.parent(), qt.Equals, root)
-	tree.asked, tree.lastResorts = nil, nil
+	tree.requestedParents, tree.lastResorts = nil, nil
 }
--- a/internal/distribution/subscribers.go
+++ b/internal/distribution/subscribers.go
@@ -8,30 +8,31 @@
 	"beaconvane/internal/message"
 )
 
-// resendBytes is the size up to which differences are sent at each request for them.
+// resendBytes is the maximum size of differences that are sent again on every request.
 const resendBytes = 4 << 10
 
-// missedParentLimits is for how many parent limits a subscriber may be silent.
-const missedParentLimits = 2
+// missedParentTimeouts is the number of parent timeouts without a request after which a subscriber is
+// removed.
+const missedParentTimeouts = 2
 
-// subscriber is a child in the tree: a node that asks this one for updates.
+// subscriber is a child in the tree: a node that requests updates from this one.
 type subscriber struct {
-	address    string
-	heardAt    time.Duration
-	positions  map[string]message.Position // what it has, by topic that it wants
-	round      int64                       // of its last request; a lower one is from a later life
-	deliveries map[string]delivery         // large updates on their way to it, by topic
+	address       string
+	lastRequestAt time.Duration
+	positions     map[string]message.Position // its positions, by subscribed topic
+	round         int64                       // of its last request; a lower round means that it has restarted
+	deliveries    map[string]delivery         // large updates in transit to it, by topic
 }
 
-// delivery is a snapshot, or differences as long, that was sent. A subscriber on a narrow link
-// requests again before it has arrived, and must not be sent it anew each time.
+// delivery records a snapshot, or differences larger than resendBytes, that was sent. A subscriber on a
+// slow link sends further requests before it has arrived; these must not trigger another transfer.
 type delivery struct {
 	position message.Position
 	at       time.Duration
 }
 
-// beginDelivery notes a large update that is about to be sent, and reports whether it should be: not
-// where the same one was sent a short while ago.
+// beginDelivery reports whether an update should be sent, and records it if it is large. A large update
+// is not sent again within resendAfter.
 func (s *subscriber) beginDelivery(now time.Duration, item message.UpdateItem, resendAfter time.Duration) bool {
 	large := item.Snapshot || patchBytes(item.Patches) > resendBytes
 	if !large || item.Offset > 0 {
@@ -45,50 +46,51 @@
 	return true
 }
 
-// renew takes what a request says of its subscriber. One that begins anew, or at another address,
-// has not received what was sent before.
-func (s *subscriber) renew(now time.Duration, from string, request message.UpdatesRequest) {
+// update applies a request to the state of its subscriber. A subscriber that has restarted or changed
+// its address has not received earlier deliveries, so they are discarded.
+func (s *subscriber) update(now time.Duration, from string, request message.UpdatesRequest) {
 	if s.deliveries == nil || request.Round < s.round || s.address != from {
 		s.deliveries = map[string]delivery{}
 	}
 	s.round = request.Round
-	s.address, s.heardAt = from, now
+	s.address, s.lastRequestAt = from, now
 	s.positions = map[string]message.Position{}
 	for _, position := range request.Positions {
 		s.positions[position.Topic] = position
 	}
 }
 
-// subscribers is the set of a node's children, by name.
+// subscribers contains the children of a node, by name.
 type subscribers map[string]*subscriber
 
+// names returns the names of the children in ascending order, so that iteration is deterministic.
 func (s subscribers) names() []string { return slices.Sorted(maps.Keys(s)) }
 
-// want reports whether a subscriber wants a topic.
-func (s subscribers) want(topic string) bool {
+// subscribedTo reports whether any subscriber has requested a topic.
+func (s subscribers) subscribedTo(topic string) bool {
 	for _, child := range s {
-		if _, wanted := child.positions[topic]; wanted {
+		if _, subscribed := child.positions[topic]; subscribed {
 			return true
 		}
 	}
 	return false
 }
 
-// expire removes the subscribers that have been silent for longer than the limit.
+// expire removes the subscribers whose last request is older than limit.
 func (s subscribers) expire(now, limit time.Duration) {
 	for name, child := range s {
-		if now-child.heardAt > limit {
+		if now-child.lastRequestAt > limit {
 			delete(s, name)
 		}
 	}
 }
 
-// join returns the subscriber of a name, which is new where it is not known yet.
-func (s subscribers) join(name string) *subscriber {
-	known, found := s[name]
+// getOrAdd returns the subscriber with the given name and adds it if necessary.
+func (s subscribers) getOrAdd(name string) *subscriber {
+	child, found := s[name]
 	if !found {
-		known = &subscriber{}
-		s[name] = known
+		child = &subscriber{}
+		s[name] = child
 	}
-	return known
+	return child
 }
--- a/internal/distribution/update_item.go
+++ b/internal/distribution/update_item.go
@@ -6,11 +6,12 @@
 	"beaconvane/internal/message"
 )
 
-// unknownAge is the age of an item whose content was never known current, and of pushes.
+// unknownAge is the Age of pushes and chunks, and of content that has not been known to be current
+// since the process started.
 const unknownAge = -1
 
-// updateItem returns what a child that is at a position of a topic needs to be where this node is:
-// nothing, the changes since, or the snapshot.
+// updateItem returns the update that brings a child from a position of a topic to this node's position:
+// nothing, the differences or changes since, or a snapshot.
 func (d *Distribution) updateItem(now time.Duration, position message.Position) message.UpdateItem {
 	state := d.topic(position.Topic)
 	item := message.UpdateItem{
@@ -20,7 +21,7 @@
 		Changes:  []message.RosterChange{},
 		Patches:  []message.ConfigurationPatch{},
 	}
-	if !state.known {
+	if !state.hasContent {
 		return item
 	}
 	item.Known, item.Position = true, state.position()
@@ -35,8 +36,9 @@
 	return snapshot
 }
 
-// addDifference adds what leads from an older position to the current one, and reports whether that
-// is known and worth it: differences of a configuration may be longer than its snapshot.
+// addDifference adds the differences or changes from an older position to the current one, and reports
+// whether it did. It does not if they are no longer available, or if the differences of a configuration
+// are at least as large as its snapshot.
 func (t *topicState) addDifference(item *message.UpdateItem, from message.Position) bool {
 	if t.slice == nil {
 		patches, found := t.history.since(from)
@@ -56,10 +58,10 @@
 	return found
 }
 
-// snapshotItem returns the part of a topic's snapshot that begins at an offset.
+// snapshotItem returns the chunk of a topic's snapshot that starts at an offset.
 func (d *Distribution) snapshotItem(state *topicState, offset int64) message.UpdateItem {
 	body := state.snapshot()
-	end := min(int64(len(body)), offset+int64(d.partBytes))
+	end := min(int64(len(body)), offset+int64(d.chunkBytes))
 	return message.UpdateItem{
 		Position: state.position(),
 		Age:      unknownAge,
@@ -73,7 +75,7 @@
 	}
 }
 
-// isComplete reports whether an item holds the whole body of a snapshot, not a part.
+// isComplete reports whether an item contains a complete snapshot rather than a chunk of it.
 func isComplete(item message.UpdateItem) bool {
 	return item.Offset == 0 && item.Total == int64(len(item.Body))
 }
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// digestParts is how many sums a digest has; at a hundred members a part has about as many as one
-	// response carries. It is a part of the wire format.
-	digestParts = 16
-	// membersPerResponse is how many members one JoinResponse carries.
+	// digestBuckets is the number of sums in a digest. With a hundred members, one bucket contains
+	// about as many members as one response. It is part of the wire format.
+	digestBuckets = 16
+	// membersPerResponse is the maximum number of members in one JoinResponse.
 	membersPerResponse = 6
 )
 
-// partOf returns the part of the digest that a name falls into.
-func partOf(name string) int {
+// digestBucket returns the index of the digest sum that covers a name.
+func digestBucket(name string) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
-	return int(hash.Sum32() % digestParts)
+	return int(hash.Sum32() % digestBuckets)
 }
 
-// digest returns a sum of what is known of every node, this one included, for each part of the names.
-// Two nodes whose sums of a part are equal know the same of its members. Suspicions are left out: they
-// come and go, and are no reason to send anything.
+// digest returns one sum per bucket over the members, including this node. Two nodes whose sums of a
+// bucket are equal have the same information about its members. Suspicions are excluded: they are
+// temporary and do not justify sending members.
 func (m *Membership) digest() []int64 {
-	sums := make([]int64, digestParts)
+	sums := make([]int64, digestBuckets)
 	for _, known := range m.members {
-		if counted(known.member) {
-			sums[partOf(known.member.Name)] += checksum(known.member)
+		if isAliveOrSuspect(known.member) {
+			sums[digestBucket(known.member.Name)] += checksum(known.member)
 		}
 	}
-	sums[partOf(m.self.Name)] += checksum(m.self)
+	sums[digestBucket(m.self.Name)] += checksum(m.self)
 	return sums
 }
 
-// checksum returns a hash of what a digest covers of a member.
+// checksum returns a hash of the member fields that a digest covers. A suspect counts as alive.
 func checksum(member message.Member) int64 {
 	state := member.State
 	if state == message.Suspect {
@@ -49,8 +49,8 @@
 	return int64(hash.Sum64())
 }
 
-// answerJoin sends the members of those parts of the digest in which the asker knows something else,
-// in as many responses as that takes; a single empty one where nothing differs.
+// answerJoin sends the members of those digest buckets that differ from the requester's, in as many
+// responses as necessary. If none differ, it sends a single empty response.
 func (m *Membership) answerJoin(env *statemachine.Env, request message.JoinRequest) {
 	differing := m.differingMembers(request.Known)
 	if len(differing) == 0 {
@@ -61,13 +61,14 @@
 	}
 }
 
-// differingMembers returns the members, by name, of the parts in which a digest differs from this node's.
+// differingMembers returns the members, ordered by name, of the buckets in which a digest differs from
+// this node's.
 func (m *Membership) differingMembers(digest []int64) []message.Member {
 	sums := m.digest()
 	differing := []message.Member{}
 	for _, name := range m.names() {
-		part := partOf(name)
-		if part >= len(digest) || digest[part] != sums[part] {
+		bucket := digestBucket(name)
+		if bucket >= len(digest) || digest[bucket] != sums[bucket] {
 			differing = append(differing, m.members[name].member)
 		}
 	}
--- a/internal/membership/digest_golden_test.go
+++ b/internal/membership/digest_golden_test.go
@@ -11,8 +11,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// knownBy returns the digest of the member list in a node's first request to join.
-func knownBy(c *qt.C, node *membership.Membership) []int64 {
+// requestedDigest returns the member list digest in a node's first join request.
+func requestedDigest(c *qt.C, node *membership.Membership) []int64 {
 	env := statemachine.NewEnv(1)
 	node.Tick(env)
 	for _, effect := range env.Drain() {
@@ -24,14 +24,15 @@
 			return request.Known
 		}
 	}
-	c.Fatal("the node does not ask to join")
+	c.Fatal("the node sent no join request")
 	return nil
 }
 
-// Nodes of different versions compare digests of their member lists: sixteen sums, into which a
-// member goes by the FNV-1a of its name, and with that of its name, address, start time, state and
-// voter. One that is only suspected counts as alive.
-func TestMemberListDigestStaysAsItIs(t *testing.T) {
+// Nodes of different program versions compare digests of their member lists, so the digest must not
+// change. It consists of sixteen sums. A member's sum is selected by the FNV-1a of its name, and its
+// contribution is the FNV-1a of its name, address, start time, state and voter. A suspect counts as
+// alive.
+func TestMemberListDigestIsUnchanged(t *testing.T) {
 	c := qt.New(t)
 	cfg := settings.Default()
 	cfg.Seeds = []string{"10.0.0.2:1"}
@@ -52,5 +53,5 @@
 	want[1] = -2524917792033246974
 	want[11] = 6939118631230126029
 	want[4] = -9163556885390142594
-	c.Assert(knownBy(c, node), qt.DeepEquals, want)
+	c.Assert(requestedDigest(c, node), qt.DeepEquals, want)
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -11,56 +11,57 @@
 	"beaconvane/internal/statemachine"
 )
 
-// recentSuspicions is for how many suspicion timeouts after its death a member counts as recently
-// alive.
-const recentSuspicions = 8
+// recentSuspicionTimeouts is the number of suspicion timeouts after its death during which a member
+// counts as recently alive.
+const recentSuspicionTimeouts = 8
 
-// Membership is one node's view of the fleet, and its part in the protocol.
+// Membership is one node's member list and its side of the SWIM protocol. It is used by a single
+// goroutine.
 type Membership struct {
 	settings   settings.Settings
 	self       message.Member
 	members    map[string]*entry // the other nodes, by name
-	version    int64             // counts changes; only the fingerprint of package explore reads it
-	left       bool              // this node has told the others that it stops
-	superseded bool              // a later life of this node's name is at another address
+	version    int64             // counts changes of the list; only the state fingerprint of package explore reads it
+	left       bool              // Leave was called
+	superseded bool              // a later process with this node's name is at another address
 	lastTickAt time.Duration
 
-	probe        *probe                // the one under way, if any
-	probeOrder   []string              // the members that are still to be probed in this round
-	nextProbeAt  time.Duration         // when the next probe begins
+	probe        *probe                // current probe, or nil
+	probeOrder   []string              // members not yet probed in this round
+	nextProbeAt  time.Duration         // when the next probe starts
 	lastSequence int64                 // number of the last ping
-	pingRequests map[int64]pingRequest // that this node serves, by the number of its own ping
+	pingRequests map[int64]pingRequest // being served for other nodes, by the number of this node's ping
 
-	nextJoinAt         time.Duration
-	joinAttempts       int
-	earlierAddresses   []string          // of other nodes, known from an earlier life
-	forgottenAddresses map[string]string // of members that were forgotten, by name
+	nextJoinAt           time.Duration
+	joinAttempts         int
+	previousRunAddresses []string          // of other nodes, stored by an earlier process of this node
+	removedAddresses     map[string]string // of removed members, by name
 }
 
-// entry is what this node knows of another one.
+// entry is a member of the list with its dissemination state.
 type entry struct {
 	member    message.Member
 	changedAt time.Duration
-	sends     int // how often it was piggybacked since it changed
+	sends     int // number of times it was piggybacked since it changed
 }
 
-// New returns the membership of a node that knows no other yet. earlierAddresses are addresses of
-// other nodes that it remembers from an earlier life.
-func New(cfg settings.Settings, self message.Member, earlierAddresses []string) *Membership {
+// New returns a Membership without other members. previousRunAddresses are addresses of other nodes
+// that an earlier process of this node stored.
+func New(cfg settings.Settings, self message.Member, previousRunAddresses []string) *Membership {
 	return &Membership{
-		settings:           cfg,
-		self:               self,
-		members:            map[string]*entry{},
-		pingRequests:       map[int64]pingRequest{},
-		earlierAddresses:   earlierAddresses,
-		forgottenAddresses: map[string]string{},
+		settings:             cfg,
+		self:                 self,
+		members:              map[string]*entry{},
+		pingRequests:         map[int64]pingRequest{},
+		previousRunAddresses: previousRunAddresses,
+		removedAddresses:     map[string]string{},
 	}
 }
 
-// Self returns this node as the others see it.
+// Self returns this node's own member entry.
 func (m *Membership) Self() message.Member { return m.self }
 
-// SetVoter tells the others which voter this node holds from now on.
+// SetVoter sets the voter that this node holds and announces it with a higher incarnation.
 func (m *Membership) SetVoter(voter string) {
 	if m.self.Voter == voter {
 		return
@@ -70,14 +71,14 @@
 	m.version++
 }
 
-// Joined reports whether any other node is known alive.
+// Joined reports whether any other node is alive or suspected.
 func (m *Membership) Joined() bool { return len(m.Alive("")) > 0 }
 
-// Alive returns the other nodes of a role ("" for all) that are alive or only suspected, by name.
+// Alive returns the other nodes of a role ("" for all) that are alive or suspected, ordered by name.
 func (m *Membership) Alive(role string) []message.Member {
 	list := []message.Member{}
 	for _, known := range m.members {
-		if counted(known.member) && (role == "" || known.member.Role == role) {
+		if isAliveOrSuspect(known.member) && (role == "" || known.member.Role == role) {
 			list = append(list, known.member)
 		}
 	}
@@ -85,14 +86,15 @@
 	return list
 }
 
-// counted reports whether a member still counts as one: a suspicion may be refuted.
-func counted(member message.Member) bool { return member.State <= message.Suspect }
+// isAliveOrSuspect reports whether a member counts as alive. Suspects do, since they may refute the
+// suspicion.
+func isAliveOrSuspect(member message.Member) bool { return member.State <= message.Suspect }
 
-// RecentlyAlive returns the nodes of a role that are alive, and then those that were until a short
-// while ago: a node that was only cut off gets what it missed as soon as the link is mended.
+// RecentlyAlive returns the alive nodes of a role, followed by those that died recently. Messages to
+// the latter reach a node that was only partitioned as soon as its link is restored.
 func (m *Membership) RecentlyAlive(role string, now time.Duration) []message.Member {
 	list := m.Alive(role)
-	limit := m.settings.SuspectFor() * recentSuspicions
+	limit := m.settings.SuspectFor() * recentSuspicionTimeouts
 	for _, name := range m.names() {
 		known := m.members[name]
 		if known.member.Role == role && known.member.State == message.Dead && now-known.changedAt < limit {
@@ -102,7 +104,7 @@
 	return list
 }
 
-// All returns every node known, this one first.
+// All returns all known nodes in any state: this one first, then the others ordered by name.
 func (m *Membership) All() []message.Member {
 	list := []message.Member{}
 	for _, known := range m.members {
@@ -112,10 +114,10 @@
 	return append([]message.Member{m.self}, list...)
 }
 
-// Superseded reports whether a later life of this node's name is at another address.
+// Superseded reports whether a later process with this node's name is at another address.
 func (m *Membership) Superseded() bool { return m.superseded }
 
-// Find returns a member by name.
+// Find returns the member with the given name, which may be this node.
 func (m *Membership) Find(name string) (message.Member, bool) {
 	if name == m.self.Name {
 		return m.self, true
@@ -127,7 +129,7 @@
 	return known.member, true
 }
 
-// Leave tells the others that this node stops.
+// Leave announces to all alive members that this node is leaving. Tick does nothing afterwards.
 func (m *Membership) Leave(env *statemachine.Env) {
 	m.left = true
 	m.self.Incarnation++
@@ -138,12 +140,12 @@
 	}
 }
 
-// HasLeft reports whether this node has told the others that it stops.
+// HasLeft reports whether Leave was called.
 func (m *Membership) HasLeft() bool { return m.left }
 
-// Tick advances probes, suspicions and joins.
+// Tick advances probes, suspicion timeouts and join requests. It must be called periodically.
 func (m *Membership) Tick(env *statemachine.Env) {
-	m.excuseOwnPause(env)
+	m.compensateOwnPause(env)
 	if m.left {
 		return
 	}
@@ -155,8 +157,8 @@
 	m.expirePingRequests(env.Now)
 }
 
-// Handle takes a message from another node. It returns false when the message is none of the
-// membership's.
+// Handle processes a message from another node and reports whether this package is responsible for its
+// type.
 func (m *Membership) Handle(env *statemachine.Env, _ string, received any) bool {
 	switch received := received.(type) {
 	case message.Ping:
@@ -177,9 +179,10 @@
 	return true
 }
 
-// names returns the names of the other nodes in order.
+// names returns the names of the other nodes in ascending order.
 func (m *Membership) names() []string { return slices.Sorted(maps.Keys(m.members)) }
 
+// sortByName sorts members by name in place.
 func sortByName(members []message.Member) {
 	sort.Slice(members, func(i, j int) bool { return members[i].Name < members[j].Name })
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,24 +13,24 @@
 	"beaconvane/internal/statemachine"
 )
 
-// joinTargetsDuring lets some time pass and returns the addresses that were asked for the member list.
+// joinTargetsDuring advances the time and returns the addresses that received join requests.
 func joinTargetsDuring(env *statemachine.Env, node *Membership, length time.Duration) map[string]bool {
-	asked := map[string]bool{}
+	requestedAddresses := map[string]bool{}
 	for end := env.Now + length; env.Now < end; env.Now += 25 * time.Millisecond {
 		node.Tick(env)
 		for _, effect := range env.Drain() {
 			if sent, isDatagram := effect.(statemachine.Datagram); isDatagram {
 				if _, isJoin := sent.Message.(message.JoinRequest); isJoin {
-					asked[sent.To] = true
+					requestedAddresses[sent.To] = true
 				}
 			}
 		}
 	}
-	return asked
+	return requestedAddresses
 }
 
-// A node asks the seeds that were set last, whether it has joined or not.
-func TestReseededNodeAsksTheNewSeeds(t *testing.T) {
+// A node sends join requests to the seeds that were set last, whether it has joined or not.
+func TestSetSeedsReplacesJoinTargets(t *testing.T) {
 	for _, joined := range []bool{false, true} {
 		c := qt.New(t)
 		cfg := settings.Default()
@@ -38,20 +38,20 @@
 		node := New(cfg, message.Member{Name: "proxy/me", Address: "10.0.0.9:1"}, nil)
 		env := statemachine.NewEnv(1)
 		c.Assert(joinTargetsDuring(env, node, cfg.JoinEvery()*4), qt.DeepEquals, map[string]bool{"10.0.0.1:1": true, "10.0.0.2:1": true})
-		wanted := map[string]bool{"10.0.0.3:1": true, "10.0.0.4:1": true}
+		expected := map[string]bool{"10.0.0.3:1": true, "10.0.0.4:1": true}
 		if joined {
 			node.Handle(env, "", message.JoinResponse{From: message.Member{Name: "proxy/other", Address: "10.0.0.8:1", StartTime: 1}})
-			wanted["10.0.0.8:1"] = true
+			expected["10.0.0.8:1"] = true
 		}
-		given := []string{"10.0.0.3:1", "10.0.0.4:1"}
-		node.SetSeeds(given)
-		given[0] = "changed by its owner"
-		c.Assert(joinTargetsDuring(env, node, cfg.JoinEvery()*40), qt.DeepEquals, wanted)
+		newSeeds := []string{"10.0.0.3:1", "10.0.0.4:1"}
+		node.SetSeeds(newSeeds)
+		newSeeds[0] = "modified after SetSeeds"
+		c.Assert(joinTargetsDuring(env, node, cfg.JoinEvery()*40), qt.DeepEquals, expected)
 	}
 }
 
-// nodeKnowing returns a node that knows so many others.
-func nodeKnowing(env *statemachine.Env, name string, count int) *Membership {
+// newNodeWithMembers returns a node with the given number of other members.
+func newNodeWithMembers(env *statemachine.Env, name string, count int) *Membership {
 	node := New(settings.Default(), message.Member{Name: "proxy/" + name, Role: message.RoleProxy, Address: name, StartTime: 1}, nil)
 	for number := range count {
 		node.Handle(env, "", message.JoinResponse{From: message.Member{
@@ -66,9 +66,10 @@
 	return node
 }
 
-// joinAnswer returns the members that a node is told when it asks another, and how many bytes that takes.
-func joinAnswer(c *qt.C, env *statemachine.Env, asker, asked *Membership) (members []message.Member, bytes int) {
-	asked.Handle(env, "", message.JoinRequest{From: asker.Self(), Known: asker.digest()})
+// exchangeJoin returns the members in the responses to a join request, and the encoded size of the
+// responses.
+func exchangeJoin(c *qt.C, env *statemachine.Env, requester, responder *Membership) (members []message.Member, bytes int) {
+	responder.Handle(env, "", message.JoinRequest{From: requester.Self(), Known: requester.digest()})
 	for _, effect := range env.Drain() {
 		sent, isDatagram := effect.(statemachine.Datagram)
 		response, isResponse := sent.Message.(message.JoinResponse)
@@ -82,30 +83,30 @@
 	return members, bytes
 }
 
-// A node tells another that differs in one member of eighty a few members, not all.
-func TestOnlyWhatDiffersIsAnswered(t *testing.T) {
+// If two lists of eighty members differ in one member, a join response contains only a few members.
+func TestJoinResponseContainsOnlyDifferences(t *testing.T) {
 	c := qt.New(t)
 	env := statemachine.NewEnv(1)
-	asker, asked := nodeKnowing(env, "asker", 80), nodeKnowing(env, "asked", 80)
-	asker.Handle(env, "", message.JoinResponse{From: asked.Self()})
-	asked.Handle(env, "", message.JoinResponse{From: asker.Self()})
+	requester, responder := newNodeWithMembers(env, "requester", 80), newNodeWithMembers(env, "responder", 80)
+	requester.Handle(env, "", message.JoinResponse{From: responder.Self()})
+	responder.Handle(env, "", message.JoinResponse{From: requester.Self()})
 	env.Drain()
-	members, _ := joinAnswer(c, env, asker, asked)
+	members, _ := exchangeJoin(c, env, requester, responder)
 	c.Assert(len(members), qt.Equals, 0)
 
-	reborn := message.Member{Name: "proxy/17", Role: message.RoleProxy, Zone: "z", Address: "10.0.0.17:7000", StartTime: 2}
-	asked.Handle(env, "", message.JoinResponse{From: reborn})
+	restarted := message.Member{Name: "proxy/17", Role: message.RoleProxy, Zone: "z", Address: "10.0.0.17:7000", StartTime: 2}
+	responder.Handle(env, "", message.JoinResponse{From: restarted})
 	env.Drain()
-	members, bytes := joinAnswer(c, env, asker, asked)
-	c.Assert(slices.Contains(members, reborn), qt.IsTrue)
+	members, bytes := exchangeJoin(c, env, requester, responder)
+	c.Assert(slices.Contains(members, restarted), qt.IsTrue)
 	c.Assert(len(members) < 80/4, qt.IsTrue, qt.Commentf("%d members, %d bytes", len(members), bytes))
 }
 
-// A node that knows nobody is told of all members.
-func TestANewNodeIsToldEverybody(t *testing.T) {
+// A node without members receives all members.
+func TestNewNodeReceivesAllMembers(t *testing.T) {
 	c := qt.New(t)
 	env := statemachine.NewEnv(1)
-	asker, asked := nodeKnowing(env, "asker", 0), nodeKnowing(env, "asked", 80)
-	members, _ := joinAnswer(c, env, asker, asked)
+	requester, responder := newNodeWithMembers(env, "requester", 0), newNodeWithMembers(env, "responder", 80)
+	members, _ := exchangeJoin(c, env, requester, responder)
 	c.Assert(len(members) >= 80, qt.IsTrue)
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -5,7 +5,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// stateEvents names the events of a member's change, by its new state.
+// stateEvents contains the event name of a member's transition to each state.
 var stateEvents = [4]string{
 	message.Alive:   "member-alive",
 	message.Suspect: "member-suspect",
@@ -13,15 +13,15 @@
 	message.Left:    "member-left",
 }
 
-// mergeSender takes what a node says of itself. Any other node that was known at that address has lost
-// it.
+// mergeSender merges the sender's own entry of a message. Any other alive or suspected member with the
+// same address is declared dead, since its address has been reassigned.
 func (m *Membership) mergeSender(env *statemachine.Env, sender message.Member) {
 	if sender.Name == m.self.Name {
 		return
 	}
 	for _, name := range m.names() {
 		known := m.members[name].member
-		if known.Address == sender.Address && name != sender.Name && counted(known) {
+		if known.Address == sender.Address && name != sender.Name && isAliveOrSuspect(known) {
 			known.State = message.Dead
 			m.merge(env, known)
 			env.Event("member-address-taken", 0, known.Incarnation, name+" by "+sender.Name)
@@ -31,8 +31,8 @@
 	m.merge(env, sender)
 }
 
-// resendSuspicion piggybacks again what is known of a sender that holds itself for alive while others
-// don't, so that it learns of it and refutes.
+// resendSuspicion piggybacks this node's entry of a sender again if the sender considers itself alive
+// and this node does not, so that the sender learns of it and refutes.
 func (m *Membership) resendSuspicion(sender message.Member) {
 	known, found := m.members[sender.Name]
 	if !found || known.member.State == message.Alive || sender.State != message.Alive {
@@ -43,53 +43,54 @@
 	}
 }
 
-// mergeAll takes what is stated of several nodes.
+// mergeAll merges updates of several nodes.
 func (m *Membership) mergeAll(env *statemachine.Env, members []message.Member) {
 	for _, member := range members {
 		m.merge(env, member)
 	}
 }
 
-// merge takes what is stated of a node, where it overrides what is known.
-func (m *Membership) merge(env *statemachine.Env, stated message.Member) {
-	if stated.Name == m.self.Name {
-		m.refute(env, stated)
+// merge applies an update of a node if it overrides the current entry. An update of this node itself is
+// refuted if it is wrong.
+func (m *Membership) merge(env *statemachine.Env, update message.Member) {
+	if update.Name == m.self.Name {
+		m.refute(env, update)
 		return
 	}
-	known, found := m.members[stated.Name]
+	known, found := m.members[update.Name]
 	if !found {
-		m.add(env, stated)
+		m.add(env, update)
 		return
 	}
-	if !overrides(stated, known.member) {
+	if !overrides(update, known.member) {
 		return
 	}
-	if stated.State != known.member.State || stated.Address != known.member.Address || stated.StartTime != known.member.StartTime {
+	if update.State != known.member.State || update.Address != known.member.Address || update.StartTime != known.member.StartTime {
 		m.version++
-		env.Event(stateEvents[stated.State&3], 0, stated.Incarnation, stated.Name)
+		env.Event(stateEvents[update.State&3], 0, update.Incarnation, update.Name)
 	}
-	known.member, known.changedAt, known.sends = stated, env.Now, 0
+	known.member, known.changedAt, known.sends = update, env.Now, 0
 }
 
-// add takes a node that was not known, unless it is dead or has left.
-func (m *Membership) add(env *statemachine.Env, stated message.Member) {
-	if !counted(stated) {
+// add inserts a node that is not in the list, unless the update says that it is dead or has left.
+func (m *Membership) add(env *statemachine.Env, update message.Member) {
+	if !isAliveOrSuspect(update) {
 		return
 	}
-	m.members[stated.Name] = &entry{member: stated, changedAt: env.Now}
-	delete(m.forgottenAddresses, stated.Name)
+	m.members[update.Name] = &entry{member: update, changedAt: env.Now}
+	delete(m.removedAddresses, update.Name)
 	m.version++
-	env.Event("member-joined", 0, stated.Incarnation, stated.Name+" "+stated.Address)
+	env.Event("member-joined", 0, update.Incarnation, update.Name+" "+update.Address)
 }
 
-// overrides reports whether a statement overrides what is known of a node: by its start time, then by its
-// incarnation, then by its state.
-func overrides(stated, known message.Member) bool {
-	if stated.StartTime != known.StartTime {
-		return stated.StartTime > known.StartTime
+// overrides reports whether an update takes precedence over the current entry of the same node: by the
+// higher start time, then by the higher incarnation, then by the higher state.
+func overrides(update, known message.Member) bool {
+	if update.StartTime != known.StartTime {
+		return update.StartTime > known.StartTime
 	}
-	if stated.Incarnation != known.Incarnation {
-		return stated.Incarnation > known.Incarnation
+	if update.Incarnation != known.Incarnation {
+		return update.Incarnation > known.Incarnation
 	}
-	return stated.State > known.State
+	return update.State > known.State
 }
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -5,10 +5,10 @@
 	"beaconvane/internal/metrics"
 )
 
-// stateNames are the states of members, as the metrics call them.
+// stateNames contains the metric label of each member state.
 var stateNames = [4]string{message.Alive: "alive", message.Suspect: "suspect", message.Dead: "dead", message.Left: "left"}
 
-// Metrics counts the other members by their state.
+// Metrics returns the number of other members by state, and whether this node is superseded.
 func (m *Membership) Metrics() []metrics.Sample {
 	counts := map[string]int64{}
 	for _, known := range m.members {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,29 +8,31 @@
 )
 
 const (
-	// indirectProbers is how many members are asked to probe a silent one.
+	// indirectProbers is the number of members that receive a ping-req for a target that has not
+	// answered.
 	indirectProbers = 3
-	// pingRequestIntervals is for how many probe intervals the ack to a ping-req is waited for.
+	// pingRequestIntervals is the number of probe intervals after which an unanswered ping-req of
+	// another node is dropped.
 	pingRequestIntervals = 4
 )
 
-// probe is a probe of one member that is under way.
+// probe is a probe of one member in progress.
 type probe struct {
 	target   string
 	sequence int64
 	sentAt   time.Duration
-	indirect bool // other members were asked to probe the target
+	indirect bool // ping-reqs for the target were sent
 }
 
-// pingRequest is another node's request to probe a member on its behalf.
+// pingRequest is a ping-req of another node that this node is serving.
 type pingRequest struct {
-	requester  string // its address
-	sequence   int64  // of the requester's own ping
+	requester  string // address of the other node
+	sequence   int64  // number of the requester's own ping
 	receivedAt time.Duration
 }
 
-// tickProbe asks others for help with a probe that stays unanswered, and begins the next one when it
-// is time. A member that hasn't answered by then is suspected.
+// tickProbe sends ping-reqs for a probe that is unanswered after the probe limit, and starts the next
+// probe when it is due. A target that has not answered by then is suspected.
 func (m *Membership) tickProbe(env *statemachine.Env) {
 	if m.probe != nil && !m.probe.indirect && env.Now-m.probe.sentAt > m.settings.ProbeLimit() {
 		m.probeIndirectly(env)
@@ -45,7 +47,7 @@
 	m.probeNext(env)
 }
 
-// probeNext pings the next member of the round. When a round is over the next one begins, in a new
+// probeNext pings the next member of the round. After the last one it starts a new round in a new
 // random order.
 func (m *Membership) probeNext(env *statemachine.Env) {
 	m.probe = nil
@@ -58,14 +60,14 @@
 		}
 		name := m.probeOrder[0]
 		m.probeOrder = m.probeOrder[1:]
-		if known, found := m.members[name]; found && counted(known.member) {
+		if known, found := m.members[name]; found && isAliveOrSuspect(known.member) {
 			m.ping(env, known.member)
 			return
 		}
 	}
 }
 
-// shuffleProbeOrder begins a round: every member that is alive, in random order.
+// shuffleProbeOrder starts a round with all alive and suspected members in random order.
 func (m *Membership) shuffleProbeOrder(env *statemachine.Env) {
 	for _, member := range m.Alive("") {
 		m.probeOrder = append(m.probeOrder, member.Name)
@@ -75,7 +77,7 @@
 	})
 }
 
-// ping begins a probe.
+// ping starts a probe of a member.
 func (m *Membership) ping(env *statemachine.Env, target message.Member) {
 	m.lastSequence++
 	m.probe = &probe{target: target.Name, sequence: m.lastSequence, sentAt: env.Now}
@@ -87,7 +89,7 @@
 	})
 }
 
-// probeIndirectly sends a ping-req to a few random members.
+// probeIndirectly sends a ping-req to a few random members that are alive.
 func (m *Membership) probeIndirectly(env *statemachine.Env) {
 	m.probe.indirect = true
 	target, found := m.members[m.probe.target]
@@ -96,15 +98,15 @@
 	}
 	others := m.Alive("")
 	env.Random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	asked := 0
+	sent := 0
 	for _, prober := range others {
-		if asked == indirectProbers {
+		if sent == indirectProbers {
 			return
 		}
 		if prober.Name == m.probe.target || prober.State != message.Alive {
 			continue
 		}
-		asked++
+		sent++
 		env.Datagram(prober.Address, message.IndirectPing{
 			Number:  m.probe.sequence,
 			Target:  m.probe.target,
@@ -115,7 +117,8 @@
 	}
 }
 
-// handlePing acks a ping, unless it was meant for a node that had this address before.
+// handlePing answers a ping with an ack, unless the ping was addressed to a previous owner of this
+// node's address.
 func (m *Membership) handlePing(env *statemachine.Env, ping message.Ping) {
 	m.mergeSender(env, ping.From)
 	m.mergeAll(env, ping.Gossip)
@@ -129,7 +132,8 @@
 	})
 }
 
-// handleAck ends the probe under way, or passes the ack on to the node that asked for the ping.
+// handleAck completes the current probe, or forwards the ack to the node whose ping-req this node is
+// serving.
 func (m *Membership) handleAck(env *statemachine.Env, ack message.Ack) {
 	m.mergeSender(env, ack.From)
 	m.mergeAll(env, ack.Gossip)
@@ -143,7 +147,7 @@
 	}
 }
 
-// handlePingRequest pings a member on another node's behalf.
+// handlePingRequest pings a member on behalf of another node.
 func (m *Membership) handlePingRequest(env *statemachine.Env, request message.IndirectPing) {
 	m.mergeSender(env, request.From)
 	m.mergeAll(env, request.Gossip)
@@ -156,7 +160,7 @@
 	env.Datagram(request.Address, message.Ping{Number: m.lastSequence, Target: request.Target, From: m.self})
 }
 
-// expirePingRequests forgets the requests of others whose target has not answered.
+// expirePingRequests drops ping-reqs of other nodes whose target has not answered in time.
 func (m *Membership) expirePingRequests(now time.Duration) {
 	limit := m.settings.ProbeEvery() * pingRequestIntervals
 	for sequence, request := range m.pingRequests {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -5,10 +5,10 @@
 	"beaconvane/internal/statemachine"
 )
 
-// maxForgottenAddresses is how many addresses of forgotten members are kept.
-const maxForgottenAddresses = 64
+// maxRemovedAddresses is the maximum number of addresses of removed members that are kept.
+const maxRemovedAddresses = 64
 
-// suspect marks a member that has not answered a probe.
+// suspect marks an alive member that has not answered a probe as suspected.
 func (m *Membership) suspect(env *statemachine.Env, name string) {
 	known, found := m.members[name]
 	if !found || known.member.State != message.Alive {
@@ -19,9 +19,9 @@
 	m.merge(env, suspected)
 }
 
-// excuseOwnPause gives up the probe under way, and gives suspects more time, when this node itself was
-// held up: its own pause must not make it suspect others.
-func (m *Membership) excuseOwnPause(env *statemachine.Env) {
+// compensateOwnPause cancels the current probe and extends all suspicion timeouts if this node's own
+// ticks were delayed, so that its own pause does not lead to false suspicions.
+func (m *Membership) compensateOwnPause(env *statemachine.Env) {
 	pause := env.Now - m.lastTickAt
 	m.lastTickAt = env.Now
 	if pause <= m.settings.ProbeEvery() {
@@ -35,8 +35,8 @@
 	}
 }
 
-// expireMembers declares suspects dead, and forgets members that are dead or have left, each after
-// its time.
+// expireMembers declares suspects dead after SuspectFor, and removes members that are dead or have left
+// after ForgetAfter.
 func (m *Membership) expireMembers(env *statemachine.Env) {
 	for _, name := range m.names() {
 		known := m.members[name]
@@ -48,41 +48,42 @@
 			}
 		case message.Dead, message.Left:
 			if age > m.settings.ForgetAfter() {
-				m.forget(name)
+				m.remove(name)
 			}
 		}
 	}
 }
 
+// declareDead marks a suspect whose suspicion has timed out as dead.
 func (m *Membership) declareDead(env *statemachine.Env, member message.Member) {
 	member.State = message.Dead
 	m.merge(env, member)
 	env.Event("member-dead", 0, member.Incarnation, member.Name)
 }
 
-// forget drops a member and keeps its address, up to a limit.
-func (m *Membership) forget(name string) {
-	if len(m.forgottenAddresses) < maxForgottenAddresses {
-		m.forgottenAddresses[name] = m.members[name].member.Address
+// remove deletes a member and keeps its address, up to maxRemovedAddresses.
+func (m *Membership) remove(name string) {
+	if len(m.removedAddresses) < maxRemovedAddresses {
+		m.removedAddresses[name] = m.members[name].member.Address
 	}
 	delete(m.members, name)
 	m.version++
 }
 
-// refute corrects what others say wrongly of this node, by a higher incarnation or, against an earlier
-// life whose clock was ahead, a later start time.
-func (m *Membership) refute(env *statemachine.Env, stated message.Member) {
+// refute corrects a wrong update of this node. It raises the incarnation or, if an earlier process of
+// this node had a clock that was ahead, the start time.
+func (m *Membership) refute(env *statemachine.Env, update message.Member) {
 	switch {
-	case stated.StartTime > m.self.StartTime && stated.Address == m.self.Address:
-		m.self.StartTime = stated.StartTime + 1
+	case update.StartTime > m.self.StartTime && update.Address == m.self.Address:
+		m.self.StartTime = update.StartTime + 1
 		m.version++
-	case stated.StartTime > m.self.StartTime:
-		// The name lives on at another address: this life is the older one.
+	case update.StartTime > m.self.StartTime:
+		// A later process uses this name at another address, so this one is superseded.
 		if !m.superseded {
-			env.Event("member-superseded", 0, stated.Incarnation, stated.Name+" at "+stated.Address)
+			env.Event("member-superseded", 0, update.Incarnation, update.Name+" at "+update.Address)
 		}
 		m.superseded = true
-	case stated.StartTime == m.self.StartTime && stated.State != message.Alive && stated.Incarnation >= m.self.Incarnation && !m.left:
-		m.self.Incarnation = stated.Incarnation + 1
+	case update.StartTime == m.self.StartTime && update.State != message.Alive && update.Incarnation >= m.self.Incarnation && !m.left:
+		m.self.Incarnation = update.Incarnation + 1
 	}
 }
