--- a/internal/distribution/antientropy_test.go
+++ b/internal/distribution/antientropy_test.go
@@ -19,7 +19,7 @@
 // A parent that keeps an older version is left for the registry that reported a newer one, even though
 // the parent seems current. This happens below a root that is partitioned from the configstore and
 // whose lease has not expired.
-func TestParentWithoutReportedVersionIsLeft(t *testing.T) {
+func TestParentThatLacksANewerVersionIsLeft(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(10) {
 		tree := newTestTree(c, seed, "near", "far", "other")
@@ -27,7 +27,7 @@
 		tree.version["far"] = 2
 		reportedAt := tree.env.Now
 		tree.reportNewer("far", 2)
-		updated := tree.run(tree.settings.Reparent()/2, func() bool { return tree.configurationVersion() == 2 })
+		updated := tree.run(tree.settings.ReparentAfter()/2, func() bool { return tree.configurationVersion() == 2 })
 		c.Assert(updated, qt.IsTrue, qt.Commentf("seed %d: requested %v", seed, tree.requestedParents))
 		c.Assert(tree.env.Now-reportedAt <= tree.distribution.missingLimit()+tree.settings.TickEvery(), qt.IsTrue)
 		c.Assert(tree.parent(), qt.Equals, "far")
@@ -74,7 +74,7 @@
 	tree.reportNewer("far", 2)
 	tree.reportNewer("other", 2)
 	tree.reportNewer("far", 2)
-	c.Assert(tree.run(tree.settings.Reparent()/2, func() bool { return tree.configurationVersion() == 2 }), qt.IsTrue)
+	c.Assert(tree.run(tree.settings.ReparentAfter()/2, func() bool { return tree.configurationVersion() == 2 }), qt.IsTrue)
 	c.Assert(tree.parent(), qt.Equals, "other")
 }
 
@@ -86,6 +86,6 @@
 	tree.distribution.selection.ejectStale("far", tree.env.Now+time.Hour)
 	tree.version["far"] = 2
 	tree.reportNewer("far", 2)
-	c.Assert(tree.run(tree.settings.Reparent()/2, func() bool { return tree.configurationVersion() == 2 }), qt.IsTrue)
+	c.Assert(tree.run(tree.settings.ReparentAfter()/2, func() bool { return tree.configurationVersion() == 2 }), qt.IsTrue)
 	c.Assert(tree.parent(), qt.Equals, "far")
 }
--- a/internal/distribution/history_test.go
+++ b/internal/distribution/history_test.go
@@ -128,7 +128,7 @@
 
 // Five changes of one route among 1,700, half a second apart, are sent as differences. Over a link of
 // 287 KB/s, five complete configurations alone would take seconds.
-func TestSmallChangesAreSentAsDifferences(t *testing.T) {
+func TestSmallChangesTravelAsDifferences(t *testing.T) {
 	c := qt.New(t)
 	chain := newTestChain(c, "a", "b")
 	chain.write(1, configurationBody(1, 1700, 0, 900))
@@ -148,7 +148,7 @@
 }
 
 // A node that received nothing while several versions were written receives consecutive differences.
-func TestLaggingNodeReceivesConsecutiveDifferences(t *testing.T) {
+func TestANodeThatIsBehindFollowsInARow(t *testing.T) {
 	c := qt.New(t)
 	chain := newTestChain(c, "a", "b")
 	chain.write(1, configurationBody(1, 300, 0, 900))
--- a/internal/distribution/parent.go
+++ b/internal/distribution/parent.go
@@ -8,7 +8,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Back-off times after a parent was left, in multiples of Settings.Reparent or Settings.UpdatesEvery.
+// Back-off times after a parent was left, in multiples of Settings.ReparentAfter or Settings.UpdatesEvery.
 const (
 	backOffReparents      = 2 // silent, unavailable, stale or full
 	refusedIntervals      = 2 // temporarily unable to serve
@@ -104,9 +104,9 @@
 	}
 }
 
-// ConnectionBroke leaves the parent immediately if the connection to it was closed, instead of waiting
+// HandleConnectionClosed leaves the parent immediately if the connection to it was closed, instead of waiting
 // until it counts as silent.
-func (d *Distribution) ConnectionBroke(env *statemachine.Env, address string) {
+func (d *Distribution) HandleConnectionClosed(env *statemachine.Env, address string) {
 	if d.parent.exists() && d.parent.address == address {
 		d.leaveParent(env, leftForConnection, d.settings.UpdatesEvery()*disconnectedIntervals)
 		d.nextRequestAt = env.Now
@@ -145,7 +145,7 @@
 		d.selection.unanswered++
 	}
 	if health.silent || health.unavailable || health.stale {
-		d.leaveParent(env, health.cause(), d.settings.Reparent()*backOffReparents)
+		d.leaveParent(env, health.cause(), d.settings.ReparentAfter()*backOffReparents)
 	}
 }
 
@@ -171,9 +171,9 @@
 // been current, the time since the parent was joined counts.
 func (d *Distribution) topicOverdue(now time.Duration) bool {
 	for _, topic := range d.requiredTopics() {
-		limit := d.settings.Reparent()
+		limit := d.settings.ReparentAfter()
 		if !IsConfiguration(topic) {
-			limit += d.settings.TakeOver()
+			limit += d.settings.LeaseTakeover()
 		}
 		since := d.topics[topic].freshAt
 		if since == neverFresh {
@@ -199,7 +199,7 @@
 	d.parent.name, d.parent.address = member.Name, member.Address
 	d.parent.lastResort = lastResort
 	d.parent.joinedAt, d.parent.answeredAt = now, now
-	d.requests.reset(now, d.settings.Reparent()*backOffReparents)
+	d.requests.reset(now, d.settings.ReparentAfter()*backOffReparents)
 }
 
 // leaveParent leaves a parent that failed: it ejects it from the candidates for the back-off time and
--- a/internal/distribution/parent_selection.go
+++ b/internal/distribution/parent_selection.go
@@ -24,7 +24,7 @@
 const (
 	answerLimitGrowthAfter = 2 // consecutive unanswering parents before firstAnswerLimit starts to grow
 	staleGraceIntervals    = 2 // update intervals that a new parent has to deliver fresh content
-	maxStaleGraceReparents = 4 // upper bound of staleGrace, in multiples of Settings.Reparent
+	maxStaleGraceReparents = 4 // upper bound of staleGrace, in multiples of Settings.ReparentAfter
 )
 
 // timeouts contains the expiry time of a condition, by member name.
@@ -177,11 +177,11 @@
 
 // firstAnswerLimit returns how long a new parent has to answer its first request. It is short at first
 // because the parent may be dead. On congested links, frequent changes of the parent would only add
-// load, so the limit doubles with each consecutive parent that did not answer, up to Settings.Reparent.
+// load, so the limit doubles with each consecutive parent that did not answer, up to Settings.ReparentAfter.
 func (p *parentSelection) firstAnswerLimit() time.Duration {
 	limit := p.settings.UpdatesEvery()
 	for range max(p.unanswered-answerLimitGrowthAfter, 0) {
-		limit = min(limit*2, p.settings.Reparent())
+		limit = min(limit*2, p.settings.ReparentAfter())
 	}
 	return limit
 }
@@ -205,9 +205,9 @@
 // doubles the grace before the next parent can be left as stale.
 func (p *parentSelection) ejectStalePath(now time.Duration, path []string) {
 	for _, name := range path {
-		p.ejectStale(name, now+p.settings.Reparent()*backOffReparents)
+		p.ejectStale(name, now+p.settings.ReparentAfter()*backOffReparents)
 	}
-	p.staleGrace = min(p.staleGrace*2, p.settings.Reparent()*maxStaleGraceReparents)
+	p.staleGrace = min(p.staleGrace*2, p.settings.ReparentAfter()*maxStaleGraceReparents)
 	p.leftStaleParent = true
 }
 
@@ -220,7 +220,7 @@
 
 // markSilent records that a member did not answer requests.
 func (p *parentSelection) markSilent(now time.Duration, name string) {
-	p.silent[name] = now + p.settings.Reparent()*backOffReparents
+	p.silent[name] = now + p.settings.ReparentAfter()*backOffReparents
 }
 
 // isStale reports whether a member is currently ejected as stale.
--- a/internal/distribution/parent_selection_test.go
+++ b/internal/distribution/parent_selection_test.go
@@ -13,7 +13,7 @@
 
 // A new parent whose first answer is as stale as the previous parent is left immediately: the node
 // joins a current parent at the next tick, without waiting for the stale grace.
-func TestEquallyStaleParentIsSkipped(t *testing.T) {
+func TestAsStaleAParentIsPassedOver(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(10) {
 		tree := newTestTree(c, seed, "near", "far", "other")
@@ -33,9 +33,9 @@
 				return 0
 			}
 		}
-		c.Assert(tree.run(tree.settings.Reparent()*4, func() bool { return first != "" }), qt.IsTrue)
+		c.Assert(tree.run(tree.settings.ReparentAfter()*4, func() bool { return first != "" }), qt.IsTrue)
 		answeredAt := tree.env.Now
-		c.Assert(tree.run(tree.settings.Reparent(), func() bool { return tree.parent() != "" && tree.parent() != first }), qt.IsTrue)
+		c.Assert(tree.run(tree.settings.ReparentAfter(), func() bool { return tree.parent() != "" && tree.parent() != first }), qt.IsTrue)
 		c.Assert(tree.parent(), qt.Not(qt.Equals), "near")
 		c.Assert(tree.env.Now-answeredAt <= tree.settings.TickEvery(), qt.IsTrue,
 			qt.Commentf("%v, requested %v", tree.env.Now-answeredAt, tree.requestedParents))
@@ -46,14 +46,16 @@
 
 // If all current roots are full, the last resort is one of them, neither the root that was left as
 // stale nor the other one that proved equally stale.
-func TestLastResortIsNotAFailedRoot(t *testing.T) {
+func TestLastResortIsNoneThatFailed(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
 		tree := newTestTree(c, seed, "near", "far", "other", "fourth")
 		tree.waitForRoot("near")
 		tree.makeStale("near", "far")
 		tree.full["other"], tree.full["fourth"] = true, true
-		c.Assert(tree.run(tree.settings.Reparent()*3, func() bool { return len(tree.lastResorts) > 0 && tree.parent() != "" }), qt.IsTrue)
+		c.Assert(tree.run(tree.settings.ReparentAfter()*3, func() bool {
+			return len(tree.lastResorts) > 0 && tree.parent() != ""
+		}), qt.IsTrue)
 		for _, root := range tree.lastResorts {
 			c.Assert(root == "other" || root == "fourth", qt.IsTrue,
 				qt.Commentf("seed %d: %v after %v", seed, tree.lastResorts, tree.requestedParents))
@@ -67,7 +69,7 @@
 	tree := newTestTree(c, 1, "near", "far")
 	tree.waitForRoot("near")
 	tree.makeStale("near", "far")
-	c.Assert(tree.run(tree.settings.Reparent()*3, func() bool { return len(tree.lastResorts) > 0 && tree.parent() != "" }), qt.IsTrue)
+	c.Assert(tree.run(tree.settings.ReparentAfter()*3, func() bool { return len(tree.lastResorts) > 0 && tree.parent() != "" }), qt.IsTrue)
 }
 
 // A parent is not left because of a slice whose source has just failed: no other parent can have a
@@ -80,10 +82,10 @@
 		state := tree.distribution.topic(topic)
 		tree.distribution.subscribed = map[string]bool{topic: true}
 		state.hasContent, state.freshAt = true, 0
-		limit := tree.settings.Reparent()
+		limit := tree.settings.ReparentAfter()
 		c.Assert(tree.distribution.topicOverdue(limit), qt.IsFalse)
 		c.Assert(tree.distribution.topicOverdue(limit+1), qt.Equals, overdueAtLimit)
-		c.Assert(tree.distribution.topicOverdue(limit+tree.settings.TakeOver()+1), qt.IsTrue)
+		c.Assert(tree.distribution.topicOverdue(limit+tree.settings.LeaseTakeover()+1), qt.IsTrue)
 	}
 }
 
@@ -103,7 +105,8 @@
 			tree.version[root] = 2
 		}
 		newer := func() bool { return tree.configurationVersion() == 2 }
-		c.Assert(tree.run(tree.settings.Reparent()*2, newer), qt.IsTrue, qt.Commentf("seed %d: requested %v", seed, tree.requestedParents))
+		c.Assert(tree.run(tree.settings.ReparentAfter()*2, newer), qt.IsTrue,
+			qt.Commentf("seed %d: requested %v", seed, tree.requestedParents))
 	}
 }
 
@@ -119,7 +122,7 @@
 		}
 		tree.waitForRoot("near")
 		tree.makeStale("near")
-		joinedFar := tree.run(tree.settings.Reparent()*2, func() bool { return tree.parent() == "far" })
+		joinedFar := tree.run(tree.settings.ReparentAfter()*2, func() bool { return tree.parent() == "far" })
 		c.Assert(joinedFar, qt.IsTrue, qt.Commentf("seed %d: requested %v", seed, tree.requestedParents))
 		c.Assert(tree.requestedParents, qt.DeepEquals, []string{"near", "far"}, qt.Commentf("seed %d", seed))
 	}
@@ -135,7 +138,7 @@
 		tree.waitForRoot("near")
 		partitionedAt := tree.env.Now
 		leaseEnd := partitionedAt + tree.settings.Lease()*9/10
-		servedAt := partitionedAt + tree.settings.Reparent() + tree.settings.UpdatesEvery()
+		servedAt := partitionedAt + tree.settings.ReparentAfter() + tree.settings.UpdatesEvery()
 		tree.ages["cut-off"] = func() time.Duration { return max(0, tree.env.Now-leaseEnd) }
 		for _, root := range []string{"near", "far"} {
 			tree.ages[root] = func() time.Duration {
@@ -150,7 +153,7 @@
 		// Only the two roots that are not partitioned have the new holder's first configuration.
 		tree.version["near"], tree.version["far"] = 2, 2
 		committedAt := tree.env.Now
-		tree.run(tree.settings.TakeOver()*4, func() bool { return tree.configurationVersion() == 2 })
+		tree.run(tree.settings.LeaseTakeover()*4, func() bool { return tree.configurationVersion() == 2 })
 		elapsed := tree.env.Now - committedAt
 		bound := time.Duration(tree.settings.Bounds.ConfigurationInForce) * time.Millisecond
 		c.Check(elapsed < bound, qt.IsTrue, qt.Commentf("seed %d: %v, requested %v", seed, elapsed, tree.requestedParents))
@@ -167,7 +170,8 @@
 		tree.addMember("proxy/other", message.RoleProxy, "e")
 		partitionedAt := tree.env.Now
 		joined := false
-		for end := tree.env.Now + tree.settings.Reparent()*4; tree.env.Now < end && !joined; tree.env.Now += tree.settings.TickEvery() {
+		end := tree.env.Now + tree.settings.ReparentAfter()*4
+		for ; tree.env.Now < end && !joined; tree.env.Now += tree.settings.TickEvery() {
 			tree.distribution.Tick(tree.env)
 			for _, effect := range tree.env.Drain() {
 				sent, _ := effect.(statemachine.Send)
@@ -196,7 +200,7 @@
 			_, fresh := tree.distribution.FreshAt(ConfigurationTopic("main"))
 			return fresh
 		}
-		c.Assert(tree.run(tree.settings.Reparent()*2, current), qt.IsTrue,
+		c.Assert(tree.run(tree.settings.ReparentAfter()*2, current), qt.IsTrue,
 			qt.Commentf("seed %d: no current configuration %v after its start", seed, tree.env.Now-startedAt))
 	}
 }
--- a/internal/distribution/requests_test.go
+++ b/internal/distribution/requests_test.go
@@ -62,7 +62,7 @@
 	tree.distribution.selection.unanswered = answerLimitGrowthAfter + 2
 	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, first*4)
 	tree.distribution.selection.unanswered = 100
-	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, tree.settings.Reparent())
+	c.Assert(tree.distribution.selection.firstAnswerLimit(), qt.Equals, tree.settings.ReparentAfter())
 }
 
 // A node whose own ticks were delayed right after it asked a new parent does not leave the parent,
--- a/internal/distribution/response.go
+++ b/internal/distribution/response.go
@@ -23,8 +23,8 @@
 		}
 		return
 	}
-	if slices.Contains(response.Path, d.membership.Self().Name) {
-		d.leaveParent(env, leftForLoop, d.settings.Reparent())
+	if slices.Contains(response.RelayPath, d.membership.Self().Name) {
+		d.leaveParent(env, leftForLoop, d.settings.ReparentAfter())
 		d.nextRequestAt = env.Now
 		return
 	}
@@ -70,7 +70,7 @@
 	case message.RefusedNoPath:
 		d.dropParent(env.Now, d.settings.UpdatesEvery()*refusedIntervals)
 	default:
-		d.dropParent(env.Now, d.settings.Reparent()*backOffReparents)
+		d.dropParent(env.Now, d.settings.ReparentAfter()*backOffReparents)
 	}
 	d.nextRequestAt = env.Now
 }
@@ -94,10 +94,10 @@
 	if d.parent.lastResort {
 		return false
 	}
-	backOff := d.settings.Reparent() * backOffReparents
+	backOff := d.settings.ReparentAfter() * backOffReparents
 	// Only stale members disqualify a path. A member that was full, or is unreachable from this node,
 	// is still a valid relay for others.
-	if slices.ContainsFunc(response.Path, d.selection.isStale) {
+	if slices.ContainsFunc(response.RelayPath, d.selection.isStale) {
 		d.dropParent(env.Now, backOff)
 		d.nextRequestAt = env.Now
 		return true
@@ -124,7 +124,7 @@
 		if !found || !state.hasContent || !IsConfiguration(item.Position.Topic) {
 			continue
 		}
-		if !item.Known || item.Position.Before(state.position()) {
+		if !item.HasContent || item.Position.Before(state.position()) {
 			return true
 		}
 	}
@@ -142,7 +142,7 @@
 			return false
 		}
 	}
-	limit := d.settings.Reparent()
+	limit := d.settings.ReparentAfter()
 	for _, item := range items {
 		state, found := d.topics[item.Position.Topic]
 		if !found || !IsConfiguration(item.Position.Topic) {
@@ -163,20 +163,20 @@
 	d.selection.unanswered = 0
 	d.requests.acknowledge(response.Round)
 	if !d.parent.answered() {
-		env.Event("relay-joined", 0, 0, strings.Join(response.Path, ">"))
+		env.Event("relay-joined", 0, 0, strings.Join(response.RelayPath, ">"))
 		d.selection.leftStaleParent = false
 	}
-	d.parent.path = response.Path
+	d.parent.path = response.RelayPath
 }
 
 // apply applies one item of a response. Only answers to requests update the age; pushes and chunks do
 // not contain one.
 func (d *Distribution) apply(env *statemachine.Env, item message.UpdateItem, sentAt time.Duration, isAnswer bool) {
 	state := d.topic(item.Position.Topic)
-	if !item.Known {
+	if !item.HasContent {
 		return
 	}
-	if item.Snapshot && state.position().Same(item.Position) {
+	if item.Snapshot && state.position().SameContent(item.Position) {
 		state.mismatched = false
 	}
 	advanced := d.applyContent(env, state, item)
@@ -217,7 +217,7 @@
 	if !t.hasContent || t.position().Before(position) {
 		return true
 	}
-	return t.slice != nil && !position.Before(t.position()) && !position.Same(t.position())
+	return t.slice != nil && !position.Before(t.position()) && !position.SameContent(t.position())
 }
 
 // isInitial reports whether a position is that of a slice that has never been changed.
--- a/internal/distribution/roster_slice.go
+++ b/internal/distribution/roster_slice.go
@@ -53,7 +53,7 @@
 	s.set(change.Registration, change.Removed)
 	s.Position.Seq++
 	s.record(change)
-	return s.Position.Same(change.Position)
+	return s.Position.SameContent(change.Position)
 }
 
 // Replace replaces the registrations and the position by those of a snapshot.
--- a/internal/distribution/serve.go
+++ b/internal/distribution/serve.go
@@ -32,7 +32,7 @@
 		env.Send(from, message.UpdatesResponse{
 			Round:        request.Round,
 			Parent:       d.membership.Self().Name,
-			Path:         []string{},
+			RelayPath:    []string{},
 			Refused:      true,
 			Reason:       refused.reason,
 			Alternatives: refused.alternatives,
@@ -40,7 +40,7 @@
 		})
 		return
 	}
-	if request.PartOf != "" {
+	if request.SnapshotTopic != "" {
 		d.sendChunk(env, from, request)
 		return
 	}
@@ -90,12 +90,12 @@
 // sendChunk sends the snapshot chunk that a child has requested, or the first chunk if the content has
 // changed since.
 func (d *Distribution) sendChunk(env *statemachine.Env, from string, request message.UpdatesRequest) {
-	state, found := d.topics[request.PartOf]
+	state, found := d.topics[request.SnapshotTopic]
 	if !found || !state.hasContent || len(request.Positions) != 1 {
 		return
 	}
-	offset := request.Part
-	if !state.position().Same(request.Positions[0]) {
+	offset := request.SnapshotOffset
+	if !state.position().SameContent(request.Positions[0]) {
 		offset = 0
 	}
 	d.send(env, from, chunkRound, d.answerPath(), []message.UpdateItem{d.snapshotItem(state, offset)})
@@ -127,7 +127,7 @@
 	env.Send(to, message.UpdatesResponse{
 		Round:        round,
 		Parent:       d.membership.Self().Name,
-		Path:         path,
+		RelayPath:    path,
 		Alternatives: []string{},
 		Items:        items,
 	})
--- a/internal/distribution/simulated_parents_test.go
+++ b/internal/distribution/simulated_parents_test.go
@@ -101,7 +101,8 @@
 func (tree *testTree) respond(parent string, request message.UpdatesRequest) {
 	if tree.full[parent] && !request.LastResort {
 		tree.distribution.Handle(tree.env, parent, message.UpdatesResponse{
-			Round: request.Round, Parent: parent, Path: []string{}, Refused: true, Reason: message.RefusedFull, Alternatives: []string{},
+			Round: request.Round, Parent: parent, RelayPath: []string{}, Refused: true, Reason: message.RefusedFull,
+			Alternatives: []string{},
 		})
 		return
 	}
@@ -112,7 +113,7 @@
 
 // testResponse returns an answer of the last member of a path.
 func testResponse(round int64, path []string, items ...message.UpdateItem) message.UpdatesResponse {
-	return message.UpdatesResponse{Round: round, Parent: path[len(path)-1], Path: path, Alternatives: []string{}, Items: items}
+	return message.UpdatesResponse{Round: round, Parent: path[len(path)-1], RelayPath: path, Alternatives: []string{}, Items: items}
 }
 
 // configurationItem returns a snapshot of a version of the configuration with age zero.
@@ -120,8 +121,8 @@
 	body := []byte(testBody)
 	compressed := delta.Encode(nil, body)
 	return message.UpdateItem{
-		Position: configurationPosition(ConfigurationTopic("main"), version, body),
-		Known:    true, Snapshot: true, Body: compressed, Total: int64(len(compressed)),
+		Position:   configurationPosition(ConfigurationTopic("main"), version, body),
+		HasContent: true, Snapshot: true, Body: compressed, SnapshotBytes: int64(len(compressed)),
 	}
 }
 
--- a/internal/lease/transfer_test.go
+++ b/internal/lease/transfer_test.go
@@ -10,54 +10,57 @@
 	"beaconvane/internal/settings"
 )
 
-// A stopping holder names its successor, which holds the tag after two exchanges and their writes.
-// Were it left open, the others would wait for half a lease first.
-func TestStoppingHolderNamesItsSuccessor(t *testing.T) {
+// TestStoppingHolderTransfersToSuccessor checks that a stopping holder names a successor, which acquires the
+// tag after two message exchanges (pre-vote and vote) and their writes, in less than an eighth of a lease.
+// Without a named successor the other voters would wait half a lease before they campaign.
+func TestStoppingHolderTransfersToSuccessor(t *testing.T) {
 	c := qt.New(t)
-	g := newGroup(true)
-	g.run(10*time.Second, true)
-	first := g.at("a" + g.holder())
-	g.run(4*time.Second, false)
-	first.leases.TransferAll(first.env)
-	elapsed := g.run(10*time.Second, true)
-	c.Assert(g.holder(), qt.Not(qt.Equals), "")
-	c.Assert(g.holder(), qt.Not(qt.Equals), first.name)
-	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("%v", elapsed))
+	group := newGroup(true)
+	group.run(10*time.Second, true)
+	firstHolder := group.voterAt("a" + group.holder())
+	group.run(4*time.Second, false)
+	firstHolder.leases.TransferAll(firstHolder.env)
+	elapsed := group.run(10*time.Second, true)
+	c.Assert(group.holder(), qt.Not(qt.Equals), "")
+	c.Assert(group.holder(), qt.Not(qt.Equals), firstHolder.name)
+	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("holder elected after %v", elapsed))
 }
 
-// Within the cool-down the tag does not go back to the voter that it came from.
+// TestSuccessorIsNotTheFormerHolder checks that a tag isn't transferred back to its previous holder within
+// the cool-down.
 func TestSuccessorIsNotTheFormerHolder(t *testing.T) {
 	c := qt.New(t)
 	for range 20 {
-		g := newGroup(true)
-		g.run(10*time.Second, true)
-		first := g.at("a" + g.holder())
-		g.run(time.Second, false)
-		first.leases.TransferAll(first.env)
-		g.run(10*time.Second, true)
-		second := g.at("a" + g.holder())
-		first.boot()
-		g.run(time.Second, false)
-		second.leases.TransferAll(second.env)
-		c.Assert(g.holder(), qt.Equals, "")
-		elapsed := g.run(settings.Default().HolderRest()-time.Second*3/2, true)
-		if g.holder() != "" {
-			c.Assert(g.holder(), qt.Not(qt.Equals), first.name, qt.Commentf("after %v", elapsed))
+		group := newGroup(true)
+		group.run(10*time.Second, true)
+		firstHolder := group.voterAt("a" + group.holder())
+		group.run(time.Second, false)
+		firstHolder.leases.TransferAll(firstHolder.env)
+		group.run(10*time.Second, true)
+		secondHolder := group.voterAt("a" + group.holder())
+		firstHolder.boot()
+		group.run(time.Second, false)
+		secondHolder.leases.TransferAll(secondHolder.env)
+		c.Assert(group.holder(), qt.Equals, "")
+		elapsed := group.run(settings.Default().HolderCooldown()-time.Second*3/2, true)
+		if group.holder() != "" {
+			c.Assert(group.holder(), qt.Not(qt.Equals), firstHolder.name, qt.Commentf("held again after %v", elapsed))
 		}
 	}
 }
 
-// A holder whose disk has failed transfers its tags at once.
-func TestHolderWithAFailedDiskTransfersItsTags(t *testing.T) {
+// TestHolderWithFailedDiskTransfersItsTags checks that a holder whose disk fails transfers its tags
+// immediately instead of letting the lease expire.
+func TestHolderWithFailedDiskTransfersItsTags(t *testing.T) {
 	c := qt.New(t)
-	g := newGroup(true)
-	g.run(10*time.Second, true)
-	first := g.at("a" + g.holder())
-	g.run(4*time.Second, false)
-	first.failure = errors.New("no space left")
-	g.run(25*time.Millisecond, false)
-	elapsed := g.run(10*time.Second, true)
-	c.Assert(g.holder(), qt.Not(qt.Equals), "")
-	c.Assert(g.holder(), qt.Not(qt.Equals), first.name)
-	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("%v", elapsed))
+	group := newGroup(true)
+	group.run(10*time.Second, true)
+	firstHolder := group.voterAt("a" + group.holder())
+	group.run(4*time.Second, false)
+	firstHolder.diskFailure = errors.New("no space left")
+	group.run(25*time.Millisecond, false)
+	elapsed := group.run(10*time.Second, true)
+	c.Assert(group.holder(), qt.Not(qt.Equals), "")
+	c.Assert(group.holder(), qt.Not(qt.Equals), firstHolder.name)
+	c.Assert(elapsed < settings.Default().Lease()/8, qt.IsTrue, qt.Commentf("holder elected after %v", elapsed))
 }
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -52,7 +52,7 @@
 // answerJoin sends the members of those digest buckets that differ from the requester's, in as many
 // responses as necessary. If none differ, it sends a single empty response.
 func (m *Membership) answerJoin(env *statemachine.Env, request message.JoinRequest) {
-	differing := m.differingMembers(request.Known)
+	differing := m.differingMembers(request.MemberListDigest)
 	if len(differing) == 0 {
 		env.Datagram(request.From.Address, message.JoinResponse{From: m.self, Members: differing})
 	}
--- a/internal/membership/digest_golden_test.go
+++ b/internal/membership/digest_golden_test.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		if request, isRequest := sent.Message.(message.JoinRequest); isRequest {
-			return request.Known
+			return request.MemberListDigest
 		}
 	}
 	c.Fatal("the node sent no join request")
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -94,7 +94,7 @@
 // the latter reach a node that was only partitioned as soon as its link is restored.
 func (m *Membership) RecentlyAlive(role string, now time.Duration) []message.Member {
 	list := m.Alive(role)
-	limit := m.settings.SuspectFor() * recentSuspicionTimeouts
+	limit := m.settings.SuspicionTimeout() * recentSuspicionTimeouts
 	for _, name := range m.names() {
 		known := m.members[name]
 		if known.member.Role == role && known.member.State == message.Dead && now-known.changedAt < limit {
@@ -136,7 +136,7 @@
 	m.self.State = message.Left
 	for _, member := range m.Alive("") {
 		m.lastSequence++
-		env.Datagram(member.Address, message.Ping{Number: m.lastSequence, Target: member.Name, From: m.self})
+		env.Datagram(member.Address, message.Ping{Sequence: m.lastSequence, Target: member.Name, From: m.self})
 	}
 }
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -30,7 +30,7 @@
 }
 
 // A node sends join requests to the seeds that were set last, whether it has joined or not.
-func TestSetSeedsReplacesJoinTargets(t *testing.T) {
+func TestReseededNodeAsksTheNewSeeds(t *testing.T) {
 	for _, joined := range []bool{false, true} {
 		c := qt.New(t)
 		cfg := settings.Default()
@@ -69,7 +69,7 @@
 // exchangeJoin returns the members in the responses to a join request, and the encoded size of the
 // responses.
 func exchangeJoin(c *qt.C, env *statemachine.Env, requester, responder *Membership) (members []message.Member, bytes int) {
-	responder.Handle(env, "", message.JoinRequest{From: requester.Self(), Known: requester.digest()})
+	responder.Handle(env, "", message.JoinRequest{From: requester.Self(), MemberListDigest: requester.digest()})
 	for _, effect := range env.Drain() {
 		sent, isDatagram := effect.(statemachine.Datagram)
 		response, isResponse := sent.Message.(message.JoinResponse)
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// expireMembers declares suspects dead after SuspectFor, and removes members that are dead or have left
+// expireMembers declares suspects dead after SuspicionTimeout, and removes members that are dead or have left
 // after ForgetAfter.
 func (m *Membership) expireMembers(env *statemachine.Env) {
 	for _, name := range m.names() {
@@ -43,7 +43,7 @@
 		age := env.Now - known.changedAt
 		switch known.member.State {
 		case message.Suspect:
-			if age > m.settings.SuspectFor() {
+			if age > m.settings.SuspicionTimeout() {
 				m.declareDead(env, known.member)
 			}
 		case message.Dead, message.Left:
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -73,15 +73,15 @@
 		case message.ProbeRequest:
 			m.upstreams.probe(env, received)
 		case message.HeartbeatResponse:
-			m.sealed[received.Registry] = received.Sealed
-			m.distribution.HandleNewerPositions(env, received.Registry, received.Newer)
+			m.sealed[received.Registry] = received.SealedBelow
+			m.distribution.HandleNewerPositions(env, received.Registry, received.NewerPositions)
 		}
 	}
 	m.sendDue(env)
 }
 
-// Asked takes a notice or a query from the process.
-func (m *Machine) Asked(env *statemachine.Env, requestID int64, question any) {
+// HandleRequest takes a notice or a query from the process.
+func (m *Machine) HandleRequest(env *statemachine.Env, requestID int64, question any) {
 	switch asked := question.(type) {
 	case Announced:
 		m.handleAnnounced(env, asked.Registration)
@@ -94,8 +94,8 @@
 		m.sendUsage(env, asked)
 	case statemachine.SeedsChanged:
 		m.membership.SetSeeds(asked.Seeds)
-	case statemachine.ConnectionBroke:
-		m.distribution.ConnectionBroke(env, asked.Address)
+	case statemachine.ConnectionClosed:
+		m.distribution.HandleConnectionClosed(env, asked.Address)
 	case ReadSealed:
 		env.Reply(requestID, m.SealedBelow())
 	case ReadStatus:
--- a/internal/quorum/departure.go
+++ b/internal/quorum/departure.go
@@ -6,24 +6,25 @@
 	"beaconvane/internal/statemachine"
 )
 
-// departure is a graceful stop under way. The request for it is answered when the process may end.
+// departure is a graceful stop in progress. The request for it is answered when the process may exit.
 type departure struct {
 	requestID int64
 	answer    any
-	deadline  time.Duration // the process ends then, also if its voter isn't handed over
+	deadline  time.Duration // when the process may exit even if its voter has not been handed over
 }
 
-// Depart begins a graceful stop: the voter is handed over to another process, where there is one, before the
-// members are told that this node leaves. The answer goes out when the process may end.
-func (c *Core) Depart(env *statemachine.Env, requestID int64, answer any) {
+// Depart begins a graceful stop. The voter is first handed over to another process, if one is eligible, for at most
+// HandoverTimeout; then this node leaves the membership and the answer is sent, after which the process may exit.
+func (c *ControlBase) Depart(env *statemachine.Env, requestID int64, answer any) {
 	c.departure = &departure{requestID: requestID, answer: answer, deadline: env.Now}
 	if c.quorum.handOver(env) {
-		c.departure.deadline = env.Now + c.settings.HandOverLimit()
+		c.departure.deadline = env.Now + c.settings.HandoverTimeout()
 	}
 	c.advanceDeparture(env)
 }
 
-func (c *Core) advanceDeparture(env *statemachine.Env) {
+// advanceDeparture completes a departure once the voter is handed over or the deadline has passed.
+func (c *ControlBase) advanceDeparture(env *statemachine.Env) {
 	if c.departure == nil {
 		return
 	}
--- a/internal/quorum/metrics.go
+++ b/internal/quorum/metrics.go
@@ -4,8 +4,8 @@
 	"beaconvane/internal/metrics"
 )
 
-// Metrics are the figures of this process's voter and disk.
-func (c *Core) Metrics() []metrics.Sample {
+// Metrics returns the metrics of this process's voter and disk.
+func (c *ControlBase) Metrics() []metrics.Sample {
 	state := c.quorum.State
 	return []metrics.Sample{
 		metrics.Flag("voting", c.quorum.Voting()),
--- a/internal/simulation/proxy_connection.go
+++ b/internal/simulation/proxy_connection.go
@@ -37,7 +37,7 @@
 			s.attach(target)
 			return
 		}
-		w.after(s.from.settings.ConnectionDial(), s.drop)
+		w.after(s.from.settings.DialTimeout(), s.drop)
 	default:
 		s.attach(target)
 	}
@@ -65,8 +65,8 @@
 // Broken says whether the connection has ended.
 func (s *simConnection) Broken() bool { return s.closed }
 
-// Attached says whether the connection was made.
-func (s *simConnection) Attached() bool { return s.attached }
+// Established says whether the connection was made.
+func (s *simConnection) Established() bool { return s.attached }
 
 // Close ends the connection.
 func (s *simConnection) Close() { s.closed = true }
@@ -145,7 +145,7 @@
 			incarnation := node.incarnation
 			w.after(w.transit(), func() {
 				node.run(incarnation, func() {
-					node.apply(statemachine.Asked{Question: statemachine.ConnectionBroke{Address: ended.address()}})
+					node.apply(statemachine.LocalRequest{Request: statemachine.ConnectionClosed{Address: ended.address()}})
 				})
 			})
 		}
