--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -84,7 +84,7 @@
 }
 
 // If two lists of eighty members differ in one member, a join response contains only a few members.
-func TestJoinResponseContainsOnlyDifferences(t *testing.T) {
+func TestOnlyWhatDiffersIsAnswered(t *testing.T) {
 	c := qt.New(t)
 	env := statemachine.NewEnv(1)
 	requester, responder := newNodeWithMembers(env, "requester", 80), newNodeWithMembers(env, "responder", 80)
