--- a/internal/routeconfig/doc.go
+++ b/internal/routeconfig/doc.go
@@ -4,7 +4,7 @@
 // the package to refuse invalid configurations; the proxies apply only checked ones.
 //
 // A route without a host matches a request by method and normalised path. Exact routes take precedence
-// over prefixes, and longer prefixes over shorter ones; Check refuses routes of equal precedence. A route
-// with a host matches by host and path prefix through an index, and accepts any method and caller unless
-// it names some. A split distributes a route's requests among services by weight.
+// over prefixes, and longer prefixes over shorter ones; Check refuses two routes with the same method, path
+// and kind of match. A route with a host matches by host and path prefix through an index, and accepts any
+// method and caller unless it names some. A split distributes a route's requests among services by weight.
 package routeconfig
--- a/internal/routeconfig/hosted_test.go
+++ b/internal/routeconfig/hosted_test.go
@@ -90,7 +90,7 @@
 	c.Assert(configuration.Service("c"), qt.Equals, Service{Name: "c"})
 }
 
-// A public route needs no key, and neither does any route of a configuration without tenants.
+// A public route needs no key, and neither does a route with a host in a configuration without keys.
 func TestPublicRoutesAndKeylessConfigurations(t *testing.T) {
 	c := qt.New(t)
 	configuration := mustParse(c, hostConfiguration)
--- a/internal/routeconfig/lenient_test.go
+++ b/internal/routeconfig/lenient_test.go
@@ -93,8 +93,9 @@
 	}
 }
 
-// Each change makes a valid configuration invalid in one way: those that the platform page calls invalid, and
-// those of the action bad_config in internal/tools/days. Check refuses them all, and also truncated configurations.
+// Each change makes a valid configuration invalid in one way. The changes are those that the platform page calls
+// invalid, and those to the content that the action bad_config of internal/tools/days makes. Check refuses them all,
+// and also truncated configurations.
 func TestEveryInvalidConfigurationIsRefused(t *testing.T) {
 	c := qt.New(t)
 	invalidations := map[string]func(configuration, route map[string]any){
--- a/internal/safeguard/rules.go
+++ b/internal/safeguard/rules.go
@@ -15,8 +15,8 @@
 	if !field.IsValid() {
 		panic(fmt.Sprintf("safeguard: no rule %q in %T", name, rules))
 	}
-	disabled := (*bool)(unsafe.Pointer(field.UnsafeAddr()))
-	*disabled = true
-	defer func() { *disabled = false }()
+	flag := (*bool)(unsafe.Pointer(field.UnsafeAddr()))
+	*flag = true
+	defer func() { *flag = false }()
 	run()
 }
