--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -10,8 +10,8 @@
 
 const testLimit = 8 << 20
 
-// configuration makes a document like those that operators write, with random names.
-func configuration(dice *rand.Rand, routes int) []byte {
+// configuration returns a document like an operator's configuration, with random names.
+func configuration(random *rand.Rand, routes int) []byte {
 	var document bytes.Buffer
 	document.WriteString(`{"version":7,"routes":[`)
 	for number := range routes {
@@ -20,12 +20,13 @@
 		}
 		fmt.Fprintf(&document, `{"name":"r-%x","host":"%x.example","prefix":"/%x/%x/","kind":"repeatable","timeout_ms":%d,`+
 			`"aim_ms":800,"priority":2,"service":"s%x","attempts":2,"open":false}`,
-			dice.Uint32(), dice.Uint32(), dice.Uint32(), dice.Uint32(), 500+dice.IntN(4)*500, dice.IntN(3))
+			random.Uint32(), random.Uint32(), random.Uint32(), random.Uint32(), 500+random.IntN(4)*500, random.IntN(3))
 	}
 	document.WriteString(`],"services":["s0","s1","s2"]}`)
 	return document.Bytes()
 }
 
+// roundTrip checks that the target is rebuilt from its difference, and returns the size of the difference.
 func roundTrip(t *testing.T, base, target []byte) int {
 	t.Helper()
 	difference := Encode(base, target)
@@ -39,10 +40,10 @@
 	return len(difference)
 }
 
-// A change of one route of many travels in well under a hundredth of the document.
-func TestSmallChangeIsSmall(t *testing.T) {
-	dice := rand.New(rand.NewPCG(1, 2))
-	base := configuration(dice, 1700)
+// The difference for a change of one route among many is at most a thousandth of the document's size.
+func TestSmallChangeHasSmallDifference(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
+	base := configuration(random, 1700)
 	target := bytes.Replace(base, []byte(`"timeout_ms":500`), []byte(`"timeout_ms":1750`), 1)
 	target = bytes.Replace(target, []byte(`"version":7`), []byte(`"version":31`), 1)
 	if size := roundTrip(t, base, target); size > len(target)/1000 {
@@ -50,7 +51,7 @@
 	}
 }
 
-// Without a base the whole document travels, compressed.
+// Without a base the difference is the whole document, compressed to at most a third of its size.
 func TestWholeDocumentIsCompressed(t *testing.T) {
 	document := configuration(rand.New(rand.NewPCG(3, 4)), 1700)
 	if size := roundTrip(t, nil, document); size > len(document)/3 {
@@ -58,7 +59,7 @@
 	}
 }
 
-func TestEdgesRoundTrip(t *testing.T) {
+func TestEdgeCasesRoundTrip(t *testing.T) {
 	long := bytes.Repeat([]byte("0123456789abcdef"), 40)
 	for _, pair := range [][2][]byte{
 		{nil, nil}, {long, nil}, {nil, []byte("x")}, {[]byte("x"), []byte("x")}, {long, long},
@@ -69,14 +70,14 @@
 }
 
 func TestRandomEditsRoundTrip(t *testing.T) {
-	dice := rand.New(rand.NewPCG(5, 6))
+	random := rand.New(rand.NewPCG(5, 6))
 	for range 200 {
-		base := configuration(dice, dice.IntN(30))
+		base := configuration(random, random.IntN(30))
 		target := bytes.Clone(base)
-		for range dice.IntN(6) {
-			from := dice.IntN(len(target) + 1)
-			to := from + dice.IntN(len(target)-from+1)
-			inserted := configuration(dice, dice.IntN(2))
+		for range random.IntN(6) {
+			from := random.IntN(len(target) + 1)
+			to := from + random.IntN(len(target)-from+1)
+			inserted := configuration(random, random.IntN(2))
 			target = append(append(bytes.Clone(target[:from]), inserted...), target[to:]...)
 		}
 		roundTrip(t, base, target)
@@ -84,22 +85,22 @@
 }
 
 func TestCorruptDifferencesAreRefused(t *testing.T) {
-	dice := rand.New(rand.NewPCG(7, 8))
-	base := configuration(dice, 5)
-	difference := Encode(base, configuration(dice, 6))
+	random := rand.New(rand.NewPCG(7, 8))
+	base := configuration(random, 5)
+	difference := Encode(base, configuration(random, 6))
 	for range 2000 {
 		corrupt := bytes.Clone(difference)
-		corrupt[dice.IntN(len(corrupt))] ^= byte(1 + dice.IntN(255))
-		// Whatever comes out must come without a panic and within the limit.
+		corrupt[random.IntN(len(corrupt))] ^= byte(1 + random.IntN(255))
+		// Apply must not panic or exceed the limit, whatever it returns.
 		if rebuilt, err := Apply(base, corrupt, 4096); err == nil && len(rebuilt) > 4096 {
-			t.Fatalf("%d bytes, the limit is 4096", len(rebuilt))
+			t.Fatalf("rebuilt %d bytes, the limit is 4096", len(rebuilt))
 		}
 	}
 	if _, err := Apply(base, difference, 100); !errors.Is(err, ErrTooLarge) {
 		t.Fatalf("want ErrTooLarge, have %v", err)
 	}
 	if _, err := Apply(nil, Encode(base, base), testLimit); !errors.Is(err, ErrMalformed) {
-		t.Fatalf("a copy from a base that is not there: want ErrMalformed, have %v", err)
+		t.Fatalf("a copy from an empty base: want ErrMalformed, have %v", err)
 	}
 }
 
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -8,20 +8,20 @@
 	"beaconvane/internal/errcode"
 )
 
-// unknownKeys lists keys that no setting has, and keys that stand twice.
+// unknownKeys returns a fault for each key that no setting has and for each repeated key.
 func unknownKeys(body []byte) Faults {
 	root, faults := gjson.ParseBytes(body), Faults{}
-	faults.checkKeys("", root, keysOf(Default()))
-	faults.checkKeys("bounds.", root.Get("bounds"), keysOf(Bounds{}))
-	faults.checkKeys("limits.", root.Get("limits"), keysOf(Limits{}))
-	faults.checkKeys("tolerated.", root.Get("tolerated"), keysOf(Tolerated{}))
+	faults.checkKeys("", root, jsonKeys(Default()))
+	faults.checkKeys("bounds.", root.Get("bounds"), jsonKeys(Bounds{}))
+	faults.checkKeys("limits.", root.Get("limits"), jsonKeys(Limits{}))
+	faults.checkKeys("tolerated.", root.Get("tolerated"), jsonKeys(Tolerated{}))
 	return faults
 }
 
-// keysOf returns the JSON keys of a struct.
-func keysOf(sample any) map[string]bool {
+// jsonKeys returns the JSON keys of a struct value.
+func jsonKeys(value any) map[string]bool {
 	keys := map[string]bool{}
-	text, _ := json.Marshal(sample) // plain structs are always marshalled
+	text, _ := json.Marshal(value) // marshalling a struct of plain fields does not fail
 	gjson.ParseBytes(text).ForEach(func(key, _ gjson.Result) bool {
 		keys[key.String()] = true
 		return true
@@ -29,6 +29,8 @@
 	return keys
 }
 
+// checkKeys adds a fault for each key of a JSON object that is unknown or repeated. The path completes the
+// keys' paths.
 func (f *Faults) checkKeys(path string, object gjson.Result, known map[string]bool) {
 	seen := map[string]bool{}
 	object.ForEach(func(key, _ gjson.Result) bool {
