--- a/internal/safeguard/safeguard_test.go
+++ b/internal/safeguard/safeguard_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// No program switches a check off: only test files call it.
-func TestOnlyTestFilesTakeChecksOut(t *testing.T) {
+// Programs never disable a check or a rule: Without and WithoutField are called in test files only.
+func TestOnlyTestFilesDisableChecks(t *testing.T) {
 	c := qt.New(t)
 	calls := []string{"safeguard." + "Without(", "safeguard." + "WithoutField("}
 	err := filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
@@ -40,8 +40,8 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// Every check stands in the page, under its name.
-func TestThePageListsEveryCheck(t *testing.T) {
+// docs/request-safety.md names every check.
+func TestPageListsEveryCheck(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../docs/request-safety.md")
 	c.Assert(err, qt.IsNil)
