--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -13,10 +13,10 @@
 )
 
 // A call times out before its request's deadline, so that the outcome reaches the caller in time. The
-// reserve is the remaining time divided by answerReserveDivisor, at most maxAnswerReserve.
+// reserve is the remaining time divided by responseReserveDivisor, at most maxResponseReserve.
 const (
-	answerReserveDivisor = 20
-	maxAnswerReserve     = 20 * time.Millisecond
+	responseReserveDivisor = 20
+	maxResponseReserve     = 20 * time.Millisecond
 )
 
 // UpstreamClient executes the decisions of a Backend to start requests.
@@ -67,7 +67,7 @@
 // Call sends a request to its upstream and waits for the outcome.
 func (c *UpstreamClient) Call(decision Decision) message.Outcome {
 	limit := time.Duration(decision.Forward.Remaining)
-	limit -= min(limit/answerReserveDivisor, maxAnswerReserve)
+	limit -= min(limit/responseReserveDivisor, maxResponseReserve)
 	deadline := time.Now().Add(limit)
 	activeCall := c.calls.begin(decision.Forward.ID)
 	connection, code := c.connect(decision.Target, deadline)
--- a/internal/backend/queue.go
+++ b/internal/backend/queue.go
@@ -8,7 +8,7 @@
 	"beaconvane/internal/message"
 )
 
-// latencyDivisor divides the weight of one sample in the moving averages of service times.
+// latencyDivisor is the reciprocal of the weight of one sample in the moving averages of service times.
 const latencyDivisor = 16
 
 // queuedRequest is a request that waits for a slot.
--- a/internal/backend/records.go
+++ b/internal/backend/records.go
@@ -26,7 +26,7 @@
 type attemptRecord struct {
 	outcome   message.Outcome
 	startedAt time.Duration
-	updatedAt time.Duration // of a queued attempt: its deadline
+	updatedAt time.Duration // time of the last change; for a queued attempt its deadline
 	done      bool
 	barred    bool // it must never start
 }
