--- a/internal/goroutine/goroutine.go
+++ b/internal/goroutine/goroutine.go
@@ -15,7 +15,7 @@
 type Group struct {
 	Context   context.Context // ends on Stop
 	cancel    context.CancelFunc
-	waiting   sync.WaitGroup
+	waitGroup   sync.WaitGroup
 	running   atomic.Int64
 	startedAt time.Time
 	wall      wallClock
@@ -30,12 +30,12 @@
 // Go starts work in a goroutine of the group, with the group's context. The name says in the code
 // what is started; work should return soon after its context has ended.
 func (g *Group) Go(_ string, work func(ctx context.Context)) {
-	g.waiting.Add(1)
+	g.waitGroup.Add(1)
 	g.running.Inc()
 	go func() {
 		defer func() {
 			g.running.Dec()
-			g.waiting.Done()
+			g.waitGroup.Done()
 		}()
 		work(g.Context)
 	}()
@@ -49,17 +49,17 @@
 
 // Stop cancels the context and waits for the goroutines, at most for the given time. It reports
 // whether all have returned.
-func (g *Group) Stop(limit time.Duration) bool {
+func (g *Group) Stop(timeout time.Duration) bool {
 	g.cancel()
 	done := make(chan struct{})
 	go func() {
-		g.waiting.Wait()
+		g.waitGroup.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
 		return true
-	case <-time.After(limit):
+	case <-time.After(timeout):
 		return false
 	}
 }
--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -15,33 +15,33 @@
 const (
 	kindBytes     = 1
 	checksumBytes = 4
-	// maxByteSlice is the longest byte string that is read. It is above any frame limit that the
-	// settings allow.
+	// maxByteSlice is the length limit, in bytes, of a byte string that is decoded. It exceeds every
+	// frame limit that the settings allow.
 	maxByteSlice = 256 << 20
-	// maxElements is the most elements of an array. A frame that claims more is refused before
-	// memory is allocated for them. The longest arrays, rosters and routes, have some tens of
+	// maxElements is the maximum number of elements of an array. A frame that claims more is rejected
+	// before memory is allocated for them. The longest arrays, rosters and routes, have some tens of
 	// thousands of elements.
 	maxElements = 1 << 18
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// codec raises the library's limit of 1 MiB for a byte string, since the frame limit of the settings
-// bounds what is read from a connection.
+// codec raises the library's limit of 1 MiB for a byte string, since the frame limit in the settings
+// already bounds what is read from a connection.
 var codec = avro.Config{MaxByteSliceSize: maxByteSlice, MaxSliceAllocSize: maxElements}.Freeze()
 
 var (
-	errShortFrame = errors.New("short frame")
-	errChecksum   = errors.New("checksum")
+	errShortFrame = errors.New("frame is shorter than its kind byte and checksum")
+	errChecksum   = errors.New("frame checksum does not match its content")
 )
 
 // Encode returns the frame of a message: kind byte, Avro record, checksum. The checksum is needed
-// because the library reads a truncated record as one with empty fields. An error has the code
+// because the library decodes a truncated record as one with empty fields. An error has the code
 // FrameBad and means that the type is not registered in kinds.go.
 func Encode(message any) ([]byte, error) {
 	entry, found := byType[reflect.TypeOf(message)]
 	if !found {
-		return nil, errcode.Wrap("message.encode", errcode.FrameBad, fmt.Errorf("unknown type %T", message))
+		return nil, errcode.Wrap("message.encode", errcode.FrameBad, fmt.Errorf("message type %T is not registered", message))
 	}
 	record, err := codec.Marshal(entry.schema, message)
 	if err != nil {
@@ -53,9 +53,9 @@
 	return binary.BigEndian.AppendUint32(frame, crc32.Checksum(frame, checksumTable)), nil
 }
 
-// Decode returns the message of a frame, by value. Errors have the code FrameBad. The frame may come
-// from anywhere: an array or a byte string that claims to be longer than any message holds is refused
-// before memory is allocated for it.
+// Decode returns the message in a frame, by value. Errors have the code FrameBad. The frame may be from an
+// untrusted source: an array or byte string whose claimed length exceeds the limits is rejected before
+// memory is allocated for it.
 func Decode(frame []byte) (any, error) {
 	if len(frame) < kindBytes+checksumBytes {
 		return nil, errcode.Wrap("message.decode", errcode.FrameBad, errShortFrame)
@@ -67,7 +67,7 @@
 	}
 	entry, found := byKind[content[0]]
 	if !found {
-		return nil, errcode.Wrap("message.decode", errcode.FrameBad, fmt.Errorf("unknown kind %d", content[0]))
+		return nil, errcode.Wrap("message.decode", errcode.FrameBad, fmt.Errorf("no message type is registered for kind byte %d", content[0]))
 	}
 	target := reflect.New(entry.goType)
 	if err := codec.Unmarshal(entry.schema, content[kindBytes:], target.Interface()); err != nil {
--- a/internal/message/configuration.go
+++ b/internal/message/configuration.go
@@ -3,29 +3,29 @@
 // StoredConfiguration is one entry of the configuration log.
 type StoredConfiguration struct {
 	ConfigName string
-	Version    int64 // the operators' number
+	Version    int64 // version number that the operator assigned
 	Epoch      int64
 	Seq        int64
 	Body       []byte
 }
 
-// VersionDigest is the SHA-256 of a committed content. An empty digest says that the versions up to this
-// one are no longer remembered.
+// VersionDigest is the SHA-256 digest of a committed version's content. An empty digest means that the
+// digests of all versions up to this one were dropped.
 type VersionDigest struct {
 	ConfigName string
 	Version    int64
 	Digest     []byte
 }
 
-// ContentCheck is what the registry found in a configuration before it asked for the write. The
-// check of a large one takes too long for a thread that renews leases.
+// ContentCheck is the result of the registry's validation of a configuration, which precedes the write.
+// Validating a large configuration takes too long for the goroutine that renews leases.
 type ContentCheck struct {
-	Done     bool
+	Done     bool // the registry validated the content; otherwise the configuration store does
 	TooLarge bool
 	Faults   []string
 }
 
-// WriteRequest asks the log's lease holder to commit a version of a configuration.
+// WriteRequest asks the holder of the log's lease to commit a version of a configuration.
 type WriteRequest struct {
 	RequestID  int64
 	ConfigName string
@@ -35,12 +35,12 @@
 	Check      ContentCheck
 }
 
-// ReadRequest asks the log's lease holder for a version, or for the list of versions.
+// ReadRequest asks the holder of the log's lease for a version, or for the list of versions.
 type ReadRequest struct {
 	RequestID  int64
 	ConfigName string
-	Version    int64 // 0: the current one
-	List       bool
+	Version    int64 // 0 for the current version
+	List       bool  // list the versions instead
 }
 
 // StoreResponse answers a WriteRequest or a ReadRequest.
@@ -48,24 +48,25 @@
 	RequestID   int64
 	Code        int64 // errcode.Code
 	Detail      string
-	Faults      []string // of a configuration that was refused
+	Faults      []string // faults of a refused configuration
 	ConfigName  string
 	Version     int64
 	Body        []byte
 	Compressed  bool // the body is compressed by package delta
 	Versions    []int64
 	ConfigNames []string
-	Holder      string // voter that holds the log's lease, as far as the sender knows
+	Holder      string // voter that holds the log's lease, in the sender's view
 }
 
-// ConfigurationCommitted tells the registries of a committed version.
+// ConfigurationCommitted notifies the registries of a committed version.
 type ConfigurationCommitted struct {
 	ConfigName string
 	Version    int64
 	Body       []byte // compressed by package delta
 }
 
-// LogPositionRequest asks a voter for the end of its log. A new lease holder reads a majority.
+// LogPositionRequest asks a voter for the position of the end of its log. A new lease holder reads the
+// positions of a majority.
 type LogPositionRequest struct {
 	Epoch    int64
 	Voter    string
@@ -79,19 +80,19 @@
 	Identity      string
 	PositionEpoch int64
 	PositionSeq   int64
-	Hash          int64
+	Hash          int64 // digest of the log up to the position
 }
 
-// LogSnapshotRequest asks a voter for its whole log.
+// LogSnapshotRequest asks a voter for its complete log.
 type LogSnapshotRequest struct {
 	Epoch    int64
 	Voter    string
 	Identity string
 }
 
-// LogSnapshot is a voter's whole log. The body of each configuration is the difference from
-// the version before it in the list, as package delta encodes it; the first of a name is
-// compressed whole.
+// LogSnapshot is a voter's complete log. The body of each configuration is encoded by package delta: as the
+// difference from the preceding version of the same name in the list, or compressed on its own for the first
+// version of a name.
 type LogSnapshot struct {
 	Epoch          int64
 	Voter          string
@@ -101,9 +102,9 @@
 	History        []VersionDigest
 }
 
-// LogRecommit asks a voter to take over its log, as it stands, into the holder's epoch. A new lease holder
-// sends it with the last position of the epochs before; later the holder sends it, with a position of its
-// own epoch, to a voter that lags behind.
+// LogRecommit asks a voter to commit its unchanged log in the holder's epoch. A new lease holder sends it with
+// the last position of the earlier epochs; later the holder sends it, with a position of its own epoch, to
+// a voter that lags behind.
 type LogRecommit struct {
 	Epoch         int64
 	Voter         string
@@ -113,7 +114,8 @@
 	Hash          int64
 }
 
-// LogAppend is one entry as a voter writes it to disk; it travels as a LogAppendDelta.
+// LogAppend is one log entry in the form in which a voter writes it to disk. Between processes an entry is
+// sent as a LogAppendDelta.
 type LogAppend struct {
 	Epoch         int64
 	Seq           int64
@@ -122,8 +124,8 @@
 	Configuration StoredConfiguration
 }
 
-// LogAppendDelta asks a voter to append one entry. The content is the difference from the newest version
-// of the same configuration in the log before it.
+// LogAppendDelta asks a voter to append one entry. The content is sent as the difference from the newest
+// version of the same configuration that precedes the entry in the log.
 type LogAppendDelta struct {
 	Epoch       int64
 	Seq         int64
@@ -131,12 +133,12 @@
 	Identity    string
 	ConfigName  string
 	Version     int64
-	BaseVersion int64  // the version that the difference is from; 0: from nothing
-	Difference  []byte // as package delta encodes it
-	Digest      []byte // SHA-256 of the content
+	BaseVersion int64  // version to which the difference applies; 0 for empty content
+	Difference  []byte // encoded by package delta
+	Digest      []byte // SHA-256 digest of the content
 }
 
-// LogAppended acknowledges that the log is on the voter's disk up to (Epoch, Seq).
+// LogAppended acknowledges that the voter has written its log up to (Epoch, Seq) to disk.
 type LogAppended struct {
 	Epoch    int64
 	Seq      int64
--- a/internal/message/frames_golden_test.go
+++ b/internal/message/frames_golden_test.go
@@ -1,4 +1,4 @@
-// The frames of all messages, as they travel and stand on disks, against the bytes in
+// The tests in this file compare the frames of all messages, as sent and stored, with the bytes in
 // testdata/frames.txt.
 package message_test
 
@@ -20,19 +20,19 @@
 	"beaconvane/internal/message"
 )
 
-// update adds lines to the golden file for samples that have none. It never changes a line:
-// processes of earlier versions and their disks hold the bytes that stand there.
+// update adds lines to the golden file for samples that have none. Existing lines are never changed,
+// since processes of earlier versions send these bytes and have them on disk.
 var update = flag.Bool("update", false, "add the frames of new samples to testdata/frames.txt")
 
 const (
 	framesFile = "testdata/frames.txt"
-	// longestLine of the golden file, in bytes, is above any sample's.
-	longestLine = 1 << 20
-	// numberOfKinds is how many kinds a byte tells apart.
+	// maxLineBytes is the length limit of a line in the golden file. It exceeds the line of every sample.
+	maxLineBytes = 1 << 20
+	// numberOfKinds is the number of values of a kind byte.
 	numberOfKinds = 256
 )
 
-// namedSample is a sample with the name under which its frame stands in the golden file.
+// namedSample is a sample with the name of its line in the golden file.
 type namedSample struct {
 	goldenSample
 	name string
@@ -44,15 +44,15 @@
 	for _, full := range fullSamples {
 		all = append(all, namedSample{full, fmt.Sprintf("%03d full", full.kind)})
 	}
-	earlier := map[byte]int{}
-	for _, one := range boolSamples {
-		earlier[one.kind]++
-		all = append(all, namedSample{one, fmt.Sprintf("%03d bool-%d", one.kind, earlier[one.kind])})
+	boolCount := map[byte]int{}
+	for _, sample := range boolSamples {
+		boolCount[sample.kind]++
+		all = append(all, namedSample{sample, fmt.Sprintf("%03d bool-%d", sample.kind, boolCount[sample.kind])})
 	}
 	return all
 }
 
-// readFrames returns the frames of the golden file by name.
+// readFrames returns the frames in the golden file by name.
 func readFrames(c *qt.C) map[string][]byte {
 	frames := map[string][]byte{}
 	file, err := os.Open(framesFile)
@@ -62,13 +62,13 @@
 	c.Assert(err, qt.IsNil)
 	defer file.Close()
 	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	previous := ""
 	for lines.Scan() {
 		fields := strings.Fields(lines.Text())
 		c.Assert(fields, qt.HasLen, 3)
 		name := fields[0] + " " + fields[1]
-		c.Assert(name > previous, qt.IsTrue, qt.Commentf("%s is out of order or stands twice", name))
+		c.Assert(name > previous, qt.IsTrue, qt.Commentf("%s is out of order or duplicated", name))
 		previous = name
 		frames[name], err = hex.DecodeString(fields[2])
 		c.Assert(err, qt.IsNil)
@@ -77,10 +77,10 @@
 	return frames
 }
 
-// addFrames writes the golden file with the frames that it lacks; those that it has stay.
+// addFrames adds the frames that are missing from the golden file. Existing frames are not changed.
 func addFrames(c *qt.C, frames map[string][]byte) {
 	for _, entry := range allSamples() {
-		if _, kept := frames[entry.name]; kept {
+		if _, exists := frames[entry.name]; exists {
 			continue
 		}
 		frame, err := message.Encode(entry.sample)
@@ -96,8 +96,8 @@
 	c.Assert(os.WriteFile(framesFile, []byte(strings.Join(lines, "")), 0o644), qt.IsNil)
 }
 
-// Each sample has the bytes of the golden file, and these are read as the sample.
-func TestFramesStayAsTheyAre(t *testing.T) {
+// Each sample is encoded to the bytes in the golden file, and these are decoded to the sample.
+func TestFramesMatchGoldenFile(t *testing.T) {
 	c := qt.New(t)
 	frames := readFrames(c)
 	if *update {
@@ -115,38 +115,39 @@
 		c.Check(hex.EncodeToString(frame), qt.Equals, hex.EncodeToString(golden), comment)
 		decoded, err := message.Decode(golden)
 		c.Assert(err, qt.IsNil, comment)
-		again, err := message.Encode(decoded)
+		reencoded, err := message.Encode(decoded)
 		c.Assert(err, qt.IsNil, comment)
-		c.Check(hex.EncodeToString(again), qt.Equals, hex.EncodeToString(golden), comment)
+		c.Check(hex.EncodeToString(reencoded), qt.Equals, hex.EncodeToString(golden), comment)
 		if strings.HasSuffix(entry.name, "full") {
 			c.Check(decoded, qt.DeepEquals, entry.sample, comment)
 		}
 	}
 }
 
-// Every kind that the package knows has one full sample, and the samples have no other kind.
+// Every registered kind has exactly one full sample, and no sample has an unregistered kind.
 func TestEveryMessageKindHasASample(t *testing.T) {
 	c := qt.New(t)
-	sampled := map[byte]int{}
+	sampleCount := map[byte]int{}
 	for _, entry := range fullSamples {
-		sampled[entry.kind]++
+		sampleCount[entry.kind]++
 	}
 	for kind := range numberOfKinds {
 		want := 0
 		if message.KindName(byte(kind)) != "" {
 			want = 1
 		}
-		c.Check(sampled[byte(kind)], qt.Equals, want, qt.Commentf("kind %d %s", kind, message.KindName(byte(kind))))
+		c.Check(sampleCount[byte(kind)], qt.Equals, want, qt.Commentf("kind %d %s", kind, message.KindName(byte(kind))))
 	}
 }
 
-// fieldValues collects the values in a message that are neither structs nor collections.
+// fieldValues collects the scalar values in a message.
 type fieldValues struct {
-	texts []string // of all but bools
-	bools int
-	empty int
+	texts []string // text form of each value that is not a bool
+	bools int      // number of bools
+	empty int      // number of zero values
 }
 
+// collect adds the values in a message or a field.
 func (v *fieldValues) collect(value reflect.Value) {
 	if value.IsZero() {
 		v.empty++
@@ -176,13 +177,13 @@
 	}
 }
 
-// The samples are good for what they are there for: no field is empty, no two fields hold the
-// same value, and each bool of a message with several is true alone in one sample.
-func TestSamplesTellAllFieldsApart(t *testing.T) {
+// Checks that the samples can detect a moved field: no field is empty, no two fields have the same value,
+// and each bool of a message with several bools is the only true one in one sample.
+func TestSamplesHaveDistinctValues(t *testing.T) {
 	c := qt.New(t)
-	alone := map[byte]int{}
+	boolSampleCount := map[byte]int{}
 	for _, entry := range boolSamples {
-		alone[entry.kind]++
+		boolSampleCount[entry.kind]++
 	}
 	for _, entry := range fullSamples {
 		comment := qt.Commentf("kind %d %T", entry.kind, entry.sample)
@@ -195,15 +196,15 @@
 		}
 		c.Check(distinct, qt.HasLen, len(values.texts), comment)
 		if values.bools > 1 {
-			c.Check(alone[entry.kind], qt.Equals, values.bools, comment)
+			c.Check(boolSampleCount[entry.kind], qt.Equals, values.bools, comment)
 		}
 	}
 }
 
-// Values that the processes compare, and that stand in messages and on disks.
-func TestValuesInMessagesStayAsTheyAre(t *testing.T) {
+// Checks the values that processes compare, and that are sent in messages and stored on disk.
+func TestComparedValuesAreStable(t *testing.T) {
 	c := qt.New(t)
-	for _, value := range []struct{ current, kept any }{
+	for _, value := range []struct{ current, expected any }{
 		{message.RoleProxy, "proxy"},
 		{message.RoleRegistry, "registry"},
 		{message.RoleConfigStore, "configstore"},
@@ -227,6 +228,6 @@
 		{message.RefusedNoLease, "no lease"},
 		{message.RefusedFull, "full"},
 	} {
-		c.Check(value.current, qt.Equals, value.kept)
+		c.Check(value.current, qt.Equals, value.expected)
 	}
 }
--- a/internal/message/fuzz_test.go
+++ b/internal/message/fuzz_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// sealed returns a frame with a right checksum, so that the fuzzer reaches the records.
-func sealed(kind byte, record []byte) []byte {
+// withChecksum returns a frame with a valid checksum, so that the fuzzer reaches the decoding of records.
+func withChecksum(kind byte, record []byte) []byte {
 	frame := append([]byte{kind}, record...)
 	return binary.BigEndian.AppendUint32(frame, crc32.Checksum(frame, checksumTable))
 }
 
-// filled returns a message of a type with a value in every field.
+// filled returns a value of a type in which every field is set. Slices are empty below depth levels.
 func filled(goType reflect.Type, depth int) reflect.Value {
 	value := reflect.New(goType).Elem()
 	switch goType.Kind() {
@@ -41,7 +41,8 @@
 	return value
 }
 
-// Any frame is refused, or decoded to a message that is the same after it was encoded again.
+// FuzzDecode checks that any frame is either rejected or decoded to a message that is unchanged after
+// another round of encoding and decoding.
 func FuzzDecode(f *testing.F) {
 	for kind, entry := range byKind {
 		for _, depth := range []int{0, 2} {
@@ -55,26 +56,26 @@
 		f.Add(kind, []byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 	}
 	f.Fuzz(func(t *testing.T, kind byte, record []byte) {
-		decoded, err := Decode(sealed(kind, record))
+		decoded, err := Decode(withChecksum(kind, record))
 		if err != nil {
 			return
 		}
 		frame, err := Encode(decoded)
 		if err != nil {
-			t.Fatalf("%T was read and can't be written: %v", decoded, err)
+			t.Fatalf("%T was decoded but can't be encoded: %v", decoded, err)
 		}
-		again, err := Decode(frame)
+		redecoded, err := Decode(frame)
 		if err != nil {
-			t.Fatalf("%T was written and can't be read: %v", decoded, err)
+			t.Fatalf("%T was encoded but can't be decoded: %v", decoded, err)
 		}
-		if fmt.Sprintf("%+v", again) != fmt.Sprintf("%+v", decoded) {
-			t.Fatalf("%+v became %+v", decoded, again)
+		if fmt.Sprintf("%+v", redecoded) != fmt.Sprintf("%+v", decoded) {
+			t.Fatalf("decoded %+v, after another round trip %+v", decoded, redecoded)
 		}
 	})
 }
 
-// checksumHolds computes the checksum of a frame apart from Decode.
-func checksumHolds(frame []byte) bool {
+// checksumValid reports whether the checksum of a frame is valid, independently of Decode.
+func checksumValid(frame []byte) bool {
 	if len(frame) < 1+checksumBytes {
 		return false
 	}
@@ -82,26 +83,26 @@
 	return crc32.Checksum(content, checksumTable) == binary.BigEndian.Uint32(sum)
 }
 
-// A frame with a wrong checksum is never decoded.
+// FuzzDecodeUnsealed checks that a frame with an invalid checksum is never decoded.
 func FuzzDecodeUnsealed(f *testing.F) {
 	f.Add([]byte{})
-	f.Add(sealed(1, []byte{1, 2, 3}))
+	f.Add(withChecksum(1, []byte{1, 2, 3}))
 	f.Fuzz(func(t *testing.T, frame []byte) {
 		decoded, err := Decode(frame)
-		if err == nil && !checksumHolds(frame) {
-			t.Fatalf("%T was read from a frame with a wrong checksum", decoded)
+		if err == nil && !checksumValid(frame) {
+			t.Fatalf("%T was decoded from a frame with an invalid checksum", decoded)
 		}
 	})
 }
 
-// An array that claims more elements than any message has is refused before memory is allocated for it.
-// Without that the fuzzer's seeds ended the process, which asked for 96 GiB.
-func TestClaimedElementsTakeNoMemory(t *testing.T) {
+// An array that claims more than maxElements elements is rejected before memory is allocated for it. Without
+// the limit, the seeds of the fuzzer made the process allocate 96 GiB, which ended it.
+func TestOversizedArrayClaimIsRejected(t *testing.T) {
 	count := []byte{0xff, 0xff, 0xff, 0xff, 0x0f}
 	for kind, entry := range byKind {
 		beginsWithArray := entry.goType.NumField() > 0 && entry.goType.Field(0).Type.Kind() == reflect.Slice
-		if _, err := Decode(sealed(kind, count)); err == nil && beginsWithArray {
-			t.Errorf("%s is read from a claim of 2^32 elements", entry.goType)
+		if _, err := Decode(withChecksum(kind, count)); err == nil && beginsWithArray {
+			t.Errorf("%s was decoded from a frame that claims 2^32 elements", entry.goType)
 		}
 	}
 }
--- a/internal/message/kinds.go
+++ b/internal/message/kinds.go
@@ -7,8 +7,8 @@
 	"github.com/hamba/avro/v2"
 )
 
-// registeredTypes lists a sample of each type that has a frame. The place in the list gives the kind
-// byte, counted from firstKind: the order never changes, and new types go to the end.
+// registeredTypes lists a zero value of each type that can be sent as a frame. The index in the list plus
+// firstKind is the kind byte, so the order must not change, and new types are appended.
 var registeredTypes = []any{
 	Ping{},
 	Ack{},
@@ -68,7 +68,7 @@
 // firstKind is the kind byte of the first registered type.
 const firstKind = 1
 
-// kindEntry is one registered message type.
+// kindEntry is a registered message type with its kind byte and its schema.
 type kindEntry struct {
 	kind   byte
 	schema avro.Schema
@@ -80,21 +80,22 @@
 	byType = indexByType(byKind)
 )
 
-// indexByKind derives the schema of each type and gives it its kind byte.
+// indexByKind derives the schema and the kind byte of each type.
 func indexByKind(samples []any) map[byte]kindEntry {
 	index := make(map[byte]kindEntry, len(samples))
-	for place, sample := range samples {
-		kind := byte(firstKind + place)
+	for position, sample := range samples {
+		kind := byte(firstKind + position)
 		index[kind] = kindEntry{kind: kind, schema: schemaOf(sample), goType: reflect.TypeOf(sample)}
 	}
 	return index
 }
 
-// indexByType is the inverse of indexByKind. A type that is registered twice is a programming error.
+// indexByType indexes the entries by type. It panics on a type that is registered twice, which is a
+// programming error.
 func indexByType(entries map[byte]kindEntry) map[reflect.Type]kindEntry {
 	index := make(map[reflect.Type]kindEntry, len(entries))
 	for _, entry := range entries {
-		if _, taken := index[entry.goType]; taken {
+		if _, duplicate := index[entry.goType]; duplicate {
 			panic(fmt.Sprintf("message: %s is registered twice", entry.goType))
 		}
 		index[entry.goType] = entry
@@ -102,7 +103,8 @@
 	return index
 }
 
-// KindName returns the type name of the message with a frame's kind byte, or "" for an unknown kind.
+// KindName returns the name of the message type for a kind byte, or "" for an unknown kind. Counters of
+// frames show this name.
 func KindName(kind byte) string {
 	if entry, found := byKind[kind]; found {
 		return entry.goType.Name()
--- a/internal/message/lease.go
+++ b/internal/message/lease.go
@@ -1,28 +1,28 @@
 package message
 
-// Vote is a voter's promise for one lease, as it is kept on disk.
+// Vote is the last vote of a voter for one lease, as stored on its disk.
 type Vote struct {
-	LeaseName      string // the lease: a zone's slice, the usage reports, the configuration log
+	LeaseName      string // a zone, the usage lease or the lease of the configuration log
 	Epoch          int64
-	Holder         string // voter
-	Identity       string // of the holder's disk
-	PreviousHolder string // holder before this one
-	RecentHolders  string // holders within the last cool-down, separated by commas; of the usage tag only
+	Holder         string // voter that the vote is for
+	Identity       string // disk identity of Holder
+	PreviousHolder string // holder before Holder
+	RecentHolders  string // comma-separated holders within the last cool-down; only for the usage lease
 }
 
-// LeaseRequest asks the voters for a lease, or to renew it. With PreVote it only asks whether the lease
-// would be granted, so that a candidate that cannot win does not raise the epoch.
+// LeaseRequest asks the voters to grant or renew a lease. A request with PreVote only asks whether the
+// lease would be granted, so that a candidate that cannot win does not raise the epoch.
 type LeaseRequest struct {
 	Group     string
 	LeaseName string
 	Epoch     int64
 	Voter     string
 	Identity  string
-	Round     int64 // counts the requests of one candidate
-	PreVote   bool  // nothing is written to disk
+	Round     int64 // numbers the requests of one candidate
+	PreVote   bool  // voters write nothing to disk
 }
 
-// LeaseVote answers a LeaseRequest. A granted vote has been written to disk before.
+// LeaseVote answers a LeaseRequest. A voter sends a granted vote only after it has written it to disk.
 type LeaseVote struct {
 	Group        string
 	LeaseName    string
@@ -32,16 +32,16 @@
 	Identity     string
 	Granted      bool
 	PreVote      bool
-	HighestEpoch int64  // highest epoch that the voter has promised
-	Reason       string // of a refusal; the candidate compares it
+	HighestEpoch int64  // highest epoch that the sender has voted for or seen as a candidate
+	Reason       string // reason for a refusal; compared by the candidate
 }
 
-// LeaseYield transfers a lease: the holder has stopped acting under it.
+// LeaseYield transfers a lease. The holder sends it after it has stopped acting under the lease.
 type LeaseYield struct {
 	Group     string
 	LeaseName string
 	Epoch     int64
 	Voter     string
 	Identity  string
-	Successor string // voter that should ask first; empty for any
+	Successor string // voter for which the lease is reserved; empty if any candidate may request it
 }
--- a/internal/message/member.go
+++ b/internal/message/member.go
@@ -1,48 +1,48 @@
 package message
 
-// Roles of a member. The texts travel in Member.Role and are compared by the receiver.
+// Roles of a member. The texts are sent in Member.Role and compared by the receiver.
 const (
 	RoleProxy       = "proxy"
 	RoleRegistry    = "registry"
 	RoleConfigStore = "configstore"
 )
 
-// States of a member, in the order in which they override each other at one incarnation.
+// States of a member. At one incarnation a higher state overrides a lower one.
 const (
 	// Alive members answer probes.
 	Alive int64 = 0
-	// Suspect members did not answer a probe and may still refute the suspicion.
+	// Suspect members did not answer a probe and can still refute the suspicion.
 	Suspect int64 = 1
-	// Dead members let their suspicion run out.
+	// Dead members did not refute the suspicion in time.
 	Dead int64 = 2
-	// Left members said that they stop.
+	// Left members announced that they stop.
 	Left int64 = 3
 )
 
-// Member describes one node of the fleet. Name is unique in the fleet. StartTime differs between
-// two runs of one node, so that an address that passed to another node is never taken for its old owner.
+// Member describes one node of the fleet. Name is unique in the fleet. StartTime differs between two
+// runs of a node, so that a node that reuses an address is not mistaken for the earlier one.
 type Member struct {
 	Name        string // "role/node"
 	Role        string
-	Voter       string // the place in the quorum that it holds; empty for none
+	Voter       string // voter that the member holds in its quorum; empty for none
 	Zone        string
-	Address     string // for the other processes
-	HTTPAddress string // for HTTP
-	StartTime   int64  // of this run of the process, in nanoseconds since 1970, by its own clock
-	Incarnation int64  // raised by the member itself, to refute or to change what it says of itself
-	State       int64  // Alive, Suspect, Dead or Left
+	Address     string // address for messages from other processes
+	HTTPAddress string
+	StartTime   int64 // start of this run of the process in nanoseconds since 1970, by its own clock
+	Incarnation int64 // raised only by the member itself, to refute a suspicion or to change its description
+	State       int64 // Alive, Suspect, Dead or Left
 }
 
 // Hello is the first frame on a connection.
 type Hello struct {
-	Address string // where the process that dialed takes connections itself
+	Address string // listening address of the process that dialed
 }
 
-// Ping asks a member to show that it is alive. Ping, Ack, IndirectPing, JoinRequest and JoinResponse
-// travel over UDP.
+// Ping asks a member to confirm that it is alive. Ping, Ack, IndirectPing, JoinRequest and JoinResponse
+// are sent over UDP.
 type Ping struct {
 	Sequence int64
-	Target   string // the name that must be at this address, or the ping isn't answered
+	Target   string // name of the member that is pinged; a member of another name at this address does not answer
 	From     Member
 	Gossip   []Member
 }
@@ -58,18 +58,21 @@
 type IndirectPing struct {
 	Sequence int64
 	Target   string
-	Address  string // of the target
+	Address  string // address of Target
 	From     Member
 	Gossip   []Member
 }
 
-// JoinRequest introduces the sender and asks for the member list.
+// JoinRequest introduces the sender and asks for the members that differ from its own list.
 type JoinRequest struct {
-	From             Member
-	MemberListDigest []int64 // digest of what the sender knows, in parts: only the parts that differ are answered
+	From Member
+	// MemberListDigest has one sum for each partition of the sender's member list, which is partitioned by
+	// a hash of the names. The response holds only the members of partitions whose sums differ.
+	MemberListDigest []int64
 }
 
-// JoinResponse carries a part of the member list; it is empty when the lists are the same.
+// JoinResponse carries members of the partitions whose digests differ. It is empty if both member lists
+// are equal. Long lists are sent in several responses.
 type JoinResponse struct {
 	From    Member
 	Members []Member
--- a/internal/message/request.go
+++ b/internal/message/request.go
@@ -6,14 +6,14 @@
 	Value string
 }
 
-// Forward carries a caller's request from its proxy to the serving proxy, the one beside the upstream.
-// Each attempt of a request is a Forward of its own.
+// Forward carries one attempt of a caller's request from the caller's proxy to the serving proxy, which
+// runs beside the upstream. Each attempt of a request has its own Forward.
 type Forward struct {
-	ID                     string // of this attempt
-	Proxy                  string
-	ServingProxyStartTime  int64 // names the run of the serving proxy that is meant
+	ID                     string // identifies the attempt
+	Proxy                  string // member name of the sending proxy
+	ServingProxyStartTime  int64  // start time of the serving proxy's run to which the attempt is addressed
 	ConfigName             string
-	Version                int64
+	Version                int64 // version of the configuration by which the sender routed the request
 	Route                  string
 	Service                string
 	Instance               string
@@ -26,13 +26,13 @@
 	Headers                []HeaderLine
 	Body                   []byte
 	Remaining              int64 // nanoseconds until the deadline
-	MaxResponseBytes       int64 // of the response's body
+	MaxResponseBytes       int64 // limit of the response body
 	Host                   string
-	AttemptName            string // the caller's own name of this attempt
-	Priority               int64  // 0 goes first
-	LatencyTargetRemaining int64  // nanoseconds left of the route's latency target; 0: not told
-	AtMostOnce             bool   // must not run twice
-	Retried                bool   // an upstream was offered the request before
+	AttemptName            string // name that the caller gave this attempt; may be empty
+	Priority               int64  // 0 is the highest priority
+	LatencyTargetRemaining int64  // nanoseconds until the route's latency target is exceeded; 0 if there is none
+	AtMostOnce             bool   // the request must not be executed twice
+	Retried                bool   // an earlier attempt of the request reached an upstream
 }
 
 // Outcome answers a Forward or an OutcomeRequest.
@@ -40,36 +40,36 @@
 	ID              string
 	Kind            int64 // NotStarted, Completed, OutcomeUnknown or StillRunning
 	Code            int64 // errcode.Code
-	Status          int64 // HTTP status of the upstream's answer
+	Status          int64 // HTTP status of the upstream's response
 	Headers         []HeaderLine
 	Body            []byte
-	Outstanding     int64   // requests at the upstream
-	Slots           int64   // of the upstream
-	Load            float64 // that the upstream announced
+	Outstanding     int64   // running and queued requests of the upstream at the serving proxy
+	Slots           int64   // number of requests that the upstream runs concurrently
+	Load            float64 // load that the upstream reported
 	RetryAfter      int64   // nanoseconds
-	ResponseAge     int64   // nanoseconds since the response was complete at the serving proxy
+	ResponseAge     int64   // nanoseconds since the serving proxy received the complete response
 	ServiceTime     int64   // nanoseconds from the start at the upstream to its complete response
-	ReachedUpstream bool    // an upstream has seen the request, though it may have refused it
+	ReachedUpstream bool    // the request reached an upstream, which may have refused it
 }
 
-// OutcomeRequest asks again for the outcome of an attempt whose connection was lost.
+// OutcomeRequest asks for the outcome of an attempt after the connection that carried it was lost.
 type OutcomeRequest struct {
 	ID                    string
 	ServingProxyStartTime int64
 }
 
-// Cancel tells the serving proxy that nobody waits for an attempt any more.
+// Cancel notifies the serving proxy that the result of an attempt is no longer needed.
 type Cancel struct {
 	ID string
 }
 
-// Kinds of outcome, as Outcome.Kind carries them.
+// Kinds of outcome, as sent in Outcome.Kind.
 const (
-	// NotStarted means that the upstream has not begun with the request, which may be tried elsewhere.
+	// NotStarted means that the upstream has not started the request, so that another upstream may be tried.
 	NotStarted int64 = 1
-	// Completed means that the upstream's complete response is here.
+	// Completed means that the outcome holds the upstream's complete response.
 	Completed int64 = 2
-	// OutcomeUnknown means that the upstream may have run the request and there is no complete response.
+	// OutcomeUnknown means that the upstream may have executed the request and that there is no complete response.
 	OutcomeUnknown int64 = 3
 	// StillRunning means that the upstream has not responded yet.
 	StillRunning int64 = 4
--- a/internal/message/roster.go
+++ b/internal/message/roster.go
@@ -1,38 +1,38 @@
 package message
 
-// States of a registration. The texts travel in Registration.State and are compared by the receiver.
+// States of a registration. The texts are sent in Registration.State and compared by the receiver.
 const (
-	StateCreated  = "created" // announced, and not probed yet
-	StateWarming  = "warming" // takes no requests yet
+	StateCreated  = "created" // announced, but no probe has succeeded yet
+	StateWarming  = "warming" // accepts no requests yet
 	StateReady    = "ready"
-	StateDraining = "leaving" // takes no new requests
+	StateDraining = "leaving" // accepts no new requests
 )
 
-// Registration is one upstream instance in the roster.
+// Registration is the roster entry of one upstream instance.
 type Registration struct {
 	Service               string
 	Instance              string
 	Incarnation           int64
 	Address               string
 	Zone                  string
-	Slots                 int64 // requests that it runs at one time
+	Slots                 int64 // number of requests that the upstream runs concurrently
 	State                 string
-	ServingProxy          string // member name of the proxy beside it
+	ServingProxy          string // member name of the proxy beside the upstream
 	ServingProxyAddress   string
 	ServingProxyStartTime int64
 }
 
-// Key returns the name of a registration within the roster.
+// Key identifies a registration within the roster.
 func (r Registration) Key() string { return r.Service + "/" + r.Instance }
 
-// Position is a position in the history of a topic, ordered by (epoch, sequence), with a digest of the
-// content there. Two sources with the same position have the same content.
+// Position is a position in the history of a topic, ordered by (Epoch, Seq), with a digest of the content
+// at this position. Two sources with equal positions have the same content.
 type Position struct {
 	Topic string
 	Epoch int64
 	Seq   int64
-	Count int64 // entries
-	Hash  int64
+	Count int64 // number of entries in the content
+	Hash  int64 // digest of the content
 }
 
 // Before reports whether p is older than another position of the same topic.
@@ -40,23 +40,23 @@
 	return p.Epoch < other.Epoch || p.Epoch == other.Epoch && p.Seq < other.Seq
 }
 
-// SameContent reports whether two positions name the same content.
+// SameContent reports whether two positions have the same content.
 func (p Position) SameContent(other Position) bool {
 	return p.Epoch == other.Epoch && p.Seq == other.Seq && p.Hash == other.Hash && p.Count == other.Count
 }
 
-// Results of a probe, as heartbeats carry them.
+// Results of a probe, as sent in Heartbeat.ProbeResult.
 const (
 	NotProbed     int64 = 0
 	ProbeAnswered int64 = 1
 	ProbeRefused  int64 = 2
 )
 
-// Heartbeat says that an upstream has announced itself to the proxy beside it.
+// Heartbeat carries the last announcement of an upstream to the proxy beside it.
 type Heartbeat struct {
 	Registration Registration
 	Age          int64 // nanoseconds since the announcement
-	ProbeResult  int64 // NotProbed, ProbeAnswered or ProbeRefused, of this incarnation
+	ProbeResult  int64 // result for this incarnation: NotProbed, ProbeAnswered or ProbeRefused
 }
 
 // Deregistration ends the registration of one incarnation of an instance.
@@ -66,35 +66,36 @@
 	Incarnation int64
 }
 
-// HeartbeatBatch is what a proxy sends to the registries once a heartbeat interval and after each
-// change.
+// HeartbeatBatch carries the state of a proxy and of the upstreams beside it to the registries. A proxy
+// sends it once per heartbeat interval and after each change.
 type HeartbeatBatch struct {
 	Proxy           string
 	StartTime       int64
-	Ready           bool // the proxy takes traffic
+	Ready           bool // the proxy is ready to accept traffic
 	Heartbeats      []Heartbeat
 	Deregistrations []Deregistration
-	Positions       []Position // what configurations and slices the proxy has in force
-	RelayPath       []string   // the relays between the source and this proxy
-	CurrentWindow   int64      // usage window under way, by the proxy's time of day
+	Positions       []Position // positions of the configurations and slices that the proxy uses
+	RelayPath       []string   // member names from the root of the distribution tree to this proxy's parent
+	CurrentWindow   int64      // current usage window by the proxy's wall clock
 }
 
 // HeartbeatResponse answers a HeartbeatBatch.
 type HeartbeatResponse struct {
 	Registry       string
 	SealedBelow    int64      // all usage windows below this number are sealed
-	NewerPositions []Position // configurations of which the registry has a newer version than the proxy
+	NewerPositions []Position // configurations that are newer at the registry than at the proxy
 }
 
-// RosterChange is one change of a slice, sent by the slice's lease holder.
+// RosterChange is one change of a slice. The holder of the slice's lease broadcasts it.
 type RosterChange struct {
-	Position     Position // position after the change
+	Position     Position // position of the slice after the change
 	Registration Registration
-	Removed      bool
+	Removed      bool // Registration was removed from the slice
 	Cause        string
 }
 
-// RosterCheck asks the other registries for their position in a slice.
+// RosterCheck asks for the lease holder's position in a slice. It is sent to all registries, and only the
+// holder answers.
 type RosterCheck struct {
 	Zone     string
 	Round    int64
@@ -102,7 +103,7 @@
 	Position Position
 }
 
-// RosterDigest answers a RosterCheck.
+// RosterDigest answers a RosterCheck with the holder's position in the slice.
 type RosterDigest struct {
 	Zone     string
 	Round    int64
@@ -110,28 +111,29 @@
 	Position Position
 }
 
-// RosterPull asks for a whole slice.
+// RosterPull asks a registry for its complete copy of a slice.
 type RosterPull struct {
 	Zone  string
 	Voter string
 }
 
-// RosterSnapshot is a whole slice of the roster.
+// RosterSnapshot is the sender's copy of a slice of the roster. It is also the form of a slice on disk, where
+// Voter, Complete and HoldsLease are not set.
 type RosterSnapshot struct {
 	Zone          string
 	Voter         string
-	Complete      bool // the sender's slice is complete
+	Complete      bool // the sender's copy is complete
 	HoldsLease    bool // the sender holds the slice's lease
 	Position      Position
 	Registrations []Registration
 }
 
-// RosterSlice is the body of a slice's snapshot in the distribution tree.
+// RosterSlice is the body of a slice's snapshot in UpdateItem.Body.
 type RosterSlice struct {
 	Registrations []Registration
 }
 
-// ProbeRequest asks the serving proxy to probe an upstream.
+// ProbeRequest asks a serving proxy to probe an upstream beside it.
 type ProbeRequest struct {
 	Zone        string
 	Epoch       int64
--- a/internal/message/samples_golden_test.go
+++ b/internal/message/samples_golden_test.go
@@ -2,15 +2,15 @@
 
 import "beaconvane/internal/message"
 
-// goldenSample is a message under its kind byte.
+// goldenSample is a message with its kind byte.
 type goldenSample struct {
 	kind   byte
 	sample any
 }
 
-// fullSamples has each message with a value of its own in every field. The fields are named, so
-// that one that moves within its type, or changes its type, changes the bytes. Maps have one
-// entry, since the order in which the codec writes several is random.
+// fullSamples has one sample of each message, with a distinct value in every field. The literals name
+// their fields, so that a field that is moved or changes its type changes the bytes. Maps have one entry,
+// since the codec writes several entries in random order.
 var fullSamples = []goldenSample{
 	{1, message.Ping{
 		Sequence: 1_010007,
@@ -777,8 +777,8 @@
 	}},
 }
 
-// boolSamples has each message with several bools once for each of them, with only this one
-// true: in a full sample two of them could change places unseen.
+// boolSamples has, for each message with several bools, one sample per bool in which only this bool is
+// true. A full sample doesn't detect that two bools were swapped.
 var boolSamples = []goldenSample{
 	{6, message.VoterStatus{Formed: true}},
 	{6, message.VoterStatus{Voting: true}},
--- a/internal/message/usage.go
+++ b/internal/message/usage.go
@@ -1,29 +1,29 @@
 package message
 
-// UsageCount is what one proxy counted in one window, by tenant.
+// UsageCount holds the requests that one proxy counted in one window, by tenant.
 type UsageCount struct {
 	Window   int64
 	Counts   map[string]int64
-	InFlight map[string]int64 // started and not answered yet, in the current window
+	InFlight map[string]int64 // requests that were started and have no response yet; only for the current window
 }
 
-// UsageUpdate carries a proxy's counts to the registries.
+// UsageUpdate carries the counts of a proxy to the registries.
 type UsageUpdate struct {
 	Proxy       string
 	StartTime   int64
-	Sequence    int64        // of the update, in this run of the proxy
-	Counts      []UsageCount // cumulative, of the windows that are not sealed yet
-	ClosedBelow int64        // counts of windows below this number won't change any more
+	Sequence    int64        // number of the update within this run of the proxy
+	Counts      []UsageCount // cumulative counts of windows that are not sealed yet
+	ClosedBelow int64        // counts of windows below this number are final; 0 if the update covers only the current window
 }
 
 // UsageSealed is a sealed window: its counts are final.
 type UsageSealed struct {
 	Window int64
-	Epoch  int64 // of the lease under which it was sealed
+	Epoch  int64 // epoch of the usage lease under which the window was sealed
 	Counts map[string]int64
 }
 
-// UsageRead asks a voter for all it knows of usage. A new holder of the usage lease reads a majority.
+// UsageRead asks a voter for all its usage data. A new holder of the usage lease reads a majority of the voters.
 type UsageRead struct {
 	Epoch    int64
 	Voter    string
@@ -36,8 +36,8 @@
 	Voter              string
 	Identity           string
 	Sealed             []UsageSealed
-	LastReportedWindow int64           // newest window that the collector took
-	Unreported         UnreportedUsage // counts of windows that are not reported yet, as this voter knows them
+	LastReportedWindow int64           // newest window that the collector has accepted
+	Unreported         UnreportedUsage // the sender's counts of windows that are not sealed yet
 }
 
 // UsageSeal asks a voter to write a sealed window to disk.
@@ -48,7 +48,7 @@
 	LastReportedWindow int64
 }
 
-// UsageSealResponse says that a sealed window is on the voter's disk.
+// UsageSealResponse confirms that the sender has written a sealed window to disk.
 type UsageSealResponse struct {
 	Voter    string
 	Identity string
@@ -56,16 +56,17 @@
 	Epoch    int64
 }
 
-// UnreportedUsage is the counts of windows that are not reported yet.
+// UnreportedUsage holds counts of windows that are not sealed yet. As a record on disk it holds only the
+// counts that changed since the record before it.
 type UnreportedUsage struct {
 	Proxies []ProxyUsage
 }
 
-// ProxyUsage is what one run of a proxy counted in one window.
+// ProxyUsage holds the requests that one run of a proxy counted in one window, by tenant.
 type ProxyUsage struct {
 	Window   int64
-	ProxyRun string
-	Sequence int64 // of the newest update taken
+	ProxyRun string // "<proxy>/<start time in base 36>"
+	Sequence int64  // number of the latest update that was applied
 	Counts   map[string]int64
 	InFlight map[string]int64
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -27,7 +27,7 @@
 		case command := <-n.commands:
 			n.apply(env, command)
 		case next := <-n.replacements:
-			n.takeReplacement(next)
+			n.installReplacement(next)
 		}
 	}
 }
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -43,7 +43,7 @@
 		if firstFailure == nil {
 			firstFailure = failure
 		}
-		if !n.reportSynced(batch[:count], failure) {
+		if !n.notifySynced(batch[:count], failure) {
 			return firstFailure
 		}
 		batch = batch[count:]
@@ -76,8 +76,8 @@
 	return records, size
 }
 
-// reportSynced tells the machine what became of writes; it returns false when the process stops.
-func (n *Node) reportSynced(writes []*statemachine.Write, failure error) bool {
+// notifySynced tells the machine what became of writes; it returns false when the process stops.
+func (n *Node) notifySynced(writes []*statemachine.Write, failure error) bool {
 	for _, write := range writes {
 		select {
 		case n.commands <- statemachine.Synced{RequestID: write.RequestID, Failure: failure}:
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// entriesNow returns a copy of the entries, never nil: the JSON answer has a list even where there
+// snapshot returns a copy of the entries, never nil: the JSON answer has a list even where there
 // are none.
-func (j *journal) entriesNow() []Entry {
+func (j *journal) snapshot() []Entry {
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	return append([]Entry{}, j.entries...)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,7 +114,7 @@
 
 // Run binds the address, hands the transport to begin (which may be nil), and starts the
 // goroutines of the machine.
-func (n *Node) Run(machine statemachine.Machine, begin func(network *transport.Transport)) error {
+func (n *Node) Run(machine statemachine.Machine, configure func(network *transport.Transport)) error {
 	n.machine = machine
 	network, err := transport.New(n.Group, transport.Config{
 		Address:     n.Settings.Address,
@@ -128,8 +128,8 @@
 	network.LimitRate(n.Settings.TrafficRate())
 	n.Transport = network
 	network.OnConnectionLost(func(address string) { n.Notify(statemachine.ConnectionClosed{Address: address}) })
-	if begin != nil {
-		begin(network)
+	if configure != nil {
+		configure(network)
 	}
 	network.Start()
 	n.Group.Go("node.disk", n.runDisk)
@@ -157,7 +157,7 @@
 }
 
 // Journal returns the newest entries of the journal, the oldest of them first.
-func (n *Node) Journal() []Entry { return n.journal.entriesNow() }
+func (n *Node) Journal() []Entry { return n.journal.snapshot() }
 
 // Counters returns the process's own counters by name.
 func (n *Node) Counters() map[string]int64 {
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -26,7 +26,7 @@
 // closed the earlier machine is gone, and none of its writes is queued.
 type replacement struct {
 	machine DiskMachine
-	taken   chan struct{}
+	installed   chan struct{}
 }
 
 // errReplaced ends the requests to which the earlier machine had not replied.
@@ -75,28 +75,28 @@
 
 // replaceMachine hands a machine to the control goroutine and waits until it has taken over.
 func (n *Node) replaceMachine(ctx context.Context, machine DiskMachine) bool {
-	next := replacement{machine: machine, taken: make(chan struct{})}
+	next := replacement{machine: machine, installed: make(chan struct{})}
 	select {
 	case n.replacements <- next:
 	case <-ctx.Done():
 		return false
 	}
 	select {
-	case <-next.taken:
+	case <-next.installed:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// takeReplacement puts a restored machine in the place of the present one, and drops what that one
+// installReplacement puts a restored machine in the place of the present one, and drops what that one
 // had still to write. It runs in the control goroutine, the only one that queues writes.
-func (n *Node) takeReplacement(next replacement) {
+func (n *Node) installReplacement(next replacement) {
 	n.machine = next.machine
 	for len(n.writes) > 0 {
 		<-n.writes
 	}
 	n.requests.failAll(errReplaced)
 	n.record(statemachine.Event{At: n.Group.Now(), EventName: eventDiskRecovered})
-	close(next.taken)
+	close(next.installed)
 }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -66,9 +66,9 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.lastID++
-	waiting := make(chan any, 1)
-	p.replies[p.lastID] = waiting
-	return p.lastID, waiting
+	replyChannel := make(chan any, 1)
+	p.replies[p.lastID] = replyChannel
+	return p.lastID, replyChannel
 }
 
 // cancel drops a request for which nobody waits any more.
@@ -81,11 +81,11 @@
 // reply hands a reply to the caller, if it still waits.
 func (p *pendingRequests) reply(requestID int64, reply any) {
 	p.lock.Lock()
-	waiting := p.replies[requestID]
+	replyChannel := p.replies[requestID]
 	delete(p.replies, requestID)
 	p.lock.Unlock()
-	if waiting != nil {
-		waiting <- reply
+	if replyChannel != nil {
+		replyChannel <- reply
 	}
 }
 
@@ -95,7 +95,7 @@
 	replies := p.replies
 	p.replies = map[int64]chan any{}
 	p.lock.Unlock()
-	for _, waiting := range replies {
-		waiting <- err
+	for _, replyChannel := range replies {
+		replyChannel <- err
 	}
 }
--- a/internal/node/usage_report.go
+++ b/internal/node/usage_report.go
@@ -39,8 +39,8 @@
 // are still on their way.
 type usageReporter struct {
 	collector  string
-	from       string        // the node's name
-	limit      time.Duration // of a post
+	nodeName       string        // the node's name
+	timeout      time.Duration // of a post
 	setHeaders headerSetter
 	client     *http.Client
 }
@@ -49,10 +49,10 @@
 type headerSetter func(header http.Header, nodeName string, epoch int64)
 
 // newUsageReporter returns a reporter; setHeaders may be nil.
-func newUsageReporter(collector, from string, limit time.Duration, setHeaders headerSetter) *usageReporter {
+func newUsageReporter(collector, nodeName string, timeout time.Duration, setHeaders headerSetter) *usageReporter {
 	transport := &http.Transport{Proxy: nil, DisableCompression: true, MaxIdleConnsPerHost: 2, DialContext: dialWithReset}
 	refuseRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &usageReporter{collector: collector, from: from, limit: limit, setHeaders: setHeaders,
+	return &usageReporter{collector: collector, nodeName: nodeName, timeout: timeout, setHeaders: setHeaders,
 		client: &http.Client{Transport: transport, CheckRedirect: refuseRedirects}}
 }
 
@@ -74,13 +74,13 @@
 
 // post sends a report once, at a time of the process clock.
 func (r *usageReporter) post(ctx context.Context, report registry.UsageReport, now time.Duration) reportOutcome {
-	limit := min(r.limit, report.ExpiresAt-now)
-	if limit <= 0 {
+	timeout := min(r.timeout, report.ExpiresAt-now)
+	if timeout <= 0 {
 		return reportTooLate
 	}
-	limited, cancel := context.WithTimeout(ctx, limit)
+	timeoutCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	request, err := r.request(limited, report)
+	request, err := r.request(timeoutCtx, report)
 	if err != nil {
 		return reportFailed
 	}
@@ -97,7 +97,7 @@
 }
 
 func (r *usageReporter) request(ctx context.Context, report registry.UsageReport) (*http.Request, error) {
-	body, err := json.Marshal(usageReportBody{Counts: report.Counts, Epoch: report.Epoch, From: r.from, Window: report.Window})
+	body, err := json.Marshal(usageReportBody{Counts: report.Counts, Epoch: report.Epoch, From: r.nodeName, Window: report.Window})
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	if r.setHeaders != nil {
-		r.setHeaders(request.Header, r.from, report.Epoch)
+		r.setHeaders(request.Header, r.nodeName, report.Epoch)
 	}
 	return request, nil
 }
--- a/internal/node/usage_report_test.go
+++ b/internal/node/usage_report_test.go
@@ -19,31 +19,31 @@
 
 func TestReportIsPosted(t *testing.T) {
 	c := qt.New(t)
-	seen := make(chan string, 10)
+	requests := make(chan string, 10)
 	status := http.StatusOK
 	collector := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
 		body, _ := io.ReadAll(in.Body)
-		seen <- in.Header.Get("Fence") + " " + string(body)
+		requests <- in.Header.Get("Fence") + " " + string(body)
 		out.WriteHeader(status)
 	}))
 	defer collector.Close()
-	r := newUsageReporter(collector.URL, "core-1", time.Minute, func(header http.Header, _ string, _ int64) { header.Set("Fence", "7") })
+	reporter := newUsageReporter(collector.URL, "core-1", time.Minute, func(header http.Header, _ string, _ int64) { header.Set("Fence", "7") })
 	report := registry.UsageReport{Window: 3, Counts: map[string]int64{"t": 5}, Epoch: 7, ExpiresAt: time.Hour}
-	c.Assert(r.post(context.Background(), report, 0), qt.Equals, reportAccepted)
-	c.Assert(<-seen, qt.Equals, `7 {"counts":{"t":5},"epoch":7,"from":"core-1","window":3}`)
+	c.Assert(reporter.post(context.Background(), report, 0), qt.Equals, reportAccepted)
+	c.Assert(<-requests, qt.Equals, `7 {"counts":{"t":5},"epoch":7,"from":"core-1","window":3}`)
 	status = http.StatusConflict
-	c.Assert(r.post(context.Background(), report, 0), qt.Equals, reportRefused)
+	c.Assert(reporter.post(context.Background(), report, 0), qt.Equals, reportRefused)
 }
 
 // Nothing is sent once the lease under which a window was sealed has ended.
 func TestReportBehindItsTimeIsNotSent(t *testing.T) {
 	c := qt.New(t)
-	asked := make(chan struct{}, 1)
-	collector := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked <- struct{}{} }))
+	requests := make(chan struct{}, 1)
+	collector := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests <- struct{}{} }))
 	defer collector.Close()
-	r := newUsageReporter(collector.URL, "core-1", time.Minute, nil)
-	c.Assert(r.post(context.Background(), registry.UsageReport{ExpiresAt: time.Second}, time.Second), qt.Equals, reportTooLate)
-	c.Assert(asked, qt.HasLen, 0)
+	reporter := newUsageReporter(collector.URL, "core-1", time.Minute, nil)
+	c.Assert(reporter.post(context.Background(), registry.UsageReport{ExpiresAt: time.Second}, time.Second), qt.Equals, reportTooLate)
+	c.Assert(requests, qt.HasLen, 0)
 }
 
 // A report that nobody answers is given up with its lease, and its connection is reset, so
@@ -53,24 +53,24 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
-	ended := make(chan error, 1)
+	readErrors := make(chan error, 1)
 	group := goroutine.New()
 	defer group.Stop(0)
 	group.Go("collector", func(context.Context) {
 		conn, err := listener.Accept()
 		if err != nil {
-			ended <- err
+			readErrors <- err
 			return
 		}
 		defer conn.Close()
 		_, err = io.Copy(io.Discard, conn)
-		ended <- err
+		readErrors <- err
 	})
-	const left = 50 * time.Millisecond
-	r := newUsageReporter("http://"+listener.Addr().String(), "core-1", time.Hour, nil)
-	began := time.Now()
-	outcome := r.post(context.Background(), registry.UsageReport{ExpiresAt: time.Second + left}, time.Second)
+	const remaining = 50 * time.Millisecond
+	reporter := newUsageReporter("http://"+listener.Addr().String(), "core-1", time.Hour, nil)
+	startedAt := time.Now()
+	outcome := reporter.post(context.Background(), registry.UsageReport{ExpiresAt: time.Second + remaining}, time.Second)
 	c.Assert(outcome, qt.Equals, reportFailed)
-	c.Assert(time.Since(began) >= left, qt.IsTrue)
-	c.Assert(errors.Is(<-ended, syscall.ECONNRESET), qt.IsTrue)
+	c.Assert(time.Since(startedAt) >= remaining, qt.IsTrue)
+	c.Assert(errors.Is(<-readErrors, syscall.ECONNRESET), qt.IsTrue)
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -137,7 +137,7 @@
 	for {
 		select {
 		case next := <-c.queue:
-			if !c.waitTurn(ctx, writer, next.due) || !c.send(writer, next.frame) {
+			if !c.waitUntilDue(ctx, writer, next.due) || !c.send(writer, next.frame) {
 				return
 			}
 		case <-c.closed:
@@ -148,9 +148,9 @@
 	}
 }
 
-// waitTurn waits until a frame's turn on the link, after what was written before has been flushed. It
+// waitUntilDue waits until a frame's turn on the link, after what was written before has been flushed. It
 // reports whether the connection goes on.
-func (c *Connection) waitTurn(ctx context.Context, writer *bufio.Writer, due time.Time) bool {
+func (c *Connection) waitUntilDue(ctx context.Context, writer *bufio.Writer, due time.Time) bool {
 	wait := time.Until(due)
 	if due.IsZero() || wait <= 0 {
 		return true
--- a/internal/transport/datagram.go
+++ b/internal/transport/datagram.go
@@ -35,7 +35,7 @@
 	for {
 		size, from, err := t.datagrams.ReadFrom(buffer)
 		if err != nil {
-			if !retryAfter(ctx, err) {
+			if !waitBeforeRetry(ctx, err) {
 				return
 			}
 			continue
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -13,18 +13,18 @@
 // tcpUserTimeout is the number of the socket option TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 18
 
-// unacknowledgedDials is how many dial timeouts sent bytes may stay without an acknowledgement.
-const unacknowledgedDials = 6
+// userTimeoutDials is how many dial timeouts sent bytes may stay without an acknowledgement.
+const userTimeoutDials = 6
 
 // open returns a connection that is being made; what is posted on it waits until it is. lost, which may
 // be nil, is called with the address when it has ended or could not be made.
-func (t *Transport) open(to string, priority sendPriority, deliver func(received any), lost func(address string)) *Connection {
+func (t *Transport) open(to string, priority sendPriority, deliver func(received any), onLost func(address string)) *Connection {
 	connection := newConnection(t, nil, priority)
 	_ = connection.Post(message.Hello{Address: t.address}) // its queue is empty
 	t.goroutines.Go("transport.dial", func(ctx context.Context) {
 		t.runConnection(ctx, to, connection, deliver)
-		if lost != nil && ctx.Err() == nil {
-			lost(to)
+		if onLost != nil && ctx.Err() == nil {
+			onLost(to)
 		}
 	})
 	return connection
@@ -53,7 +53,7 @@
 // partition the kernel would otherwise go on with a connection that it retries seldom, long after a
 // new one could be made.
 func (t *Transport) setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	timeout := int(t.config.DialTimeout * unacknowledgedDials / time.Millisecond)
+	timeout := int(t.config.DialTimeout * userTimeoutDials / time.Millisecond)
 	var optionErr error
 	controlErr := raw.Control(func(descriptor uintptr) {
 		optionErr = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, timeout)
--- a/internal/transport/framing_golden_test.go
+++ b/internal/transport/framing_golden_test.go
@@ -18,18 +18,18 @@
 
 const (
 	goldenFrameLimit = 1 << 20 // bytes
-	goldenQueue      = 16      // frames
-	goldenDial       = 2 * time.Second
-	goldenWait       = 5 * time.Second
+	goldenQueueLength      = 16      // frames
+	goldenDialTimeout       = 2 * time.Second
+	goldenTimeout       = 5 * time.Second
 	// goldenHelloKind is the kind byte of the first frame on a connection.
 	goldenHelloKind = 41
 )
 
-// goldenWithdraw and goldenOutcomeRequest are messages with their frames, without the length
+// goldenCancel and goldenOutcomeRequest are messages with their frames, without the length
 // that stands before a frame on a connection.
 var (
-	goldenWithdraw            = message.Cancel{ID: "try-1"}
-	goldenWithdrawFrame       = "280a7472792d31ac70cc4a"
+	goldenCancel            = message.Cancel{ID: "try-1"}
+	goldenCancelFrame       = "280a7472792d31ac70cc4a"
 	goldenOutcomeRequest      = message.OutcomeRequest{ID: "try-2", ServingProxyStartTime: 300}
 	goldenOutcomeRequestFrame = "270a7472792d32d804ce4b62c1"
 )
@@ -38,21 +38,21 @@
 type goldenArrival struct {
 	from string
 	msg  any
-	back func(msg any) error
+	reply func(msg any) error
 }
 
-// startGolden starts a transport, and returns it with what arrives at it.
-func startGolden(c *qt.C) (*Transport, <-chan goldenArrival) {
+// startTransport starts a transport, and returns it with what arrives at it.
+func startTransport(c *qt.C) (*Transport, <-chan goldenArrival) {
 	group := goroutine.New()
-	arrivals := make(chan goldenArrival, goldenQueue)
-	inbound := func(from string, msg any, back func(msg any) error) { arrivals <- goldenArrival{from, msg, back} }
-	config := Config{Address: "127.0.0.1:0", FrameLimit: goldenFrameLimit, QueueLength: goldenQueue, DialTimeout: goldenDial}
+	arrivals := make(chan goldenArrival, goldenQueueLength)
+	inbound := func(from string, msg any, reply func(msg any) error) { arrivals <- goldenArrival{from, msg, reply} }
+	config := Config{Address: "127.0.0.1:0", FrameLimit: goldenFrameLimit, QueueLength: goldenQueueLength, DialTimeout: goldenDialTimeout}
 	network, err := New(group, config, inbound)
 	c.Assert(err, qt.IsNil)
 	network.Start()
 	c.Cleanup(func() {
 		network.Close()
-		group.Stop(goldenWait)
+		group.Stop(goldenTimeout)
 	})
 	return network, arrivals
 }
@@ -64,8 +64,8 @@
 	return body
 }
 
-// behindLength returns a frame as it stands on a connection: behind its length.
-func behindLength(frame []byte) []byte {
+// withLengthPrefix returns a frame as it stands on a connection: behind its length.
+func withLengthPrefix(frame []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(frame))), frame...)
 }
 
@@ -78,7 +78,7 @@
 
 // assertReads reads from a connection as many bytes as are wanted and compares them.
 func assertReads(c *qt.C, conn net.Conn, want []byte) {
-	c.Assert(conn.SetReadDeadline(time.Now().Add(goldenWait)), qt.IsNil)
+	c.Assert(conn.SetReadDeadline(time.Now().Add(goldenTimeout)), qt.IsNil)
 	got := make([]byte, len(want))
 	_, err := io.ReadFull(conn, got)
 	c.Assert(err, qt.IsNil)
@@ -89,7 +89,7 @@
 	select {
 	case arrival := <-arrivals:
 		return arrival
-	case <-time.After(goldenWait):
+	case <-time.After(goldenTimeout):
 		c.Fatal("nothing arrived")
 		return goldenArrival{}
 	}
@@ -97,52 +97,52 @@
 
 // A connection begins with the sender's address, and each frame stands behind its length in
 // four bytes, highest first.
-func TestSentFramesStayAsTheyAre(t *testing.T) {
+func TestSentFramesMatchGoldenBytes(t *testing.T) {
 	c := qt.New(t)
-	network, _ := startGolden(c)
+	network, _ := startTransport(c)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
 
-	c.Assert(network.Send(listener.Addr().String(), goldenWithdraw), qt.IsNil)
+	c.Assert(network.Send(listener.Addr().String(), goldenCancel), qt.IsNil)
 	c.Assert(network.Send(listener.Addr().String(), goldenOutcomeRequest), qt.IsNil)
 	conn, err := listener.Accept()
 	c.Assert(err, qt.IsNil)
 	defer conn.Close()
-	assertReads(c, conn, behindLength(helloFrame(network.address)))
-	assertReads(c, conn, fromHex(c, "0000000b"+goldenWithdrawFrame))
+	assertReads(c, conn, withLengthPrefix(helloFrame(network.address)))
+	assertReads(c, conn, fromHex(c, "0000000b"+goldenCancelFrame))
 	assertReads(c, conn, fromHex(c, "0000000d"+goldenOutcomeRequestFrame))
 }
 
 // Bytes as an earlier build sends them are taken, and the answer goes back on the connection.
-func TestReceivedFramesStayReadable(t *testing.T) {
+func TestGoldenFramesAreReceived(t *testing.T) {
 	c := qt.New(t)
-	network, arrivals := startGolden(c)
+	network, arrivals := startTransport(c)
 	conn, err := net.Dial("tcp", network.address)
 	c.Assert(err, qt.IsNil)
 	defer conn.Close()
 
 	const peerAddress = "127.0.0.1:4321"
-	stream := append(behindLength(helloFrame(peerAddress)), fromHex(c, "0000000b"+goldenWithdrawFrame)...)
+	stream := append(withLengthPrefix(helloFrame(peerAddress)), fromHex(c, "0000000b"+goldenCancelFrame)...)
 	_, err = conn.Write(stream)
 	c.Assert(err, qt.IsNil)
 	arrival := awaitArrival(c, arrivals)
 	c.Assert(arrival.from, qt.Equals, peerAddress)
-	c.Assert(arrival.msg, qt.DeepEquals, any(goldenWithdraw))
-	c.Assert(arrival.back(goldenOutcomeRequest), qt.IsNil)
+	c.Assert(arrival.msg, qt.DeepEquals, any(goldenCancel))
+	c.Assert(arrival.reply(goldenOutcomeRequest), qt.IsNil)
 	assertReads(c, conn, fromHex(c, "0000000d"+goldenOutcomeRequestFrame))
 }
 
 // A datagram is one frame without a length.
-func TestDatagramsStayAsTheyAre(t *testing.T) {
+func TestDatagramsMatchGoldenBytes(t *testing.T) {
 	c := qt.New(t)
-	network, arrivals := startGolden(c)
+	network, arrivals := startTransport(c)
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer socket.Close()
 
 	c.Assert(network.Datagram(socket.LocalAddr().String(), goldenOutcomeRequest), qt.IsNil)
-	c.Assert(socket.SetReadDeadline(time.Now().Add(goldenWait)), qt.IsNil)
+	c.Assert(socket.SetReadDeadline(time.Now().Add(goldenTimeout)), qt.IsNil)
 	buffer := make([]byte, maxDatagramBytes)
 	size, _, err := socket.ReadFrom(buffer)
 	c.Assert(err, qt.IsNil)
@@ -150,10 +150,10 @@
 
 	target, err := net.ResolveUDPAddr("udp", network.address)
 	c.Assert(err, qt.IsNil)
-	_, err = socket.WriteTo(fromHex(c, goldenWithdrawFrame), target)
+	_, err = socket.WriteTo(fromHex(c, goldenCancelFrame), target)
 	c.Assert(err, qt.IsNil)
 	arrival := awaitArrival(c, arrivals)
 	c.Assert(arrival.from, qt.Equals, socket.LocalAddr().String())
-	c.Assert(arrival.msg, qt.DeepEquals, any(goldenWithdraw))
-	c.Assert(arrival.back, qt.IsNil)
+	c.Assert(arrival.msg, qt.DeepEquals, any(goldenCancel))
+	c.Assert(arrival.reply, qt.IsNil)
 }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -19,7 +19,7 @@
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil {
-			if !retryAfter(ctx, err) {
+			if !waitBeforeRetry(ctx, err) {
 				return
 			}
 			continue
@@ -27,13 +27,13 @@
 		t.lock.Lock()
 		t.accepted[conn] = true
 		t.lock.Unlock()
-		t.goroutines.Go("transport.serve", func(context.Context) { t.serve(conn) })
+		t.goroutines.Go("transport.serve", func(context.Context) { t.serveConnection(conn) })
 	}
 }
 
-// serve reads an accepted connection until it ends. Its messages come from the address that the peer
+// serveConnection reads an accepted connection until it ends. Its messages come from the address that the peer
 // names in its Hello; replies go back on the same connection, with the priority of traffic.
-func (t *Transport) serve(conn net.Conn) {
+func (t *Transport) serveConnection(conn net.Conn) {
 	connection := newConnection(t, conn, priorityTraffic)
 	defer func() {
 		connection.Close()
@@ -52,9 +52,9 @@
 	})
 }
 
-// retryAfter waits after a failed call on a listening socket, and reports whether to try again: until
+// waitBeforeRetry waits after a failed call on a listening socket, and reports whether to try again: until
 // the socket is closed or the process stops.
-func retryAfter(ctx context.Context, err error) bool {
+func waitBeforeRetry(ctx context.Context, err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
 	}
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -17,13 +17,13 @@
 	return Config{Address: "127.0.0.1:0", FrameLimit: 1 << 20, QueueLength: queueLength, DialTimeout: time.Second}
 }
 
-// exhaustedListener fails its first accepts as the kernel does when no file descriptor is left.
-type exhaustedListener struct {
+// failingListener fails its first accepts as the kernel does when no file descriptor is left.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *exhaustedListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -31,13 +31,13 @@
 	return l.Listener.Accept()
 }
 
-// exhaustedPackets fails its first receives.
-type exhaustedPackets struct {
+// failingPacketConn fails its first receives.
+type failingPacketConn struct {
 	net.PacketConn
 	failures int
 }
 
-func (p *exhaustedPackets) ReadFrom(buffer []byte) (int, net.Addr, error) {
+func (p *failingPacketConn) ReadFrom(buffer []byte) (int, net.Addr, error) {
 	if p.failures > 0 {
 		p.failures--
 		return 0, nil, &net.OpError{Op: "read", Err: syscall.ENOBUFS}
@@ -54,7 +54,7 @@
 	c.Assert(err, qt.IsNil)
 	to, err := New(group, testConfig(16), func(_ string, msg any, _ func(any) error) { received <- msg })
 	c.Assert(err, qt.IsNil)
-	to.listener, to.datagrams = &exhaustedListener{to.listener, 3}, &exhaustedPackets{to.datagrams, 3}
+	to.listener, to.datagrams = &failingListener{to.listener, 3}, &failingPacketConn{to.datagrams, 3}
 	from.Start()
 	to.Start()
 	defer from.Close()
--- a/internal/transport/pacer.go
+++ b/internal/transport/pacer.go
@@ -27,7 +27,7 @@
 	if p.rate == 0 {
 		return accept(time.Time{})
 	}
-	due := p.nextTurn(time.Now())
+	due := p.nextDue(time.Now())
 	if !accept(due) {
 		return false
 	}
@@ -50,8 +50,8 @@
 	return max(0, time.Until(p.freeAt))
 }
 
-// nextTurn returns the turn of the next frame.
-func (p *pacer) nextTurn(now time.Time) time.Time {
+// nextDue returns the turn of the next frame.
+func (p *pacer) nextDue(now time.Time) time.Time {
 	if earliest := now.Add(-maxBurst); p.freeAt.Before(earliest) {
 		return earliest
 	}
--- a/internal/transport/pacer_test.go
+++ b/internal/transport/pacer_test.go
@@ -13,32 +13,32 @@
 
 func TestReservationsFollowTheRate(t *testing.T) {
 	c := qt.New(t)
-	p := &pacer{rate: 100000}
-	began := time.Now()
+	limited := &pacer{rate: 100000}
+	startedAt := time.Now()
 	var last time.Time
 	for range 100 {
-		p.reserve(1000, func(due time.Time) bool { last = due; return true })
+		limited.reserve(1000, func(due time.Time) bool { last = due; return true })
 	}
 	// 99 frames of 10 ms each go before the last one, less what may be caught up on.
-	wait := last.Sub(began)
+	wait := last.Sub(startedAt)
 	c.Assert(wait >= 990*time.Millisecond-maxBurst, qt.IsTrue, qt.Commentf("%v", wait))
 	c.Assert(wait <= 1200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", wait))
-	backlog := p.backlog()
+	backlog := limited.backlog()
 	c.Assert(backlog > 500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", backlog))
 
 	// What was not taken reserves nothing.
-	p.reserve(1<<20, func(time.Time) bool { return false })
-	c.Assert(p.backlog() <= backlog, qt.IsTrue)
+	limited.reserve(1<<20, func(time.Time) bool { return false })
+	c.Assert(limited.backlog() <= backlog, qt.IsTrue)
 }
 
-func TestNothingIsBoundedWithoutARate(t *testing.T) {
+func TestNoPacingWithoutRate(t *testing.T) {
 	c := qt.New(t)
-	p := &pacer{}
-	p.reserve(1<<30, func(due time.Time) bool {
+	unlimited := &pacer{}
+	unlimited.reserve(1<<30, func(due time.Time) bool {
 		c.Check(due.IsZero(), qt.IsTrue)
 		return true
 	})
-	c.Assert(p.backlog(), qt.Equals, time.Duration(0))
+	c.Assert(unlimited.backlog(), qt.Equals, time.Duration(0))
 }
 
 // receiver counts the bytes of traffic bodies and notes when a control message came.
@@ -83,7 +83,7 @@
 	defer from.Close()
 	defer to.Close()
 
-	began := time.Now()
+	startedAt := time.Now()
 	traffic := from.OpenTraffic(to.address, func(any) {})
 	for range 250 {
 		forward := message.Forward{Headers: []message.HeaderLine{}, Body: make([]byte, body)}
@@ -97,8 +97,8 @@
 		c.Fatal("the control message is not there after a second")
 	}
 	time.Sleep(300 * time.Millisecond)
-	took := time.Since(began) + maxBurst
-	most := int(took.Seconds()*rate) + body
-	c.Assert(received.bytes() <= most, qt.IsTrue, qt.Commentf("%d bytes in %v, the link's share is %d", received.bytes(), took, most))
+	elapsed := time.Since(startedAt) + maxBurst
+	maxBytes := int(elapsed.Seconds()*rate) + body
+	c.Assert(received.bytes() <= maxBytes, qt.IsTrue, qt.Commentf("%d bytes in %v, the link's share is %d", received.bytes(), elapsed, maxBytes))
 	c.Assert(received.bytes() > 0, qt.IsTrue)
 }
