--- a/internal/errcode/errcode.go
+++ b/internal/errcode/errcode.go
@@ -1,7 +1,6 @@
-// Package errcode holds the numbered result codes of the whole system and the error type that
-// carries them. A code is what a person or a program outside sees; the text behind it is for the
-// log. A test compares the table in docs/codes.md with Entries, so that a code is never added in
-// one place only.
+// Package errcode defines the numbered result codes of the system and the error type that carries them. Codes are
+// the interface for users and other programs; the text of an error is for the log. A test verifies that the
+// table in docs/codes.md and Entries are equal.
 package errcode
 
 import (
@@ -13,10 +12,10 @@
 // Code is a numbered result, stable across versions.
 type Code int
 
-// OK is the code of whatever went well.
+// OK is the code of success.
 const OK Code = 0
 
-// Settings: seen in logs and at start only.
+// Faults in the settings. These codes appear only in logs and at startup.
 const (
 	ConfigUnknownKey  Code = 1001
 	ConfigBadValue    Code = 1002
@@ -31,7 +30,7 @@
 	AnnounceUnknown Code = 2002
 )
 
-// Requests that are refused; nothing ran.
+// Refused requests, which were not executed.
 const (
 	RequestNoKey         Code = 3001
 	RequestKeyUnknown    Code = 3002
@@ -46,7 +45,7 @@
 	RequestHeadTooLarge  Code = 3011
 )
 
-// Busy: nothing ran, and the caller may try again.
+// Requests that were not executed for lack of resources. The caller may retry.
 const (
 	BusyQueueFull            Code = 3101
 	BusyNoUpstream           Code = 3102
@@ -63,7 +62,7 @@
 	BusyBodies               Code = 3113
 )
 
-// Started, and without a whole answer of the upstream.
+// Requests that were started but have no complete response of the upstream.
 const (
 	UnknownOutcome  Code = 3201
 	UnknownTimeout  Code = 3202
@@ -83,12 +82,12 @@
 	ConfigurationLacking  Code = 4008
 )
 
-// Usage.
+// Usage windows.
 const (
 	UsageNotFound Code = 4101
 )
 
-// Voters and their disks.
+// Voters and their storage.
 const (
 	VoterShutOut    Code = 5001
 	VoterRecovering Code = 5002
@@ -103,19 +102,19 @@
 	FrameBad       Code = 6003
 )
 
-// Faults of the program itself.
+// Internal errors.
 const (
 	Internal Code = 9001
 )
 
-// Entry describes one code for the table and for HTTP.
+// Entry describes a code: its name, HTTP status and text.
 type Entry struct {
 	Name   string
-	Status int // of an HTTP answer; 0: the code is never answered over HTTP
+	Status int // HTTP status; 0 if the code is never sent over HTTP
 	Text   string
 }
 
-// Entries describes each code.
+// Entries describes every code.
 var Entries = map[Code]Entry{
 	OK:                   {"OK", 200, "done"},
 	ConfigUnknownKey:     {"ConfigUnknownKey", 0, "the settings hold a key that no program knows"},
@@ -174,7 +173,7 @@
 	Internal:             {"Internal", 500, "a fault of beaconvane's own"},
 }
 
-// Status returns the HTTP status of an answer with this code; 500 for codes without one.
+// Status returns the HTTP status of a response with this code. It is 500 for codes that have none.
 func (c Code) Status() int {
 	if entry, found := Entries[c]; found && entry.Status != 0 {
 		return entry.Status
@@ -185,14 +184,14 @@
 // String returns the code's name, or "" for an unknown code.
 func (c Code) String() string { return Entries[c].Name }
 
-// CodedError is an error with a code and the operation that it came from.
+// CodedError is an error with a code and the operation that failed.
 type CodedError struct {
 	Code  Code
 	Where string // "package.operation"
 	Cause error  // may be nil
 }
 
-// Error returns operation, code and cause.
+// Error returns the operation, the code and the cause.
 func (e *CodedError) Error() string {
 	if e.Cause == nil {
 		return fmt.Sprintf("%s: %s (%d)", e.Where, e.Code, int(e.Code))
@@ -203,14 +202,13 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (e *CodedError) Unwrap() error { return e.Cause }
 
-// Wrap returns a CodedError: the operation in which an error happened, its code and its cause, which
-// may be nil.
+// Wrap returns a CodedError for the operation that failed, with a code and a cause, which may be nil.
 func Wrap(where string, code Code, cause error) error {
 	return &CodedError{Code: code, Where: where, Cause: cause}
 }
 
-// CodeOf returns the code of the first CodedError in an error's chain: OK for nil, Internal for an
-// error without a code.
+// CodeOf returns the code of the first CodedError in an error's chain. It is OK for nil and Internal for an error
+// without a CodedError.
 func CodeOf(err error) Code {
 	var coded *CodedError
 	if errors.As(err, &coded) {
--- a/internal/errcode/errcode_test.go
+++ b/internal/errcode/errcode_test.go
@@ -1,4 +1,3 @@
-// The table in docs/codes.md and the code say the same.
 package errcode
 
 import (
@@ -10,6 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// The table in docs/codes.md has exactly the codes of Entries, with the same names, statuses and texts.
 func TestCodesAreDocumented(t *testing.T) {
 	c := qt.New(t)
 	body, err := os.ReadFile("../../docs/codes.md")
@@ -24,8 +24,8 @@
 			status = fmt.Sprint(entry.Status)
 		}
 		line := fmt.Sprintf("%d %s %s %s", int(code), entry.Name, status, entry.Text)
-		c.Check(documented[line], qt.IsTrue, qt.Commentf("missing or differs: %s", line))
+		c.Check(documented[line], qt.IsTrue, qt.Commentf("docs/codes.md lacks or contradicts: %s", line))
 		delete(documented, line)
 	}
-	c.Assert(documented, qt.HasLen, 0, qt.Commentf("documented but unknown"))
+	c.Assert(documented, qt.HasLen, 0, qt.Commentf("docs/codes.md has rows that Entries lacks"))
 }
--- a/internal/goroutine/goroutine.go
+++ b/internal/goroutine/goroutine.go
@@ -1,6 +1,6 @@
-// Package goroutine starts the goroutines of a process. Every one has a name, is counted while it
-// runs, and is waited for when the process stops. The package also has the process clock: the time
-// since start, monotonic, so that durations never jump.
+// Package goroutine manages the goroutines of a process: it counts the running ones and waits for them when
+// the process stops. It also provides the process clock, which is the monotonic time since start, so that
+// durations are unaffected by changes of the wall clock, and a wall clock that ignores short steps.
 package goroutine
 
 import (
@@ -11,24 +11,24 @@
 	"go.uber.org/atomic"
 )
 
-// Group starts, counts and stops the goroutines of a process.
+// Group starts, counts and stops the goroutines of a process. Its methods are safe for concurrent use.
 type Group struct {
-	Context   context.Context // ends on Stop
+	Context   context.Context // cancelled by Stop
 	cancel    context.CancelFunc
-	waitGroup   sync.WaitGroup
+	waitGroup sync.WaitGroup
 	running   atomic.Int64
 	startedAt time.Time
 	wall      wallClock
 }
 
-// New returns an empty group.
+// New returns a group without goroutines, and starts its process clock.
 func New() *Group {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Group{Context: ctx, cancel: cancel, startedAt: time.Now()}
 }
 
-// Go starts work in a goroutine of the group, with the group's context. The name says in the code
-// what is started; work should return soon after its context has ended.
+// Go runs work in a new goroutine with the group's context. The name only documents the call. work must
+// return soon after the context has ended.
 func (g *Group) Go(_ string, work func(ctx context.Context)) {
 	g.waitGroup.Add(1)
 	g.running.Inc()
@@ -41,14 +41,14 @@
 	}()
 }
 
-// Now returns the process clock: the time since the group was made.
+// Now returns the process clock: the time since the group was created.
 func (g *Group) Now() time.Duration { return time.Since(g.startedAt) }
 
 // Running returns the number of goroutines that have not returned yet.
 func (g *Group) Running() int64 { return g.running.Load() }
 
-// Stop cancels the context and waits for the goroutines, at most for the given time. It reports
-// whether all have returned.
+// Stop cancels the context and waits for the goroutines to return, at most for timeout. It reports whether
+// all have returned.
 func (g *Group) Stop(timeout time.Duration) bool {
 	g.cancel()
 	done := make(chan struct{})
--- a/internal/goroutine/wall_clock.go
+++ b/internal/goroutine/wall_clock.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// minStep is the smallest change at once that counts as a step.
+	// minStep is the smallest sudden change of the wall clock that counts as a step.
 	minStep = 128 * time.Millisecond
-	// stepConfirmation is how long a step has to last before it is followed. A process that starts
-	// while its machine's time is wrong is wrong itself for so long after the time was set right.
+	// stepConfirmation is how long a step must persist before it is applied. A process that starts while its
+	// machine's wall clock is wrong keeps the wrong time for this long after the clock was corrected.
 	stepConfirmation = 20 * time.Second
 )
 
-// wallClock returns the time of day, and follows a step of the machine's clock only once the step has
-// lasted. It adds an offset to the monotonic clock: slow corrections change the offset at once, a step
-// does so after stepOut. Usage is counted right on a machine whose time is set wrong for a while.
+// wallClock is a wall clock that ignores temporary steps of the machine's clock, so that usage is counted in
+// the correct window on a machine whose time is wrong for a short time. It adds an offset to the monotonic
+// clock. Corrections below minStep change the offset at once, a step only once it has persisted for
+// stepConfirmation.
 type wallClock struct {
-	lock    sync.Mutex
-	started bool
-	offset  time.Duration // time of day less monotonic time, as followed
-	candidate    time.Duration // another offset that is seen now
-	candidateSince   time.Duration // monotonic time at which that one was seen first; 0 when there is none
+	lock           sync.Mutex
+	started        bool
+	offset         time.Duration // wall clock minus monotonic clock, as applied
+	candidate      time.Duration // observed offset that is a step away from offset
+	candidateSince time.Duration // monotonic time at which candidate was first observed; 0 if there is no candidate
 }
 
-// read takes a reading of both clocks and returns the time of day since 1970 to go by.
+// read returns the filtered wall clock time since 1970 for a reading of both clocks.
 func (c *wallClock) read(monotonic, timeOfDay time.Duration) time.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -42,13 +43,13 @@
 	return monotonic + c.offset
 }
 
-// withinStep reports whether two offsets differ by less than a step.
+// withinStep reports whether two offsets differ by less than minStep.
 func withinStep(left, right time.Duration) bool {
 	return (left - right).Abs() < minStep
 }
 
-// Wall returns the time of day since 1970, without short steps of the machine's clock. It is for what
-// is counted by the time of day; safety never depends on it.
+// Wall returns the wall clock time since 1970 without temporary steps of the machine's clock. It is used
+// where calendar time matters, such as usage windows; safety must not depend on it.
 func (g *Group) Wall() time.Duration {
 	now := time.Now()
 	return g.wall.read(now.Sub(g.startedAt), time.Duration(now.UnixNano()))
--- a/internal/goroutine/wall_clock_test.go
+++ b/internal/goroutine/wall_clock_test.go
@@ -9,14 +9,14 @@
 
 const epoch = 1_000_000 * time.Hour
 
-// largestError plays a clock second by second from one steady second to another, stepped by the
-// given duration, and returns the largest error of its largestError.
+// largestError reads a clock once per second of the monotonic clock, in the seconds from (inclusive) to (exclusive),
+// while the machine's wall clock is off by step. It returns the largest error of the readings.
 func largestError(clock *wallClock, from, to int, step time.Duration) time.Duration {
 	largest := time.Duration(0)
 	for second := from; second < to; second++ {
-		steady := time.Duration(second) * time.Second
-		reading := clock.read(steady, epoch+steady+step)
-		largest = max(largest, (reading - epoch - steady).Abs())
+		monotonic := time.Duration(second) * time.Second
+		reading := clock.read(monotonic, epoch+monotonic+step)
+		largest = max(largest, (reading - epoch - monotonic).Abs())
 	}
 	return largest
 }
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestAStepThatLastsIsFollowed(t *testing.T) {
+func TestPersistentStepIsApplied(t *testing.T) {
 	c := qt.New(t)
 	clock := &wallClock{}
 	largestError(clock, 1, 10, 0)
@@ -50,13 +50,13 @@
 	c.Check(reading, qt.Equals, epoch+28*time.Second)
 }
 
-func TestSmallCorrectionsAreFollowedAtOnce(t *testing.T) {
+func TestSmallCorrectionsAreAppliedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	clock := &wallClock{}
 	for second := 1; second < 100; second++ {
-		steady := time.Duration(second) * time.Second
-		timeOfDay := epoch + steady + time.Duration(second)*100*time.Millisecond
-		c.Check(clock.read(steady, timeOfDay), qt.Equals, timeOfDay)
+		monotonic := time.Duration(second) * time.Second
+		timeOfDay := epoch + monotonic + time.Duration(second)*100*time.Millisecond
+		c.Check(clock.read(monotonic, timeOfDay), qt.Equals, timeOfDay)
 	}
 }
 
--- a/internal/message/codec.go
+++ b/internal/message/codec.go
@@ -67,7 +67,7 @@
 	}
 	entry, found := byKind[content[0]]
 	if !found {
-		return nil, errcode.Wrap("message.decode", errcode.FrameBad, fmt.Errorf("no message type is registered for kind byte %d", content[0]))
+		return nil, errcode.Wrap("message.decode", errcode.FrameBad, fmt.Errorf("message kind %d is not registered", content[0]))
 	}
 	target := reflect.New(entry.goType)
 	if err := codec.Unmarshal(entry.schema, content[kindBytes:], target.Interface()); err != nil {
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -7,6 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// A body of 8 MiB, which is above the library's default limit of 1 MiB, is encoded and decoded unchanged.
 func TestLargestBodySurvives(t *testing.T) {
 	c := qt.New(t)
 	body := bytes.Repeat([]byte("0123456789abcdef"), 8<<16)
@@ -17,7 +18,8 @@
 	c.Assert(bytes.Equal(decoded.(WriteRequest).Body, body), qt.IsTrue)
 }
 
-func TestBadFramesAreRefused(t *testing.T) {
+// Truncated frames, frames without a valid checksum and unregistered types are rejected.
+func TestInvalidFramesAreRejected(t *testing.T) {
 	c := qt.New(t)
 	frame, err := Encode(Forward{ID: "x", Headers: []HeaderLine{{"A", "b"}}, Body: []byte("body")})
 	c.Assert(err, qt.IsNil)
--- a/internal/message/request.go
+++ b/internal/message/request.go
@@ -32,7 +32,7 @@
 	Priority               int64  // 0 is the highest priority
 	LatencyTargetRemaining int64  // nanoseconds until the route's latency target is exceeded; 0 if there is none
 	AtMostOnce             bool   // the request must not be executed twice
-	Retried                bool   // an earlier attempt of the request reached an upstream
+	Retried                bool   // an earlier attempt of the request reached an upstream or may have reached one
 }
 
 // Outcome answers a Forward or an OutcomeRequest.
--- a/internal/message/updates.go
+++ b/internal/message/updates.go
@@ -48,6 +48,6 @@
 const (
 	RefusedNoPath  = "no path"  // the parent is a proxy that has no path to the source itself
 	RefusedLoop    = "loop"     // the child is on the parent's own path
-	RefusedNoLease = "no lease" // the parent does not hold the lease of the source
+	RefusedNoLease = "no lease" // the parent is a source that does not hold the lease required for serving
 	RefusedFull    = "full"     // the parent has reached its fan-out limit
 )
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -10,10 +10,10 @@
 	"beaconvane/internal/statemachine"
 )
 
-// eventControlLate is the event of a control goroutine that was held up.
+// eventControlLate is recorded when the control goroutine was delayed (recordLateTick).
 const eventControlLate = "control-late"
 
-// runControl applies commands to the machine one after the other, and carries out their effects.
+// runControl applies commands to the machine sequentially and performs their effects, until ctx ends.
 func (n *Node) runControl(ctx context.Context) {
 	env := statemachine.NewEnv(randomSeed())
 	ticker := time.NewTicker(n.Settings.TickEvery())
@@ -32,14 +32,15 @@
 	}
 }
 
+// randomSeed returns a seed for the machine's random source.
 func randomSeed() uint64 {
 	var seed [8]byte
-	_, _ = crand.Read(seed[:]) // never fails: the runtime ends a process that gets no random bytes
+	_, _ = crand.Read(seed[:]) // never fails: the runtime aborts the process if no random bytes are available
 	return binary.BigEndian.Uint64(seed[:])
 }
 
-// tick lets the machine look at the clock. Messages that have come are applied before, so that no
-// peer is judged silent whose message is already here.
+// tick applies a Ticked command, on which the machine evaluates its timeouts. Queued commands are applied
+// first, so that no peer times out while its message is in the queue.
 func (n *Node) tick(env *statemachine.Env) {
 	for range len(n.commands) {
 		n.apply(env, <-n.commands)
@@ -48,6 +49,7 @@
 	n.recordLateTick()
 }
 
+// apply applies a command to the machine, performs its effects, and records how long this took.
 func (n *Node) apply(env *statemachine.Env, command statemachine.Command) {
 	env.Now, env.Wall = n.Group.Now(), n.Group.Wall()
 	command.Apply(n.machine, env)
@@ -57,8 +59,7 @@
 	n.load.addCommand(n.Group.Now() - env.Now)
 }
 
-// recordLateTick records that the control goroutine was held up for longer than the interval of
-// updates.
+// recordLateTick records an event if the last tick was more than an update interval ago.
 func (n *Node) recordLateTick() {
 	now := n.Group.Now()
 	gap := n.load.addTick(now)
--- a/internal/node/control_load.go
+++ b/internal/node/control_load.go
@@ -6,16 +6,16 @@
 	"go.uber.org/atomic"
 )
 
-// controlLoad measures how busy the control goroutine is: a command that takes long delays probes,
-// lease renewals and updates.
+// controlLoad measures the load of the control goroutine, since a slow command delays probes, lease renewals
+// and updates. Only the control goroutine writes it; addTo may be called by any goroutine.
 type controlLoad struct {
-	commands   atomic.Int64
-	busy       atomic.Duration
-	longest    atomic.Duration // since the counters were read last
-	lastTickAt time.Duration   // of the control goroutine alone
+	commands   atomic.Int64    // number of commands applied
+	busy       atomic.Duration // total duration of all commands
+	longest    atomic.Duration // longest command since the last addTo
+	lastTickAt time.Duration   // accessed only by the control goroutine
 }
 
-// addCommand counts a command that was applied. Only the control goroutine calls it.
+// addCommand counts an applied command. Only the control goroutine calls it.
 func (l *controlLoad) addCommand(duration time.Duration) {
 	l.commands.Inc()
 	l.busy.Add(duration)
@@ -24,15 +24,14 @@
 	}
 }
 
-// addTick notes a tick and returns the time since the one before it. Only the control goroutine
-// calls it.
+// addTick records a tick and returns the time since the previous one. Only the control goroutine calls it.
 func (l *controlLoad) addTick(now time.Duration) time.Duration {
 	gap := now - l.lastTickAt
 	l.lastTickAt = now
 	return gap
 }
 
-// addTo adds the figures to the counters of the process, and begins a new longest duration.
+// addTo adds the measurements to counts, and resets the longest duration.
 func (l *controlLoad) addTo(counts map[string]int64) {
 	counts["control_commands_total"] = l.commands.Load()
 	counts["control_busy_microseconds_total"] = l.busy.Load().Microseconds()
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Names of counters, as the metrics page and the counters' answer show them.
+// Names of counters in the metrics page and in the response of the counters endpoint.
 const (
 	counterQueueFull        = "control_queue_full"
 	counterSendsDropped     = "sends_dropped"
@@ -19,7 +19,7 @@
 	eventCounterPrefix      = "event_"
 )
 
-// counters are counts by name.
+// counters holds the counts of a process by name. It is safe for concurrent use.
 type counters struct {
 	lock   sync.Mutex
 	counts map[string]int64
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -6,10 +6,11 @@
 	"beaconvane/internal/statemachine"
 )
 
-// maxBatch is how many writes are taken from the queue at once.
+// maxBatch is the maximum number of writes in a batch.
 const maxBatch = 256
 
-// runDisk carries out writes in their order. What waits at one time is synced together.
+// runDisk performs the queued writes in order, until ctx ends. All writes that are queued at a time form a
+// batch, so that they can share a sync.
 func (n *Node) runDisk(ctx context.Context) {
 	for {
 		select {
@@ -24,7 +25,7 @@
 	}
 }
 
-// nextBatch returns a write with those that wait behind it.
+// nextBatch returns a batch of the given write and those queued behind it.
 func (n *Node) nextBatch(first *statemachine.Write) []*statemachine.Write {
 	batch := []*statemachine.Write{first}
 	for len(n.writes) > 0 && len(batch) < maxBatch {
@@ -33,9 +34,9 @@
 	return batch
 }
 
-// writeBatch carries out a batch in its order, tells the machine of each write, and returns the
-// first failure. Once a write has failed the store refuses the rest, and the machine is told so of
-// each.
+// writeBatch performs a batch in order, notifies the machine of the result of each write, and returns the
+// first failure. After a failed write, the store rejects the remaining ones, and the machine is notified of
+// each failure.
 func (n *Node) writeBatch(batch []*statemachine.Write) error {
 	var firstFailure error
 	for len(batch) > 0 {
@@ -51,8 +52,8 @@
 	return firstFailure
 }
 
-// writeLeading writes a snapshot that leads the batch, or all records before the next snapshot, with
-// one sync. It returns how many writes that was.
+// writeLeading writes with one sync either the snapshot at the start of the batch or all records before
+// the first snapshot. It returns the number of writes.
 func (n *Node) writeLeading(batch []*statemachine.Write) (count int, failure error) {
 	n.counters.increment(counterDiskSyncs)
 	if snapshot := batch[0].Snapshot; snapshot != nil {
@@ -64,7 +65,7 @@
 	return len(records), n.store.Append(records)
 }
 
-// leadingRecords returns the records before the first snapshot, and their size in bytes.
+// leadingRecords returns the records before the first snapshot in the batch and their total size in bytes.
 func leadingRecords(batch []*statemachine.Write) (records [][]byte, size int) {
 	for _, write := range batch {
 		if write.Snapshot != nil {
@@ -76,7 +77,7 @@
 	return records, size
 }
 
-// notifySynced tells the machine what became of writes; it returns false when the process stops.
+// notifySynced notifies the machine of the result of writes. It returns false if the process is stopping.
 func (n *Node) notifySynced(writes []*statemachine.Write, failure error) bool {
 	for _, write := range writes {
 		select {
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -9,8 +9,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// perform carries out one effect of the machine. It never blocks for long: what waits for the
-// network runs in a goroutine of its own.
+// perform performs one effect of the machine. Effects that wait for the network run in their own goroutine,
+// so that the control goroutine is not blocked.
 func (n *Node) perform(effect any) {
 	switch effect := effect.(type) {
 	case statemachine.Send:
@@ -40,7 +40,7 @@
 	}
 }
 
-// probe tries whether an address accepts connections, and tells the machine.
+// probe dials an address and notifies the machine whether it accepts connections.
 func (n *Node) probe(ctx context.Context, probe statemachine.Probe) {
 	dialer := net.Dialer{Timeout: n.Settings.DialTimeout()}
 	conn, err := dialer.DialContext(ctx, "tcp", probe.Address)
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -8,28 +8,29 @@
 	"beaconvane/internal/statemachine"
 )
 
-// A journal that has grown to maxJournalEntries is cut to its newest trimmedJournalEntries.
+// A journal that exceeds maxJournalEntries is trimmed to its newest trimmedJournalEntries.
 const (
 	maxJournalEntries     = 2000
 	trimmedJournalEntries = maxJournalEntries * 3 / 4
 )
 
-// Entry is one line of the journal: an event of the machine with its cause.
+// Entry is a journal entry: an event of the machine with its cause.
 type Entry struct {
-	At        int64  `json:"at_ms"` // process clock
-	Wall      string `json:"wall"`  // time of day
+	At        int64  `json:"at_ms"` // milliseconds of the process clock
+	Wall      string `json:"wall"`  // wall clock time, UTC
 	EventName string `json:"event"`
 	Code      int    `json:"code"`
 	Epoch     int64  `json:"epoch"`
 	Cause     string `json:"cause"`
 }
 
-// journal keeps the newest events of a process in memory.
+// journal holds the newest events of a process in memory. It is safe for concurrent use.
 type journal struct {
 	lock    sync.Mutex
 	entries []Entry
 }
 
+// add appends an event with the wall clock time at which it was recorded.
 func (j *journal) add(event statemachine.Event, wall time.Time) {
 	entry := Entry{
 		At:        event.At.Milliseconds(),
@@ -47,8 +48,8 @@
 	}
 }
 
-// snapshot returns a copy of the entries, never nil: the JSON answer has a list even where there
-// are none.
+// snapshot returns a copy of the entries. It is never nil, so that the JSON response has an empty list rather
+// than null.
 func (j *journal) snapshot() []Entry {
 	j.lock.Lock()
 	defer j.lock.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,11 +1,10 @@
-// Package node runs a state machine as a process. One control goroutine applies commands to the
-// machine and carries out the effects that it returns, through ports: connections to other
-// processes, the disk, and HTTP. The node also keeps what is known of the process itself: a journal
-// of the machine's events, counters, and the log as JSON lines.
+// Package node runs a state machine as a process. One control goroutine applies commands to the machine and
+// performs the effects that it returns: messages to other processes, writes to disk, and replies to local
+// requests. The node also maintains the journal of the machine's events, the counters of the process, and
+// the log of JSON lines.
 //
-// Who touches what: the machine, and the random source that it draws from, belong to the control
-// goroutine; the files belong to the disk goroutine; all other state is guarded by the lock of its
-// own type.
+// Ownership: only the control goroutine accesses the machine and its random source, and only the disk
+// goroutine accesses the files. All other state is guarded by the lock of its own type.
 package node
 
 import (
@@ -26,11 +25,11 @@
 )
 
 const (
-	maxQueuedCommands = 4096  // for the control goroutine
-	maxQueuedWrites   = 16384 // for the disk goroutine
+	maxQueuedCommands = 4096  // queue length of the control goroutine
+	maxQueuedWrites   = 16384 // queue length of the disk goroutine
 )
 
-// Node is one process: a machine, its control goroutine, and the ports around it.
+// Node is a process that runs a machine, with its transport and its storage.
 type Node struct {
 	Settings  settings.Settings
 	Group     *goroutine.Group
@@ -45,7 +44,7 @@
 	writes       chan *statemachine.Write
 	store        *storage.Store
 	directory    storage.Directory
-	build        Build // nil: the state is not on disk
+	build        Build // nil if the machine's state is not stored on disk
 	replacements chan replacement
 
 	requests *pendingRequests
@@ -55,19 +54,19 @@
 	reporter *usageReporter
 }
 
-// PeerFrameHandler takes a message that another process sent on a connection, and returns false for
-// one that is meant for the machine. The handler may reply on the same connection.
+// PeerFrameHandler handles a message that another process sent on a connection. It returns false for a
+// message that is addressed to the machine. reply sends on the same connection.
 type PeerFrameHandler func(from string, msg any, reply func(msg any) error) bool
 
-// NewLog returns a logger of JSON lines on stderr, with the node's name, role and zone.
+// NewLog returns a logger that writes JSON lines with the node's name, role and zone to stderr.
 func NewLog(cfg settings.Settings, role string) logr.Logger {
 	writeLine := func(line string) { fmt.Fprintln(os.Stderr, line) }
 	options := funcr.Options{LogTimestamp: true, TimestampFormat: time.RFC3339Nano, Verbosity: int(cfg.LogLevel)}
 	return funcr.NewJSON(writeLine, options).WithValues("node", cfg.Node, "role", role, "zone", cfg.Zone)
 }
 
-// Self returns the member that this process is. Its start time is the current time, so that each
-// call returns another incarnation.
+// Self returns the description of this process as a member. Its start time is the current time, so each
+// call describes another run of the process.
 func Self(cfg settings.Settings, role string) message.Member {
 	voter := cfg.Voter
 	if role == message.RoleProxy {
@@ -84,7 +83,7 @@
 	}
 }
 
-// New returns a node without a machine; Run or RunFromDisk gives it one.
+// New returns a node without a machine. Run or RunFromDisk sets the machine.
 func New(cfg settings.Settings, role string, group *goroutine.Group) *Node {
 	return &Node{
 		Settings:     cfg,
@@ -100,20 +99,21 @@
 	}
 }
 
-// OnPublish sets who takes the machine's snapshots. It is called before Run.
+// OnPublish sets the function that receives the snapshots that the machine publishes. It must be called
+// before Run.
 func (n *Node) OnPublish(publish func(snapshot any)) { n.publish = publish }
 
-// OnTraffic sets who takes the frames between proxies. It is called before Run.
+// OnTraffic sets the handler of messages between proxies. It must be called before Run.
 func (n *Node) OnTraffic(handler PeerFrameHandler) { n.peerFrame = handler }
 
-// SetReportHeaders sets what else is put into the header of usage reports; nil: nothing. It is
-// called before Run.
+// SetReportHeaders sets a function that adds headers to usage reports; nil adds none. It must be called
+// before Run.
 func (n *Node) SetReportHeaders(set func(header http.Header, nodeName string, epoch int64)) {
 	n.reporter.setHeaders = set
 }
 
-// Run binds the address, hands the transport to begin (which may be nil), and starts the
-// goroutines of the machine.
+// Run binds the address, calls configure (which may be nil) with the transport before it accepts
+// connections, and starts the goroutines of the machine.
 func (n *Node) Run(machine statemachine.Machine, configure func(network *transport.Transport)) error {
 	n.machine = machine
 	network, err := transport.New(n.Group, transport.Config{
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// receive takes a message from another process; it is dropped when the control queue is full.
+// receive passes a message from another process to the traffic handler or the machine. It drops the message
+// if the command queue is full.
 func (n *Node) receive(from string, msg any, reply func(msg any) error) {
 	if n.peerFrame != nil && reply != nil && n.peerFrame(from, msg, reply) {
 		return
@@ -149,17 +150,17 @@
 	}
 }
 
-// record puts an event into the journal, the counters and the log.
+// record adds an event to the journal, the counters and the log.
 func (n *Node) record(event statemachine.Event) {
 	n.journal.add(event, time.Now())
 	n.counters.increment(eventCounterPrefix + event.EventName)
 	n.Log.Info(event.EventName, "code", event.Code, "epoch", event.Epoch, "cause", event.Cause)
 }
 
-// Journal returns the newest entries of the journal, the oldest of them first.
+// Journal returns the entries of the journal, oldest first.
 func (n *Node) Journal() []Entry { return n.journal.snapshot() }
 
-// Counters returns the process's own counters by name.
+// Counters returns the counters of the process by name. It resets the longest duration of a command.
 func (n *Node) Counters() map[string]int64 {
 	counts := n.counters.snapshot()
 	counts["goroutines"] = n.Group.Running()
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -10,31 +10,31 @@
 	"beaconvane/internal/storage"
 )
 
-// eventDiskRecovered is the event of a machine that was restored from a disk that takes writes again.
+// eventDiskRecovered is recorded when the machine was restored after the disk accepts writes again.
 const eventDiskRecovered = "disk-recovered"
 
-// DiskMachine is a state machine whose state is on disk.
+// DiskMachine is a state machine whose state is stored on disk.
 type DiskMachine interface {
 	statemachine.Machine
 	storage.Restorable
 }
 
-// Build restores a machine from a snapshot and the records behind it.
+// Build restores a machine from a snapshot and the records that follow it.
 type Build func(snapshot []byte, records [][]byte) (DiskMachine, error)
 
-// replacement hands the control goroutine a machine that was restored from the disk. Once taken is
-// closed the earlier machine is gone, and none of its writes is queued.
+// replacement passes a machine that was restored from disk to the control goroutine. Once installed is
+// closed, the earlier machine is no longer used and none of its writes is queued.
 type replacement struct {
-	machine DiskMachine
-	installed   chan struct{}
+	machine   DiskMachine
+	installed chan struct{}
 }
 
-// errReplaced ends the requests to which the earlier machine had not replied.
-var errReplaced = errcode.Wrap("node.replace", errcode.Internal, errors.New("the machine was restored from its disk"))
+// errReplaced is the reply to requests that were pending when the machine was replaced.
+var errReplaced = errcode.Wrap("node.replace", errcode.Internal, errors.New("request aborted: the state machine was restored from disk"))
 
-// RunFromDisk opens the data folder, restores the machine and runs it. When a write fails the
-// machine stops voting; as soon as the disk takes writes again the machine is restored from what the
-// disk holds, as after a restart of the process.
+// RunFromDisk opens the data directory, restores the machine and runs it. After a failed write, the machine
+// stops voting. When the disk accepts writes again, the machine is restored from the state on disk, as
+// after a restart of the process.
 func (n *Node) RunFromDisk(build Build) error {
 	directory, err := storage.NewOSDirectory(n.Settings.DataDirectory)
 	if err != nil {
@@ -52,8 +52,8 @@
 	return n.Run(machine, nil)
 }
 
-// recoverDisk tries until the disk works and the machine is replaced. It returns false when the
-// process stops before that.
+// recoverDisk retries until the store is reopened and the machine is replaced. It returns false if the
+// process stops first.
 func (n *Node) recoverDisk(ctx context.Context) bool {
 	retry := time.NewTicker(n.Settings.DiskRetryEvery())
 	defer retry.Stop()
@@ -73,7 +73,8 @@
 	}
 }
 
-// replaceMachine hands a machine to the control goroutine and waits until it has taken over.
+// replaceMachine passes a machine to the control goroutine and waits until it is installed. It returns false
+// if the process stops first.
 func (n *Node) replaceMachine(ctx context.Context, machine DiskMachine) bool {
 	next := replacement{machine: machine, installed: make(chan struct{})}
 	select {
@@ -89,8 +90,8 @@
 	}
 }
 
-// installReplacement puts a restored machine in the place of the present one, and drops what that one
-// had still to write. It runs in the control goroutine, the only one that queues writes.
+// installReplacement replaces the machine and drops the queued writes of the earlier one. Only the control
+// goroutine calls it, since it is the only one that queues writes.
 func (n *Node) installReplacement(next replacement) {
 	n.machine = next.machine
 	for len(n.writes) > 0 {
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -9,7 +9,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// Notify gives the machine a notice that wants no reply.
+// Notify sends a notice, to which there is no reply, to the machine. It blocks while the command queue is
+// full.
 func (n *Node) Notify(notice any) {
 	select {
 	case n.commands <- statemachine.LocalRequest{Request: notice}:
@@ -17,7 +18,7 @@
 	}
 }
 
-// Request hands a request to the machine and waits for its reply, at most until the context ends.
+// Request sends a request to the machine and waits for the reply until ctx ends.
 func (n *Node) Request(ctx context.Context, request any) (any, error) {
 	requestID, replies := n.requests.open()
 	select {
@@ -37,8 +38,8 @@
 	}
 }
 
-// RequestAs is Request for a caller that knows the type of the reply. A reply of another type is an
-// error with the code Internal.
+// RequestAs calls Request and converts the reply to the expected type. A reply of another type is an error
+// with the code Internal.
 func RequestAs[Reply any](ctx context.Context, n *Node, request any) (Reply, error) {
 	answer, err := n.Request(ctx, request)
 	if err != nil {
@@ -47,21 +48,21 @@
 	}
 	reply, known := answer.(Reply)
 	if !known {
-		return reply, errcode.Wrap("node.ask", errcode.Internal, fmt.Errorf("%T is answered with %T", request, answer))
+		return reply, errcode.Wrap("node.ask", errcode.Internal, fmt.Errorf("reply to %T has unexpected type %T", request, answer))
 	}
 	return reply, nil
 }
 
-// pendingRequests are the requests to the machine whose callers still wait.
+// pendingRequests holds the requests to the machine that have no reply yet.
 type pendingRequests struct {
 	lock    sync.Mutex
 	lastID  int64
-	replies map[int64]chan any // by request; each takes one reply without blocking
+	replies map[int64]chan any // by request ID; each has a buffer for its one reply
 }
 
 func newPendingRequests() *pendingRequests { return &pendingRequests{replies: map[int64]chan any{}} }
 
-// open returns the number of a new request, and where its reply will come.
+// open registers a new request. It returns its ID and the channel that receives its reply.
 func (p *pendingRequests) open() (requestID int64, reply <-chan any) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -71,14 +72,14 @@
 	return p.lastID, replyChannel
 }
 
-// cancel drops a request for which nobody waits any more.
+// cancel removes a request whose caller has stopped waiting.
 func (p *pendingRequests) cancel(requestID int64) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	delete(p.replies, requestID)
 }
 
-// reply hands a reply to the caller, if it still waits.
+// reply sends a reply to the caller, unless the request was cancelled.
 func (p *pendingRequests) reply(requestID int64, reply any) {
 	p.lock.Lock()
 	replyChannel := p.replies[requestID]
@@ -89,7 +90,7 @@
 	}
 }
 
-// failAll ends every open request with an error.
+// failAll replies to every pending request with an error.
 func (p *pendingRequests) failAll(err error) {
 	p.lock.Lock()
 	replies := p.replies
--- a/internal/node/usage_report.go
+++ b/internal/node/usage_report.go
@@ -12,40 +12,40 @@
 	"beaconvane/internal/registry"
 )
 
-// maxReportResponseBytes is how much is read of the collector's answer.
+// maxReportResponseBytes limits how much of the collector's response is read.
 const maxReportResponseBytes = 1 << 16
 
-// usageReportBody is the body of a report to the collector.
+// usageReportBody is the JSON body of a report to the collector. The order of the fields is part of its form.
 type usageReportBody struct {
 	Counts map[string]int64 `json:"counts"` // by tenant
-	Epoch  int64            `json:"epoch"`  // of the lease under which it is sent
-	From   string           `json:"from"`   // the sending node
+	Epoch  int64            `json:"epoch"`  // epoch of the usage lease under which the report is sent
+	From   string           `json:"from"`   // name of the sending node
 	Window int64            `json:"window"`
 }
 
-// reportOutcome is what became of a report.
+// reportOutcome is the result of posting a report.
 type reportOutcome int
 
 const (
-	reportAccepted reportOutcome = iota // the collector took it
-	reportRefused                       // the collector answered otherwise
-	reportFailed                        // no answer came in time
-	reportTooLate                       // the lease had ended before anything was sent
+	reportAccepted reportOutcome = iota // the collector answered with a 2xx status
+	reportRefused                       // the collector answered with another status
+	reportFailed                        // the post failed or timed out, so that its effect is unknown
+	reportTooLate                       // the report expired before it was sent
 )
 
-// usageReporter posts sealed usage windows to the collector. A collector that ignores the fencing
-// token must hear nothing of a holder whose lease has ended, not even what a network partition has
-// delayed: a post ends with the lease, and its connection is then reset, which drops the bytes that
-// are still on their way.
+// usageReporter posts sealed usage windows to the collector. A collector that ignores the fencing token must
+// not receive reports of a holder whose lease has expired, not even reports that a network partition delayed.
+// Therefore a post is cancelled when the lease expires, and its connection is reset, which drops the bytes
+// that are still queued in the kernel.
 type usageReporter struct {
 	collector  string
-	nodeName       string        // the node's name
-	timeout      time.Duration // of a post
+	nodeName   string        // sender in the reports
+	timeout    time.Duration // limit for a post
 	setHeaders headerSetter
 	client     *http.Client
 }
 
-// headerSetter adds to the header of a usage report who sends it under which epoch.
+// headerSetter adds headers to a usage report that a node sends under an epoch of the usage lease.
 type headerSetter func(header http.Header, nodeName string, epoch int64)
 
 // newUsageReporter returns a reporter; setHeaders may be nil.
@@ -56,7 +56,7 @@
 		client: &http.Client{Transport: transport, CheckRedirect: refuseRedirects}}
 }
 
-// dialWithReset opens a connection that is reset when it is closed.
+// dialWithReset opens a TCP connection that is reset when it is closed (SO_LINGER 0).
 func dialWithReset(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{}
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -72,7 +72,7 @@
 	return conn, nil
 }
 
-// post sends a report once, at a time of the process clock.
+// post sends a report once. now is the process clock, on which the report expires at report.ExpiresAt.
 func (r *usageReporter) post(ctx context.Context, report registry.UsageReport, now time.Duration) reportOutcome {
 	timeout := min(r.timeout, report.ExpiresAt-now)
 	if timeout <= 0 {
@@ -96,6 +96,7 @@
 	return reportAccepted
 }
 
+// request returns the HTTP request for a report.
 func (r *usageReporter) request(ctx context.Context, report registry.UsageReport) (*http.Request, error) {
 	body, err := json.Marshal(usageReportBody{Counts: report.Counts, Epoch: report.Epoch, From: r.nodeName, Window: report.Window})
 	if err != nil {
@@ -105,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the client can't send the report a second time by itself.
+	// Without GetBody, the client can't repeat the request on its own.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	if r.setHeaders != nil {
@@ -114,8 +115,8 @@
 	return request, nil
 }
 
-// reportUsage posts a sealed window and tells the machine once the collector has it. A report that
-// did not arrive is counted; the machine sends it again.
+// reportUsage posts a sealed window, and notifies the machine if the collector accepted it. Other outcomes
+// are counted; the machine repeats the report.
 func (n *Node) reportUsage(ctx context.Context, report registry.UsageReport) {
 	switch n.reporter.post(ctx, report, n.Group.Now()) {
 	case reportAccepted:
--- a/internal/node/usage_report_test.go
+++ b/internal/node/usage_report_test.go
@@ -27,7 +27,8 @@
 		out.WriteHeader(status)
 	}))
 	defer collector.Close()
-	reporter := newUsageReporter(collector.URL, "core-1", time.Minute, func(header http.Header, _ string, _ int64) { header.Set("Fence", "7") })
+	setFence := func(header http.Header, _ string, _ int64) { header.Set("Fence", "7") }
+	reporter := newUsageReporter(collector.URL, "core-1", time.Minute, setFence)
 	report := registry.UsageReport{Window: 3, Counts: map[string]int64{"t": 5}, Epoch: 7, ExpiresAt: time.Hour}
 	c.Assert(reporter.post(context.Background(), report, 0), qt.Equals, reportAccepted)
 	c.Assert(<-requests, qt.Equals, `7 {"counts":{"t":5},"epoch":7,"from":"core-1","window":3}`)
@@ -35,7 +36,7 @@
 	c.Assert(reporter.post(context.Background(), report, 0), qt.Equals, reportRefused)
 }
 
-// Nothing is sent once the lease under which a window was sealed has ended.
+// A report is not sent after the lease under which its window was sealed has expired.
 func TestReportBehindItsTimeIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	requests := make(chan struct{}, 1)
@@ -46,8 +47,8 @@
 	c.Assert(requests, qt.HasLen, 0)
 }
 
-// A report that nobody answers is given up with its lease, and its connection is reset, so
-// that what a cut has held up of it does not reach the collector later.
+// A report without a response is cancelled when its lease expires, and its connection is reset, so that bytes
+// that a network partition delayed don't reach the collector later.
 func TestReportIsResetWithItsLease(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -11,19 +11,19 @@
 	"beaconvane/internal/message"
 )
 
-// sendPriority says whether the frames of a connection wait for their turn on the machine's link.
+// sendPriority selects whether the frames of a connection are paced.
 type sendPriority int
 
 const (
-	priorityControl sendPriority = iota // sent at once
-	priorityTraffic                     // paced
+	priorityControl sendPriority = iota // written immediately
+	priorityTraffic                     // paced to the rate limit of the transport
 )
 
-// bufferBytes is the size of a connection's buffers, each way: some frames.
+// bufferBytes is the size of a connection's read buffer and of its write buffer. Each holds a few frames.
 const bufferBytes = 8 << 10
 
-// Connection is one TCP stream of frames with a bounded queue of those to be sent. It begins
-// unattached where it is still being dialled, and is closed once, for good.
+// Connection is a TCP connection that carries frames, with a bounded queue of frames to send. A connection that
+// is still being dialed has no net.Conn attached. A closed connection is not reopened.
 type Connection struct {
 	transport *Transport
 	priority  sendPriority
@@ -32,13 +32,13 @@
 	closeOnce sync.Once
 
 	lock sync.Mutex
-	conn net.Conn // nil until it is attached
+	conn net.Conn // nil until attach
 }
 
-// queuedFrame is a frame that is to be written.
+// queuedFrame is a frame in the send queue.
 type queuedFrame struct {
 	frame []byte
-	due   time.Time // its turn on the link; zero: at once
+	due   time.Time // earliest time of writing, set by the pacer; zero for immediately
 }
 
 func newConnection(transport *Transport, conn net.Conn, priority sendPriority) *Connection {
@@ -51,8 +51,8 @@
 	}
 }
 
-// attach hands over a net.Conn that was dialled, and reports whether it was taken: not by a connection
-// that was closed meanwhile.
+// attach sets the net.Conn after dialing. It returns false, and leaves conn to the caller, if the connection was
+// closed in the meantime.
 func (c *Connection) attach(conn net.Conn) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -63,14 +63,14 @@
 	return true
 }
 
-// Established reports whether the TCP connection was ever made. Before that nothing was sent.
+// Established reports whether the TCP connection was ever established. If not, nothing was sent.
 func (c *Connection) Established() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return c.conn != nil
 }
 
-// Broken reports whether the connection has ended.
+// Broken reports whether the connection is closed.
 func (c *Connection) Broken() bool {
 	select {
 	case <-c.closed:
@@ -80,10 +80,10 @@
 	}
 }
 
-// Closed returns a channel that is closed when the connection ends.
+// Closed returns a channel that is closed when the connection is closed.
 func (c *Connection) Closed() <-chan struct{} { return c.closed }
 
-// Close ends the connection. Frames that are still queued are not sent.
+// Close closes the connection. Queued frames are not sent. Further calls have no effect.
 func (c *Connection) Close() {
 	c.closeOnce.Do(func() {
 		close(c.closed)
@@ -95,8 +95,8 @@
 	})
 }
 
-// Post queues a message. After an error nothing of it was sent; that nothing is returned does not mean
-// that it arrives.
+// Post queues a message. If it returns an error, no part of the message was sent. A nil error does not guarantee
+// delivery.
 func (c *Connection) Post(sent any) error {
 	frame, err := message.Encode(sent)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// enqueue queues a frame if there is room.
+// enqueue adds a frame to the queue. It reports false if the queue is full.
 func (c *Connection) enqueue(frame []byte, due time.Time) bool {
 	if c.priority == priorityControl {
 		due = time.Time{}
@@ -130,7 +130,8 @@
 	}
 }
 
-// write writes the queued frames until the connection ends, and closes it.
+// write writes queued frames until the connection is closed, a write fails or ctx ends. Then it closes the
+// connection.
 func (c *Connection) write(ctx context.Context) {
 	defer c.Close()
 	writer := bufio.NewWriterSize(c.conn, bufferBytes)
@@ -148,8 +149,8 @@
 	}
 }
 
-// waitUntilDue waits until a frame's turn on the link, after what was written before has been flushed. It
-// reports whether the connection goes on.
+// waitUntilDue flushes the earlier frames and waits until a frame is due. It reports whether the connection
+// is still usable.
 func (c *Connection) waitUntilDue(ctx context.Context, writer *bufio.Writer, due time.Time) bool {
 	wait := time.Until(due)
 	if due.IsZero() || wait <= 0 {
@@ -170,8 +171,8 @@
 	}
 }
 
-// send writes a frame, and flushes where none waits behind it. It reports whether the connection goes
-// on: a failed write ends it.
+// send writes a frame, and flushes if the queue is empty. It reports whether the connection is still usable, which
+// it is not after a failed write.
 func (c *Connection) send(writer *bufio.Writer, frame []byte) bool {
 	if err := writeFrame(writer, frame); err != nil {
 		return false
@@ -180,8 +181,8 @@
 	return len(c.queue) > 0 || writer.Flush() == nil
 }
 
-// read hands over the messages that arrive until the connection ends. What can't be read ends it, too:
-// after a bad frame the borders of the next one are not known.
+// read calls deliver for each received message until the connection is closed. It also returns on a frame that
+// can't be decoded, since the stream may be out of step with the frame boundaries after it.
 func (c *Connection) read(deliver func(received any)) {
 	reader := bufio.NewReaderSize(c.conn, bufferBytes)
 	for {
--- a/internal/transport/datagram.go
+++ b/internal/transport/datagram.go
@@ -8,10 +8,10 @@
 	"beaconvane/internal/message"
 )
 
-// maxDatagramBytes is the size of the largest datagram.
+// maxDatagramBytes is the size of the receive buffer, which holds any datagram.
 const maxDatagramBytes = 65536
 
-// Datagram sends a message over UDP.
+// Datagram sends a message over UDP. It is not paced, but its bytes delay later traffic.
 func (t *Transport) Datagram(to string, sent any) error {
 	frame, err := message.Encode(sent)
 	if err != nil {
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// receiveDatagrams takes datagrams until the socket is closed. Those that are no messages are dropped.
+// receiveDatagrams passes received messages to the handler until the socket is closed. Datagrams that can't be
+// decoded are dropped.
 func (t *Transport) receiveDatagrams(ctx context.Context) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -10,17 +10,18 @@
 	"beaconvane/internal/message"
 )
 
-// tcpUserTimeout is the number of the socket option TCP_USER_TIMEOUT, which package syscall lacks.
+// tcpUserTimeout is the number of the socket option TCP_USER_TIMEOUT, which package syscall doesn't define.
 const tcpUserTimeout = 18
 
-// userTimeoutDials is how many dial timeouts sent bytes may stay without an acknowledgement.
+// userTimeoutDials is TCP_USER_TIMEOUT in units of the dial timeout.
 const userTimeoutDials = 6
 
-// open returns a connection that is being made; what is posted on it waits until it is. lost, which may
-// be nil, is called with the address when it has ended or could not be made.
+// open returns a connection that is dialed in the background. Messages posted before it is established are queued.
+// onLost, which may be nil, is called with the address when the connection is closed or the dial failed, unless the
+// process is stopping.
 func (t *Transport) open(to string, priority sendPriority, deliver func(received any), onLost func(address string)) *Connection {
 	connection := newConnection(t, nil, priority)
-	_ = connection.Post(message.Hello{Address: t.address}) // its queue is empty
+	_ = connection.Post(message.Hello{Address: t.address}) // can't fail: the queue is empty
 	t.goroutines.Go("transport.dial", func(ctx context.Context) {
 		t.runConnection(ctx, to, connection, deliver)
 		if onLost != nil && ctx.Err() == nil {
@@ -30,7 +31,7 @@
 	return connection
 }
 
-// runConnection makes a connection and writes what is posted on it, until it ends.
+// runConnection dials a connection, and then reads and writes it until it is closed.
 func (t *Transport) runConnection(ctx context.Context, to string, connection *Connection, deliver func(received any)) {
 	dialer := net.Dialer{Timeout: t.config.DialTimeout, Control: t.setUserTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", to)
@@ -49,9 +50,9 @@
 	connection.write(ctx)
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged by the peer's kernel. After a
-// partition the kernel would otherwise go on with a connection that it retries seldom, long after a
-// new one could be made.
+// setUserTimeout limits how long sent bytes may remain unacknowledged by the peer's kernel. Without the limit, the
+// kernel keeps a connection that a network partition interrupted, and retransmits on it at long intervals, long
+// after a new connection could be established.
 func (t *Transport) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	timeout := int(t.config.DialTimeout * userTimeoutDials / time.Millisecond)
 	var optionErr error
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,23 +1,21 @@
-// Package transport carries messages between processes. Nothing here promises delivery: the machines
-// repeat what was lost.
+// Package transport sends messages between processes. Delivery is not guaranteed: the state machines repeat lost
+// messages.
 //
-// # Ways
+// # Protocols
 //
-// Control messages go over one TCP connection to each address, which Send opens on demand. Traffic
-// goes over connections of its own, from OpenTraffic, so that a large answer never delays a vote.
-// Probes go over UDP. Each message is encoded by package message; on TCP a frame is the four bytes of
-// its length, then the encoding.
+// Control messages are sent on one TCP connection per address, which Send opens on demand. Traffic, which is the
+// requests and responses between proxies, is sent on separate connections (OpenTraffic), so that a large response
+// doesn't delay a vote. Probes are sent over UDP. Package message encodes each message. On TCP, the length of the
+// encoding precedes it in four bytes.
 //
 // # Pacing and queues
 //
-// Each connection has a bounded queue, and a message for which it has no room is refused at once.
-// LimitRate makes traffic wait for its turn on the machine's link, while control messages go at once
-// (pacer).
+// Each connection has a bounded queue. A message that doesn't fit is rejected immediately. LimitRate paces traffic
+// to the rate of the machine's link, while control messages are sent immediately (pacer).
 //
 // # Ownership
 //
-// A Transport owns its listeners, the connections that it accepted and its control connections; Close
-// closes these. A connection for traffic belongs to who opened it. A Connection owns its net.Conn from
-// attach on and closes it once, in Close, whoever calls that: its reader or its writer when they end,
-// the Transport, or the opener.
+// A Transport owns its listeners, accepted connections and control connections, and Close closes them. A traffic
+// connection is owned by the caller of OpenTraffic. A Connection owns its net.Conn once it is attached and closes it
+// once, in Close, which may be called by its reader, its writer, the Transport or the caller of OpenTraffic.
 package transport
--- a/internal/transport/frame_counters.go
+++ b/internal/transport/frame_counters.go
@@ -6,8 +6,8 @@
 	"beaconvane/internal/message"
 )
 
-// Count is how many messages of a kind were sent or received so far, and their bytes with the headers
-// of frames. It only grows: whoever wants a rate reads it twice.
+// Count is the number of messages of a kind that were sent or received by one protocol since the start, and their
+// bytes including frame headers. It never decreases, so a rate is the difference of two readings.
 type Count struct {
 	Protocol string `json:"way"` // "tcp" or "udp"
 	Outbound bool   `json:"out"`
@@ -16,7 +16,7 @@
 	Bytes    int64  `json:"bytes"`
 }
 
-// Indices of frameCounters.
+// Indices of frameCounters.counters: protocol and direction.
 const (
 	protocolTCP = 0
 	protocolUDP = 1
@@ -24,25 +24,27 @@
 	outbound    = 1
 )
 
-// maxKinds is how many kinds of message the first byte of a frame can name.
+// maxKinds is the number of values of the kind byte, the first byte of a frame.
 const maxKinds = 256
 
 var protocolNames = [2]string{protocolTCP: "tcp", protocolUDP: "udp"}
 
-// frameCounters counts frames by protocol, direction and kind of message.
+// frameCounters counts frames by protocol, direction and kind of message. It is safe for concurrent use.
 type frameCounters struct {
 	counters [2][2][maxKinds]frameCounter
 }
 
+// frameCounter counts the frames of one kind.
 type frameCounter struct{ messages, bytes atomic.Int64 }
 
+// add counts a frame; bytes includes its header.
 func (f *frameCounters) add(protocol, direction int, kind byte, bytes int) {
 	counter := &f.counters[protocol][direction][kind]
 	counter.messages.Inc()
 	counter.bytes.Add(int64(bytes))
 }
 
-// counts returns the counters that are not zero.
+// counts returns the nonzero counters.
 func (f *frameCounters) counts() []Count {
 	counts := []Count{}
 	for protocol := range f.counters {
@@ -65,5 +67,5 @@
 	return counts
 }
 
-// Counts returns what was sent and received so far.
+// Counts returns the counts of sent and received messages since the start.
 func (t *Transport) Counts() []Count { return t.counters.counts() }
--- a/internal/transport/framing.go
+++ b/internal/transport/framing.go
@@ -6,16 +6,18 @@
 	"io"
 )
 
-// frameHeaderBytes is the size of a frame's header: the length of what follows, in network byte order.
+// frameHeaderBytes is the size of a frame header, which is the length of the frame in network byte order.
 const frameHeaderBytes = 4
 
-// frameSizeError is the error of a frame that is empty or larger than the limit.
+// frameSizeError reports a frame that is empty or larger than the limit.
 type frameSizeError struct{ bytes int64 }
 
 // Error implements error.
-func (e *frameSizeError) Error() string { return fmt.Sprintf("frame of %d bytes", e.bytes) }
+func (e *frameSizeError) Error() string {
+	return fmt.Sprintf("frame size of %d bytes is zero or exceeds the frame limit", e.bytes)
+}
 
-// writeFrame writes a frame behind its header.
+// writeFrame writes a header and a frame.
 func writeFrame(writer io.Writer, frame []byte) error {
 	var header [frameHeaderBytes]byte
 	binary.BigEndian.PutUint32(header[:], uint32(len(frame)))
@@ -26,7 +28,8 @@
 	return err
 }
 
-// readFrame reads the next frame. One whose header names a size out of bounds is not read.
+// readFrame reads the next frame. If its size is zero or exceeds limit, it returns a frameSizeError after the
+// header.
 func readFrame(reader io.Reader, limit int64) ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
--- a/internal/transport/framing_golden_test.go
+++ b/internal/transport/framing_golden_test.go
@@ -1,4 +1,4 @@
-// The bytes on connections and in datagrams, against plain sockets.
+// The tests in this file compare the bytes on connections and in datagrams with golden bytes, using plain sockets.
 package transport
 
 import (
@@ -17,31 +17,31 @@
 )
 
 const (
-	goldenFrameLimit = 1 << 20 // bytes
-	goldenQueueLength      = 16      // frames
-	goldenDialTimeout       = 2 * time.Second
-	goldenTimeout       = 5 * time.Second
+	goldenFrameLimit  = 1 << 20 // bytes
+	goldenQueueLength = 16      // frames
+	goldenDialTimeout = 2 * time.Second
+	goldenTimeout     = 5 * time.Second
 	// goldenHelloKind is the kind byte of the first frame on a connection.
 	goldenHelloKind = 41
 )
 
-// goldenCancel and goldenOutcomeRequest are messages with their frames, without the length
-// that stands before a frame on a connection.
+// goldenCancel and goldenOutcomeRequest are messages with their encoded frames, without the length that
+// precedes a frame on a connection.
 var (
-	goldenCancel            = message.Cancel{ID: "try-1"}
-	goldenCancelFrame       = "280a7472792d31ac70cc4a"
+	goldenCancel              = message.Cancel{ID: "try-1"}
+	goldenCancelFrame         = "280a7472792d31ac70cc4a"
 	goldenOutcomeRequest      = message.OutcomeRequest{ID: "try-2", ServingProxyStartTime: 300}
 	goldenOutcomeRequestFrame = "270a7472792d32d804ce4b62c1"
 )
 
-// goldenArrival is a message that a transport has taken.
+// goldenArrival is a message that a transport received.
 type goldenArrival struct {
-	from string
-	msg  any
+	from  string
+	msg   any
 	reply func(msg any) error
 }
 
-// startTransport starts a transport, and returns it with what arrives at it.
+// startTransport starts a transport and returns it with a channel of the messages that it receives.
 func startTransport(c *qt.C) (*Transport, <-chan goldenArrival) {
 	group := goroutine.New()
 	arrivals := make(chan goldenArrival, goldenQueueLength)
@@ -57,26 +57,26 @@
 	return network, arrivals
 }
 
-// fromHex returns the bytes of a golden text.
+// fromHex decodes golden bytes.
 func fromHex(c *qt.C, text string) []byte {
 	body, err := hex.DecodeString(text)
 	c.Assert(err, qt.IsNil)
 	return body
 }
 
-// withLengthPrefix returns a frame as it stands on a connection: behind its length.
+// withLengthPrefix returns a frame as sent on a connection, preceded by its length.
 func withLengthPrefix(frame []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(frame))), frame...)
 }
 
-// helloFrame spells out the first frame of a connection: the kind, the length of the sender's
-// address as a zigzag number, the address, and the CRC-32C of these.
+// helloFrame builds the first frame of a connection without package message: the kind byte, the length of the
+// sender's address as a zigzag number, the address, and the CRC-32C checksum of these.
 func helloFrame(address string) []byte {
 	frame := append([]byte{goldenHelloKind, byte(2 * len(address))}, address...)
 	return binary.BigEndian.AppendUint32(frame, crc32.Checksum(frame, crc32.MakeTable(crc32.Castagnoli)))
 }
 
-// assertReads reads from a connection as many bytes as are wanted and compares them.
+// assertReads reads len(want) bytes from a connection and compares them with want.
 func assertReads(c *qt.C, conn net.Conn, want []byte) {
 	c.Assert(conn.SetReadDeadline(time.Now().Add(goldenTimeout)), qt.IsNil)
 	got := make([]byte, len(want))
@@ -85,18 +85,19 @@
 	c.Assert(hex.EncodeToString(got), qt.Equals, hex.EncodeToString(want))
 }
 
+// awaitArrival returns the next received message, and fails the test if there is none within goldenTimeout.
 func awaitArrival(c *qt.C, arrivals <-chan goldenArrival) goldenArrival {
 	select {
 	case arrival := <-arrivals:
 		return arrival
 	case <-time.After(goldenTimeout):
-		c.Fatal("nothing arrived")
+		c.Fatal("the transport received no message")
 		return goldenArrival{}
 	}
 }
 
-// A connection begins with the sender's address, and each frame stands behind its length in
-// four bytes, highest first.
+// The first frame on a connection has the sender's address. The length of each frame precedes it as four bytes
+// in network byte order.
 func TestSentFramesMatchGoldenBytes(t *testing.T) {
 	c := qt.New(t)
 	network, _ := startTransport(c)
@@ -114,7 +115,7 @@
 	assertReads(c, conn, fromHex(c, "0000000d"+goldenOutcomeRequestFrame))
 }
 
-// Bytes as an earlier build sends them are taken, and the answer goes back on the connection.
+// Bytes in the format of earlier builds are decoded, and the reply is sent on the same connection.
 func TestGoldenFramesAreReceived(t *testing.T) {
 	c := qt.New(t)
 	network, arrivals := startTransport(c)
@@ -133,7 +134,7 @@
 	assertReads(c, conn, fromHex(c, "0000000d"+goldenOutcomeRequestFrame))
 }
 
-// A datagram is one frame without a length.
+// A datagram is one frame without a length prefix.
 func TestDatagramsMatchGoldenBytes(t *testing.T) {
 	c := qt.New(t)
 	network, arrivals := startTransport(c)
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -9,12 +9,12 @@
 	"beaconvane/internal/message"
 )
 
-// acceptRetryDelay is the pause after a failed accept or receive, as when the process is out of file
+// acceptRetryDelay is the delay after a failed accept or receive, for example when the process has run out of file
 // descriptors.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// acceptConnections serves connections of other processes until the listener is closed. Being out of
-// file descriptors for a moment must not end it.
+// acceptConnections accepts connections of other processes until the listener is closed. It retries after other
+// errors, since the process may temporarily run out of file descriptors.
 func (t *Transport) acceptConnections(ctx context.Context) {
 	for {
 		conn, err := t.listener.Accept()
@@ -31,8 +31,8 @@
 	}
 }
 
-// serveConnection reads an accepted connection until it ends. Its messages come from the address that the peer
-// names in its Hello; replies go back on the same connection, with the priority of traffic.
+// serveConnection reads an accepted connection until it is closed. The handler gets the address in the peer's Hello
+// as the sender. Replies are sent on the same connection and are paced as traffic.
 func (t *Transport) serveConnection(conn net.Conn) {
 	connection := newConnection(t, conn, priorityTraffic)
 	defer func() {
@@ -52,8 +52,8 @@
 	})
 }
 
-// waitBeforeRetry waits after a failed call on a listening socket, and reports whether to try again: until
-// the socket is closed or the process stops.
+// waitBeforeRetry waits acceptRetryDelay after a failed call on a listening socket. It reports whether to retry, which is
+// false if the socket is closed or the process is stopping.
 func waitBeforeRetry(ctx context.Context, err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -12,12 +12,12 @@
 	"beaconvane/internal/message"
 )
 
-// testConfig is the configuration of a transport on a free port of this machine.
+// testConfig returns the configuration of a transport on a free loopback port.
 func testConfig(queueLength int) Config {
 	return Config{Address: "127.0.0.1:0", FrameLimit: 1 << 20, QueueLength: queueLength, DialTimeout: time.Second}
 }
 
-// failingListener fails its first accepts as the kernel does when no file descriptor is left.
+// failingListener fails its first calls of Accept with the error for a process that is out of file descriptors.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -31,7 +31,7 @@
 	return l.Listener.Accept()
 }
 
-// failingPacketConn fails its first receives.
+// failingPacketConn fails its first calls of ReadFrom.
 type failingPacketConn struct {
 	net.PacketConn
 	failures int
@@ -45,6 +45,8 @@
 	return p.PacketConn.ReadFrom(buffer)
 }
 
+// A failed accept or receive, for example because the process is out of file descriptors, must not stop the
+// transport from accepting connections and datagrams.
 func TestOutOfDescriptorsIsNotTheEndOfAccepting(t *testing.T) {
 	c := qt.New(t)
 	group := goroutine.New()
@@ -66,7 +68,7 @@
 		select {
 		case <-received:
 		case <-time.After(2 * time.Second):
-			c.Fatal("it accepts nothing any more")
+			c.Fatal("the transport stopped accepting after failed calls of Accept or ReadFrom")
 		}
 	}
 }
--- a/internal/transport/pacer.go
+++ b/internal/transport/pacer.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// maxBurst is how much unused time on the link may be made up for.
+// maxBurst limits the burst after an idle period: the time by which sending may run ahead of the rate.
 const maxBurst = 20 * time.Millisecond
 
-// pacer gives frames their turns on the machine's link. Whatever is posted reserves the time that its
-// bytes take at a rate somewhat below the link's. Traffic frames are written when their time comes,
-// control messages at once, so that the kernel's buffers and the link's queue stay short, and a control
-// message does not wait behind requests and answers. The zero value bounds nothing.
+// pacer schedules the frames of all connections on the machine's link. Every frame reserves the time that its bytes
+// take at rate, which should be somewhat below the rate of the link. Traffic frames are written when they are due,
+// control messages immediately. This keeps the kernel's buffers and the queue of the link short, so that a control
+// message doesn't wait behind requests and responses. The zero value imposes no limit.
 type pacer struct {
-	rate int64 // bytes a second; 0: not bounded
+	rate int64 // bytes per second; 0 for no limit. Set before the transport starts
 
 	lock   sync.Mutex
-	freeAt time.Time // when all that was accepted will have been sent
+	freeAt time.Time // end of the last reservation
 }
 
-// reserve offers the turn of a frame of so many bytes to accept, and counts the frame if that takes it.
-// The turn is zero, which means at once, without a rate.
+// reserve calls accept with the time at which a frame of size bytes is due, and reserves the time on the link if
+// accept returns true. Without a rate limit, due is zero, which means immediately.
 func (p *pacer) reserve(size int, accept func(due time.Time) bool) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -35,12 +35,12 @@
 	return true
 }
 
-// charge counts bytes that were sent without waiting for a turn.
+// charge reserves time for bytes that were sent without pacing.
 func (p *pacer) charge(size int) {
 	p.reserve(size, func(time.Time) bool { return true })
 }
 
-// backlog returns how long a frame that was posted now would wait for its turn.
+// backlog returns how long a frame that is posted now would wait until it is due.
 func (p *pacer) backlog() time.Duration {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -50,7 +50,7 @@
 	return max(0, time.Until(p.freeAt))
 }
 
-// nextDue returns the turn of the next frame.
+// nextDue returns the time at which the next frame is due.
 func (p *pacer) nextDue(now time.Time) time.Time {
 	if earliest := now.Add(-maxBurst); p.freeAt.Before(earliest) {
 		return earliest
--- a/internal/transport/pacer_test.go
+++ b/internal/transport/pacer_test.go
@@ -19,14 +19,14 @@
 	for range 100 {
 		limited.reserve(1000, func(due time.Time) bool { last = due; return true })
 	}
-	// 99 frames of 10 ms each go before the last one, less what may be caught up on.
+	// 99 frames of 10 ms each precede the last one, less the permitted burst.
 	wait := last.Sub(startedAt)
 	c.Assert(wait >= 990*time.Millisecond-maxBurst, qt.IsTrue, qt.Commentf("%v", wait))
 	c.Assert(wait <= 1200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", wait))
 	backlog := limited.backlog()
 	c.Assert(backlog > 500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", backlog))
 
-	// What was not taken reserves nothing.
+	// A frame that is not accepted reserves no time.
 	limited.reserve(1<<20, func(time.Time) bool { return false })
 	c.Assert(limited.backlog() <= backlog, qt.IsTrue)
 }
@@ -41,7 +41,7 @@
 	c.Assert(unlimited.backlog(), qt.Equals, time.Duration(0))
 }
 
-// receiver counts the bytes of traffic bodies and notes when a control message came.
+// receiver counts the bytes of traffic bodies, and closes control when a control message is received.
 type receiver struct {
 	lock    sync.Mutex
 	traffic int
@@ -65,8 +65,8 @@
 	return r.traffic
 }
 
-// A proxy that has far more traffic to send than its link carries keeps to its share of the link, and
-// a control message goes at once, past the frames that wait.
+// A proxy with far more traffic than its link can carry stays within its rate limit, and a control message overtakes
+// the queued traffic frames.
 func TestControlDoesNotWaitBehindTraffic(t *testing.T) {
 	c := qt.New(t)
 	group := goroutine.New()
@@ -94,11 +94,12 @@
 	select {
 	case <-received.control:
 	case <-time.After(time.Second):
-		c.Fatal("the control message is not there after a second")
+		c.Fatal("the control message was not received within a second")
 	}
 	time.Sleep(300 * time.Millisecond)
 	elapsed := time.Since(startedAt) + maxBurst
 	maxBytes := int(elapsed.Seconds()*rate) + body
-	c.Assert(received.bytes() <= maxBytes, qt.IsTrue, qt.Commentf("%d bytes in %v, the link's share is %d", received.bytes(), elapsed, maxBytes))
+	comment := qt.Commentf("received %d bytes in %v, the rate limit allows %d", received.bytes(), elapsed, maxBytes)
+	c.Assert(received.bytes() <= maxBytes, qt.IsTrue, comment)
 	c.Assert(received.bytes() > 0, qt.IsTrue)
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -9,36 +9,36 @@
 	"beaconvane/internal/goroutine"
 )
 
-// Config is what a Transport needs to know of its process.
+// Config is the configuration of a Transport.
 type Config struct {
-	Address     string        // "ip:port" that is bound on TCP and UDP
-	FrameLimit  int64         // bytes of the largest frame, either way
-	QueueLength int           // frames that wait on one connection
-	DialTimeout time.Duration // for a TCP connection to be made
+	Address     string        // "ip:port" to bind on TCP and UDP
+	FrameLimit  int64         // maximum size of a sent or received frame in bytes
+	QueueLength int           // capacity of the send queue of a connection in frames
+	DialTimeout time.Duration // limit for establishing a TCP connection
 }
 
-// Handler takes a message that has arrived from an address. reply answers on the same connection; it is
-// nil for a datagram.
+// Handler handles a received message. from is the address of the sender. reply sends on the same connection; it is
+// nil for a datagram. Handlers are called concurrently.
 type Handler func(from string, received any, reply func(message any) error)
 
-// Transport carries the messages of one process.
+// Transport sends and receives the messages of one process. Its methods are safe for concurrent use after Start.
 type Transport struct {
 	config           Config
 	goroutines       *goroutine.Group
 	handler          Handler
-	address          string // that was bound
+	address          string // bound address
 	listener         net.Listener
 	datagrams        net.PacketConn
 	onConnectionLost func(address string)
 	counters         frameCounters
 	pacer            pacer
 
-	lock     sync.Mutex             // guards what follows
-	control  map[string]*Connection // that this process opened, by address
-	accepted map[net.Conn]bool      // that other processes opened
+	lock     sync.Mutex             // guards the fields below
+	control  map[string]*Connection // connections that Send opened, by address
+	accepted map[net.Conn]bool      // connections that other processes opened
 }
 
-// New binds the address on TCP and UDP. Start begins to serve it.
+// New binds the address on TCP and UDP. Nothing is received before Start.
 func New(goroutines *goroutine.Group, config Config, handler Handler) (*Transport, error) {
 	listener, err := net.Listen("tcp", config.Address)
 	if err != nil {
@@ -62,26 +62,24 @@
 	}, nil
 }
 
-// OnConnectionLost sets what is called with the address when a control connection that this process
-// opened has ended, or could not be made. It is called before Start, and not for connections that
-// end with the process.
+// OnConnectionLost sets a function that is called with the address when a control connection that Send opened is
+// closed or can't be established, unless the process is stopping. It must be set before Start.
 func (t *Transport) OnConnectionLost(notify func(address string)) { t.onConnectionLost = notify }
 
-// LimitRate bounds what is sent to so many bytes a second by making traffic wait. It is called before
-// Start.
+// LimitRate paces traffic so that all sent messages together stay within a rate. It must be called before Start.
 func (t *Transport) LimitRate(bytesPerSecond int64) { t.pacer.rate = bytesPerSecond }
 
-// Backlog returns how long a traffic frame that was posted now would wait for its turn on the link.
+// Backlog returns how long a traffic frame that is posted now would wait until it is due.
 func (t *Transport) Backlog() time.Duration { return t.pacer.backlog() }
 
-// Start begins to accept connections and datagrams.
+// Start starts to accept connections and datagrams.
 func (t *Transport) Start() {
 	t.goroutines.Go("transport.accept", t.acceptConnections)
 	t.goroutines.Go("transport.datagrams", t.receiveDatagrams)
 }
 
-// Close closes the listeners, and all connections but those for traffic that this process opened,
-// which their owners close.
+// Close closes the listeners, the accepted connections and the control connections. Traffic connections are closed
+// by their owners.
 func (t *Transport) Close() {
 	t.listener.Close()
 	t.datagrams.Close()
@@ -95,11 +93,12 @@
 	}
 }
 
-// Send queues a control message on the connection to an address, and opens it where there is none.
+// Send queues a control message on the connection to an address. It opens the connection if there is none.
 func (t *Transport) Send(to string, message any) error {
 	return t.controlConnection(to).Post(message)
 }
 
+// controlConnection returns the control connection to an address, and opens one if there is none or it is closed.
 func (t *Transport) controlConnection(to string) *Connection {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -112,8 +111,8 @@
 	return connection
 }
 
-// OpenTraffic opens a connection for traffic, which the caller closes. deliver gets what comes back
-// on it.
+// OpenTraffic opens a traffic connection, which the caller must close. deliver is called with each message that is
+// received on it.
 func (t *Transport) OpenTraffic(to string, deliver func(received any)) *Connection {
 	return t.open(to, priorityTraffic, deliver, nil)
 }
