--- a/internal/goroutine/goroutine.go
+++ b/internal/goroutine/goroutine.go
@@ -11,7 +11,7 @@
 	"go.uber.org/atomic"
 )
 
-// Group starts, counts and stops the goroutines of a process. Its methods are safe for concurrent use.
+// Group starts, counts and stops the goroutines of a process.
 type Group struct {
 	Context   context.Context // cancelled by Stop
 	cancel    context.CancelFunc
--- a/internal/message/doc.go
+++ b/internal/message/doc.go
@@ -30,7 +30,8 @@
 // two machines differ. Start times are the exception: they only identify a run of a process. Addresses are
 // "ip:port". An identity identifies the disk of a voter. A message that only a member of the quorum may
 // send carries the sender's voter and, in the field Identity, its signature: the identity, which in a group
-// with discovered voters is followed by a digest of the member list (Quorum.Signature).
+// with discovered voters is followed by a digest of the member list (Quorum.Signature). VoterStatus,
+// VoterClaim and VoterGrant carry the identity alone.
 //
 // There is one file per subject: member.go (SWIM membership), quorum.go (membership of the voters),
 // lease.go (leases with epochs), configuration.go (the replicated configuration log),
--- a/internal/message/request.go
+++ b/internal/message/request.go
@@ -46,8 +46,8 @@
 	Outstanding     int64   // running and queued requests of the upstream at the serving proxy
 	Slots           int64   // number of requests that the upstream runs concurrently
 	Load            float64 // load that the upstream reported
-	RetryAfter      int64   // nanoseconds
-	ResponseAge     int64   // nanoseconds since the serving proxy received the complete response
+	RetryAfter      int64   // unused; kept for the frame format
+	ResponseAge     int64   // unused; kept for the frame format
 	ServiceTime     int64   // nanoseconds from the start at the upstream to its complete response
 	ReachedUpstream bool    // the request reached an upstream, which may have refused it
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -4,7 +4,7 @@
 // the log of JSON lines.
 //
 // Ownership: only the control goroutine accesses the machine and its random source, and only the disk
-// goroutine accesses the files. All other state is guarded by the lock of its own type.
+// goroutine accesses the files. All other state is atomic or guarded by the lock of its own type.
 package node
 
 import (
