--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -12,18 +12,18 @@
 	"beaconvane/internal/message"
 )
 
-// testConfig is the configuration of a transport on a free port of this machine.
+// testConfig returns the configuration of a transport on a free loopback port.
 func testConfig(queueLength int) Config {
 	return Config{Address: "127.0.0.1:0", FrameLimit: 1 << 20, QueueLength: queueLength, DialTimeout: time.Second}
 }
 
-// exhaustedListener fails its first accepts as the kernel does when no file descriptor is left.
-type exhaustedListener struct {
+// failingListener fails its first calls of Accept with the error for a process that is out of file descriptors.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *exhaustedListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -31,13 +31,13 @@
 	return l.Listener.Accept()
 }
 
-// exhaustedPackets fails its first receives.
-type exhaustedPackets struct {
+// failingPacketConn fails its first calls of ReadFrom.
+type failingPacketConn struct {
 	net.PacketConn
 	failures int
 }
 
-func (p *exhaustedPackets) ReadFrom(buffer []byte) (int, net.Addr, error) {
+func (p *failingPacketConn) ReadFrom(buffer []byte) (int, net.Addr, error) {
 	if p.failures > 0 {
 		p.failures--
 		return 0, nil, &net.OpError{Op: "read", Err: syscall.ENOBUFS}
@@ -45,6 +45,8 @@
 	return p.PacketConn.ReadFrom(buffer)
 }
 
+// A failed accept or receive, for example because the process is out of file descriptors, must not stop the
+// transport from accepting connections and datagrams.
 func TestOutOfDescriptorsIsNotTheEndOfAccepting(t *testing.T) {
 	c := qt.New(t)
 	group := goroutine.New()
@@ -54,7 +56,7 @@
 	c.Assert(err, qt.IsNil)
 	to, err := New(group, testConfig(16), func(_ string, msg any, _ func(any) error) { received <- msg })
 	c.Assert(err, qt.IsNil)
-	to.listener, to.datagrams = &exhaustedListener{to.listener, 3}, &exhaustedPackets{to.datagrams, 3}
+	to.listener, to.datagrams = &failingListener{to.listener, 3}, &failingPacketConn{to.datagrams, 3}
 	from.Start()
 	to.Start()
 	defer from.Close()
@@ -66,7 +68,7 @@
 		select {
 		case <-received:
 		case <-time.After(2 * time.Second):
-			c.Fatal("it accepts nothing any more")
+			c.Fatal("the transport stopped accepting after failed calls of Accept or ReadFrom")
 		}
 	}
 }
