--- a/internal/routeconfig/path.go
+++ b/internal/routeconfig/path.go
@@ -6,61 +6,62 @@
 	"strings"
 )
 
-// The reasons for which NormalizePath refuses a path.
+// Errors of NormalizePath.
 var (
 	errNoLeadingSlash = errors.New("path must begin with /")
-	errBadEscape      = errors.New("bad escape")
-	errEncodedSlash   = errors.New("encoded slash")
-	errControlByte    = errors.New("control byte")
-	errUnescapedByte  = errors.New("byte that wants an escape")
-	errDotSegment     = errors.New("dot or empty segment")
+	errBadEscape      = errors.New("path contains an invalid percent-encoding")
+	errEncodedSlash   = errors.New("path contains an encoded slash or backslash")
+	errControlByte    = errors.New("path contains an encoded control byte")
+	errUnescapedByte  = errors.New("path contains a byte that must be percent-encoded")
+	errDotSegment     = errors.New("path contains a dot segment or an empty segment")
 )
 
-// The bytes that may stand in a path without an escape are those between firstVisible and delete.
+// Bytes from firstVisible up to but excluding deleteByte may occur in a path without percent-encoding. Bytes
+// below firstPrintable are control bytes.
 const (
-	firstVisible = 0x21
-	firstPrinted = 0x20
-	deleteByte   = 0x7f
+	firstVisible   = 0x21
+	firstPrintable = 0x20
+	deleteByte     = 0x7f
 )
 
-// escapeLength is the length of an escape: % and two hex digits.
+// escapeLength is the length of a percent-encoded byte: % and two hex digits.
 const escapeLength = 3
 
-// NormalizePath returns the one form of a raw path that routes are matched by: escapes of
-// unreserved characters are undone, hex digits are in capitals. Dot segments, empty segments,
-// encoded slashes and backslashes, control bytes and bad escapes are refused.
+// NormalizePath returns the form of a raw path that is matched against routes: percent-encoded unreserved
+// characters are decoded, and the hex digits of the others are in upper case. It refuses dot segments, empty
+// segments except the last, encoded slashes and backslashes, control bytes and invalid percent-encodings.
 func NormalizePath(raw string) (string, error) {
 	if raw == "" || raw[0] != '/' {
 		return "", errNoLeadingSlash
 	}
-	normal := strings.Builder{}
+	normalized := strings.Builder{}
 	for index := 0; index < len(raw); index++ {
-		letter := raw[index]
+		char := raw[index]
 		switch {
-		case letter == '%':
+		case char == '%':
 			value, err := decodeEscape(raw[index:])
 			if err != nil {
 				return "", err
 			}
 			if isUnreserved(value) {
-				normal.WriteByte(value)
+				normalized.WriteByte(value)
 			} else {
-				fmt.Fprintf(&normal, "%%%02X", value)
+				fmt.Fprintf(&normalized, "%%%02X", value)
 			}
 			index += escapeLength - 1
-		case letter < firstVisible || letter >= deleteByte || letter == '\\':
+		case char < firstVisible || char >= deleteByte || char == '\\':
 			return "", errUnescapedByte
 		default:
-			normal.WriteByte(letter)
+			normalized.WriteByte(char)
 		}
 	}
-	if err := checkSegments(normal.String()); err != nil {
+	if err := checkSegments(normalized.String()); err != nil {
 		return "", err
 	}
-	return normal.String(), nil
+	return normalized.String(), nil
 }
 
-// decodeEscape reads the escape that a text begins with.
+// decodeEscape decodes the percent-encoded byte at the start of a text.
 func decodeEscape(text string) (byte, error) {
 	if len(text) < escapeLength {
 		return 0, errBadEscape
@@ -73,13 +74,14 @@
 	switch {
 	case value == '/' || value == '\\':
 		return 0, errEncodedSlash
-	case value < firstPrinted || value == deleteByte:
+	case value < firstPrintable || value == deleteByte:
 		return 0, errControlByte
 	}
 	return value, nil
 }
 
-// checkSegments refuses segments that other programs would resolve. The last may be empty.
+// checkSegments refuses segments that other programs would resolve: "." and "..", and empty segments before
+// the last.
 func checkSegments(path string) error {
 	segments := strings.Split(path[1:], "/")
 	for index, segment := range segments {
@@ -90,24 +92,24 @@
 	return nil
 }
 
-// hexDigit is the value of a hex digit; -1 for any other letter.
-func hexDigit(letter byte) int {
+// hexDigit returns the value of a hex digit; -1 for any other byte.
+func hexDigit(char byte) int {
 	switch {
-	case letter >= '0' && letter <= '9':
-		return int(letter - '0')
-	case letter >= 'a' && letter <= 'f':
-		return int(letter-'a') + 10
-	case letter >= 'A' && letter <= 'F':
-		return int(letter-'A') + 10
+	case char >= '0' && char <= '9':
+		return int(char - '0')
+	case char >= 'a' && char <= 'f':
+		return int(char-'a') + 10
+	case char >= 'A' && char <= 'F':
+		return int(char-'A') + 10
 	}
 	return -1
 }
 
-// isUnreserved says that a byte means the same with and without an escape (RFC 3986, 2.3).
-func isUnreserved(letter byte) bool {
+// isUnreserved reports whether a byte means the same with and without percent-encoding (RFC 3986, section 2.3).
+func isUnreserved(char byte) bool {
 	switch {
-	case letter >= 'a' && letter <= 'z', letter >= 'A' && letter <= 'Z', letter >= '0' && letter <= '9':
+	case char >= 'a' && char <= 'z', char >= 'A' && char <= 'Z', char >= '0' && char <= '9':
 		return true
 	}
-	return letter == '-' || letter == '.' || letter == '_' || letter == '~'
+	return char == '-' || char == '.' || char == '_' || char == '~'
 }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -9,17 +9,17 @@
 	"beaconvane/internal/message"
 )
 
-// acceptRetryDelay is the pause after a failed accept or receive, as when the process is out of file
+// acceptRetryDelay is the delay after a failed accept or receive, for example when the process has run out of file
 // descriptors.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// acceptConnections serves connections of other processes until the listener is closed. Being out of
-// file descriptors for a moment must not end it.
+// acceptConnections accepts connections of other processes until the listener is closed. It retries after other
+// errors, since the process may temporarily run out of file descriptors.
 func (t *Transport) acceptConnections(ctx context.Context) {
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil {
-			if !retryAfter(ctx, err) {
+			if !waitBeforeRetry(ctx, err) {
 				return
 			}
 			continue
@@ -27,13 +27,13 @@
 		t.lock.Lock()
 		t.accepted[conn] = true
 		t.lock.Unlock()
-		t.goroutines.Go("transport.serve", func(context.Context) { t.serve(conn) })
+		t.goroutines.Go("transport.serve", func(context.Context) { t.serveConnection(conn) })
 	}
 }
 
-// serve reads an accepted connection until it ends. Its messages come from the address that the peer
-// names in its Hello; replies go back on the same connection, with the priority of traffic.
-func (t *Transport) serve(conn net.Conn) {
+// serveConnection reads an accepted connection until it is closed. The handler gets the address in the peer's Hello
+// as the sender. Replies are sent on the same connection and are paced as traffic.
+func (t *Transport) serveConnection(conn net.Conn) {
 	connection := newConnection(t, conn, priorityTraffic)
 	defer func() {
 		connection.Close()
@@ -52,9 +52,9 @@
 	})
 }
 
-// retryAfter waits after a failed call on a listening socket, and reports whether to try again: until
-// the socket is closed or the process stops.
-func retryAfter(ctx context.Context, err error) bool {
+// waitBeforeRetry waits acceptRetryDelay after a failed call on a listening socket. It reports whether to retry, which is
+// false if the socket is closed or the process is stopping.
+func waitBeforeRetry(ctx context.Context, err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return false
 	}
--- a/internal/transport/pacer_test.go
+++ b/internal/transport/pacer_test.go
@@ -13,35 +13,35 @@
 
 func TestReservationsFollowTheRate(t *testing.T) {
 	c := qt.New(t)
-	p := &pacer{rate: 100000}
-	began := time.Now()
+	limited := &pacer{rate: 100000}
+	startedAt := time.Now()
 	var last time.Time
 	for range 100 {
-		p.reserve(1000, func(due time.Time) bool { last = due; return true })
+		limited.reserve(1000, func(due time.Time) bool { last = due; return true })
 	}
-	// 99 frames of 10 ms each go before the last one, less what may be caught up on.
-	wait := last.Sub(began)
+	// 99 frames of 10 ms each precede the last one, less the permitted burst.
+	wait := last.Sub(startedAt)
 	c.Assert(wait >= 990*time.Millisecond-maxBurst, qt.IsTrue, qt.Commentf("%v", wait))
 	c.Assert(wait <= 1200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", wait))
-	backlog := p.backlog()
+	backlog := limited.backlog()
 	c.Assert(backlog > 500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", backlog))
 
-	// What was not taken reserves nothing.
-	p.reserve(1<<20, func(time.Time) bool { return false })
-	c.Assert(p.backlog() <= backlog, qt.IsTrue)
+	// A frame that is not accepted reserves no time.
+	limited.reserve(1<<20, func(time.Time) bool { return false })
+	c.Assert(limited.backlog() <= backlog, qt.IsTrue)
 }
 
-func TestNothingIsBoundedWithoutARate(t *testing.T) {
+func TestNoPacingWithoutRate(t *testing.T) {
 	c := qt.New(t)
-	p := &pacer{}
-	p.reserve(1<<30, func(due time.Time) bool {
+	unlimited := &pacer{}
+	unlimited.reserve(1<<30, func(due time.Time) bool {
 		c.Check(due.IsZero(), qt.IsTrue)
 		return true
 	})
-	c.Assert(p.backlog(), qt.Equals, time.Duration(0))
+	c.Assert(unlimited.backlog(), qt.Equals, time.Duration(0))
 }
 
-// receiver counts the bytes of traffic bodies and notes when a control message came.
+// receiver counts the bytes of traffic bodies, and closes control when a control message is received.
 type receiver struct {
 	lock    sync.Mutex
 	traffic int
@@ -65,8 +65,8 @@
 	return r.traffic
 }
 
-// A proxy that has far more traffic to send than its link carries keeps to its share of the link, and
-// a control message goes at once, past the frames that wait.
+// A proxy with far more traffic than its link can carry stays within its rate limit, and a control message overtakes
+// the queued traffic frames.
 func TestControlDoesNotWaitBehindTraffic(t *testing.T) {
 	c := qt.New(t)
 	group := goroutine.New()
@@ -83,7 +83,7 @@
 	defer from.Close()
 	defer to.Close()
 
-	began := time.Now()
+	startedAt := time.Now()
 	traffic := from.OpenTraffic(to.address, func(any) {})
 	for range 250 {
 		forward := message.Forward{Headers: []message.HeaderLine{}, Body: make([]byte, body)}
@@ -94,11 +94,12 @@
 	select {
 	case <-received.control:
 	case <-time.After(time.Second):
-		c.Fatal("the control message is not there after a second")
+		c.Fatal("the control message was not received within a second")
 	}
 	time.Sleep(300 * time.Millisecond)
-	took := time.Since(began) + maxBurst
-	most := int(took.Seconds()*rate) + body
-	c.Assert(received.bytes() <= most, qt.IsTrue, qt.Commentf("%d bytes in %v, the link's share is %d", received.bytes(), took, most))
+	elapsed := time.Since(startedAt) + maxBurst
+	maxBytes := int(elapsed.Seconds()*rate) + body
+	comment := qt.Commentf("received %d bytes in %v, the rate limit allows %d", received.bytes(), elapsed, maxBytes)
+	c.Assert(received.bytes() <= maxBytes, qt.IsTrue, comment)
 	c.Assert(received.bytes() > 0, qt.IsTrue)
 }
