--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -60,8 +60,8 @@
 }
 
 const (
-	// gcPercent is the GC percentage of a process with a memory limit. It trades processor time, which
-	// is cheaper there, for memory.
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection in a process with a
+	// memory limit, where processor time is cheaper than memory.
 	gcPercent = 30
 	// heapLimitPercent is the soft memory limit of the Go runtime in percent of the process's memory limit.
 	heapLimitPercent = 60
