--- a/internal/simulation/answers_test.go
+++ b/internal/simulation/answers_test.go
@@ -12,20 +12,20 @@
 )
 
 // answersRate is how many requests a second these runs have; the danger wants some.
-const answersRate = 150
+const answersRequestRate = 150
 
 func TestAnswersRuns(t *testing.T) {
 	for _, scenario := range []string{"wrong-answer", "once-only"} {
 		for _, deployment := range []string{"umuyoboro", "jendela"} {
 			t.Run(scenario+" "+deployment, func(t *testing.T) {
-				oneThread(t)
+				skipUnderRace(t)
 				t.Parallel()
 				d, _ := workload.Named(deployment)
-				result := Run(d, scenario, 1, answersRate, nil)
+				result := Run(d, scenario, 1, answersRequestRate, nil)
 				for _, violation := range result.Review.Violations {
 					t.Errorf("%s: %s", violation.Rule, violation.Detail)
 				}
-				for _, danger := range wantedDangers[scenario] {
+				for _, danger := range requiredDangers[scenario] {
 					t.Logf("%s: %d", danger, result.Review.Seen["danger: "+danger])
 				}
 			})
@@ -35,8 +35,8 @@
 
 // Not beside other tests: the check is out for all.
 func TestAnswersRunsWithoutAcheck(t *testing.T) {
-	oneThread(t)
-	for _, tried := range []struct {
+	skipUnderRace(t)
+	for _, guarded := range []struct {
 		scenario string
 		guard    safeguard.Guard
 		rule     string
@@ -48,17 +48,17 @@
 		{"once-only", safeguard.NeverAttached, "once"},
 		{"once-only", safeguard.NoPromiseAfterRun, "busy-ran"},
 	} {
-		t.Run(tried.scenario+" "+tried.guard.String(), func(t *testing.T) {
-			safeguard.Without(t, tried.guard)
+		t.Run(guarded.scenario+" "+guarded.guard.String(), func(t *testing.T) {
+			safeguard.Without(t, guarded.guard)
 			d, _ := workload.Named("umuyoboro")
 			rules := map[string]int{}
-			for seed := uint64(1); seed <= 6 && rules[tried.rule] == 0; seed++ {
-				for _, violation := range Run(d, tried.scenario, seed, answersRate, nil).Review.Violations {
+			for seed := uint64(1); seed <= 6 && rules[guarded.rule] == 0; seed++ {
+				for _, violation := range Run(d, guarded.scenario, seed, answersRequestRate, nil).Review.Violations {
 					rules[violation.Rule]++
 				}
 			}
 			t.Logf("%v", rules)
-			qt.Assert(t, rules[tried.rule] > 0, qt.IsTrue)
+			qt.Assert(t, rules[guarded.rule] > 0, qt.IsTrue)
 		})
 	}
 }
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -17,18 +17,18 @@
 )
 
 // requestSoon is the callers' open loop.
-func (w *World) requestSoon(number int, begin time.Duration) {
-	when := begin + time.Duration(float64(number)/w.options.Rate*float64(time.Second))
-	if when > begin+w.options.Load {
+func (w *World) scheduleRequest(number int, begin time.Duration) {
+	sendAt := begin + time.Duration(float64(number)/w.options.Rate*float64(time.Second))
+	if sendAt > begin+w.options.Load {
 		return
 	}
-	w.at(when, func() {
-		w.requestOne(number)
-		w.requestSoon(number+1, begin)
+	w.at(sendAt, func() {
+		w.sendRandomRequest(number)
+		w.scheduleRequest(number+1, begin)
 	})
 }
 
-func (w *World) requestOne(number int) {
+func (w *World) sendRandomRequest(number int) {
 	d := w.options.Deployment
 	total := 0.0
 	for _, kind := range d.Kinds {
@@ -42,11 +42,11 @@
 		}
 	}
 	tenants := d.Tenants()
-	w.requestWith(fmt.Sprintf("q%d", number), chosenKind, tenants[w.random.IntN(len(tenants))])
+	w.sendToRandomProxy(fmt.Sprintf("q%d", number), chosenKind, tenants[w.random.IntN(len(tenants))])
 }
 
-func (w *World) requestWith(id string, kind loadgen.Kind, tenant loadgen.Tenant) {
-	proxies := w.nodesOf(message.RoleProxy)
+func (w *World) sendToRandomProxy(id string, kind loadgen.Kind, tenant loadgen.Tenant) {
+	proxies := w.nodesByRole(message.RoleProxy)
 	header := http.Header{}
 	header.Set(frontend.APIKeyHeader, tenant.Key)
 	header.Set(backend.CallerHeader, kind.Caller)
@@ -62,46 +62,46 @@
 }
 
 // callOn is an upstream's further call, with the pass of the request that it runs.
-func (w *World) callOn(servingProxy *Node, order backend.Decision, from string, kind loadgen.Kind, id string, then func()) {
+func (w *World) sendNestedRequest(servingProxy *Node, decision backend.Decision, caller string, kind loadgen.Kind, id string, done func()) {
 	header := http.Header{}
-	header.Set(backend.DelegationHeader, order.Target.DelegationToken)
+	header.Set(backend.DelegationHeader, decision.Target.DelegationToken)
 	header.Set(backend.CallerHeader, "somebody")
 	key := ""
 	for _, tenant := range w.options.Deployment.Tenants() {
-		if tenant.Name == order.Forward.Tenant {
+		if tenant.Name == decision.Forward.Tenant {
 			key = tenant.Key
 		}
 	}
-	over := false
-	once := func() {
-		if !over {
-			over = true
-			then()
+	finished := false
+	finish := func() {
+		if !finished {
+			finished = true
+			done()
 		}
 	}
 	// It waits no longer than this for what it called.
-	w.after(2*time.Second, once)
+	w.after(2*time.Second, finish)
 	w.dangers["further calls"]++
-	w.sendRequest(servingProxy, header, kind, checker.CallerRequest{ID: id, Tenant: order.Forward.Tenant, Key: key, Caller: from}, once)
+	w.sendRequest(servingProxy, header, kind, checker.CallerRequest{ID: id, Tenant: decision.Forward.Tenant, Key: key, Caller: caller}, finish)
 }
 
-func (w *World) sendRequest(chosenProxy *Node, header http.Header, kind loadgen.Kind, response checker.CallerRequest, then func()) {
-	asked := &response
-	asked.Proxy = chosenProxy.machine
-	asked.Route, asked.Service, asked.Once = kind.Route, kind.Service, kind.Once
-	asked.Intended, asked.Sent = w.now, w.now
-	asked.Connection = true
-	w.asked = append(w.asked, asked)
+func (w *World) sendRequest(chosenProxy *Node, header http.Header, kind loadgen.Kind, initial checker.CallerRequest, done func()) {
+	request := &initial
+	request.Proxy = chosenProxy.machine
+	request.Route, request.Service, request.Once = kind.Route, kind.Service, kind.Once
+	request.Intended, request.Sent = w.now, w.now
+	request.Connection = true
+	w.callerRequests = append(w.callerRequests, request)
 	if !chosenProxy.up || chosenProxy.listenerClosed {
-		asked.Done = w.now
-		then()
+		request.Done = w.now
+		done()
 		return
 	}
 	incarnation := chosenProxy.incarnation
 	chosenProxy.run(incarnation, func() {
-		header.Set(stubserver.IDHeader, asked.ID)
-		request := &frontend.Request{
-			ID:       asked.ID + "@" + chosenProxy.machine,
+		header.Set(stubserver.IDHeader, request.ID)
+		proxyRequest := &frontend.Request{
+			ID:       request.ID + "@" + chosenProxy.machine,
 			Method:   kind.Method,
 			RawPath:  kind.Path,
 			Header:   header,
@@ -109,35 +109,35 @@
 			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestTimeout(),
 		}
 		sentIncarnation := incarnation
-		chosenProxy.inFlight++
-		going := chosenProxy.tracker.Submit(request, func(time.Duration) {}, func(final *frontend.Response) {
+		chosenProxy.unansweredRequests++
+		pending := chosenProxy.dispatcher.Submit(proxyRequest, func(time.Duration) {}, func(final *frontend.Response) {
 			w.after(100*time.Microsecond, func() {
 				if !chosenProxy.up || chosenProxy.incarnation != sentIncarnation {
 					return
 				}
-				chosenProxy.inFlight--
-				asked.Connection, asked.Done, asked.Status, asked.Body = false, w.now, final.Status, string(final.Body)
-				asked.Code, asked.Retry = int(final.Code), final.RetryAfter > 0
-				for _, line := range final.Headers {
-					switch line.Name {
+				chosenProxy.unansweredRequests--
+				request.Connection, request.Done, request.Status, request.Body = false, w.now, final.Status, string(final.Body)
+				request.Code, request.Retry = int(final.Code), final.RetryAfter > 0
+				for _, responseHeader := range final.Headers {
+					switch responseHeader.Name {
 					case stubserver.ResponseMarkHeader:
-						asked.ResponseMark = line.Value
+						request.ResponseMark = responseHeader.Value
 					case frontend.CodeHeader:
-						asked.Code, _ = strconv.Atoi(line.Value)
+						request.Code, _ = strconv.Atoi(responseHeader.Value)
 					}
 				}
-				w.refusedAfterReady(chosenProxy, errcode.Code(asked.Code), request.Attempts)
-				if asked.Code == int(errcode.BusyNotReady) && !w.knownCurrent(chosenProxy) {
-					w.refusedUnknownAge[asked.ID] = true
+				w.checkRefusalAfterReady(chosenProxy, errcode.Code(request.Code), proxyRequest.Attempts)
+				if request.Code == int(errcode.BusyNotReady) && !w.configurationKnownCurrent(chosenProxy) {
+					w.refusedConfigAgeUnknown[request.ID] = true
 				}
-				if asked.Code != 0 && w.able(chosenProxy, kind.Service) {
-					w.couldServe[asked.ID] = true
+				if request.Code != 0 && w.upstreamAvailable(chosenProxy, kind.Service) {
+					w.refusedThoughServable[request.ID] = true
 				}
-				then()
+				done()
 			})
 		})
 		w.after(chosenProxy.trueWait(chosenProxy.settings.RequestTimeout()), func() {
-			chosenProxy.run(incarnation, func() { chosenProxy.tracker.Abandon(going) })
+			chosenProxy.run(incarnation, func() { chosenProxy.dispatcher.Abandon(pending) })
 		})
 	})
 }
--- a/internal/simulation/collector.go
+++ b/internal/simulation/collector.go
@@ -9,21 +9,21 @@
 )
 
 // collect takes a usage report; the reporter hears of it unless it died meanwhile.
-func (w *World) collect(from *Node, incarnation int, report registry.UsageReport) {
-	if w.now < w.collectorDown {
+func (w *World) collectUsage(from *Node, incarnation int, report registry.UsageReport) {
+	if w.now < w.collectorDownUntil {
 		return
 	}
-	length := from.settings.UsageWindow()
-	w.mark("report %d from %s %v", report.Window, from.machine, len(report.Counts))
+	windowLength := from.settings.UsageWindow()
+	w.traceEvent("report %d from %s %v", report.Window, from.machine, len(report.Counts))
 	w.record.Reported = append(w.record.Reported, checker.Reported{
 		Window: report.Window,
 		From:   from.machine,
 		Counts: report.Counts,
 		At:     w.now,
-		End:    time.Duration(report.Window+1)*length - epoch,
+		End:    time.Duration(report.Window+1)*windowLength - epoch,
 	})
-	wait := w.transit()
-	if w.now < w.collectorOdd {
+	wait := w.randomTransitDelay()
+	if w.now < w.collectorFaultyUntil {
 		w.dangers["reports taken and not answered rightly"]++
 		if w.random.IntN(3) > 0 {
 			return
--- a/internal/simulation/control_test.go
+++ b/internal/simulation/control_test.go
@@ -12,8 +12,8 @@
 
 const controlRate = 10 // requests a second; these runs are about the operators' side
 
-func playControl(t *testing.T, deployment, scenario string, seeds ...uint64) map[string]int {
-	oneThread(t)
+func playControlSeeds(t *testing.T, deployment, scenario string, seeds ...uint64) map[string]int {
+	skipUnderRace(t)
 	d, known := workload.Named(deployment)
 	qt.Assert(t, known, qt.IsTrue)
 	seen := map[string]int{}
@@ -33,14 +33,14 @@
 	return seen
 }
 
-func TestCutOffNodeSaysUnavailable(t *testing.T) {
+func TestCutOffNodeAnswersUnavailable(t *testing.T) {
 	for deployment, seeds := range map[string][]uint64{"umuyoboro": {1}, "jendela-platform": {1}, "voters-3": {2}} {
 		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
-			seen := playControl(t, deployment, "cutoff", seeds...)
-			reached(t, "orders answered by a cut-off node", seen["danger: orders answered by a cut-off node"], 10)
-			reached(t, "reads answered by a cut-off node", seen["danger: reads answered by a cut-off node"], 20)
-			reached(t, "views asked of a cut-off node", seen["danger: views asked of a cut-off node"], 20)
+			seen := playControlSeeds(t, deployment, "cutoff", seeds...)
+			requireAtLeast(t, "orders answered by a cut-off node", seen["danger: orders answered by a cut-off node"], 10)
+			requireAtLeast(t, "reads answered by a cut-off node", seen["danger: reads answered by a cut-off node"], 20)
+			requireAtLeast(t, "views asked of a cut-off node", seen["danger: views asked of a cut-off node"], 20)
 		})
 	}
 }
@@ -49,13 +49,13 @@
 	for deployment, seeds := range map[string][]uint64{"small": {1}, "umuyoboro-platform": {1}, "jendela-platform": {2}} {
 		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
-			seen := playControl(t, deployment, "same-version", seeds...)
-			reached(t, "answers to operators that were lost", seen["danger: answers to operators that were lost"], 50)
-			reached(t, "orders sent again that had been taken", seen["danger: orders sent again that had been taken"], 50)
-			reached(t, "orders sent again that are older than what is kept",
+			seen := playControlSeeds(t, deployment, "same-version", seeds...)
+			requireAtLeast(t, "answers to operators that were lost", seen["danger: answers to operators that were lost"], 50)
+			requireAtLeast(t, "orders sent again that had been taken", seen["danger: orders sent again that had been taken"], 50)
+			requireAtLeast(t, "orders sent again that are older than what is kept",
 				seen["danger: orders sent again that are older than what is kept"], 20)
-			reached(t, "rival orders that were refused", seen["danger: rival orders that were refused"], 10)
-			reached(t, "rival orders that were taken", seen["danger: rival orders that were taken"], 10)
+			requireAtLeast(t, "rival orders that were refused", seen["danger: rival orders that were refused"], 10)
+			requireAtLeast(t, "rival orders that were taken", seen["danger: rival orders that were taken"], 10)
 		})
 	}
 }
@@ -63,7 +63,7 @@
 // A voter that was away during the last change has it at the end, though no other change
 // and no other holder comes.
 func TestVoterThatMissedTheLastChangeCatchesUp(t *testing.T) {
-	oneThread(t)
+	skipUnderRace(t)
 	for _, deployment := range []string{"voters-3", "small"} {
 		d, _ := workload.Named(deployment)
 		result := Play(options(d, 1, controlRate, []Step{{12 * second, "kill", "core-2", 3 * second}, {13 * second, "put", "", 0}}, nil))
@@ -75,27 +75,27 @@
 	for deployment, seeds := range map[string][]uint64{"voters-3": {1, 2, 3}, "voters-5": {1, 2, 3}, "small": {1}} {
 		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
-			seen := playControl(t, deployment, "second-loss", seeds...)
+			seen := playControlSeeds(t, deployment, "second-loss", seeds...)
 			losses := seen["danger: second losses right after a newcomer's vote"] +
 				seen["danger: newcomers lost in the middle of a planned replacement"]
-			reached(t, "losses within a moment of a repair", losses, len(seeds))
-			reached(t, "orders taken while the second is away", seen["danger: orders taken while the second is away"], 10)
+			requireAtLeast(t, "losses within a moment of a repair", losses, len(seeds))
+			requireAtLeast(t, "orders taken while the second is away", seen["danger: orders taken while the second is away"], 10)
 		})
 	}
 }
 
 func TestHundredsOfChanges(t *testing.T) {
-	seen := playControl(t, "voters-3", "hundreds", 1)
-	reached(t, "changes acknowledged", seen["danger: changes acknowledged"], 600)
-	reached(t, "large changes", seen["danger: large changes"], 10)
-	reached(t, "stores that came back behind", seen["danger: stores that came back behind"], 1)
-	reached(t, "versions they were behind", seen["danger: versions they were behind"], 200)
+	seen := playControlSeeds(t, "voters-3", "hundreds", 1)
+	requireAtLeast(t, "changes acknowledged", seen["danger: changes acknowledged"], 600)
+	requireAtLeast(t, "large changes", seen["danger: large changes"], 10)
+	requireAtLeast(t, "stores that came back behind", seen["danger: stores that came back behind"], 1)
+	requireAtLeast(t, "versions they were behind", seen["danger: versions they were behind"], 200)
 }
 
 // All core machines lose power with a configuration of many routes in force, on links that
 // carry its log in seconds: orders are taken again soon, and requests are answered.
 func TestLargeConfigurationAfterAllOff(t *testing.T) {
-	seen := playControl(t, "jendela-narrow", "large-all-off", 4, 5)
-	reached(t, "returns of the whole core with a large configuration",
+	seen := playControlSeeds(t, "jendela-narrow", "large-all-off", 4, 5)
+	requireAtLeast(t, "returns of the whole core with a large configuration",
 		seen["danger: returns of the whole core with a large configuration"], 2)
 }
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -7,7 +7,7 @@
 	"beaconvane/internal/workload"
 )
 
-func (w *World) build() {
+func (w *World) addDeployment() {
 	d := w.options.Deployment
 	seeds := []string{}
 	for index := range workload.Voters {
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -8,29 +8,29 @@
 
 // simFile is a file whose unsynced bytes may vanish or be torn at a crash.
 type simFile struct {
-	synced  []byte
-	current []byte
-	durable bool // its name is in the folder for good
+	synced      []byte
+	current     []byte
+	nameDurable bool // its name is in the folder for good
 }
 
 // Disk is a simulated folder; it implements storage.Directory.
 type Disk struct {
-	files map[string]*simFile
-	fail  bool
-	steps int // how many more steps are done before the machine stops; below 0: no end
+	files     map[string]*simFile
+	failing   bool
+	stepsLeft int // how many more steps are done before the machine stops; below 0: no end
 }
 
 // works counts a step; false when the disk fails or the machine has stopped.
-func (d *Disk) works() bool {
-	if d.fail || d.steps == 0 {
+func (d *Disk) takeStep() bool {
+	if d.failing || d.stepsLeft == 0 {
 		return false
 	}
-	d.steps--
+	d.stepsLeft--
 	return true
 }
 
 // NewDisk is an empty one.
-func NewDisk() *Disk { return &Disk{files: map[string]*simFile{}, steps: -1} }
+func NewDisk() *Disk { return &Disk{files: map[string]*simFile{}, stepsLeft: -1} }
 
 var errDisk = errors.New("simulated disk failure")
 
@@ -43,7 +43,7 @@
 }
 
 func (d *Disk) Write(name string, body []byte) error {
-	if !d.works() {
+	if !d.takeStep() {
 		return errDisk
 	}
 	file, found := d.files[name]
@@ -58,7 +58,7 @@
 // Append writes behind the end of a file.
 func (d *Disk) Append(name string, body []byte) error {
 	file, found := d.files[name]
-	if !found || !d.works() {
+	if !found || !d.takeStep() {
 		return errDisk
 	}
 	file.current = append(append([]byte{}, file.current...), body...)
@@ -68,7 +68,7 @@
 // Sync makes a file's content durable.
 func (d *Disk) Sync(name string) error {
 	file, found := d.files[name]
-	if !found || !d.works() {
+	if !found || !d.takeStep() {
 		return errDisk
 	}
 	file.synced = append([]byte{}, file.current...)
@@ -78,7 +78,7 @@
 // Truncate cuts a file to a size in bytes.
 func (d *Disk) Truncate(name string, size int64) error {
 	file, found := d.files[name]
-	if !found || !d.works() {
+	if !found || !d.takeStep() {
 		return errDisk
 	}
 	file.current = append([]byte{}, file.current[:size]...)
@@ -87,18 +87,18 @@
 
 // SyncDirectory makes the list of files durable.
 func (d *Disk) SyncDirectory() error {
-	if !d.works() {
+	if !d.takeStep() {
 		return errDisk
 	}
 	for _, file := range d.files {
-		file.durable = true
+		file.nameDurable = true
 	}
 	return nil
 }
 
 // Crash forgets what was not synced, or keeps a part of it.
 func (d *Disk) Crash(random *rand.Rand) {
-	d.steps = -1
+	d.stepsLeft = -1
 	names := []string{}
 	for _, name := range []string{"slot.0", "slot.1", "log"} {
 		if _, found := d.files[name]; found {
@@ -107,7 +107,7 @@
 	}
 	for _, name := range names {
 		file := d.files[name]
-		if !file.durable && random.IntN(2) == 0 {
+		if !file.nameDurable && random.IntN(2) == 0 {
 			delete(d.files, name)
 			continue
 		}
@@ -117,18 +117,18 @@
 		appended := len(file.current) > len(file.synced) && string(file.current[:len(file.synced)]) == string(file.synced)
 		switch {
 		case appended:
-			kept := len(file.synced) + random.IntN(len(file.current)-len(file.synced)+1)
+			keptLength := len(file.synced) + random.IntN(len(file.current)-len(file.synced)+1)
 			if random.IntN(2) == 0 {
-				file.current = file.current[:kept]
+				file.current = file.current[:keptLength]
 				break
 			}
 			// The length is there, and sectors of the new part in any order.
-			for at := len(file.synced); at < len(file.current); {
-				end := min(len(file.current), (at/512+1)*512)
+			for offset := len(file.synced); offset < len(file.current); {
+				end := min(len(file.current), (offset/512+1)*512)
 				if random.IntN(2) == 0 {
-					clear(file.current[at:end])
+					clear(file.current[offset:end])
 				}
-				at = end
+				offset = end
 			}
 		case random.IntN(2) == 0:
 			file.current = append([]byte{}, file.synced...)
@@ -147,17 +147,17 @@
 }
 
 // StopAfter has the machine stop after so many more operations; Crash lifts it.
-func (d *Disk) StopAfter(steps int) { d.steps = steps }
+func (d *Disk) StopAfter(steps int) { d.stepsLeft = steps }
 
 // Stopped says that the machine has stopped within an operation.
-func (d *Disk) Stopped() bool { return d.steps == 0 }
+func (d *Disk) Stopped() bool { return d.stepsLeft == 0 }
 
 // Copy is a disk with the same files, synced and not.
 func (d *Disk) Copy() *Disk {
-	copied := &Disk{files: map[string]*simFile{}, fail: d.fail, steps: d.steps}
+	copied := &Disk{files: map[string]*simFile{}, failing: d.failing, stepsLeft: d.stepsLeft}
 	for name, file := range d.files {
-		same := *file
-		copied.files[name] = &same
+		clone := *file
+		copied.files[name] = &clone
 	}
 	return copied
 }
--- a/internal/simulation/disk_full.go
+++ b/internal/simulation/disk_full.go
@@ -13,38 +13,38 @@
 )
 
 // diskMachine is a core program's machine, whose state is on disk.
-type diskMachine interface {
+type persistentMachine interface {
 	statemachine.Machine
 	storage.Restorable
 }
 
 // fillDisks lets the disks of some nodes refuse every write for a while; the processes
 // run on.
-func (w *World) fillDisks(nodes []*Node, length time.Duration) {
+func (w *World) fillDisks(nodes []*Node, duration time.Duration) {
 	for _, node := range nodes {
-		node.disk.fail = true
+		node.disk.failing = true
 	}
-	w.after(length, func() {
+	w.after(duration, func() {
 		for _, node := range nodes {
-			node.disk.fail = false
+			node.disk.failing = false
 		}
 	})
 }
 
 // recoverDisk builds the machine anew once the disk works, as package node does.
-func (n *Node) recoverDisk(incarnation int) {
+func (n *Node) recoverFromDiskFailure(incarnation int) {
 	if n.recovering {
 		return
 	}
 	n.recovering = true
-	var try func()
-	try = func() {
+	var retry func()
+	retry = func() {
 		if !n.up || n.incarnation != incarnation {
 			return
 		}
 		store, machine, err := storage.Recover(n.disk, n.buildMachine)
 		if err != nil {
-			n.world.after(n.settings.DiskRetryEvery(), try)
+			n.world.after(n.settings.DiskRetryEvery(), retry)
 			return
 		}
 		n.recovering = false
@@ -52,13 +52,13 @@
 		n.machineIncarnation++
 		n.replies = map[int64]func(any){}
 		n.world.dangers["machines built anew after a disk refused writes"]++
-		n.world.mark("disk of %s works again", n.name)
+		n.world.traceEvent("disk of %s works again", n.name)
 	}
-	n.world.after(n.settings.DiskRetryEvery(), try)
+	n.world.after(n.settings.DiskRetryEvery(), retry)
 }
 
 // buildMachine makes the core program's machine from what its disk holds.
-func (n *Node) buildMachine(snapshot []byte, records [][]byte) (diskMachine, error) {
+func (n *Node) buildMachine(snapshot []byte, records [][]byte) (persistentMachine, error) {
 	self := n.self()
 	if n.role == message.RoleRegistry {
 		return registry.New(n.settings, self, snapshot, records)
@@ -74,13 +74,13 @@
 
 // disksFullInTurn fills the disk of each core machine for some seconds, one after the
 // other, with a configuration written during each and at the end.
-func disksFullInTurn(_ workload.Deployment, random *rand.Rand) []Step {
+func disksFullInTurnPlan(_ workload.Deployment, random *rand.Rand) []Step {
 	plan := []Step{}
 	for index, voter := range workload.Voters {
-		begin := time.Duration(10+7*index) * time.Second
+		start := time.Duration(10+7*index) * time.Second
 		plan = append(plan,
-			Step{At: begin, Do: "disk-full", Target: voter, For: span(random, 2, 4)},
-			Step{At: begin + span(random, 0.2, 1.5), Do: "put"})
+			Step{At: start, Do: "disk-full", Target: voter, For: randomDuration(random, 2, 4)},
+			Step{At: start + randomDuration(random, 0.2, 1.5), Do: "put"})
 	}
 	return append(plan, Step{At: 32 * time.Second, Do: "put"})
 }
--- a/internal/simulation/disk_full_test.go
+++ b/internal/simulation/disk_full_test.go
@@ -11,7 +11,7 @@
 func TestFullDisksInTurn(t *testing.T) {
 	for _, deployment := range []string{"umuyoboro", "jendela"} {
 		for seed := range uint64(1) {
-			result := play(t, deployment, "disks-full-in-turn", seed)
+			result := playScenario(t, deployment, "disks-full-in-turn", seed)
 			qt.Assert(t, result.Review.Seen["danger: machines built anew after a disk refused writes"] >= 3, qt.IsTrue,
 				qt.Commentf("%v", result.Review.Seen))
 		}
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -29,28 +29,28 @@
 func (b *environment) Notify(notice any) { b.node.apply(statemachine.LocalRequest{Request: notice}) }
 
 // Enqueue passes an item to its stage a moment later, as the workers would.
-func (b *environment) Enqueue(env frontend.Stage, item any) bool {
+func (b *environment) Enqueue(stage frontend.Stage, item any) bool {
 	n := b.node
 	n.world.after(20*time.Microsecond, func() {
 		n.run(b.incarnation, func() {
-			switch env {
+			switch stage {
 			case frontend.StageAdmit:
-				n.tracker.Admit(mustBe[*frontend.PendingRequest](item))
+				n.dispatcher.Admit(mustCast[*frontend.PendingRequest](item))
 			case frontend.StageSelect:
-				trip := mustBe[*frontend.PendingRequest](item)
-				before := trip.Request.Attempts
-				n.tracker.SelectUpstream(trip)
-				if trip.Request.Attempts > before {
+				pending := mustCast[*frontend.PendingRequest](item)
+				before := pending.Request.Attempts
+				n.dispatcher.SelectUpstream(pending)
+				if pending.Request.Attempts > before {
 					n.world.record.Attempts = append(n.world.record.Attempts, checker.Attempt{
-						Service: trip.Request.Route.Service,
+						Service: pending.Request.Route.Service,
 						At:      n.world.now,
 						Retry:   before > 0,
 					})
 				}
 			case frontend.StageOutcome:
-				n.tracker.HandleOutcome(mustBe[frontend.AttemptOutcome](item))
+				n.dispatcher.HandleOutcome(mustCast[frontend.AttemptOutcome](item))
 			case frontend.StageStart:
-				n.call(b.incarnation, mustBe[backend.Decision](item))
+				n.callUpstream(b.incarnation, mustCast[backend.Decision](item))
 			}
 		})
 	})
@@ -72,9 +72,9 @@
 // Open opens a simulated connection to a serving proxy.
 func (b *environment) Open(servingProxy string, received func(msg any), closed func(connection frontend.Connection)) frontend.Connection {
 	n := b.node
-	connection := &simConnection{from: n, lifeFrom: b.incarnation, received: received, broke: closed}
+	connection := &simConnection{from: n, fromIncarnation: b.incarnation, onMessage: received, onBroken: closed}
 	n.connections = append(n.connections, connection)
-	target, found := n.world.byAddress[servingProxy]
-	n.world.after(n.world.transit()*2, func() { connection.dialled(target, found) })
+	target, found := n.world.nodeByAddress[servingProxy]
+	n.world.after(n.world.randomTransitDelay()*2, func() { connection.finishDial(target, found) })
 	return connection
 }
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -17,7 +17,7 @@
 
 // mustBe returns value as a T. Callbacks and queues carry values of any type; a value of another
 // type than the one expected is a programming error of the simulator, so it panics.
-func mustBe[T any](value any) T {
+func mustCast[T any](value any) T {
 	typed, ok := value.(T)
 	if !ok {
 		panic(fmt.Sprintf("simulation: got a %T, want a %T", value, typed))
@@ -35,7 +35,7 @@
 
 // Push adds an event, for package heap.
 func (q *eventQueue) Push(item any) {
-	*q = append(*q, mustBe[*event](item))
+	*q = append(*q, mustCast[*event](item))
 }
 
 // Pop removes the last event, for package heap.
@@ -64,7 +64,7 @@
 // Run plays until a true time.
 func (s *scheduler) Run(until time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= until {
-		next := mustBe[*event](heap.Pop(&s.events))
+		next := mustCast[*event](heap.Pop(&s.events))
 		s.now = next.at
 		s.steps++
 		next.do()
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -8,9 +8,9 @@
 )
 
 // cores lists the core machines, replaced ones aside.
-func (w *World) cores() []string {
+func (w *World) coreMachines() []string {
 	list := []string{}
-	for _, node := range w.nodesOf(message.RoleRegistry) {
+	for _, node := range w.nodesByRole(message.RoleRegistry) {
 		if !node.retired && !strings.HasSuffix(node.machine, replacementSuffix) {
 			list = append(list, node.machine)
 		}
@@ -18,22 +18,22 @@
 	return list
 }
 
-func (w *World) machines() []string {
-	list := append([]string{}, w.cores()...)
-	for _, node := range w.nodesOf(message.RoleProxy) {
+func (w *World) allMachines() []string {
+	list := append([]string{}, w.coreMachines()...)
+	for _, node := range w.nodesByRole(message.RoleProxy) {
 		list = append(list, node.machine)
 	}
 	return list
 }
 
-func without(list []string, dropped string) []string {
-	kept := []string{}
+func without(list []string, excluded string) []string {
+	remaining := []string{}
 	for _, item := range list {
-		if item != dropped {
-			kept = append(kept, item)
+		if item != excluded {
+			remaining = append(remaining, item)
 		}
 	}
-	return kept
+	return remaining
 }
 
 // fault carries out one kind of step.
@@ -52,11 +52,11 @@
 		"disk-full":     func(w *World, step Step) { w.fillDisks(w.machineNodes(step.Target), step.For) },
 		"disk-fails":    (*World).failDisks,
 		"herd":          (*World).restartEverySecondProxy,
-		"kill-core":     func(w *World, step Step) { w.restartMachines(w.cores(), step.For) },
-		"kill-all":      func(w *World, step Step) { w.restartMachines(w.machines(), step.For) },
+		"kill-core":     func(w *World, step Step) { w.restartMachines(w.coreMachines(), step.For) },
+		"kill-all":      func(w *World, step Step) { w.restartMachines(w.allMachines(), step.For) },
 		"replace-voter": func(w *World, step Step) { w.replaceVoter(step.Target, step.For) },
 		"replace-core":  func(w *World, step Step) { w.replaceCore(step.Target, step.For) },
-		"usurp":         func(w *World, step Step) { w.usurp(step.Target, step.For) },
+		"usurp":         func(w *World, step Step) { w.replaceFrozenMachine(step.Target, step.For) },
 		"force-recover": func(w *World, step Step) { w.forceRecover(step.Target) },
 	}
 }
@@ -64,11 +64,11 @@
 // networkFaults returns the faults of the network between machines, by the name that plans use.
 func networkFaults() map[string]fault {
 	return map[string]fault{
-		"isolate":          func(w *World, step Step) { w.isolate(step, w.machines(), true) },
-		"isolate-out":      func(w *World, step Step) { w.isolate(step, w.machines(), false) },
-		"cut-core":         func(w *World, step Step) { w.isolate(step, w.cores(), true) },
-		"cut-core-one-way": func(w *World, step Step) { w.isolate(step, w.cores(), false) },
-		"halve":            (*World).halve,
+		"isolate":          func(w *World, step Step) { w.isolate(step, w.allMachines(), true) },
+		"isolate-out":      func(w *World, step Step) { w.isolate(step, w.allMachines(), false) },
+		"cut-core":         func(w *World, step Step) { w.isolate(step, w.coreMachines(), true) },
+		"cut-core-one-way": func(w *World, step Step) { w.isolate(step, w.coreMachines(), false) },
+		"halve":            (*World).partitionWithSomeProxies,
 	}
 }
 
@@ -76,8 +76,8 @@
 func collectorFaults() map[string]fault {
 	return map[string]fault{
 		// The collector takes reports, but its answer is lost, an error, or late, in turn.
-		"collector-odd":  func(w *World, step Step) { w.collectorOdd = w.now + step.For },
-		"collector-down": func(w *World, step Step) { w.collectorDown = w.now + step.For },
+		"collector-odd":  func(w *World, step Step) { w.collectorFaultyUntil = w.now + step.For },
+		"collector-down": func(w *World, step Step) { w.collectorDownUntil = w.now + step.For },
 		// Callers send no requests after this step; the callers look for it in the plan.
 		"end": func(*World, Step) {},
 	}
@@ -89,7 +89,7 @@
 	for _, name := range []string{
 		"put", "put-huge", "withdraw", "restore-keys", "put-race", "put-bad", "put-and-kill", "put-and-kill-disk",
 	} {
-		steps[name] = (*World).operate
+		steps[name] = (*World).runOperatorStep
 	}
 	return steps
 }
@@ -99,7 +99,7 @@
 	joined := map[string]fault{}
 	for _, table := range []map[string]fault{
 		nodeFaults(), networkFaults(), collectorFaults(), operatorSteps(),
-		answerFaults(), cutoffSteps(), sameVersionSteps(), secondLossSteps(), hundredsSteps(), overlapSteps(),
+		responseFaults(), partitionSteps(), sameVersionSteps(), secondLossSteps(), manyChangesSteps(), overlapSteps(),
 	} {
 		maps.Copy(joined, table)
 	}
@@ -107,13 +107,13 @@
 }
 
 // do carries out one step. Names that no table has arm a loss or are faults of upstreams.
-func (w *World) do(step Step) {
-	w.mark("STEP %s", step)
+func (w *World) runStep(step Step) {
+	w.traceEvent("STEP %s", step)
 	if apply, found := w.faults[step.Do]; found {
 		apply(w, step)
-	} else if kind, arms := strings.CutPrefix(step.Do, armPrefix); arms {
-		w.armLoss(kind, step)
+	} else if kind, isArmStep := strings.CutPrefix(step.Do, armPrefix); isArmStep {
+		w.armSecondLoss(kind, step)
 	} else {
-		w.doUpstream(step)
+		w.runUpstreamStep(step)
 	}
 }
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -18,10 +18,10 @@
 
 // configLogRequest is the input of the linearizability check of the configuration log.
 type configLogRequest struct {
-	write   bool
-	version int64
-	entry   string // version and digest of a put
-	highest bool   // an overtaken version is acknowledged and alters nothing
+	write       bool
+	version     int64
+	entry       string // version and digest of a put
+	highestWins bool   // an overtaken version is acknowledged and alters nothing
 }
 
 type configLogAnswer struct {
@@ -42,14 +42,14 @@
 	if w.now > until {
 		return
 	}
-	if registries := w.alive(message.RoleRegistry); len(registries) > 0 {
+	if registries := w.runningNodes(message.RoleRegistry); len(registries) > 0 {
 		operation := &configLogOperation{from: w.now}
 		registries[w.random.IntN(len(registries))].request(registry.ReadConfiguration{ConfigName: "main"}, func(answer any) {
-			got := mustBe[registry.OperatorResponse](answer)
+			got := mustCast[registry.OperatorResponse](answer)
 			if got.Code == errcode.OK || got.Code == errcode.ConfigurationNotFound {
 				operation.answer = configLogAnswer{code: got.Code, digest: checker.Digest(got.Body)}
 				operation.to, operation.answered = w.now, true
-				w.operations = append(w.operations, operation)
+				w.configLogOperations = append(w.configLogOperations, operation)
 			}
 		})
 	}
@@ -78,11 +78,11 @@
 var configLogModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		committed := mustBe[string](state)
-		request := mustBe[configLogRequest](input)
-		answer := mustBe[configLogAnswer](output)
+		committed := mustCast[string](state)
+		request := mustCast[configLogRequest](input)
+		answer := mustCast[configLogAnswer](output)
 		current, currentDigest := newestEntry(committed)
-		held := strings.Contains(" "+committed+" ", " "+request.entry+" ")
+		present := strings.Contains(" "+committed+" ", " "+request.entry+" ")
 		applied := strings.TrimSpace(committed + " " + request.entry)
 		switch {
 		case !request.write && answer.code == errcode.ConfigurationNotFound && committed == "",
@@ -92,14 +92,14 @@
 			return nil
 		case answer.unknown && request.version > current:
 			return []any{state, applied}
-		case answer.unknown, answer.code == errcode.ConfigurationNoHolder, answer.code == errcode.OK && held:
+		case answer.unknown, answer.code == errcode.ConfigurationNoHolder, answer.code == errcode.OK && present:
 			return []any{state}
 		case answer.code == errcode.OK && request.version > current:
 			return []any{applied}
-		case answer.code == errcode.ConfigurationConflict && !request.highest && request.version <= current && !held:
+		case answer.code == errcode.ConfigurationConflict && !request.highestWins && request.version <= current && !present:
 			return []any{state}
-		case answer.code == errcode.ConfigurationConflict && request.highest && !held && numberTaken(committed, request.version),
-			answer.code == errcode.OK && request.highest && request.version < current && !numberTaken(committed, request.version):
+		case answer.code == errcode.ConfigurationConflict && request.highestWins && !present && versionCommitted(committed, request.version),
+			answer.code == errcode.OK && request.highestWins && request.version < current && !versionCommitted(committed, request.version):
 			return []any{state}
 		}
 		return nil
@@ -108,15 +108,15 @@
 }
 
 // numberTaken says that some content was committed under a version.
-func numberTaken(committed string, version int64) bool {
+func versionCommitted(committed string, version int64) bool {
 	return strings.Contains(" "+committed, fmt.Sprintf(" %d:", version))
 }
 
 // linear checks the operations of a run; few runs take long, those are given up.
-func (w *World) linear() (bool, int) {
+func (w *World) checkLinearizability() (bool, int) {
 	history := []porcupine.Operation{}
-	for index, operation := range w.operations {
-		operation.request.highest = w.options.Deployment.Writes == settings.WritesHighest
+	for index, operation := range w.configLogOperations {
+		operation.request.highestWins = w.options.Deployment.Writes == settings.WritesHighest
 		answer, to := operation.answer, int64(operation.to)
 		if !operation.answered || answer.code == errcode.ConfigurationUnsure {
 			answer, to = configLogAnswer{unknown: true}, math.MaxInt64
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -7,40 +7,40 @@
 	"beaconvane/internal/message"
 )
 
-func (w *World) cutBetween(left, right []string, both bool, length time.Duration) {
-	set := func(by int) {
-		for _, one := range left {
-			for _, other := range right {
-				w.cut(one, other, by)
+func (w *World) cutLinksBetween(left, right []string, both bool, duration time.Duration) {
+	change := func(delta int) {
+		for _, leftMachine := range left {
+			for _, rightMachine := range right {
+				w.changeCutCount(leftMachine, rightMachine, delta)
 				if both {
-					w.cut(other, one, by)
+					w.changeCutCount(rightMachine, leftMachine, delta)
 				}
 			}
 		}
 	}
-	set(1)
+	change(1)
 	for _, machine := range left {
 		// A frame under way comes again some time after the cut is mended.
-		w.record.Disconnected = append(w.record.Disconnected, checker.Span{Name: machine, From: w.now, To: w.now + length + time.Second})
+		w.record.Disconnected = append(w.record.Disconnected, checker.Span{Name: machine, From: w.now, To: w.now + duration + time.Second})
 	}
-	w.breakSpans(left, right)
-	w.after(length, func() {
-		set(-1)
-		w.breakSpans(left, right)
+	w.restartServiceSpans(left, right)
+	w.after(duration, func() {
+		change(-1)
+		w.restartServiceSpans(left, right)
 	})
 }
 
 // breakSpans begins new spans of service, as a node cut off is not held to the bounds for connected ones.
-func (w *World) breakSpans(left, right []string) {
-	small := left
+func (w *World) restartServiceSpans(left, right []string) {
+	smaller := left
 	if len(right) < len(left) {
-		small = right
+		smaller = right
 	}
-	for _, machine := range small {
+	for _, machine := range smaller {
 		for _, node := range w.machineNodes(machine) {
-			node.closeSpan()
+			node.closeServiceSpan()
 			if node.up && !node.frozen {
-				node.openSpan()
+				node.openServiceSpan()
 			}
 		}
 	}
@@ -48,18 +48,18 @@
 
 // isolate cuts the target from the other machines, both ways or only what it sends.
 func (w *World) isolate(step Step, machines []string, both bool) {
-	w.cutBetween([]string{step.Target}, without(machines, step.Target), both, step.For)
+	w.cutLinksBetween([]string{step.Target}, without(machines, step.Target), both, step.For)
 }
 
 // halve cuts the target and every third proxy from all other machines.
-func (w *World) halve(step Step) {
-	left, right := []string{step.Target}, without(w.cores(), step.Target)
-	for index, node := range w.nodesOf(message.RoleProxy) {
+func (w *World) partitionWithSomeProxies(step Step) {
+	left, right := []string{step.Target}, without(w.coreMachines(), step.Target)
+	for index, node := range w.nodesByRole(message.RoleProxy) {
 		if index%3 == 0 {
 			left = append(left, node.machine)
 		} else {
 			right = append(right, node.machine)
 		}
 	}
-	w.cutBetween(left, right, true, step.For)
+	w.cutLinksBetween(left, right, true, step.For)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -12,15 +12,15 @@
 	"beaconvane/internal/storage"
 )
 
-const inboxCap = 20000
+const maxInboxLength = 20000
 
 // Node is one simulated process: the product's state machine with its own clock and disk, and for a
 // proxy its frontend and backend. A frozen node handles nothing while its clock runs on; what
 // arrived meanwhile waits in its inbox.
 type Node struct {
 	process
-	disks
-	proxyParts
+	diskState
+	proxyState
 	world         *World
 	name          string
 	role          string
@@ -35,21 +35,21 @@
 
 // process is whether and since when the process runs, and what waits while it is frozen.
 type process struct {
-	up          bool
-	frozen      bool
-	frozenAt    time.Duration
-	inbox       []func() // arrivals while it is frozen
-	incarnation int      // grows with each boot
-	born        time.Duration
-	stopping    bool
-	leaving     bool          // it is once the process has ended
-	retired     bool          // its machine was taken away for good
-	spanStart   time.Duration // begin of the span of service that is open, if spanOn
-	spanOpen    bool
+	up               bool
+	frozen           bool
+	frozenAt         time.Duration
+	inbox            []func() // arrivals while it is frozen
+	incarnation      int      // grows with each boot
+	startedAt        time.Duration
+	stopping         bool
+	decommissioned   bool          // it is once the process has ended
+	retired          bool          // its machine was taken away for good
+	serviceSpanStart time.Duration // begin of the span of service that is open, if spanOn
+	serviceSpanOpen  bool
 }
 
 // disks is the disk of a process of the core, its store, and the writes that wait for the disk.
-type disks struct {
+type diskState struct {
 	disk               *Disk
 	diskLost           bool // at least once
 	store              *storage.Store
@@ -57,34 +57,34 @@
 	recovering         bool // the disk has refused a write; the state machine is built anew once it works
 
 	pendingWrites   []statemachine.Write
-	diskFreeAt      time.Duration
+	diskIdleAt      time.Duration
 	writeDelay      time.Duration
 	writeDelayUntil time.Duration
 }
 
 // proxyParts is what only a proxy has: the product's frontend and backend, and its connections.
-type proxyParts struct {
-	tracker        *frontend.Dispatcher
-	frontend       *frontend.Frontend
-	serving        *backend.Backend
-	snapshot       *proxy.Snapshot
-	connections    []*simConnection
-	pools          map[backend.Target][]upConnection
-	guards         map[backend.Target]upConnection
-	inFlight       int  // callers' requests not answered yet
-	listenerClosed bool // takes no new requests
+type proxyState struct {
+	dispatcher         *frontend.Dispatcher
+	frontend           *frontend.Frontend
+	backend            *backend.Backend
+	snapshot           *proxy.Snapshot
+	connections        []*simConnection
+	connectionPools    map[backend.Target][]upstreamConnection
+	guardConnections   map[backend.Target]upstreamConnection
+	unansweredRequests int  // callers' requests not answered yet
+	listenerClosed     bool // takes no new requests
 }
 
 func (w *World) addNode(role, machine, voter, zone, address string, seeds []string) *Node {
 	cfg := w.options.Deployment.Settings(role, machine, voter, zone, address, address, seeds, "data")
 	cfg.Collector = "http://collector/"
 	node := &Node{
-		world:    w,
-		name:     role + "/" + machine,
-		role:     role,
-		machine:  machine,
-		settings: cfg,
-		disks:    disks{disk: NewDisk(), writeDelay: w.options.Deployment.DiskDelay},
+		world:     w,
+		name:      role + "/" + machine,
+		role:      role,
+		machine:   machine,
+		settings:  cfg,
+		diskState: diskState{disk: NewDisk(), writeDelay: w.options.Deployment.DiskDelay},
 		clock: processClock{
 			drift:      (w.random.Float64() - 0.5) * 0.002,
 			wallOffset: time.Duration(w.random.Int64N(int64(60*time.Millisecond))) - 30*time.Millisecond,
@@ -92,8 +92,8 @@
 		replies: map[int64]func(any){},
 	}
 	w.nodes[node.name] = node
-	w.order = append(w.order, node.name)
-	w.byAddress[address] = node
+	w.nodeOrder = append(w.nodeOrder, node.name)
+	w.nodeByAddress[address] = node
 	return node
 }
 
@@ -117,23 +117,23 @@
 	})
 }
 
-func (n *Node) sweep() {
-	n.tracker.Expire()
-	for target := range n.pools {
-		if !n.serving.ConnectionsUsable(n.Now(), target) {
-			delete(n.pools, target)
+func (n *Node) sweepConnections() {
+	n.dispatcher.Expire()
+	for target := range n.connectionPools {
+		if !n.backend.ConnectionsUsable(n.Now(), target) {
+			delete(n.connectionPools, target)
 		}
 	}
-	for target, guard := range n.guards {
-		if !guard.quiet() {
-			n.serving.RecordConnectionLoss(n.Now(), target)
-			delete(n.guards, target)
+	for target, guard := range n.guardConnections {
+		if !guard.idle() {
+			n.backend.RecordConnectionLoss(n.Now(), target)
+			delete(n.guardConnections, target)
 		}
 	}
 }
 
-func (n *Node) count() {
-	usage, closed := n.frontend.Usage(time.Duration(n.Wall().UnixNano()), mustBe[*proxy.Machine](n.control).SealedBelow())
+func (n *Node) reportUsage() {
+	usage, closed := n.frontend.Usage(time.Duration(n.Wall().UnixNano()), mustCast[*proxy.Machine](n.control).SealedBelow())
 	n.apply(statemachine.LocalRequest{Request: proxy.UsageCounted{Usage: usage, Closed: closed}})
 }
 
@@ -149,7 +149,7 @@
 	switch {
 	case !n.up || n.incarnation != incarnation:
 	case n.frozen:
-		if len(n.inbox) < inboxCap {
+		if len(n.inbox) < maxInboxLength {
 			n.inbox = append(n.inbox, do)
 		}
 	default:
@@ -157,7 +157,7 @@
 	}
 }
 
-func (n *Node) arrive(from string, frame []byte) {
+func (n *Node) receive(from string, frame []byte) {
 	incarnation := n.incarnation
 	n.run(incarnation, func() {
 		msg, err := message.Decode(frame)
@@ -165,7 +165,7 @@
 			n.world.fail("%s cannot read a frame: %v", n.name, err)
 			return
 		}
-		n.world.mark("%s>%s %T %d", from, n.name, msg, len(frame))
+		n.world.traceEvent("%s>%s %T %d", from, n.name, msg, len(frame))
 		n.apply(statemachine.Arrived{From: from, Message: msg})
 	})
 }
--- a/internal/simulation/node_faults.go
+++ b/internal/simulation/node_faults.go
@@ -10,7 +10,7 @@
 // machineNodes lists the processes of a machine, or the one named.
 func (w *World) machineNodes(target string) []*Node {
 	list := []*Node{}
-	for _, name := range w.order {
+	for _, name := range w.nodeOrder {
 		if w.nodes[name].machine == target || name == target {
 			list = append(list, w.nodes[name])
 		}
@@ -19,21 +19,21 @@
 }
 
 // holder finds the machine whose process acts for a tag now.
-func (w *World) holder(tag string) string {
+func (w *World) leaseHolder(leaseName string) string {
 	newest := checker.LeaseTenure{}
-	for _, keeping := range w.record.LeaseTenures {
-		if keeping.LeaseName == tag && keeping.Epoch >= newest.Epoch {
-			newest = keeping
+	for _, tenure := range w.record.LeaseTenures {
+		if tenure.LeaseName == leaseName && tenure.Epoch >= newest.Epoch {
+			newest = tenure
 		}
 	}
 	return newest.Voter
 }
 
-func (w *World) restart(nodes []*Node, loseDisk bool, down time.Duration) {
+func (w *World) restart(nodes []*Node, loseDisk bool, downtime time.Duration) {
 	for _, node := range nodes {
 		node.kill(true, loseDisk)
 	}
-	w.after(down, func() {
+	w.after(downtime, func() {
 		for _, node := range nodes {
 			node.boot()
 		}
@@ -47,13 +47,13 @@
 }
 
 func (w *World) killHolder(step Step) {
-	if machine := w.holder(step.Target); machine != "" {
+	if machine := w.leaseHolder(step.Target); machine != "" {
 		w.restart(w.machineNodes(machine), false, step.For)
 	}
 }
 
 func (w *World) freezeHolder(step Step) {
-	if machine := w.holder(step.Target); machine != "" {
+	if machine := w.leaseHolder(step.Target); machine != "" {
 		w.freeze(w.machineNodes(machine), step.For)
 	}
 }
@@ -76,37 +76,37 @@
 func (w *World) failDisks(step Step) {
 	nodes := w.machineNodes(step.Target)
 	for _, node := range nodes {
-		node.disk.fail = true
+		node.disk.failing = true
 	}
 	w.after(step.For, func() {
 		for _, node := range nodes {
-			node.disk.fail = false
+			node.disk.failing = false
 		}
 		w.restart(nodes, false, 500*time.Millisecond)
 	})
 }
 
 func (w *World) restartEverySecondProxy(step Step) {
-	for index, node := range w.nodesOf(message.RoleProxy) {
+	for index, node := range w.nodesByRole(message.RoleProxy) {
 		if index%2 == 0 {
 			w.restart([]*Node{node}, false, step.For)
 		}
 	}
 }
 
-func (w *World) restartMachines(machines []string, down time.Duration) {
+func (w *World) restartMachines(machines []string, downtime time.Duration) {
 	for _, machine := range machines {
-		w.restart(w.machineNodes(machine), false, down)
+		w.restart(w.machineNodes(machine), false, downtime)
 	}
 }
 
-func (w *World) freeze(nodes []*Node, length time.Duration) {
+func (w *World) freeze(nodes []*Node, duration time.Duration) {
 	for _, node := range nodes {
 		node.freeze()
 		frozenNode, incarnation := node, node.incarnation
-		w.after(length, func() {
+		w.after(duration, func() {
 			if frozenNode.incarnation == incarnation {
-				frozenNode.wake()
+				frozenNode.resume()
 			}
 		})
 	}
--- a/internal/simulation/node_lifecycle.go
+++ b/internal/simulation/node_lifecycle.go
@@ -26,12 +26,12 @@
 	}
 	n.up, n.frozen, n.inbox = true, false, nil
 	n.clock.bootAt = n.world.now
-	n.diskFreeAt, n.pendingWrites = 0, nil
-	n.inFlight, n.listenerClosed, n.stopping, n.recovering = 0, false, false, false
+	n.diskIdleAt, n.pendingWrites = 0, nil
+	n.unansweredRequests, n.listenerClosed, n.stopping, n.recovering = 0, false, false, false
 	n.machineIncarnation++
 	n.env = statemachine.NewEnv(n.world.random.Uint64())
 	n.replies = map[int64]func(any){}
-	n.born = n.world.now
+	n.startedAt = n.world.now
 	var err error
 	switch n.role {
 	case message.RoleProxy:
@@ -49,67 +49,67 @@
 		n.up = false
 		return
 	}
-	n.world.mark("boot %s", n.name)
-	n.world.expectCaughtUp(n)
-	n.openSpan()
+	n.world.traceEvent("boot %s", n.name)
+	n.world.expectCatchUp(n)
+	n.openServiceSpan()
 	n.every(n.incarnation, n.settings.TickEvery(), n.tick)
 }
 
 func (n *Node) bootProxy(self message.Member) {
-	n.pools, n.guards, n.connections, n.snapshot = map[backend.Target][]upConnection{}, map[backend.Target]upConnection{}, nil, nil
-	n.serving = backend.New(n.settings, func(forward message.Forward) errcode.Code { return n.frontend.AuthorizeForward(forward) })
-	n.serving.UseTokenSource(func() string { return strconv.FormatUint(n.world.random.Uint64(), 36) })
-	n.frontend = frontend.New(n.settings, n.serving.LookupDelegation)
-	n.frontend.UseProtocol(namedCallers{})
+	n.connectionPools, n.guardConnections, n.connections, n.snapshot = map[backend.Target][]upstreamConnection{}, map[backend.Target]upstreamConnection{}, nil, nil
+	n.backend = backend.New(n.settings, func(forward message.Forward) errcode.Code { return n.frontend.AuthorizeForward(forward) })
+	n.backend.UseTokenSource(func() string { return strconv.FormatUint(n.world.random.Uint64(), 36) })
+	n.frontend = frontend.New(n.settings, n.backend.LookupDelegation)
+	n.frontend.UseProtocol(namingFrontendProtocol{})
 	n.control = proxy.New(n.settings, self)
-	n.tracker = frontend.NewDispatcher(n.settings, n.frontend, n.serving, &environment{n, n.incarnation}, self)
+	n.dispatcher = frontend.NewDispatcher(n.settings, n.frontend, n.backend, &environment{n, n.incarnation}, self)
 	incarnation := n.incarnation
-	n.every(incarnation, n.settings.UpdatesEvery()/4, func() { n.run(incarnation, n.sweep) })
-	n.every(incarnation, n.settings.CountEvery(), func() { n.run(incarnation, n.count) })
+	n.every(incarnation, n.settings.UpdatesEvery()/4, func() { n.run(incarnation, n.sweepConnections) })
+	n.every(incarnation, n.settings.CountEvery(), func() { n.run(incarnation, n.reportUsage) })
 }
 
 // stopForGood ends the process politely, and its machine does not come back.
-func (n *Node) stopForGood() {
-	n.leaving = true
+func (n *Node) decommission() {
+	n.decommissioned = true
 	n.stop(0)
 }
 
 // stop ends the process politely, as cli does on a signal: the others are told,
 // what has not started is refused, the rest is finished, then it ends.
-func (n *Node) stop(down time.Duration) {
+func (n *Node) stop(downtime time.Duration) {
 	if !n.up || n.frozen {
 		return
 	}
 	incarnation, began := n.incarnation, n.world.now
-	n.world.mark("stop %s", n.name)
+	n.world.traceEvent("stop %s", n.name)
 	n.stopping = true
-	n.closeSpan()
+	n.closeServiceSpan()
 	restart := func() {
 		if n.up && n.incarnation == incarnation {
 			if n.role == message.RoleProxy {
 				n.world.record.Stopped = append(n.world.record.Stopped, checker.Span{Name: n.machine, From: began, To: n.world.now})
 			}
-			n.kill(false, n.leaving)
-			n.retired = n.retired || n.leaving
-			n.world.after(down, n.boot)
+			n.kill(false, n.decommissioned)
+			n.retired = n.retired || n.decommissioned
+			n.world.after(downtime, n.boot)
 		}
 	}
 	switch n.role {
 	case message.RoleProxy:
 		n.apply(statemachine.LocalRequest{Request: proxy.Stop{}})
-		n.tracker.Drain()
-		var wait func()
-		wait = func() {
-			running, queue := n.serving.Running()
-			if n.up && n.incarnation == incarnation && (n.inFlight > 0 || running+queue > 0) && n.world.now-began < n.settings.Grace() {
-				n.world.after(n.settings.TickEvery(), wait)
+		n.dispatcher.Drain()
+		var waitForRequests func()
+		waitForRequests = func() {
+			running, queue := n.backend.Running()
+			if n.up && n.incarnation == incarnation && (n.unansweredRequests > 0 || running+queue > 0) && n.world.now-began < n.settings.Grace() {
+				n.world.after(n.settings.TickEvery(), waitForRequests)
 				return
 			}
 			n.world.after(n.settings.TickEvery(), restart)
 		}
 		n.world.after(n.settings.UpdatesEvery(), func() {
 			n.listenerClosed = true
-			wait()
+			waitForRequests()
 		})
 	case message.RoleRegistry:
 		n.request(registry.Stop{}, func(any) { n.world.after(n.settings.UpdatesEvery(), restart) })
@@ -123,7 +123,7 @@
 	if !n.up {
 		return
 	}
-	n.closeSpan()
+	n.closeServiceSpan()
 	n.up = false
 	if n.frozen {
 		n.world.record.Disconnected = append(n.world.record.Disconnected, checker.Span{Name: n.machine, From: n.frozenAt, To: n.world.now})
@@ -131,7 +131,7 @@
 	if hard {
 		n.world.record.Crashes = append(n.world.record.Crashes, checker.Span{Name: n.machine, From: n.world.now, To: n.world.now})
 	}
-	if since, cut := n.world.cutSince[n.machine]; cut && n.role == message.RoleProxy {
+	if since, cut := n.world.cutLinkSince[n.machine]; cut && n.role == message.RoleProxy {
 		// What it counted while cut off died with it, untold.
 		n.world.record.UsageLosses = append(n.world.record.UsageLosses, checker.Span{
 			Name: n.machine,
@@ -139,10 +139,10 @@
 			To:   n.world.now,
 		})
 	}
-	n.world.mark("kill %s", n.name)
-	if len(n.pendingWrites) > 0 && !n.disk.fail {
+	n.world.traceEvent("kill %s", n.name)
+	if len(n.pendingWrites) > 0 && !n.disk.failing {
 		// What the disk was at is done up to some step: written, synced, named.
-		n.disk.steps = n.world.random.IntN(7)
+		n.disk.stepsLeft = n.world.random.IntN(7)
 		// The disk stops at that step, so the failure is what is wanted.
 		_ = n.storeWrite(n.pendingWrites[0])
 		n.world.dangers["kills in the middle of a write"]++
@@ -157,40 +157,42 @@
 		connection.closed = true
 	}
 	n.connections = nil
-	n.world.connectionsLost(n)
+	n.world.breakConnectionsTo(n)
 }
 
 // wasFrozen says that the process stood still at some time since.
-func (n *Node) wasFrozen(since time.Duration) bool { return n.frozenAt >= since }
+func (n *Node) frozenSince(since time.Duration) bool { return n.frozenAt >= since }
 
 func (n *Node) freeze() {
 	if n.up && !n.frozen {
-		n.closeSpan()
+		n.closeServiceSpan()
 		n.frozen, n.frozenAt = true, n.world.now
-		n.world.mark("freeze %s", n.name)
+		n.world.traceEvent("freeze %s", n.name)
 	}
 }
 
-func (n *Node) wake() {
+func (n *Node) resume() {
 	if !n.up || !n.frozen {
 		return
 	}
 	n.frozen = false
 	n.world.record.Disconnected = append(n.world.record.Disconnected, checker.Span{Name: n.machine, From: n.frozenAt, To: n.world.now})
-	n.world.mark("wake %s", n.name)
-	n.openSpan()
-	held := n.inbox
+	n.world.traceEvent("wake %s", n.name)
+	n.openServiceSpan()
+	arrivals := n.inbox
 	n.inbox = nil
-	for _, do := range held {
+	for _, do := range arrivals {
 		do()
 	}
 }
 
-func (n *Node) openSpan() { n.spanStart, n.spanOpen = n.world.now, !n.world.partitioned(n.machine) }
+func (n *Node) openServiceSpan() {
+	n.serviceSpanStart, n.serviceSpanOpen = n.world.now, !n.world.hasCutLink(n.machine)
+}
 
-func (n *Node) closeSpan() {
-	if n.spanOpen && n.role == message.RoleProxy {
-		n.world.record.Up = append(n.world.record.Up, checker.Span{Name: n.machine, From: n.spanStart, To: n.world.now, StartedAt: n.born})
+func (n *Node) closeServiceSpan() {
+	if n.serviceSpanOpen && n.role == message.RoleProxy {
+		n.world.record.Up = append(n.world.record.Up, checker.Span{Name: n.machine, From: n.serviceSpanStart, To: n.world.now, StartedAt: n.startedAt})
 	}
-	n.spanOpen = false
+	n.serviceSpanOpen = false
 }
--- a/internal/simulation/norace_test.go
+++ b/internal/simulation/norace_test.go
@@ -3,4 +3,4 @@
 // The other half of race_test.go: without the detector every run is played.
 package simulation
 
-const racing = false
+const raceEnabled = false
--- a/internal/simulation/proxy_connection.go
+++ b/internal/simulation/proxy_connection.go
@@ -12,39 +12,39 @@
 
 // simConnection is a traffic connection between two proxies.
 type simConnection struct {
-	from, to *Node
-	lifeFrom int
-	lifeTo   int
-	attached bool
-	closed   bool
-	queue    []any
-	received func(msg any)
-	broke    func(connection frontend.Connection)
-	lastTo   time.Duration
-	lastBack time.Duration
+	from, to        *Node
+	fromIncarnation int
+	toIncarnation   int
+	established     bool
+	closed          bool
+	queue           []any
+	onMessage       func(msg any)
+	onBroken        func(connection frontend.Connection)
+	lastForward     time.Duration
+	lastReply       time.Duration
 }
 
-func (s *simConnection) dialled(target *Node, found bool) {
+func (s *simConnection) finishDial(target *Node, found bool) {
 	w := s.from.world
 	switch {
 	case s.closed:
 	case !found || !target.up:
 		s.drop()
-	case !w.linked(s.from, target) || !w.linked(target, s.from) || target.frozen:
+	case !w.reachable(s.from, target) || !w.reachable(target, s.from) || target.frozen:
 		// Nothing answers: the dial times out. A frozen machine's kernel still takes
 		// connections, which the next case covers for short freezes.
 		if target.frozen {
-			s.attach(target)
+			s.establish(target)
 			return
 		}
 		w.after(s.from.settings.DialTimeout(), s.drop)
 	default:
-		s.attach(target)
+		s.establish(target)
 	}
 }
 
-func (s *simConnection) attach(target *Node) {
-	s.to, s.lifeTo, s.attached = target, target.incarnation, true
+func (s *simConnection) establish(target *Node) {
+	s.to, s.toIncarnation, s.established = target, target.incarnation, true
 	for _, msg := range s.queue {
 		s.forward(msg)
 	}
@@ -59,14 +59,14 @@
 	}
 	s.closed = true
 	w := s.from.world
-	w.after(time.Duration(w.random.Int64N(int64(20*time.Millisecond))), func() { s.from.run(s.lifeFrom, func() { s.broke(s) }) })
+	w.after(time.Duration(w.random.Int64N(int64(20*time.Millisecond))), func() { s.from.run(s.fromIncarnation, func() { s.onBroken(s) }) })
 }
 
 // Broken says whether the connection has ended.
 func (s *simConnection) Broken() bool { return s.closed }
 
 // Established says whether the connection was made.
-func (s *simConnection) Established() bool { return s.attached }
+func (s *simConnection) Established() bool { return s.established }
 
 // Close ends the connection.
 func (s *simConnection) Close() { s.closed = true }
@@ -76,7 +76,7 @@
 	if s.closed {
 		return errcode.Wrap("simulation.post", errcode.ConnectionLost, nil)
 	}
-	if !s.attached {
+	if !s.established {
 		s.queue = append(s.queue, msg)
 		return nil
 	}
@@ -86,16 +86,16 @@
 
 func (s *simConnection) forward(msg any) {
 	w := s.from.world
-	arrival := max(w.now+w.transit(), s.lastTo)
-	s.lastTo = arrival
-	s.deliverLater(arrival, s.from, s.to, s.lifeTo, func() {
-		s.to.tracker.HandleFrame(reread(msg), func(reply any) error {
+	arrival := max(w.now+w.randomTransitDelay(), s.lastForward)
+	s.lastForward = arrival
+	s.deliverLater(arrival, s.from, s.to, s.toIncarnation, func() {
+		s.to.dispatcher.HandleFrame(encodeAndDecode(msg), func(reply any) error {
 			if s.closed {
 				return errcode.Wrap("simulation.back", errcode.ConnectionLost, nil)
 			}
-			back := max(w.now+w.transit(), s.lastBack)
-			s.lastBack = back
-			s.deliverLater(back, s.to, s.from, s.lifeFrom, func() { s.received(reread(reply)) })
+			replyArrival := max(w.now+w.randomTransitDelay(), s.lastReply)
+			s.lastReply = replyArrival
+			s.deliverLater(replyArrival, s.to, s.from, s.fromIncarnation, func() { s.onMessage(encodeAndDecode(reply)) })
 			return nil
 		})
 	})
@@ -110,7 +110,7 @@
 		if s.closed || !to.up || to.incarnation != incarnation {
 			return
 		}
-		if !w.linked(from, to) {
+		if !w.reachable(from, to) {
 			tries++
 			if tries > 25 {
 				s.drop()
@@ -125,7 +125,7 @@
 }
 
 // reread passes a message through the encoding, as the real connection does.
-func reread(msg any) any {
+func encodeAndDecode(msg any) any {
 	frame, err := message.Encode(msg)
 	if err != nil {
 		panic(fmt.Sprintf("simulation: %T: %v", msg, err))
@@ -138,30 +138,30 @@
 }
 
 // connectionsLost breaks the connections that led to a node that ended.
-func (w *World) connectionsLost(ended *Node) {
-	for _, name := range w.order {
+func (w *World) breakConnectionsTo(ended *Node) {
+	for _, name := range w.nodeOrder {
 		node := w.nodes[name]
-		if _, spoke := w.lastAt[node.address()+">"+ended.address()]; spoke && node != ended && w.linked(ended, node) {
+		if _, communicated := w.lastArrival[node.address()+">"+ended.address()]; communicated && node != ended && w.reachable(ended, node) {
 			incarnation := node.incarnation
-			w.after(w.transit(), func() {
+			w.after(w.randomTransitDelay(), func() {
 				node.run(incarnation, func() {
 					node.apply(statemachine.LocalRequest{Request: statemachine.ConnectionClosed{Address: ended.address()}})
 				})
 			})
 		}
 		for _, connection := range node.connections {
-			if connection.to == ended && connection.attached && !connection.closed {
+			if connection.to == ended && connection.established && !connection.closed {
 				lost := connection
-				var tell func()
-				tell = func() {
+				var notify func()
+				notify = func() {
 					// The end of a connection can't be heard through a cut.
-					if !w.linked(ended, lost.from) {
-						w.after(200*time.Millisecond, tell)
+					if !w.reachable(ended, lost.from) {
+						w.after(200*time.Millisecond, notify)
 						return
 					}
 					lost.drop()
 				}
-				w.after(w.transit(), tell)
+				w.after(w.randomTransitDelay(), notify)
 			}
 		}
 	}
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -4,4 +4,4 @@
 // and it makes the long runs ten times slower. They are run without it.
 package simulation
 
-const racing = true
+const raceEnabled = true
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -16,26 +16,26 @@
 const replacementSuffix = "-heir"
 
 // replaceVoter puts an empty machine in a voter's place, at a new address.
-func (w *World) replaceVoter(machine string, down time.Duration) {
+func (w *World) replaceVoter(machine string, downtime time.Duration) {
 	nodes := w.machineNodes(machine)
 	for _, node := range nodes {
 		node.kill(true, true)
 	}
-	w.after(down, func() {
+	w.after(downtime, func() {
 		for _, node := range nodes {
 			old := node.settings.Address
 			parts := strings.SplitN(old, ":", 2)
-			fresh := parts[0] + "9:" + parts[1]
-			if _, taken := w.byAddress[fresh]; taken {
-				fresh = parts[0] + "8:" + parts[1]
+			newAddress := parts[0] + "9:" + parts[1]
+			if _, taken := w.nodeByAddress[newAddress]; taken {
+				newAddress = parts[0] + "8:" + parts[1]
 			}
-			delete(w.byAddress, old)
-			node.settings.Address, node.settings.HTTPAddress = fresh, fresh
-			w.byAddress[fresh] = node
+			delete(w.nodeByAddress, old)
+			node.settings.Address, node.settings.HTTPAddress = newAddress, newAddress
+			w.nodeByAddress[newAddress] = node
 		}
 		// The newcomer's settings name the seeds of now; all others keep their old ones.
 		seeds := []string{}
-		for _, registryNode := range w.nodesOf(message.RoleRegistry) {
+		for _, registryNode := range w.nodesByRole(message.RoleRegistry) {
 			seeds = append(seeds, registryNode.address())
 		}
 		for _, node := range nodes {
@@ -47,18 +47,18 @@
 
 // replaceCore ends a core machine for good and adds an empty one of another name at
 // another address; its settings name three core machines of now.
-func (w *World) replaceCore(machine string, down time.Duration) {
+func (w *World) replaceCore(machine string, downtime time.Duration) {
 	for _, old := range w.machineNodes(machine) {
 		old.kill(true, true)
 		old.retired = true
-		w.serial++
+		w.addedNodes++
 		host, port, _ := strings.Cut(old.settings.Address, ":")
 		replacement := w.addNode(old.role, fmt.Sprintf("%s-after", machine), "", old.settings.Zone,
-			fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.serial), port), old.settings.Seeds)
+			fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.addedNodes), port), old.settings.Seeds)
 		replacement.settings.Bootstrap = false
-		w.after(down, func() {
+		w.after(downtime, func() {
 			replacement.settings.Seeds = []string{}
-			for _, registryNode := range w.nodesOf(message.RoleRegistry) {
+			for _, registryNode := range w.nodesByRole(message.RoleRegistry) {
 				if registryNode != replacement && !registryNode.retired && len(replacement.settings.Seeds) < 3 {
 					replacement.settings.Seeds = append(replacement.settings.Seeds, registryNode.address())
 				}
@@ -70,9 +70,9 @@
 
 // usurp freezes a core machine, puts an empty one at a new address in its voter, and
 // lets the old one wake later.
-func (w *World) usurp(machine string, frozen time.Duration) {
+func (w *World) replaceFrozenMachine(machine string, frozen time.Duration) {
 	for index, old := range w.machineNodes(machine) {
-		host := fmt.Sprintf("10.1.9.%d:7%d00", len(w.order)+1, 4+index)
+		host := fmt.Sprintf("10.1.9.%d:7%d00", len(w.nodeOrder)+1, 4+index)
 		replacement := w.addNode(old.role, machine+replacementSuffix, old.settings.Voter, old.settings.Zone, host, old.settings.Seeds)
 		replacement.name, replacement.settings.Node = old.role+"/"+machine+replacementSuffix, old.settings.Node
 		w.after(500*time.Millisecond, replacement.boot)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -26,7 +26,7 @@
 
 func (s Step) String() string { return fmt.Sprintf("%s %s %s for %s", s.At, s.Do, s.Target, s.For) }
 
-const loadBegins = 8 * time.Second
+const loadStart = 8 * time.Second
 
 // Result is a run's outcome.
 type Result struct {
@@ -44,7 +44,7 @@
 // Play runs a plan on a deployment.
 func Play(options Options) Result {
 	w := NewWorld(options)
-	for _, name := range w.order {
+	for _, name := range w.nodeOrder {
 		node := w.nodes[name]
 		w.at(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), node.boot)
 	}
@@ -53,64 +53,64 @@
 		w.at(time.Duration(w.random.Int64N(int64(500*time.Millisecond))), func() { u.start(500 * time.Millisecond) })
 	}
 	w.at(time.Second, func() {
-		w.versions++
-		w.writeUntil(w.versions, w.options.Deployment.Tenants(), 0)
+		w.lastVersion++
+		w.writeUntilDecided(w.lastVersion, w.options.Deployment.Tenants(), 0)
 	})
-	w.requestSoon(0, loadBegins)
+	w.scheduleRequest(0, loadStart)
 	last := time.Duration(0)
 	for _, step := range options.Plan {
 		planned := step
 		last = max(last, step.At+step.For)
-		w.at(step.At, func() { w.do(planned) })
+		w.at(step.At, func() { w.runStep(planned) })
 	}
-	ends := loadBegins + options.Load
-	w.ordersEnd = ends + 10*time.Second
-	w.at(time.Second, func() { w.requestReady(ends) })
+	ends := loadStart + options.Load
+	w.writesEnd = ends + 10*time.Second
+	w.at(time.Second, func() { w.probeReadiness(ends) })
 	w.at(2*time.Second, func() { w.readConfigLog(700*time.Millisecond, ends) })
 	w.Run(ends + 14*time.Second)
-	w.caughtUp()
-	w.closing()
+	w.checkCaughtUp()
+	w.readBack()
 	w.Run(ends + 18*time.Second)
-	w.settled()
-	w.bounded()
+	w.checkWritesFinished()
+	w.checkSizeBounds()
 	result := Result{Seed: options.Seed, Plan: options.Plan, Trace: w.trace, Steps: w.steps, Last: last}
 	result.Review = w.Finish()
 	result.Record = w.record
-	w.restored(&result)
+	w.checkRestored(&result)
 	return result
 }
 
 // caughtUp checks that at the end every store that has a vote holds the newest version acknowledged.
-func (w *World) caughtUp() {
-	for _, store := range w.alive(message.RoleConfigStore) {
+func (w *World) checkCaughtUp() {
+	for _, store := range w.runningNodes(message.RoleConfigStore) {
 		machine, isStore := store.control.(*configstore.Machine)
-		if isStore && machine.Voting() && newestOf(store) < w.newestAcked {
-			w.fail("%s holds version %d, %d was acknowledged", store.name, newestOf(store), w.newestAcked)
+		if isStore && machine.Voting() && newestVersion(store) < w.newestAcknowledged {
+			w.fail("%s holds version %d, %d was acknowledged", store.name, newestVersion(store), w.newestAcknowledged)
 		}
 	}
 }
 
 // closing reads back, through each voter, every version kept and every window.
-func (w *World) closing() {
+func (w *World) readBack() {
 	// What is read is under test here, not how long it takes on narrow links.
 	w.options.Deployment.CoreLink = 0
-	for _, node := range w.alive(message.RoleRegistry) {
+	for _, node := range w.runningNodes(message.RoleRegistry) {
 		registryNode := node
 		registryNode.request(registry.ReadConfiguration{ConfigName: "main", List: true}, func(answer any) {
-			got := mustBe[registry.OperatorResponse](answer)
-			if got.Code != errcode.OK {
-				w.fail("%s does not list the versions: %s", registryNode.name, got.Code)
+			response := mustCast[registry.OperatorResponse](answer)
+			if response.Code != errcode.OK {
+				w.fail("%s does not list the versions: %s", registryNode.name, response.Code)
 				return
 			}
-			for _, listed := range gjson.GetBytes(got.Body, "versions").Array() {
+			for _, listed := range gjson.GetBytes(response.Body, "versions").Array() {
 				version := listed.Int()
 				registryNode.request(registry.ReadConfiguration{ConfigName: "main", Version: version}, func(answer any) {
-					if got := mustBe[registry.OperatorResponse](answer); got.Code == errcode.OK {
+					if response := mustCast[registry.OperatorResponse](answer); response.Code == errcode.OK {
 						w.record.StoredVersions = append(w.record.StoredVersions, checker.StoredVersion{
 							Voter:      registryNode.voterName(),
 							ConfigName: "main",
 							Version:    version,
-							Digest:     checker.Digest(got.Body),
+							Digest:     checker.Digest(response.Body),
 						})
 					}
 				})
@@ -119,9 +119,9 @@
 		for _, report := range w.record.Reported {
 			window := report.Window
 			registryNode.request(registry.ReadUsage{Window: window}, func(answer any) {
-				if got := mustBe[registry.OperatorResponse](answer); got.Code == errcode.OK {
+				if response := mustCast[registry.OperatorResponse](answer); response.Code == errcode.OK {
 					counts := map[string]int64{}
-					gjson.GetBytes(got.Body, "counts").ForEach(func(tenant, count gjson.Result) bool {
+					gjson.GetBytes(response.Body, "counts").ForEach(func(tenant, count gjson.Result) bool {
 						counts[tenant.String()] = count.Int()
 						return true
 					})
@@ -137,32 +137,32 @@
 }
 
 // restored checks that fifteen seconds after the last fault every request is answered.
-func (w *World) restored(result *Result) {
+func (w *World) checkRestored(result *Result) {
 	bound := time.Duration(settings.Default().Bounds.Restore) * time.Millisecond
-	good, count := 0, 0
+	answeredCount, count := 0, 0
 	latest := time.Duration(0)
-	for _, asked := range w.record.Requests {
-		answered := asked.Code == 0 && !asked.Connection
+	for _, request := range w.record.Requests {
+		answered := request.Code == 0 && !request.Connection
 		count++
 		if answered {
-			good++
+			answeredCount++
 		}
 		if !answered {
-			cause := w.causeOf(asked)
+			cause := w.unansweredCause(request)
 			result.Review.Seen["unanswered: "+cause]++
 			if cause == refusedThoughAble {
-				result.Review.Seen[fmt.Sprintf("unanswered: %s %s", cause, errcode.Code(asked.Code))]++
+				result.Review.Seen[fmt.Sprintf("unanswered: %s %s", cause, errcode.Code(request.Code))]++
 			}
 		}
-		if !answered && asked.Code != int(errcode.RequestKeyUnknown) && asked.Sent > result.Last {
-			latest = max(latest, asked.Sent-result.Last)
+		if !answered && request.Code != int(errcode.RequestKeyUnknown) && request.Sent > result.Last {
+			latest = max(latest, request.Sent-result.Last)
 		}
 	}
 	if count > 0 {
-		result.Good = float64(good) / float64(count)
+		result.Good = float64(answeredCount) / float64(count)
 		result.Review.Worst[refusedThoughAble] = float64(result.Review.Seen["unanswered: "+refusedThoughAble]) / float64(count)
 	}
-	if share := result.Review.Worst[refusedThoughAble]; share > refusedMost {
+	if share := result.Review.Worst[refusedThoughAble]; share > maxRefusedShare {
 		result.Review.Violations = append(result.Review.Violations, checker.Violation{
 			Rule:   "refused",
 			Detail: fmt.Sprintf("%.4f of all requests were refused though some upstream could have run them", share),
@@ -191,7 +191,7 @@
 	plan := Scenarios[scenario](d, rand.New(rand.NewPCG(seed, 5)))
 	result := Play(options(d, seed, rate, plan, log))
 	result.Scenario = scenario
-	result.dangersReached()
+	result.checkDangersReached()
 	return result
 }
 
@@ -199,11 +199,11 @@
 	last := 12 * time.Second
 	for _, step := range plan {
 		if step.Do == "end" {
-			return Options{Deployment: d, Seed: seed, Rate: rate, Load: step.At - loadBegins, Plan: plan, Log: log}
+			return Options{Deployment: d, Seed: seed, Rate: rate, Load: step.At - loadStart, Plan: plan, Log: log}
 		}
 		last = max(last, step.At+step.For)
 	}
-	return Options{Deployment: d, Seed: seed, Rate: rate, Load: last - loadBegins + 18*time.Second, Plan: plan, Log: log}
+	return Options{Deployment: d, Seed: seed, Rate: rate, Load: last - loadStart + 18*time.Second, Plan: plan, Log: log}
 }
 
 // Shrink leaves out steps while the same rule stays broken.
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -13,136 +13,136 @@
 // Scenarios make the plan of each scenario, by name, for a deployment from a random source.
 var Scenarios = map[string]func(d workload.Deployment, random *rand.Rand) []Step{
 	"calm":         func(workload.Deployment, *rand.Rand) []Step { return nil },
-	"cutoff":       cutoffPlan,
+	"cutoff":       partitionPlan,
 	"same-version": sameVersionPlan,
 	"second-loss":  secondLossPlan,
-	"hundreds":     hundredsPlan,
+	"hundreds":     manyChangesPlan,
 	"holder-killed": func(d workload.Deployment, random *rand.Rand) []Step {
-		tag := allTags(d)
+		leases := leaseNames(d)
 		return []Step{
-			{At: span(random, 10, 12), Do: "kill-holder", Target: tag[random.IntN(len(tag))], For: span(random, 1, 6)},
-			{At: span(random, 14, 18), Do: "kill-holder", Target: tag[random.IntN(len(tag))], For: span(random, 1, 4)}}
+			{At: randomDuration(random, 10, 12), Do: "kill-holder", Target: leases[random.IntN(len(leases))], For: randomDuration(random, 1, 6)},
+			{At: randomDuration(random, 14, 18), Do: "kill-holder", Target: leases[random.IntN(len(leases))], For: randomDuration(random, 1, 4)}}
 	},
 	"edges-killed": func(d workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{}
 		for range 4 {
-			plan = append(plan, Step{At: span(random, 9, 20), Do: "kill", Target: edge(d, random), For: span(random, 0.1, 4)})
+			plan = append(plan, Step{At: randomDuration(random, 9, 20), Do: "kill", Target: randomProxy(d, random), For: randomDuration(random, 0.1, 4)})
 		}
-		return append(plan, Step{At: span(random, 12, 16), Do: "herd", For: span(random, 0.2, 3)})
+		return append(plan, Step{At: randomDuration(random, 12, 16), Do: "herd", For: randomDuration(random, 0.2, 3)})
 	},
-	"machines-in-turn": func(d workload.Deployment, random *rand.Rand) []Step { return inTurn(d, random, "kill") },
+	"machines-in-turn": func(d workload.Deployment, random *rand.Rand) []Step { return sequentialSteps(d, random, "kill") },
 	"stopped-in-turn": func(d workload.Deployment, random *rand.Rand) []Step {
-		return append(inTurn(d, random, "stop"), Step{At: span(random, 12, 20), Do: "put"})
+		return append(sequentialSteps(d, random, "stop"), Step{At: randomDuration(random, 12, 20), Do: "put"})
 	},
 	"core-cut": func(_ workload.Deployment, random *rand.Rand) []Step {
 		kinds := []string{"cut-core", "cut-core-one-way", "halve"}
 		return []Step{
-			{At: span(random, 10, 12), Do: kinds[random.IntN(3)], Target: voter(random), For: span(random, 1, 6)},
-			{At: span(random, 13, 15), Do: "put"},
-			{At: span(random, 18, 20), Do: kinds[random.IntN(3)], Target: voter(random), For: span(random, 1, 5)},
+			{At: randomDuration(random, 10, 12), Do: kinds[random.IntN(3)], Target: randomVoter(random), For: randomDuration(random, 1, 6)},
+			{At: randomDuration(random, 13, 15), Do: "put"},
+			{At: randomDuration(random, 18, 20), Do: kinds[random.IntN(3)], Target: randomVoter(random), For: randomDuration(random, 1, 5)},
 		}
 	},
 	"isolated": func(d workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 10, 12), Do: "isolate", Target: edge(d, random), For: span(random, 1, 8)},
-			{At: span(random, 10, 14), Do: "isolate", Target: voter(random), For: span(random, 1, 6)},
-			{At: span(random, 12, 14), Do: "withdraw"},
-			{At: span(random, 16, 18), Do: "isolate-out", Target: edge(d, random), For: span(random, 1, 5)},
+			{At: randomDuration(random, 10, 12), Do: "isolate", Target: randomProxy(d, random), For: randomDuration(random, 1, 8)},
+			{At: randomDuration(random, 10, 14), Do: "isolate", Target: randomVoter(random), For: randomDuration(random, 1, 6)},
+			{At: randomDuration(random, 12, 14), Do: "withdraw"},
+			{At: randomDuration(random, 16, 18), Do: "isolate-out", Target: randomProxy(d, random), For: randomDuration(random, 1, 5)},
 		}
 	},
 	"freeze": func(d workload.Deployment, random *rand.Rand) []Step {
-		tags := allTags(d)
+		leases := leaseNames(d)
 		return []Step{
-			{At: span(random, 10, 12), Do: "freeze-holder", Target: tags[random.IntN(len(tags))], For: span(random, 0.3, 8)},
-			{At: span(random, 12, 15), Do: "freeze", Target: edge(d, random), For: span(random, 0.3, 8)},
-			{At: span(random, 13, 14), Do: "withdraw"},
-			{At: span(random, 18, 20), Do: "freeze", Target: voter(random), For: span(random, 0.3, 4)},
+			{At: randomDuration(random, 10, 12), Do: "freeze-holder", Target: leases[random.IntN(len(leases))], For: randomDuration(random, 0.3, 8)},
+			{At: randomDuration(random, 12, 15), Do: "freeze", Target: randomProxy(d, random), For: randomDuration(random, 0.3, 8)},
+			{At: randomDuration(random, 13, 14), Do: "withdraw"},
+			{At: randomDuration(random, 18, 20), Do: "freeze", Target: randomVoter(random), For: randomDuration(random, 0.3, 4)},
 		}
 	},
 	"cut-and-killed": func(d workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{}
 		for index := range 5 {
-			target, at := edge(d, random), span(random, 9+float64(index)*3, 11+float64(index)*3)
-			plan = append(plan, Step{At: at, Do: "isolate", Target: target, For: span(random, 0.6, 1.2)},
-				Step{At: at + span(random, 0.05, 0.2), Do: "kill", Target: target, For: span(random, 0.1, 0.3)})
+			target, at := randomProxy(d, random), randomDuration(random, 9+float64(index)*3, 11+float64(index)*3)
+			plan = append(plan, Step{At: at, Do: "isolate", Target: target, For: randomDuration(random, 0.6, 1.2)},
+				Step{At: at + randomDuration(random, 0.05, 0.2), Do: "kill", Target: target, For: randomDuration(random, 0.1, 0.3)})
 		}
 		return plan
 	},
 	"usurped": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 10, 12), Do: "usurp", Target: voter(random), For: span(random, 1, 9)},
-			{At: span(random, 12.5, 14), Do: "put"},
-			{At: span(random, 14, 17), Do: "kill-holder", Target: settings.ConfigLogLease, For: span(random, 0.5, 2)},
-			{At: span(random, 22, 24), Do: "put"},
+			{At: randomDuration(random, 10, 12), Do: "usurp", Target: randomVoter(random), For: randomDuration(random, 1, 9)},
+			{At: randomDuration(random, 12.5, 14), Do: "put"},
+			{At: randomDuration(random, 14, 17), Do: "kill-holder", Target: settings.ConfigLogLease, For: randomDuration(random, 0.5, 2)},
+			{At: randomDuration(random, 22, 24), Do: "put"},
 		}
 	},
 	"two-disks-lost": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 9, 10), Do: "put"},
-			{At: span(random, 12, 13), Do: "kill-disk", Target: workload.Voters[0], For: span(random, 0.3, 2)},
-			{At: span(random, 12, 13), Do: "kill-disk", Target: workload.Voters[1], For: span(random, 0.3, 2)},
-			{At: span(random, 18, 20), Do: "force-recover", Target: workload.Voters[2]},
-			{At: span(random, 24, 25), Do: "put"},
+			{At: randomDuration(random, 9, 10), Do: "put"},
+			{At: randomDuration(random, 12, 13), Do: "kill-disk", Target: workload.Voters[0], For: randomDuration(random, 0.3, 2)},
+			{At: randomDuration(random, 12, 13), Do: "kill-disk", Target: workload.Voters[1], For: randomDuration(random, 0.3, 2)},
+			{At: randomDuration(random, 18, 20), Do: "force-recover", Target: workload.Voters[2]},
+			{At: randomDuration(random, 24, 25), Do: "put"},
 		}
 	},
 	"restarted-behind-cut": func(d workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{
-			{At: 10 * time.Second, Do: "halve", Target: voter(random), For: span(random, 5, 9)},
-			{At: span(random, 11, 12), Do: "put"},
+			{At: 10 * time.Second, Do: "halve", Target: randomVoter(random), For: randomDuration(random, 5, 9)},
+			{At: randomDuration(random, 11, 12), Do: "put"},
 		}
 		for range 5 {
-			plan = append(plan, Step{At: span(random, 12, 15), Do: "kill", Target: edge(d, random), For: span(random, 0.2, 1)})
+			plan = append(plan, Step{At: randomDuration(random, 12, 15), Do: "kill", Target: randomProxy(d, random), For: randomDuration(random, 0.2, 1)})
 		}
 		return plan
 	},
 	"stale-root": func(d workload.Deployment, random *rand.Rand) []Step {
 		chosen := random.IntN(3)
 		plan := []Step{
-			{At: 10 * time.Second, Do: "cut-core", Target: workload.Voters[chosen], For: span(random, 7, 9)},
-			{At: span(random, 11, 12), Do: "withdraw"},
+			{At: 10 * time.Second, Do: "cut-core", Target: workload.Voters[chosen], For: randomDuration(random, 7, 9)},
+			{At: randomDuration(random, 11, 12), Do: "withdraw"},
 		}
 		for number := chosen; number < d.Proxies; number += 3 {
 			plan = append(plan, Step{
-				At:     span(random, 14.5, 16),
+				At:     randomDuration(random, 14.5, 16),
 				Do:     "kill",
 				Target: fmt.Sprintf("edge-%d", number+1),
-				For:    span(random, 0.2, 0.6),
+				For:    randomDuration(random, 0.2, 0.6),
 			})
 		}
 		return plan
 	},
 	"acked-and-back": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 9, 10), Do: "put-and-kill", For: span(random, 0.25, 0.4)},
-			{At: span(random, 15, 16), Do: "put-and-kill", For: span(random, 0.25, 0.4)},
+			{At: randomDuration(random, 9, 10), Do: "put-and-kill", For: randomDuration(random, 0.25, 0.4)},
+			{At: randomDuration(random, 15, 16), Do: "put-and-kill", For: randomDuration(random, 0.25, 0.4)},
 		}
 	},
 	"acked-and-killed": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 9, 10), Do: "put-and-kill", For: span(random, 0.3, 4)},
-			{At: span(random, 16, 18), Do: "put-and-kill-disk", For: span(random, 0.3, 4)},
-			{At: span(random, 23, 24), Do: "put"},
+			{At: randomDuration(random, 9, 10), Do: "put-and-kill", For: randomDuration(random, 0.3, 4)},
+			{At: randomDuration(random, 16, 18), Do: "put-and-kill-disk", For: randomDuration(random, 0.3, 4)},
+			{At: randomDuration(random, 23, 24), Do: "put"},
 		}
 	},
 	"disks-lost": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 10, 11), Do: "kill-disk", Target: workload.Voters[0], For: span(random, 0.3, 3)},
-			{At: span(random, 14, 15), Do: "put"},
-			{At: span(random, 18, 19), Do: "kill-disk", Target: workload.Voters[1], For: span(random, 0.3, 3)},
-			{At: span(random, 22, 23), Do: "put"},
+			{At: randomDuration(random, 10, 11), Do: "kill-disk", Target: workload.Voters[0], For: randomDuration(random, 0.3, 3)},
+			{At: randomDuration(random, 14, 15), Do: "put"},
+			{At: randomDuration(random, 18, 19), Do: "kill-disk", Target: workload.Voters[1], For: randomDuration(random, 0.3, 3)},
+			{At: randomDuration(random, 22, 23), Do: "put"},
 		}
 	},
 	"voter-replaced": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 10, 12), Do: "replace-voter", Target: voter(random), For: span(random, 0.3, 4)},
-			{At: span(random, 16, 18), Do: "put"},
+			{At: randomDuration(random, 10, 12), Do: "replace-voter", Target: randomVoter(random), For: randomDuration(random, 0.3, 4)},
+			{At: randomDuration(random, 16, 18), Do: "put"},
 		}
 	},
 	"core-replaced": func(d workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 10, 12), Do: "replace-core", Target: core(d, random), For: span(random, 0.3, 4)},
-			{At: span(random, 10, 13), Do: "put"},
-			{At: span(random, 16, 18), Do: "put"},
+			{At: randomDuration(random, 10, 12), Do: "replace-core", Target: randomCoreMachine(d, random), For: randomDuration(random, 0.3, 4)},
+			{At: randomDuration(random, 10, 13), Do: "put"},
+			{At: randomDuration(random, 16, 18), Do: "put"},
 		}
 	},
 	"zones-lost": func(d workload.Deployment, random *rand.Rand) []Step {
@@ -152,10 +152,10 @@
 			at := 10 + float64(number)*12
 			for index, name := range d.CoreNames() {
 				if d.CoreZone(index) == zone {
-					plan = append(plan, Step{At: span(random, at, at+0.1), Do: "kill", Target: name, For: span(random, 5.5, 6)})
+					plan = append(plan, Step{At: randomDuration(random, at, at+0.1), Do: "kill", Target: name, For: randomDuration(random, 5.5, 6)})
 				}
 			}
-			plan = append(plan, Step{At: span(random, at+3.5, at+4), Do: "put"})
+			plan = append(plan, Step{At: randomDuration(random, at+3.5, at+4), Do: "put"})
 		}
 		return plan
 	},
@@ -164,52 +164,52 @@
 		plan := []Step{}
 		for index, name := range d.CoreNames() {
 			plan = append(plan, Step{
-				At:     span(random, 10+float64(index)*9, 11+float64(index)*9),
+				At:     randomDuration(random, 10+float64(index)*9, 11+float64(index)*9),
 				Do:     "replace-core",
 				Target: name,
-				For:    span(random, 0.3, 2),
+				For:    randomDuration(random, 0.3, 2),
 			},
-				Step{At: span(random, 12+float64(index)*9, 17+float64(index)*9), Do: "put"})
+				Step{At: randomDuration(random, 12+float64(index)*9, 17+float64(index)*9), Do: "put"})
 		}
 		return plan
 	},
 	"acked-and-wiped": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 9, 10), Do: "put-and-kill-disk", For: span(random, 0.2, 2)},
-			{At: span(random, 18, 19), Do: "put-and-kill-disk", For: span(random, 0.2, 2)},
-			{At: span(random, 26, 27), Do: "put"},
+			{At: randomDuration(random, 9, 10), Do: "put-and-kill-disk", For: randomDuration(random, 0.2, 2)},
+			{At: randomDuration(random, 18, 19), Do: "put-and-kill-disk", For: randomDuration(random, 0.2, 2)},
+			{At: randomDuration(random, 26, 27), Do: "put"},
 		}
 	},
 	"core-replaced-one-away": func(d workload.Deployment, random *rand.Rand) []Step {
 		chosen := random.Perm(len(d.CoreNames()))
-		at := span(random, 10, 12)
+		at := randomDuration(random, 10, 12)
 		return []Step{
-			{At: at, Do: "replace-core", Target: d.CoreNames()[chosen[0]], For: span(random, 0.3, 3)},
-			{At: at + span(random, 0, 6), Do: "kill", Target: d.CoreNames()[chosen[1]], For: span(random, 0.3, 3)},
+			{At: at, Do: "replace-core", Target: d.CoreNames()[chosen[0]], For: randomDuration(random, 0.3, 3)},
+			{At: at + randomDuration(random, 0, 6), Do: "kill", Target: d.CoreNames()[chosen[1]], For: randomDuration(random, 0.3, 3)},
 			{
-				At:     at + span(random, 0, 6),
+				At:     at + randomDuration(random, 0, 6),
 				Do:     []string{"cut-core", "cut-core-one-way", "put"}[random.IntN(3)],
 				Target: d.CoreNames()[chosen[2]],
-				For:    span(random, 0.3, 3),
+				For:    randomDuration(random, 0.3, 3),
 			},
-			{At: span(random, 22, 24), Do: "put"},
+			{At: randomDuration(random, 22, 24), Do: "put"},
 		}
 	},
 	"core-replaced-all-killed": func(d workload.Deployment, random *rand.Rand) []Step {
-		at := span(random, 10, 12)
+		at := randomDuration(random, 10, 12)
 		return []Step{
-			{At: at, Do: "replace-core", Target: core(d, random), For: span(random, 0.3, 3)},
-			{At: at + span(random, 0.5, 7), Do: "kill-core", For: span(random, 0.2, 1)},
-			{At: span(random, 22, 24), Do: "put"},
+			{At: at, Do: "replace-core", Target: randomCoreMachine(d, random), For: randomDuration(random, 0.3, 3)},
+			{At: at + randomDuration(random, 0.5, 7), Do: "kill-core", For: randomDuration(random, 0.2, 1)},
+			{At: randomDuration(random, 22, 24), Do: "put"},
 		}
 	},
 	"core-wiped-others-killed": func(d workload.Deployment, random *rand.Rand) []Step {
-		name := core(d, random)
-		at := span(random, 10, 12)
+		name := randomCoreMachine(d, random)
+		at := randomDuration(random, 10, 12)
 		return []Step{
-			{At: at, Do: "kill-disk", Target: name, For: span(random, 0.2, 2)},
-			{At: at + span(random, 0, 3), Do: "kill-core", For: span(random, 0.2, 1)},
-			{At: span(random, 12, 20), Do: "put"},
+			{At: at, Do: "kill-disk", Target: name, For: randomDuration(random, 0.2, 2)},
+			{At: at + randomDuration(random, 0, 3), Do: "kill-core", For: randomDuration(random, 0.2, 1)},
+			{At: randomDuration(random, 12, 20), Do: "put"},
 		}
 	},
 	"seeds-swapped": func(d workload.Deployment, random *rand.Rand) []Step {
@@ -219,20 +219,20 @@
 				At:     time.Duration(10+index*7) * time.Second,
 				Do:     "replace-voter",
 				Target: voter,
-				For:    span(random, 0.3, 1.5),
+				For:    randomDuration(random, 0.3, 1.5),
 			})
 		}
 		return append(plan, Step{At: 29 * time.Second, Do: "put"},
-			Step{At: 31 * time.Second, Do: "kill", Target: edge(d, random), For: time.Second})
+			Step{At: 31 * time.Second, Do: "kill", Target: randomProxy(d, random), For: time.Second})
 	},
 	"away-and-swapped": func(d workload.Deployment, random *rand.Rand) []Step {
-		plan := []Step{{At: 9 * time.Second, Do: "kill", Target: edge(d, random), For: 85 * time.Second}}
+		plan := []Step{{At: 9 * time.Second, Do: "kill", Target: randomProxy(d, random), For: 85 * time.Second}}
 		for index, voter := range workload.Voters {
 			plan = append(plan, Step{
 				At:     time.Duration(10+index*7) * time.Second,
 				Do:     "replace-voter",
 				Target: voter,
-				For:    span(random, 0.3, 1.5),
+				For:    randomDuration(random, 0.3, 1.5),
 			})
 		}
 		return plan
@@ -244,84 +244,84 @@
 				At:     time.Duration(10+index*7) * time.Second,
 				Do:     "replace-voter",
 				Target: voter,
-				For:    span(random, 0.3, 1.5),
+				For:    randomDuration(random, 0.3, 1.5),
 			})
 		}
-		return append(plan, Step{At: span(random, 31, 32), Do: "kill-all", For: span(random, 0.3, 2)})
+		return append(plan, Step{At: randomDuration(random, 31, 32), Do: "kill-all", For: randomDuration(random, 0.3, 2)})
 	},
-	"disks-full-in-turn": disksFullInTurn,
+	"disks-full-in-turn": disksFullInTurnPlan,
 	"disk-fails": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 9, 10), Do: "disk-fails", Target: voter(random), For: span(random, 4, 9)},
-			{At: span(random, 11, 12), Do: "put"},
-			{At: span(random, 13, 14), Do: "withdraw"},
-			{At: span(random, 21, 22), Do: "put"},
+			{At: randomDuration(random, 9, 10), Do: "disk-fails", Target: randomVoter(random), For: randomDuration(random, 4, 9)},
+			{At: randomDuration(random, 11, 12), Do: "put"},
+			{At: randomDuration(random, 13, 14), Do: "withdraw"},
+			{At: randomDuration(random, 21, 22), Do: "put"},
 		}
 	},
 	"collector-down": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 10, 12), Do: "collector-down", For: span(random, 4, 6)},
-			{At: span(random, 12, 15), Do: "kill-holder", Target: settings.UsageLease, For: span(random, 0.5, 2)},
+			{At: randomDuration(random, 10, 12), Do: "collector-down", For: randomDuration(random, 4, 6)},
+			{At: randomDuration(random, 12, 15), Do: "kill-holder", Target: settings.UsageLease, For: randomDuration(random, 0.5, 2)},
 		}
 	},
 	"two-core-down": func(_ workload.Deployment, random *rand.Rand) []Step {
 		// Two voters are away together; a configuration is put before, meanwhile and after.
 		first := random.IntN(3)
 		return []Step{
-			{At: span(random, 9, 10), Do: "put"},
-			{At: span(random, 11, 12), Do: "kill", Target: workload.Voters[first], For: span(random, 6, 8)},
-			{At: span(random, 12, 13), Do: "kill", Target: workload.Voters[(first+1)%3], For: span(random, 3, 8)},
-			{At: span(random, 13, 15), Do: "put"},
-			{At: span(random, 24, 25), Do: "put"},
+			{At: randomDuration(random, 9, 10), Do: "put"},
+			{At: randomDuration(random, 11, 12), Do: "kill", Target: workload.Voters[first], For: randomDuration(random, 6, 8)},
+			{At: randomDuration(random, 12, 13), Do: "kill", Target: workload.Voters[(first+1)%3], For: randomDuration(random, 3, 8)},
+			{At: randomDuration(random, 13, 15), Do: "put"},
+			{At: randomDuration(random, 24, 25), Do: "put"},
 		}
 	},
 	"collector-odd": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 9, 10), Do: "collector-odd", For: span(random, 12, 16)},
-			{At: span(random, 12, 15), Do: "kill-holder", Target: settings.UsageLease, For: span(random, 0.5, 2)},
-			{At: span(random, 17, 19), Do: "kill-holder", Target: settings.UsageLease, For: span(random, 0.5, 2)},
+			{At: randomDuration(random, 9, 10), Do: "collector-odd", For: randomDuration(random, 12, 16)},
+			{At: randomDuration(random, 12, 15), Do: "kill-holder", Target: settings.UsageLease, For: randomDuration(random, 0.5, 2)},
+			{At: randomDuration(random, 17, 19), Do: "kill-holder", Target: settings.UsageLease, For: randomDuration(random, 0.5, 2)},
 		}
 	},
 	"last-fault": func(d workload.Deployment, random *rand.Rand) []Step {
-		end := span(random, 16, 20)
-		last := anyStep(d, random)
+		end := randomDuration(random, 16, 20)
+		last := randomFleetStep(d, random)
 		switch random.IntN(4) {
 		case 0:
 			last = Step{
 				Do:  []string{"kill-all", "kill-core", "put-and-kill", "put-and-kill-disk"}[random.IntN(4)],
-				For: span(random, 0.3, 2),
+				For: randomDuration(random, 0.3, 2),
 			}
 		case 1:
 			last = Step{
 				Do:     []string{"kill-disk", "replace-voter", "usurp", "stop"}[random.IntN(4)],
-				Target: voter(random),
-				For:    span(random, 0.3, 2),
+				Target: randomVoter(random),
+				For:    randomDuration(random, 0.3, 2),
 			}
 		}
-		last.At = end - span(random, 0, 0.5)
-		return []Step{{At: span(random, 11, 14), Do: "put"}, last, {At: end, Do: "end"}}
+		last.At = end - randomDuration(random, 0, 0.5)
+		return []Step{{At: randomDuration(random, 11, 14), Do: "put"}, last, {At: end, Do: "end"}}
 	},
 	"slow-heir": func(d workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
 			{At: 9 * time.Second, Do: "slow-disk", Target: workload.Voters[1], For: 14 * time.Second},
-			{At: span(random, 12, 13), Do: "kill", Target: workload.Voters[0], For: span(random, 4, 6)},
-			{At: span(random, 15, 16), Do: "put"},
-			{At: span(random, 15, 16), Do: "upstream-replace", Target: upstreamName(d, random), For: time.Second},
+			{At: randomDuration(random, 12, 13), Do: "kill", Target: workload.Voters[0], For: randomDuration(random, 4, 6)},
+			{At: randomDuration(random, 15, 16), Do: "put"},
+			{At: randomDuration(random, 15, 16), Do: "upstream-replace", Target: randomUpstream(d, random), For: time.Second},
 		}
 	},
 	"slow-disks": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 9, 10), Do: "slow-disk", Target: voter(random), For: 12 * time.Second},
-			{At: span(random, 11, 12), Do: "put"},
-			{At: span(random, 13, 14), Do: "put-huge"},
-			{At: span(random, 15, 16), Do: "kill-holder", Target: settings.ConfigLogLease, For: 2 * time.Second},
+			{At: randomDuration(random, 9, 10), Do: "slow-disk", Target: randomVoter(random), For: 12 * time.Second},
+			{At: randomDuration(random, 11, 12), Do: "put"},
+			{At: randomDuration(random, 13, 14), Do: "put-huge"},
+			{At: randomDuration(random, 15, 16), Do: "kill-holder", Target: settings.ConfigLogLease, For: 2 * time.Second},
 		}
 	},
 	"configurations": func(_ workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{}
 		kinds := []string{"put", "put-race", "put-bad", "put-huge", "withdraw", "restore-keys", "put"}
 		for index := range 10 {
-			plan = append(plan, Step{At: span(random, 9+float64(index)*1.5, 10.4+float64(index)*1.5), Do: kinds[random.IntN(len(kinds))]})
+			plan = append(plan, Step{At: randomDuration(random, 9+float64(index)*1.5, 10.4+float64(index)*1.5), Do: kinds[random.IntN(len(kinds))]})
 		}
 		return plan
 	},
@@ -330,10 +330,10 @@
 		kinds := []string{"upstream-kill", "upstream-replace", "upstream-faults", "upstream-handover", "upstream-leave"}
 		for index := range 8 {
 			plan = append(plan, Step{
-				At:     span(random, 9+float64(index)*1.5, 10.5+float64(index)*1.5),
+				At:     randomDuration(random, 9+float64(index)*1.5, 10.5+float64(index)*1.5),
 				Do:     kinds[index%len(kinds)],
-				Target: upstreamName(d, random),
-				For:    span(random, 0.05, 2),
+				Target: randomUpstream(d, random),
+				For:    randomDuration(random, 0.05, 2),
 			})
 		}
 		return plan
@@ -342,10 +342,10 @@
 		plan := []Step{}
 		for index := range 3 {
 			plan = append(plan, Step{
-				At:     span(random, 9+float64(index)*4, 12+float64(index)*4),
+				At:     randomDuration(random, 9+float64(index)*4, 12+float64(index)*4),
 				Do:     "upstream-vanish",
-				Target: upstreamName(d, random),
-				For:    span(random, 0, 0.5),
+				Target: randomUpstream(d, random),
+				For:    randomDuration(random, 0, 0.5),
 			})
 		}
 		return plan
@@ -353,128 +353,128 @@
 	"leaving-elsewhere": func(d workload.Deployment, random *rand.Rand) []Step {
 		plan := []Step{}
 		for index := range 2 {
-			at := span(random, 9+float64(index)*6, 11+float64(index)*6)
-			plan = append(plan, Step{At: at, Do: "upstream-leave-elsewhere", Target: upstreamName(d, random), For: 4 * time.Second},
+			at := randomDuration(random, 9+float64(index)*6, 11+float64(index)*6)
+			plan = append(plan, Step{At: at, Do: "upstream-leave-elsewhere", Target: randomUpstream(d, random), For: 4 * time.Second},
 				Step{
-					At:     at - span(random, 0, 0.5),
+					At:     at - randomDuration(random, 0, 0.5),
 					Do:     []string{"isolate", "freeze", "kill", "put"}[random.IntN(4)],
-					Target: edge(d, random),
-					For:    span(random, 1, 4),
+					Target: randomProxy(d, random),
+					For:    randomDuration(random, 1, 4),
 				})
 		}
 		return plan
 	},
 	"all-killed": func(_ workload.Deployment, random *rand.Rand) []Step {
 		return []Step{
-			{At: span(random, 12, 14), Do: "kill-all", For: span(random, 0.3, 2)},
-			{At: span(random, 22, 23), Do: "kill-core", For: span(random, 0.3, 2)},
+			{At: randomDuration(random, 12, 14), Do: "kill-all", For: randomDuration(random, 0.3, 2)},
+			{At: randomDuration(random, 22, 23), Do: "kill-core", For: randomDuration(random, 0.3, 2)},
 		}
 	},
 	"all-killed-young-window": func(_ workload.Deployment, random *rand.Rand) []Step {
 		// Windows end at every fifth second: this one is 0.5 to 1.5 s old, and gets no
 		// more than that.
-		return []Step{{At: span(random, 15.5, 16.5), Do: "kill-all", For: span(random, 3.5, 4.5)}}
+		return []Step{{At: randomDuration(random, 15.5, 16.5), Do: "kill-all", For: randomDuration(random, 3.5, 4.5)}}
 	},
 	"disks-lost-all-off": disksLostAllOffPlan,
 	"losses-overlap":     lossesOverlapPlan,
 	"large-all-off":      largeAllOffPlan,
-	"core-halved":        coreHalvedPlan,
-	"any":                anyPlan,
-	"any-fleet":          anyFleetPlan,
+	"core-halved":        corePartitionPlan,
+	"any":                randomPlan,
+	"any-fleet":          randomFleetPlan,
 }
 
 // inTurn does something to every machine, one after another.
-func inTurn(d workload.Deployment, random *rand.Rand, do string) []Step {
+func sequentialSteps(d workload.Deployment, random *rand.Rand, action string) []Step {
 	plan := []Step{}
 	for index, voter := range workload.Voters {
-		plan = append(plan, Step{At: time.Duration(10+index*5) * time.Second, Do: do, Target: voter, For: span(random, 0.3, 2)})
+		plan = append(plan, Step{At: time.Duration(10+index*5) * time.Second, Do: action, Target: voter, For: randomDuration(random, 0.3, 2)})
 	}
 	for number := range d.Proxies {
 		plan = append(plan, Step{
 			At:     time.Duration(10000+number*1200) * time.Millisecond,
-			Do:     do,
+			Do:     action,
 			Target: fmt.Sprintf("edge-%d", number+1),
-			For:    span(random, 0.3, 1),
+			For:    randomDuration(random, 0.3, 1),
 		})
 	}
 	return plan
 }
 
 // allTags lists the tags of both groups.
-func allTags(d workload.Deployment) []string {
+func leaseNames(d workload.Deployment) []string {
 	return append(append([]string{}, d.Zones...), settings.UsageLease, settings.ConfigLogLease)
 }
 
 // anyFleetPlan draws steps that are not about the operators' side; the fixed seeds are of it.
-func anyFleetPlan(d workload.Deployment, random *rand.Rand) []Step {
+func randomFleetPlan(d workload.Deployment, random *rand.Rand) []Step {
 	plan := []Step{}
 	for range 4 + random.IntN(8) {
-		plan = append(plan, anyStep(d, random))
+		plan = append(plan, randomFleetStep(d, random))
 	}
 	return plan
 }
 
 // anyPlan mixes in the operators of the control scenarios.
-func anyPlan(d workload.Deployment, random *rand.Rand) []Step {
-	return append(anyFleetPlan(d, random), anyControl(d, random)...)
+func randomPlan(d workload.Deployment, random *rand.Rand) []Step {
+	return append(randomFleetPlan(d, random), randomControlSteps(d, random)...)
 }
 
-func anyStep(d workload.Deployment, random *rand.Rand) Step {
-	at, length := span(random, 9, 24), span(random, 0.1, 5)
-	tags := allTags(d)
+func randomFleetStep(d workload.Deployment, random *rand.Rand) Step {
+	start, duration := randomDuration(random, 9, 24), randomDuration(random, 0.1, 5)
+	leases := leaseNames(d)
 	switch random.IntN(16) {
 	case 14:
-		return Step{at, "upstream-vanish", upstreamName(d, random), length / 10}
+		return Step{start, "upstream-vanish", randomUpstream(d, random), duration / 10}
 	case 15:
-		return Step{at, "upstream-leave-elsewhere", upstreamName(d, random), length}
+		return Step{start, "upstream-leave-elsewhere", randomUpstream(d, random), duration}
 	case 0:
-		return Step{at, "kill", voter(random), length}
+		return Step{start, "kill", randomVoter(random), duration}
 	case 1:
-		return Step{at, "kill", edge(d, random), length}
+		return Step{start, "kill", randomProxy(d, random), duration}
 	case 2:
-		return Step{at, "kill-holder", tags[random.IntN(len(tags))], length}
+		return Step{start, "kill-holder", leases[random.IntN(len(leases))], duration}
 	case 3:
-		return Step{at, "freeze-holder", tags[random.IntN(len(tags))], length}
+		return Step{start, "freeze-holder", leases[random.IntN(len(leases))], duration}
 	case 4:
-		return Step{at, "freeze", edge(d, random), length}
+		return Step{start, "freeze", randomProxy(d, random), duration}
 	case 5:
-		return Step{at, "isolate", edge(d, random), length}
+		return Step{start, "isolate", randomProxy(d, random), duration}
 	case 6:
-		return Step{at, []string{"cut-core", "cut-core-one-way", "halve", "isolate"}[random.IntN(4)], voter(random), length}
+		return Step{start, []string{"cut-core", "cut-core-one-way", "halve", "isolate"}[random.IntN(4)], randomVoter(random), duration}
 	case 7:
-		return Step{at, "slow-disk", voter(random), length}
+		return Step{start, "slow-disk", randomVoter(random), duration}
 	case 8:
-		return Step{at, "herd", "", length / 2}
+		return Step{start, "herd", "", duration / 2}
 	case 9:
-		return Step{at, "upstream-kill", upstreamName(d, random), length}
+		return Step{start, "upstream-kill", randomUpstream(d, random), duration}
 	case 10:
-		return Step{at, "upstream-replace", upstreamName(d, random), length}
+		return Step{start, "upstream-replace", randomUpstream(d, random), duration}
 	case 11:
-		return Step{at, "upstream-faults", upstreamName(d, random), length}
+		return Step{start, "upstream-faults", randomUpstream(d, random), duration}
 	case 12:
-		return Step{at, []string{"put-race", "put-bad", "put-and-kill"}[random.IntN(3)], "", length}
+		return Step{start, []string{"put-race", "put-bad", "put-and-kill"}[random.IntN(3)], "", duration}
 	}
-	return Step{at, []string{"put", "put", "withdraw", "restore-keys"}[random.IntN(4)], "", 0}
+	return Step{start, []string{"put", "put", "withdraw", "restore-keys"}[random.IntN(4)], "", 0}
 }
 
-func span(random *rand.Rand, least, most float64) time.Duration {
-	return time.Duration((least + random.Float64()*(most-least)) * float64(time.Second))
+func randomDuration(random *rand.Rand, minSeconds, maxSeconds float64) time.Duration {
+	return time.Duration((minSeconds + random.Float64()*(maxSeconds-minSeconds)) * float64(time.Second))
 }
 
-func voter(random *rand.Rand) string { return workload.Voters[random.IntN(len(workload.Voters))] }
+func randomVoter(random *rand.Rand) string { return workload.Voters[random.IntN(len(workload.Voters))] }
 
-func core(d workload.Deployment, random *rand.Rand) string {
+func randomCoreMachine(d workload.Deployment, random *rand.Rand) string {
 	return d.CoreNames()[random.IntN(len(d.CoreNames()))]
 }
 
-func edge(d workload.Deployment, random *rand.Rand) string {
-	return edgeName(random.IntN(d.Proxies))
+func randomProxy(d workload.Deployment, random *rand.Rand) string {
+	return proxyMachineName(random.IntN(d.Proxies))
 }
 
 // edgeName is the name of a proxy's machine, by its place.
-func edgeName(index int) string { return fmt.Sprintf("edge-%d", index+1) }
+func proxyMachineName(index int) string { return fmt.Sprintf("edge-%d", index+1) }
 
-func upstreamName(d workload.Deployment, random *rand.Rand) string {
+func randomUpstream(d workload.Deployment, random *rand.Rand) string {
 	service := d.Services[random.IntN(len(d.Services))]
 	return fmt.Sprintf("%s/%s-%d", service.Name, service.Name, 1+random.IntN(service.Count))
 }
--- a/internal/simulation/second_loss.go
+++ b/internal/simulation/second_loss.go
@@ -14,42 +14,42 @@
 // The second-loss scenario takes another core machine away as soon as a repaired or replaced one has
 // its vote; orders must be accepted while the second machine is away.
 const (
-	secondLossEvery = 400 * time.Millisecond // between orders
-	lossWithin      = 300 * time.Millisecond // of the newcomer's vote
-	secondLossAway  = 8 * time.Second
-	orderTakenAfter = 6 * time.Second // of the second loss, at the latest
-	programsOfCore  = 2               // a registry and a configstore on each core machine
+	secondLossWriteInterval = 400 * time.Millisecond // between orders
+	secondLossDelay         = 300 * time.Millisecond // of the newcomer's vote
+	secondLossDowntime      = 8 * time.Second
+	secondLossAcceptWithin  = 6 * time.Second // of the second loss, at the latest
+	processesPerCoreMachine = 2               // a registry and a configstore on each core machine
 )
 
 // replacementDies is a planned replacement whose newcomer dies in the middle of it.
-const replacementDies = "replace-planned-heir-dies"
+const replacementCrashesStep = "replace-planned-heir-dies"
 
 // armedLoss waits for the moment at which a newcomer has its vote.
 type armedLoss struct {
-	kind    string
-	away    time.Duration
-	spared  string // a machine that is not lost
-	machine string // that was lost
-	at      time.Duration
+	kind     string
+	downtime time.Duration
+	excluded string // a machine that is not lost
+	machine  string // that was lost
+	at       time.Duration
 }
 
 func secondLossPlan(d workload.Deployment, random *rand.Rand) []Step {
 	repairs := []string{"kill-disk", "replace-voter"}
 	if d.VoterCount > 0 {
-		repairs = []string{"kill-disk", "replace-core", "replace-planned", "replace-planned-alone", replacementDies}
+		repairs = []string{"kill-disk", "replace-core", "replace-planned", "replace-planned-alone", replacementCrashesStep}
 	}
-	first, at := core(d, random), span(random, 10, 11)
+	first, start := randomCoreMachine(d, random), randomDuration(random, 10, 11)
 	repair := repairs[random.IntN(len(repairs))]
 	loss := []string{"kill", "kill-disk", "cut-core"}[random.IntN(3)]
 	plan := []Step{
 		{At: 9 * time.Second, Do: "order-steadily", For: 26 * time.Second},
-		{At: at + 10*time.Millisecond, Do: repair, Target: first, For: span(random, 0.3, 1.5)},
+		{At: start + 10*time.Millisecond, Do: repair, Target: first, For: randomDuration(random, 0.3, 1.5)},
 	}
-	if repair == replacementDies {
+	if repair == replacementCrashesStep {
 		// The newcomer's end is the loss.
 		return plan
 	}
-	return append(plan, Step{At: at, Do: "arm-" + loss, Target: first, For: secondLossAway})
+	return append(plan, Step{At: start, Do: "arm-" + loss, Target: first, For: secondLossDowntime})
 }
 
 // armPrefix begins the names of steps that wait for a newcomer's vote; the rest names the loss.
@@ -58,76 +58,76 @@
 // secondLossSteps returns the steps of the second-loss scenario, by the name that plans use.
 func secondLossSteps() map[string]fault {
 	return map[string]fault{
-		"order-steadily":        (*World).orderSteadily,
+		"order-steadily":        (*World).writePeriodically,
 		"replace-planned":       func(w *World, step Step) { w.replacePlanned(step.Target, step.For, "") },
-		"replace-planned-alone": func(w *World, step Step) { w.replaceAlone(step.Target, step.For) },
-		replacementDies:         func(w *World, step Step) { w.replacePlanned(step.Target, step.For, replacementDies) },
+		"replace-planned-alone": func(w *World, step Step) { w.replaceWithBareMajority(step.Target, step.For) },
+		replacementCrashesStep:  func(w *World, step Step) { w.replacePlanned(step.Target, step.For, replacementCrashesStep) },
 	}
 }
 
-func (w *World) orderSteadily(step Step) {
-	w.repeat(secondLossEvery, w.now+step.For, func() {
-		w.versions++
-		tenants := w.options.Deployment.Tenants()[:w.tenants]
-		w.persist(w.newOrder(w.versions, tenants, w.options.Deployment.Configuration(tenants, int(w.versions)), nil))
+func (w *World) writePeriodically(step Step) {
+	w.repeat(secondLossWriteInterval, w.now+step.For, func() {
+		w.lastVersion++
+		tenants := w.options.Deployment.Tenants()[:w.tenantCount]
+		w.retryWrite(w.newConfigWrite(w.lastVersion, tenants, w.options.Deployment.Configuration(tenants, int(w.lastVersion)), nil))
 	})
 }
 
 // armLoss has the loss that the step names wait for a newcomer's vote.
-func (w *World) armLoss(kind string, step Step) {
-	w.armed = &armedLoss{kind: kind, away: step.For, spared: step.Target}
+func (w *World) armSecondLoss(kind string, step Step) {
+	w.armed = &armedLoss{kind: kind, downtime: step.For, excluded: step.Target}
 }
 
 // recovered handles that a newcomer has its vote: the loss that was armed for it comes at any moment now.
-func (w *World) recovered(newcomer *Node) {
+func (w *World) voterRecovered(newcomer *Node) {
 	armed := w.armed
-	w.voting[newcomer.machine]++
-	if armed == nil || armed.machine != "" || w.voting[newcomer.machine] < programsOfCore {
+	w.votingProcesses[newcomer.machine]++
+	if armed == nil || armed.machine != "" || w.votingProcesses[newcomer.machine] < processesPerCoreMachine {
 		return
 	}
 	others := []string{}
-	for _, machine := range w.cores() {
-		if machine != newcomer.machine && machine != armed.spared {
+	for _, machine := range w.coreMachines() {
+		if machine != newcomer.machine && machine != armed.excluded {
 			others = append(others, machine)
 		}
 	}
 	armed.machine = others[w.random.IntN(len(others))]
-	w.after(time.Duration(w.random.Int64N(int64(lossWithin))), func() { w.loseSecond(armed) })
+	w.after(time.Duration(w.random.Int64N(int64(secondLossDelay))), func() { w.triggerSecondLoss(armed) })
 }
 
-func (w *World) loseSecond(armed *armedLoss) {
+func (w *World) triggerSecondLoss(armed *armedLoss) {
 	w.dangers["second losses right after a newcomer's vote"]++
-	w.do(Step{At: w.now, Do: armed.kind, Target: armed.machine, For: armed.away})
+	w.runStep(Step{At: w.now, Do: armed.kind, Target: armed.machine, For: armed.downtime})
 	armed.at = w.now
-	before := w.newestAcked
-	w.after(orderTakenAfter, func() {
-		if w.newestAcked == before {
-			w.fail("no order was taken for %s after the loss of %s", orderTakenAfter, armed.machine)
+	before := w.newestAcknowledged
+	w.after(secondLossAcceptWithin, func() {
+		if w.newestAcknowledged == before {
+			w.fail("no order was taken for %s after the loss of %s", secondLossAcceptWithin, armed.machine)
 		}
-		w.dangers["orders taken while the second is away"] += int(w.newestAcked - before)
+		w.dangers["orders taken while the second is away"] += int(w.newestAcknowledged - before)
 	})
 }
 
 // replacePlanned adds an empty machine first, and then stops the one that it replaces.
-func (w *World) replacePlanned(machine string, wait time.Duration, how string) {
-	heirs := []*Node{}
+func (w *World) replacePlanned(machine string, wait time.Duration, variant string) {
+	replacements := []*Node{}
 	for _, old := range w.machineNodes(machine) {
-		heirs = append(heirs, w.addHeir(old, machine+"-after"))
+		replacements = append(replacements, w.addReplacement(old, machine+"-after"))
 	}
-	for _, replacement := range heirs {
+	for _, replacement := range replacements {
 		replacement.boot()
 	}
 	w.after(max(wait, time.Second), func() {
-		w.holdsNewestAlone(machine)
+		w.countBareMajority(machine)
 		for _, old := range w.machineNodes(machine) {
-			old.stopForGood()
+			old.decommission()
 		}
-		if how == "" {
+		if variant == "" {
 			return
 		}
-		w.after(time.Duration(w.random.Int64N(int64(lossWithin))), func() {
+		w.after(time.Duration(w.random.Int64N(int64(secondLossDelay))), func() {
 			w.dangers["newcomers lost in the middle of a planned replacement"]++
-			for _, replacement := range heirs {
+			for _, replacement := range replacements {
 				replacement.kill(true, true)
 				replacement.retired = true
 			}
@@ -137,45 +137,45 @@
 
 // replaceAlone stops a machine that has the newest change on a bare majority: another one
 // is cut off for the last orders before it.
-func (w *World) replaceAlone(machine string, wait time.Duration) {
-	others := without(w.cores(), machine)
+func (w *World) replaceWithBareMajority(machine string, wait time.Duration) {
+	others := without(w.coreMachines(), machine)
 	behind := others[w.random.IntN(len(others))]
-	w.cutBetween([]string{behind}, without(w.cores(), behind), true, wait+500*time.Millisecond)
+	w.cutLinksBetween([]string{behind}, without(w.coreMachines(), behind), true, wait+500*time.Millisecond)
 	w.replacePlanned(machine, wait, "")
 }
 
 // holdsNewestAlone counts leaving voters whose newest change most others lack.
-func (w *World) holdsNewestAlone(machine string) {
+func (w *World) countBareMajority(machine string) {
 	newest, holders := int64(0), 0
-	for _, store := range w.alive(message.RoleConfigStore) {
-		held := newestOf(store)
+	for _, store := range w.runningNodes(message.RoleConfigStore) {
+		version := newestVersion(store)
 		if store.machine == machine {
-			newest = held
+			newest = version
 		}
 	}
-	for _, store := range w.alive(message.RoleConfigStore) {
-		if newestOf(store) >= newest {
+	for _, store := range w.runningNodes(message.RoleConfigStore) {
+		if newestVersion(store) >= newest {
 			holders++
 		}
 	}
-	if holders*2 <= len(w.cores())+1 {
+	if holders*2 <= len(w.coreMachines())+1 {
 		w.dangers["leaving voters with the newest change on a bare majority"]++
 	}
-	if machine == w.holder(settings.ConfigLogLease) {
+	if machine == w.leaseHolder(settings.ConfigLogLease) {
 		w.dangers["leaving lease holders"]++
 	}
 }
 
 // addHeir is an empty node of a role at a new address, whose seeds are of now.
-func (w *World) addHeir(old *Node, machine string) *Node {
-	w.serial++
+func (w *World) addReplacement(old *Node, machine string) *Node {
+	w.addedNodes++
 	host, port, _ := strings.Cut(old.settings.Address, ":")
 	parts := strings.Split(host, ".")
 	replacement := w.addNode(old.role, machine, "", old.settings.Zone,
-		fmt.Sprintf("%s.%d:%s", strings.Join(parts[:3], "."), 100+w.serial, port), old.settings.Seeds)
+		fmt.Sprintf("%s.%d:%s", strings.Join(parts[:3], "."), 100+w.addedNodes, port), old.settings.Seeds)
 	replacement.settings.Bootstrap = false
 	replacement.settings.Seeds = []string{}
-	for _, registryNode := range w.nodesOf(message.RoleRegistry) {
+	for _, registryNode := range w.nodesByRole(message.RoleRegistry) {
 		if registryNode != replacement && !registryNode.retired && len(replacement.settings.Seeds) < 3 {
 			replacement.settings.Seeds = append(replacement.settings.Seeds, registryNode.address())
 		}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -14,14 +14,14 @@
 const testRate = 60
 
 // oneThread leaves a run to the tests without the race detector.
-func oneThread(t *testing.T) {
-	if racing {
+func skipUnderRace(t *testing.T) {
+	if raceEnabled {
 		t.Skip("one thread; run without -race")
 	}
 }
 
-func play(t *testing.T, deployment, scenario string, seed uint64) Result {
-	oneThread(t)
+func playScenario(t *testing.T, deployment, scenario string, seed uint64) Result {
+	skipUnderRace(t)
 	d, known := workload.Named(deployment)
 	qt.Assert(t, known, qt.IsTrue)
 	result := Run(d, scenario, seed, testRate, nil)
@@ -47,7 +47,7 @@
 // Nobody takes a tag from a living holder.
 func TestCalmHasNoTakeovers(t *testing.T) {
 	for _, deployment := range []string{"umuyoboro", "jendela"} {
-		result := play(t, deployment, "calm", 1)
+		result := playScenario(t, deployment, "calm", 1)
 		qt.Assert(t, result.Review.Seen["takeovers"], qt.Equals, 0)
 		qt.Assert(t, result.Good, qt.Equals, 1.0)
 	}
@@ -80,7 +80,7 @@
 	} {
 		t.Run(fmt.Sprintf("%s-%s-%d", fixed.deployment, fixed.scenario, fixed.seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, fixed.deployment, fixed.scenario, fixed.seed)
+			playScenario(t, fixed.deployment, fixed.scenario, fixed.seed)
 		})
 	}
 }
@@ -108,8 +108,8 @@
 	} {
 		t.Run(fmt.Sprintf("%s-%s-%d", fixed.deployment, fixed.scenario, fixed.seed), func(t *testing.T) {
 			t.Parallel()
-			result := play(t, fixed.deployment, fixed.scenario, fixed.seed)
-			reached(t, "voters taken by an empty disk", result.Review.Seen["danger: voters taken by an empty disk"], fixed.taken)
+			result := playScenario(t, fixed.deployment, fixed.scenario, fixed.seed)
+			requireAtLeast(t, "voters taken by an empty disk", result.Review.Seen["danger: voters taken by an empty disk"], fixed.taken)
 		})
 	}
 }
@@ -117,10 +117,10 @@
 // Each zone in turn loses all its core machines for some six seconds. Voters stand in all
 // zones, so a majority is left and usage goes on being reported; with two voters in the
 // lost zone reports wait until it is back (6.3 s late with seed 1).
-func TestLostZoneIsNoPause(t *testing.T) {
+func TestLostZoneDoesNotDelayUsageReports(t *testing.T) {
 	t.Parallel()
 	const lateAtMost = 3000 // ms; a takeover and a report's next try
-	result := play(t, "voters-zones", "zones-lost", 1)
+	result := playScenario(t, "voters-zones", "zones-lost", 1)
 	qt.Assert(t, result.Review.Worst["usage-late-ms"] < lateAtMost, qt.IsTrue, qt.Commentf("%v", result.Review.Worst))
-	reached(t, "takeovers", result.Review.Seen["takeovers"], 1)
+	requireAtLeast(t, "takeovers", result.Review.Seen["takeovers"], 1)
 }
--- a/internal/simulation/upstream_connection.go
+++ b/internal/simulation/upstream_connection.go
@@ -10,150 +10,152 @@
 
 // upConnection is a connection to an upstream's process, idle or as a guard. It ends when that
 // process ends; of one whose machine vanished nothing is heard.
-type upConnection struct {
+type upstreamConnection struct {
 	owner       *Upstream
 	incarnation int
 	stream      *upstreamStream
 }
 
-func (u upConnection) there() bool { return u.owner.up && u.owner.incarnation == u.incarnation }
+func (u upstreamConnection) ownerRunning() bool {
+	return u.owner.up && u.owner.incarnation == u.incarnation
+}
 
 // quiet says that nothing has arrived on the connection, as its serving proxy sees it.
-func (u upConnection) quiet() bool {
-	return (u.there() || u.owner.vanished[u.incarnation]) && u.stream.quiet()
+func (u upstreamConnection) idle() bool {
+	return (u.ownerRunning() || u.owner.vanishedIncarnations[u.incarnation]) && u.stream.idle()
 }
 
 // guard opens the guard connection of an announced upstream and some to be kept ready, as
 // backend.UpstreamClient does.
-func (n *Node) guard(response backend.Announcement) {
-	target := backend.Target{Key: response.Service + "/" + response.Instance, Address: response.Address, Incarnation: response.Incarnation}
+func (n *Node) openGuardConnection(announcement backend.Announcement) {
+	target := backend.Target{Key: announcement.Service + "/" + announcement.Instance, Address: announcement.Address, Incarnation: announcement.Incarnation}
 	incarnation := n.incarnation
-	n.world.after(n.world.transit(), func() {
+	n.world.after(n.world.randomTransitDelay(), func() {
 		n.run(incarnation, func() {
-			owner := n.world.addresses[target.Address]
+			owner := n.world.upstreamByAddress[target.Address]
 			if owner == nil || !owner.up {
-				n.serving.RecordConnectionLoss(n.Now(), target)
+				n.backend.RecordConnectionLoss(n.Now(), target)
 				return
 			}
-			n.guards[target] = upConnection{owner: owner, incarnation: owner.incarnation}
-			n.fill(target)
+			n.guardConnections[target] = upstreamConnection{owner: owner, incarnation: owner.incarnation}
+			n.fillPool(target)
 		})
 	})
 }
 
-func (n *Node) fill(target backend.Target) {
-	owner := n.world.addresses[target.Address]
-	for owner != nil && owner.up && len(n.pools[target]) < n.serving.WarmConnections(target) && n.serving.Dialable(n.Now(), target) {
-		n.pools[target] = append(n.pools[target], upConnection{owner: owner, incarnation: owner.incarnation})
+func (n *Node) fillPool(target backend.Target) {
+	owner := n.world.upstreamByAddress[target.Address]
+	for owner != nil && owner.up && len(n.connectionPools[target]) < n.backend.WarmConnections(target) && n.backend.Dialable(n.Now(), target) {
+		n.connectionPools[target] = append(n.connectionPools[target], upstreamConnection{owner: owner, incarnation: owner.incarnation})
 	}
 }
 
 // idle takes a connection that was kept.
-func (n *Node) idle(target backend.Target) (upConnection, bool) {
-	for list := n.pools[target]; len(list) > 0; list = n.pools[target] {
+func (n *Node) takeIdleConnection(target backend.Target) (upstreamConnection, bool) {
+	for list := n.connectionPools[target]; len(list) > 0; list = n.connectionPools[target] {
 		connection := list[len(list)-1]
-		n.pools[target] = list[:len(list)-1]
-		if connection.quiet() {
+		n.connectionPools[target] = list[:len(list)-1]
+		if connection.idle() {
 			return connection, true
 		}
 	}
-	return upConnection{}, false
+	return upstreamConnection{}, false
 }
 
 // call is the serving proxy's exchange with an upstream, as backend.UpstreamClient
 // makes it on sockets.
-func (n *Node) call(incarnation int, order backend.Decision) {
+func (n *Node) callUpstream(incarnation int, decision backend.Decision) {
 	w := n.world
-	target := order.Target
+	target := decision.Target
 	target.DelegationToken = ""
 	refuse := func(code errcode.Code) {
-		n.run(incarnation, func() { n.tracker.Complete(order, message.Outcome{Kind: message.NotStarted, Code: int64(code)}) })
+		n.run(incarnation, func() { n.dispatcher.Complete(decision, message.Outcome{Kind: message.NotStarted, Code: int64(code)}) })
 	}
-	if connection, kept := n.idle(target); kept {
-		n.exchange(incarnation, order, connection)
+	if connection, pooled := n.takeIdleConnection(target); pooled {
+		n.exchange(incarnation, decision, connection)
 		return
 	}
 	guarded := func() bool {
-		guard, known := n.guards[target]
-		if known && !guard.quiet() {
-			n.serving.RecordConnectionLoss(n.Now(), target)
+		guard, known := n.guardConnections[target]
+		if known && !guard.idle() {
+			n.backend.RecordConnectionLoss(n.Now(), target)
 		}
-		return known && guard.quiet()
+		return known && guard.idle()
 	}
-	if !n.serving.ConnectionsUsable(n.Now(), target) || !guarded() {
+	if !n.backend.ConnectionsUsable(n.Now(), target) || !guarded() {
 		refuse(errcode.BusyUpstreamGone)
 		return
 	}
-	if !n.serving.Dialable(n.Now(), target) {
-		if owner := w.addresses[target.Address]; owner != nil && owner.response.Incarnation != target.Incarnation {
+	if !n.backend.Dialable(n.Now(), target) {
+		if owner := w.upstreamByAddress[target.Address]; owner != nil && owner.announcement.Incarnation != target.Incarnation {
 			w.dangers["dials barred at an address that has another owner"]++
 		}
 		refuse(errcode.BusyUnproven)
 		return
 	}
-	w.after(w.transit(), func() {
+	w.after(w.randomTransitDelay(), func() {
 		n.run(incarnation, func() {
-			owner := w.addresses[target.Address]
+			owner := w.upstreamByAddress[target.Address]
 			switch {
 			case owner == nil || !owner.up:
-				n.serving.RecordConnectionLoss(n.Now(), target)
+				n.backend.RecordConnectionLoss(n.Now(), target)
 				refuse(errcode.BusyUpstreamGone)
-			case !n.serving.Dialable(n.Now(), target) || !guarded():
+			case !n.backend.Dialable(n.Now(), target) || !guarded():
 				refuse(errcode.BusyUnproven)
 			default:
-				n.exchange(incarnation, order, upConnection{owner: owner, incarnation: owner.incarnation})
+				n.exchange(incarnation, decision, upstreamConnection{owner: owner, incarnation: owner.incarnation})
 			}
 		})
 	})
 }
 
 // exchange sends a request on a connection, once.
-func (n *Node) exchange(incarnation int, order backend.Decision, connection upConnection) {
-	w, target := n.world, order.Target
+func (n *Node) exchange(incarnation int, decision backend.Decision, connection upstreamConnection) {
+	w, target := n.world, decision.Target
 	target.DelegationToken = ""
-	limit := time.Duration(order.Forward.Remaining)
+	limit := time.Duration(decision.Forward.Remaining)
 	if connection.stream == nil {
 		connection.stream = &upstreamStream{}
 	}
-	over := false
+	finished := false
 	end := func(outcome message.Outcome, broke bool) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		n.run(incarnation, func() {
 			if broke {
-				n.serving.InvalidateProof(target)
+				n.backend.InvalidateProof(target)
 			} else if outcome.Kind == message.Completed {
-				n.serving.RecordActivity(n.Now(), target)
-				if connection.owner.serviceSpec.Closes || !connection.stream.kept {
-					n.fill(target)
-				} else if n.serving.ConnectionsUsable(n.Now(), target) {
-					n.pools[target] = append(n.pools[target], connection)
+				n.backend.RecordActivity(n.Now(), target)
+				if connection.owner.serviceSpec.Closes || !connection.stream.reusable {
+					n.fillPool(target)
+				} else if n.backend.ConnectionsUsable(n.Now(), target) {
+					n.connectionPools[target] = append(n.connectionPools[target], connection)
 				}
 			}
-			n.tracker.Complete(order, outcome)
+			n.dispatcher.Complete(decision, outcome)
 		})
 	}
 	w.after(n.trueWait(limit-limit/20), func() {
 		end(message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownTimeout)}, false)
 	})
-	w.after(w.transit()/2, func() {
-		lost := func() {
-			w.after(w.transit()/2, func() {
+	w.after(w.randomTransitDelay()/2, func() {
+		lose := func() {
+			w.after(w.randomTransitDelay()/2, func() {
 				end(message.Outcome{Kind: message.OutcomeUnknown, Code: int64(errcode.UnknownOutcome)}, true)
 			})
 		}
 		switch {
-		case connection.there():
-			connection.stream.sent(w)
-			connection.owner.run(n, order, connection.stream, end, lost)
-		case !connection.owner.vanished[connection.incarnation]:
-			lost()
-		case w.addresses[target.Address] != nil:
+		case connection.ownerRunning():
+			connection.stream.requestSent(w)
+			connection.owner.execute(n, decision, connection.stream, end, lose)
+		case !connection.owner.vanishedIncarnations[connection.incarnation]:
+			lose()
+		case w.upstreamByAddress[target.Address] != nil:
 			// Whoever has the address now knows nothing of that connection and resets it.
 			w.dangers["connections reset by an address's new owner"]++
-			lost()
+			lose()
 		}
 	})
 }
--- a/internal/simulation/upstream_faults.go
+++ b/internal/simulation/upstream_faults.go
@@ -8,7 +8,7 @@
 	"beaconvane/internal/stubserver"
 )
 
-func (w *World) doUpstream(step Step) {
+func (w *World) runUpstreamStep(step Step) {
 	u := w.upstreams[step.Target]
 	if u == nil {
 		w.fail("no target for %s", step)
@@ -19,33 +19,33 @@
 		u.kill()
 		w.after(step.For, func() { u.start(500 * time.Millisecond) })
 	case "upstream-replace":
-		u.leave()
+		u.startDraining()
 		w.after(step.For, func() {
-			u.signOff()
+			u.deregister()
 			u.kill()
 			w.after(500*time.Millisecond, func() { u.start(time.Second) })
 		})
 	case "upstream-leave":
-		u.leave()
-		u.gone = true
+		u.startDraining()
+		u.removed = true
 		w.after(step.For, func() {
-			u.signOff()
+			u.deregister()
 			u.kill()
 		})
 	case "upstream-handover":
 		// Ended, and its address handed at once to another service's new instance.
 		u.kill()
-		u.gone = true
-		w.after(step.For/50, func() { w.handOver(u) })
+		u.removed = true
+		w.after(step.For/50, func() { w.reassignAddress(u) })
 	case "upstream-vanish":
 		// Its machine goes without a word, and its address comes to another service.
 		u.vanish()
-		u.gone = true
-		w.after(w.options.Deployment.Vanish()+step.For, func() { w.handOver(u) })
+		u.removed = true
+		w.after(w.options.Deployment.Vanish()+step.For, func() { w.reassignAddress(u) })
 	case "service-kill":
 		// Every upstream of its service ends, and comes back.
 		for _, key := range w.upstreamOrder {
-			if other := w.upstreams[key]; other.response.Service == u.response.Service {
+			if other := w.upstreams[key]; other.announcement.Service == u.announcement.Service {
 				other.kill()
 				w.after(step.For, func() { other.start(500 * time.Millisecond) })
 			}
@@ -53,10 +53,10 @@
 	case "upstream-leave-elsewhere":
 		// It says that it leaves, to another proxy than its serving proxy, and to nobody else.
 		u.servingProxies = append(append([]*Node{}, u.servingProxies[1:]...), u.servingProxies[0])
-		u.leave()
-		u.gone = true
+		u.startDraining()
+		u.removed = true
 		w.after(max(step.For, 4*time.Second), func() {
-			u.signOff()
+			u.deregister()
 			u.kill()
 		})
 	case "upstream-faults":
@@ -65,26 +65,26 @@
 	}
 }
 
-func (w *World) handOver(old *Upstream) {
+func (w *World) reassignAddress(old *Upstream) {
 	services := w.options.Deployment.Services
 	for _, service := range services {
-		if service.Name == old.response.Service {
+		if service.Name == old.announcement.Service {
 			continue
 		}
 		key := fmt.Sprintf("%s/%s-heir-%d", service.Name, service.Name, len(w.upstreamOrder))
 		replacement := &Upstream{
-			world:          w,
-			key:            key,
-			vanished:       map[int]bool{},
-			work:           service.Work,
-			slots:          int(service.Slots),
-			serviceSpec:    service,
-			servingProxies: old.servingProxies,
-			response: backend.Announcement{
+			world:                w,
+			key:                  key,
+			vanishedIncarnations: map[int]bool{},
+			workTime:             service.Work,
+			slots:                int(service.Slots),
+			serviceSpec:          service,
+			servingProxies:       old.servingProxies,
+			announcement: backend.Announcement{
 				Service:  service.Name,
 				Instance: key[len(service.Name)+1:],
-				Address:  old.response.Address,
-				Zone:     old.response.Zone,
+				Address:  old.announcement.Address,
+				Zone:     old.announcement.Zone,
 				Slots:    service.Slots,
 			},
 		}
@@ -92,7 +92,7 @@
 		w.upstreamOrder = append(w.upstreamOrder, key)
 		// It takes connections at once and announces itself only later, to another proxy.
 		replacement.servingProxies = append(append([]*Node{}, old.servingProxies[1:]...), old.servingProxies[0])
-		replacement.quiet = w.now + time.Duration(w.random.Int64N(int64(2*time.Second)))
+		replacement.silentUntil = w.now + time.Duration(w.random.Int64N(int64(2*time.Second)))
 		replacement.start(0)
 		return
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -35,47 +35,47 @@
 	trace    uint64
 	failures []string
 
-	nodes     map[string]*Node
-	order     []string
-	byAddress map[string]*Node
-	serial    int // of machines added
-
-	upstreams     map[string]*Upstream
-	upstreamOrder []string
-	addresses     map[string]*Upstream // who owns an upstream address now
-	strayUntil    time.Duration        // until when upstreams send stray answers
-	record        checker.Record
-	asked         []*checker.CallerRequest
-	faults        map[string]fault // by the name of a step
-	armed         *armedLoss       // the second loss that waits for a newcomer's vote
-	voting        map[string]int   // programs of a machine whose newcomers have their votes
-	collectorDown time.Duration    // until when
-	collectorOdd  time.Duration
+	nodes         map[string]*Node
+	nodeOrder     []string
+	nodeByAddress map[string]*Node
+	addedNodes    int // of machines added
+
+	upstreams            map[string]*Upstream
+	upstreamOrder        []string
+	upstreamByAddress    map[string]*Upstream // who owns an upstream address now
+	strayResponsesUntil  time.Duration        // until when upstreams send stray answers
+	record               checker.Record
+	callerRequests       []*checker.CallerRequest
+	faults               map[string]fault // by the name of a step
+	armed                *armedLoss       // the second loss that waits for a newcomer's vote
+	votingProcesses      map[string]int   // programs of a machine whose newcomers have their votes
+	collectorDownUntil   time.Duration    // until when
+	collectorFaultyUntil time.Duration
 }
 
 // operatorRecord is what operators sent and were told.
 type operatorRecord struct {
-	versions    int64
-	tenants     int // how many tenants the newest configuration has
-	operations  []*configLogOperation
-	orders      []*order
-	ordersEnd   time.Duration    // operators give up then
-	taken       map[int64]string // digest of what was confirmed under a version, also by a lost answer
-	contents    map[string]int64 // version by digest of all that was sent
-	newestAcked int64            // version that an operator was told is taken
-	answersLost time.Duration    // until when answers to operators are lost
-	lostShare   float64          // and how many of them
+	lastVersion         int64
+	tenantCount         int // how many tenants the newest configuration has
+	configLogOperations []*configLogOperation
+	configWrites        []*configWrite
+	writesEnd           time.Duration    // operators give up then
+	acceptedDigests     map[int64]string // digest of what was confirmed under a version, also by a lost answer
+	versionByDigest     map[string]int64 // version by digest of all that was sent
+	newestAcknowledged  int64            // version that an operator was told is taken
+	answersLostUntil    time.Duration    // until when answers to operators are lost
+	lostAnswerShare     float64          // and how many of them
 }
 
 // measurements is what a run counts besides the checker's record.
 type measurements struct {
-	sent              map[int64]int // control messages by second
-	frameMax          int
-	diskMost          int            // the most bytes on one store's disk
-	dangers           map[string]int // how often a dangerous moment was reached
-	readiness         map[string]*readiness
-	couldServe        map[string]bool // requests refused while some upstream could have run them
-	refusedUnknownAge map[string]bool // requests refused while no registry in reach knew the configuration current
+	controlMessagesPerSecond map[int64]int // control messages by second
+	largestFrameBytes        int
+	largestStoreDiskBytes    int            // the most bytes on one store's disk
+	dangers                  map[string]int // how often a dangerous moment was reached
+	readiness                map[string]*readiness
+	refusedThoughServable    map[string]bool // requests refused while some upstream could have run them
+	refusedConfigAgeUnknown  map[string]bool // requests refused while no registry in reach knew the configuration current
 }
 
 // epoch is the time of day at true time 0, for usage windows.
@@ -86,35 +86,35 @@
 	w := &World{
 		network: newNetwork(),
 		operatorRecord: operatorRecord{
-			taken:    map[int64]string{},
-			contents: map[string]int64{},
+			acceptedDigests: map[int64]string{},
+			versionByDigest: map[string]int64{},
 		},
 		measurements: measurements{
-			sent:              map[int64]int{},
-			dangers:           map[string]int{},
-			readiness:         map[string]*readiness{},
-			couldServe:        map[string]bool{},
-			refusedUnknownAge: map[string]bool{},
+			controlMessagesPerSecond: map[int64]int{},
+			dangers:                  map[string]int{},
+			readiness:                map[string]*readiness{},
+			refusedThoughServable:    map[string]bool{},
+			refusedConfigAgeUnknown:  map[string]bool{},
 		},
-		options:   options,
-		random:    rand.New(rand.NewPCG(options.Seed, 99)),
-		nodes:     map[string]*Node{},
-		byAddress: map[string]*Node{},
-		upstreams: map[string]*Upstream{},
-		addresses: map[string]*Upstream{},
-		faults:    allFaults(),
-		voting:    map[string]int{},
+		options:           options,
+		random:            rand.New(rand.NewPCG(options.Seed, 99)),
+		nodes:             map[string]*Node{},
+		nodeByAddress:     map[string]*Node{},
+		upstreams:         map[string]*Upstream{},
+		upstreamByAddress: map[string]*Upstream{},
+		faults:            allFaults(),
+		votingProcesses:   map[string]int{},
 	}
 	w.record.Bounds = checker.BriefBounds(options.Deployment.KeyWithdrawalBound)
 	w.record.Window, w.record.Epoch = time.Duration(settings.Default().Bounds.UsageWindow)*time.Millisecond, epoch
 	w.record.RetainedVersions = int(settings.Default().Limits.RetainedVersions)
-	w.tenants = len(options.Deployment.Tenants())
-	w.build()
+	w.tenantCount = len(options.Deployment.Tenants())
+	w.addDeployment()
 	return w
 }
 
 // mark folds a happening into the trace.
-func (w *World) mark(format string, values ...any) {
+func (w *World) traceEvent(format string, values ...any) {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d|%d|", w.trace, w.now)
 	fmt.Fprintf(hash, format, values...)
@@ -128,9 +128,9 @@
 func (w *World) Trace() uint64 { return w.trace }
 
 // Names nodesOf nodes by role.
-func (w *World) nodesOf(role string) []*Node {
+func (w *World) nodesByRole(role string) []*Node {
 	list := []*Node{}
-	for _, name := range w.order {
+	for _, name := range w.nodeOrder {
 		if w.nodes[name].role == role {
 			list = append(list, w.nodes[name])
 		}
@@ -138,9 +138,9 @@
 	return list
 }
 
-func (w *World) alive(role string) []*Node {
+func (w *World) runningNodes(role string) []*Node {
 	list := []*Node{}
-	for _, node := range w.nodesOf(role) {
+	for _, node := range w.nodesByRole(role) {
 		if node.up && !node.frozen {
 			list = append(list, node)
 		}
@@ -151,28 +151,28 @@
 // Finish closes the record and gives the checker's review, with the simulator's own
 // findings.
 func (w *World) Finish() checker.Review {
-	for _, name := range w.order {
-		w.nodes[name].closeSpan()
+	for _, name := range w.nodeOrder {
+		w.nodes[name].closeServiceSpan()
 	}
 	w.record.End = w.now
-	for _, asked := range w.asked {
-		w.record.Requests = append(w.record.Requests, *asked)
+	for _, request := range w.callerRequests {
+		w.record.Requests = append(w.record.Requests, *request)
 	}
 	for _, key := range w.upstreamOrder {
-		w.record.Executions = append(w.record.Executions, w.upstreams[key].runs...)
+		w.record.Executions = append(w.record.Executions, w.upstreams[key].executions...)
 		w.record.Peaks = append(w.record.Peaks,
-			checker.Peak{Instance: key, MaxRunning: w.upstreams[key].most, Slots: w.upstreams[key].slots})
+			checker.Peak{Instance: key, MaxRunning: w.upstreams[key].maxRunning, Slots: w.upstreams[key].slots})
 	}
 	sort.SliceStable(w.record.LeaseTenures, func(i, j int) bool { return w.record.LeaseTenures[i].At < w.record.LeaseTenures[j].At })
-	runs := map[string]int{}
-	for _, ran := range w.record.Executions {
-		runs[ran.ID]++
+	executions := map[string]int{}
+	for _, execution := range w.record.Executions {
+		executions[execution.ID]++
 	}
-	w.countUnsure(runs)
+	w.countLostOnceOnlyResponses(executions)
 	review := checker.Check(w.record)
-	sound, count := w.linear()
+	linearizable, count := w.checkLinearizability()
 	review.Seen["book operations"] = count
-	for second, messages := range w.sent {
+	for second, messages := range w.controlMessagesPerSecond {
 		if second > 3 {
 			review.Worst["control-messages-a-second"] = max(review.Worst["control-messages-a-second"], float64(messages))
 		}
@@ -180,9 +180,9 @@
 	for danger, count := range w.dangers {
 		review.Seen["danger: "+danger] = count
 	}
-	review.Worst["largest-frame-bytes"] = float64(w.frameMax)
-	review.Worst["store-disk-bytes"] = float64(w.diskMost)
-	if !sound {
+	review.Worst["largest-frame-bytes"] = float64(w.largestFrameBytes)
+	review.Worst["store-disk-bytes"] = float64(w.largestStoreDiskBytes)
+	if !linearizable {
 		review.Violations = append(review.Violations, checker.Violation{
 			Rule:   "config-log-order",
 			Detail: fmt.Sprintf("%d puts and reads fit no order", count),
