--- a/internal/simulation/answers_test.go
+++ b/internal/simulation/answers_test.go
@@ -1,5 +1,5 @@
-// The runs "wrong-answer" and "once-only": they reach their danger and keep every promise;
-// with one check taken out each, they break the promise that it keeps.
+// Tests of the scenarios "wrong-answer" and "once-only": each run reaches its dangers and breaks no
+// rule; with one safeguard switched off, it breaks the rule that the safeguard protects.
 package simulation
 
 import (
@@ -11,7 +11,7 @@
 	"beaconvane/internal/workload"
 )
 
-// answersRate is how many requests a second these runs have; the danger wants some.
+// answersRequestRate is in requests per second; at lower rates the dangers are not reached often enough.
 const answersRequestRate = 150
 
 func TestAnswersRuns(t *testing.T) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// Not beside other tests: the check is out for all.
+// Doesn't run in parallel: a safeguard is switched off for the whole process.
 func TestAnswersRunsWithoutAcheck(t *testing.T) {
 	skipUnderRace(t)
 	for _, guarded := range []struct {
--- a/internal/simulation/brief_test.go
+++ b/internal/simulation/brief_test.go
@@ -1,5 +1,5 @@
-// The ledger of the brief is held to what exists: each test, scenario and real run it
-// names is there, each of the twelve points and each failure of the brief has a row.
+// Checks docs/brief.md, the table of requirements: each test, scenario and real run it names exists,
+// and each of the twelve points and each failure of the brief has a row.
 package simulation
 
 import (
@@ -20,7 +20,7 @@
 
 var proofReference = regexp.MustCompile(`(scenario:|real:|\bTest)([A-Za-z0-9-]+)`)
 
-// tests lists the names of all test functions of the project.
+// testFunctions returns the names of all test functions under internal/.
 func testFunctions(c *qt.C) map[string]bool {
 	names := map[string]bool{}
 	c.Assert(filepath.Walk("..", func(path string, _ os.FileInfo, err error) error {
@@ -36,7 +36,7 @@
 	return names
 }
 
-// faultsOf lists what is wrong with a ledger.
+// requirementFaults returns the faults of a requirements page, one sentence each.
 func requirementFaults(page string, testNames map[string]bool) []string {
 	faults := []string{}
 	realScenarios := strings.Split(fleet.ScenarioNames(), ", ")
@@ -58,10 +58,10 @@
 			}
 		}
 		if !strings.HasPrefix(state, "proved") && !strings.HasPrefix(state, "partly") && !strings.HasPrefix(state, "missing") {
-			faults = append(faults, fmt.Sprintf("%s has no state: %q", id, state))
+			faults = append(faults, fmt.Sprintf("%s has state %q, want one that begins with proved, partly or missing", id, state))
 		}
 		if strings.HasPrefix(state, "proved") && len(references) == 0 {
-			faults = append(faults, id+" is said to be proved by nothing")
+			faults = append(faults, id+" is marked as proved but names no test, scenario or real run")
 		}
 	}
 	requiredIDs := []string{}
@@ -88,5 +88,6 @@
 	c.Assert(requirementFaults(string(body), testNames), qt.HasLen, 0)
 	broken := strings.ReplaceAll(string(body), "scenario:freeze", "scenario:frieze")
 	c.Assert(requirementFaults(broken, testNames), qt.Not(qt.HasLen), 0)
-	c.Assert(requirementFaults(strings.ReplaceAll(string(body), "| never.7 |", "| ever.7 |"), testNames), qt.DeepEquals, []string{"never.7 has no row"})
+	c.Assert(requirementFaults(strings.ReplaceAll(string(body), "| never.7 |", "| ever.7 |"), testNames),
+		qt.DeepEquals, []string{"never.7 has no row"})
 }
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -16,7 +16,8 @@
 	"beaconvane/internal/stubserver"
 )
 
-// requestSoon is the callers' open loop.
+// scheduleRequest schedules the request with this number and, after it, the next one, until the load
+// ends. The loop is open: send times don't depend on responses.
 func (w *World) scheduleRequest(number int, begin time.Duration) {
 	sendAt := begin + time.Duration(float64(number)/w.options.Rate*float64(time.Second))
 	if sendAt > begin+w.options.Load {
@@ -28,6 +29,7 @@
 	})
 }
 
+// sendRandomRequest sends a request of a random kind, drawn by weight, from a random tenant.
 func (w *World) sendRandomRequest(number int) {
 	d := w.options.Deployment
 	total := 0.0
@@ -45,13 +47,15 @@
 	w.sendToRandomProxy(fmt.Sprintf("q%d", number), chosenKind, tenants[w.random.IntN(len(tenants))])
 }
 
+// sendToRandomProxy sends a caller's request to a random proxy. One in eight carries forged identity
+// headers and API keys in a cookie.
 func (w *World) sendToRandomProxy(id string, kind loadgen.Kind, tenant loadgen.Tenant) {
 	proxies := w.nodesByRole(message.RoleProxy)
 	header := http.Header{}
 	header.Set(frontend.APIKeyHeader, tenant.Key)
 	header.Set(backend.CallerHeader, kind.Caller)
 	if w.random.IntN(8) == 0 {
-		// Some callers claim to be others, and show their key in more places.
+		// The proxy must ignore the forged identity and must not pass the keys on.
 		header.Set(backend.TenantHeader, "tenant-0")
 		header.Set("X_Calling_Service", "dispatch")
 		header.Set("Cookie", "session="+strings.ToUpper(tenant.Key)+"; other="+w.options.Deployment.Tenants()[0].Key)
@@ -61,7 +65,8 @@
 		checker.CallerRequest{ID: id, Tenant: tenant.Name, Key: tenant.Key, Caller: kind.Caller}, func() {})
 }
 
-// callOn is an upstream's further call, with the pass of the request that it runs.
+// sendNestedRequest sends the request that an upstream makes, with the delegation token, while it runs
+// another one. It calls done once: at the response, or after two seconds.
 func (w *World) sendNestedRequest(servingProxy *Node, decision backend.Decision, caller string, kind loadgen.Kind, id string, done func()) {
 	header := http.Header{}
 	header.Set(backend.DelegationHeader, decision.Target.DelegationToken)
@@ -79,12 +84,15 @@
 			done()
 		}
 	}
-	// It waits no longer than this for what it called.
+	// The upstream waits at most this long for the nested response.
 	w.after(2*time.Second, finish)
 	w.dangers["further calls"]++
-	w.sendRequest(servingProxy, header, kind, checker.CallerRequest{ID: id, Tenant: decision.Forward.Tenant, Key: key, Caller: caller}, finish)
+	w.sendRequest(servingProxy, header, kind,
+		checker.CallerRequest{ID: id, Tenant: decision.Forward.Tenant, Key: key, Caller: caller}, finish)
 }
 
+// sendRequest submits a caller's request to a proxy, adds it to the record and calls done at the
+// response. done is not called if the proxy ends before it responds.
 func (w *World) sendRequest(chosenProxy *Node, header http.Header, kind loadgen.Kind, initial checker.CallerRequest, done func()) {
 	request := &initial
 	request.Proxy = chosenProxy.machine
@@ -109,13 +117,13 @@
 			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestTimeout(),
 		}
 		sentIncarnation := incarnation
-		chosenProxy.unansweredRequests++
+		chosenProxy.inFlight++
 		pending := chosenProxy.dispatcher.Submit(proxyRequest, func(time.Duration) {}, func(final *frontend.Response) {
 			w.after(100*time.Microsecond, func() {
 				if !chosenProxy.up || chosenProxy.incarnation != sentIncarnation {
 					return
 				}
-				chosenProxy.unansweredRequests--
+				chosenProxy.inFlight--
 				request.Connection, request.Done, request.Status, request.Body = false, w.now, final.Status, string(final.Body)
 				request.Code, request.Retry = int(final.Code), final.RetryAfter > 0
 				for _, responseHeader := range final.Headers {
@@ -127,7 +135,7 @@
 					}
 				}
 				w.checkRefusalAfterReady(chosenProxy, errcode.Code(request.Code), proxyRequest.Attempts)
-				if request.Code == int(errcode.BusyNotReady) && !w.configurationKnownCurrent(chosenProxy) {
+				if request.Code == int(errcode.BusyNotReady) && !w.configKnownCurrent(chosenProxy) {
 					w.refusedConfigAgeUnknown[request.ID] = true
 				}
 				if request.Code != 0 && w.upstreamAvailable(chosenProxy, kind.Service) {
--- a/internal/simulation/collector.go
+++ b/internal/simulation/collector.go
@@ -8,7 +8,9 @@
 	"beaconvane/internal/statemachine"
 )
 
-// collect takes a usage report; the reporter hears of it unless it died meanwhile.
+// collectUsage records a usage report and acknowledges it to the node that sent it, unless the node has
+// restarted by then. While the collector is faulty, two thirds of the acknowledgements are lost and the
+// others arrive up to two seconds late.
 func (w *World) collectUsage(from *Node, incarnation int, report registry.UsageReport) {
 	if w.now < w.collectorDownUntil {
 		return
--- a/internal/simulation/control_test.go
+++ b/internal/simulation/control_test.go
@@ -1,5 +1,5 @@
-// The control side under the worst days: each run must have reached the danger that it is
-// about, and broken no promise.
+// Tests of the control plane under overlapping faults: each run must reach the dangers that it is
+// about, and break no rule.
 package simulation
 
 import (
@@ -10,7 +10,7 @@
 	"beaconvane/internal/workload"
 )
 
-const controlRate = 10 // requests a second; these runs are about the operators' side
+const controlRate = 10 // requests per second; these runs test configuration writes, not traffic
 
 func playControlSeeds(t *testing.T, deployment, scenario string, seeds ...uint64) map[string]int {
 	skipUnderRace(t)
@@ -60,8 +60,8 @@
 	}
 }
 
-// A voter that was away during the last change has it at the end, though no other change
-// and no other holder comes.
+// A voter that is down during the last change catches up, although neither another change nor a change
+// of the lease holder follows. Without a catch-up of its own it would keep the older version.
 func TestVoterThatMissedTheLastChangeCatchesUp(t *testing.T) {
 	skipUnderRace(t)
 	for _, deployment := range []string{"voters-3", "small"} {
@@ -92,8 +92,8 @@
 	requireAtLeast(t, "versions they were behind", seen["danger: versions they were behind"], 200)
 }
 
-// All core machines lose power with a configuration of many routes in force, on links that
-// carry its log in seconds: orders are taken again soon, and requests are answered.
+// All core machines crash at once while a configuration of many routes is in force, on links that take
+// seconds to carry its log: writes must be accepted again soon, and requests answered.
 func TestLargeConfigurationAfterAllOff(t *testing.T) {
 	seen := playControlSeeds(t, "jendela-narrow", "large-all-off", 4, 5)
 	requireAtLeast(t, "returns of the whole core with a large configuration",
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -7,6 +7,7 @@
 	"beaconvane/internal/workload"
 )
 
+// addDeployment adds the nodes and upstreams of the deployment, without starting them.
 func (w *World) addDeployment() {
 	d := w.options.Deployment
 	seeds := []string{}
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -6,21 +6,21 @@
 	"os"
 )
 
-// simFile is a file whose unsynced bytes may vanish or be torn at a crash.
+// simFile is a file whose unsynced bytes may be lost or torn at a crash.
 type simFile struct {
 	synced      []byte
 	current     []byte
-	nameDurable bool // its name is in the folder for good
+	nameDurable bool // its directory entry has been synced
 }
 
-// Disk is a simulated folder; it implements storage.Directory.
+// Disk is a simulated directory; it implements storage.Directory.
 type Disk struct {
 	files     map[string]*simFile
 	failing   bool
-	stepsLeft int // how many more steps are done before the machine stops; below 0: no end
+	stepsLeft int // operations left before the machine stops; negative: unlimited
 }
 
-// works counts a step; false when the disk fails or the machine has stopped.
+// takeStep consumes one operation. It returns false if the disk is failing or the machine has stopped.
 func (d *Disk) takeStep() bool {
 	if d.failing || d.stepsLeft == 0 {
 		return false
@@ -29,11 +29,12 @@
 	return true
 }
 
-// NewDisk is an empty one.
+// NewDisk returns an empty disk without failures.
 func NewDisk() *Disk { return &Disk{files: map[string]*simFile{}, stepsLeft: -1} }
 
 var errDisk = errors.New("simulated disk failure")
 
+// Read returns a copy of a file's current content, synced or not.
 func (d *Disk) Read(name string) ([]byte, error) {
 	file, found := d.files[name]
 	if !found {
@@ -42,6 +43,7 @@
 	return append([]byte{}, file.current...), nil
 }
 
+// Write replaces a file's content; it is not durable before Sync.
 func (d *Disk) Write(name string, body []byte) error {
 	if !d.takeStep() {
 		return errDisk
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// Append writes behind the end of a file.
+// Append writes at the end of an existing file.
 func (d *Disk) Append(name string, body []byte) error {
 	file, found := d.files[name]
 	if !found || !d.takeStep() {
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// Truncate cuts a file to a size in bytes.
+// Truncate shortens a file to a size in bytes.
 func (d *Disk) Truncate(name string, size int64) error {
 	file, found := d.files[name]
 	if !found || !d.takeStep() {
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// SyncDirectory makes the list of files durable.
+// SyncDirectory makes the directory entries of all files durable.
 func (d *Disk) SyncDirectory() error {
 	if !d.takeStep() {
 		return errDisk
@@ -96,7 +98,8 @@
 	return nil
 }
 
-// Crash forgets what was not synced, or keeps a part of it.
+// Crash simulates a power failure: each file loses its unsynced changes, or keeps all or some of them,
+// at random. It ends the limit set by StopAfter.
 func (d *Disk) Crash(random *rand.Rand) {
 	d.stepsLeft = -1
 	names := []string{}
@@ -122,7 +125,7 @@
 				file.current = file.current[:keptLength]
 				break
 			}
-			// The length is there, and sectors of the new part in any order.
+			// The new length is durable, but only a random set of the appended 512-byte sectors is.
 			for offset := len(file.synced); offset < len(file.current); {
 				end := min(len(file.current), (offset/512+1)*512)
 				if random.IntN(2) == 0 {
@@ -141,18 +144,19 @@
 	}
 }
 
-// overwritten is a file that was emptied and written anew, when the cut of its length is lost.
+// overwritten returns the content of a file that was truncated and rewritten, if the truncation is lost
+// in a crash: the new bytes, followed by the tail of the old ones.
 func overwritten(old, written []byte) []byte {
 	return append(append([]byte{}, written...), old[min(len(old), len(written)):]...)
 }
 
-// StopAfter has the machine stop after so many more operations; Crash lifts it.
+// StopAfter makes every operation fail after the given number of further ones, until Crash.
 func (d *Disk) StopAfter(steps int) { d.stepsLeft = steps }
 
-// Stopped says that the machine has stopped within an operation.
+// Stopped reports whether the limit set by StopAfter has been reached.
 func (d *Disk) Stopped() bool { return d.stepsLeft == 0 }
 
-// Copy is a disk with the same files, synced and not.
+// Copy returns an independent disk with the same files, both synced and unsynced content.
 func (d *Disk) Copy() *Disk {
 	copied := &Disk{files: map[string]*simFile{}, failing: d.failing, stepsLeft: d.stepsLeft}
 	for name, file := range d.files {
@@ -162,7 +166,7 @@
 	return copied
 }
 
-// Sizes tells of each file how much of it is synced and how much there is.
+// Sizes returns for each file its synced and its current length in bytes.
 func (d *Disk) Sizes() map[string][2]int {
 	sizes := map[string][2]int{}
 	for name, file := range d.files {
--- a/internal/simulation/disk_full.go
+++ b/internal/simulation/disk_full.go
@@ -12,14 +12,13 @@
 	"beaconvane/internal/workload"
 )
 
-// diskMachine is a core program's machine, whose state is on disk.
+// persistentMachine is the state machine of a core process, whose state is on disk.
 type persistentMachine interface {
 	statemachine.Machine
 	storage.Restorable
 }
 
-// fillDisks lets the disks of some nodes refuse every write for a while; the processes
-// run on.
+// fillDisks makes the disks of some nodes refuse every write for a time. The processes keep running.
 func (w *World) fillDisks(nodes []*Node, duration time.Duration) {
 	for _, node := range nodes {
 		node.disk.failing = true
@@ -31,7 +30,8 @@
 	})
 }
 
-// recoverDisk builds the machine anew once the disk works, as package node does.
+// recoverFromDiskFailure rebuilds the state machine from disk as soon as the disk accepts writes, in the
+// running process, as package node does. It retries every DiskRetryEvery.
 func (n *Node) recoverFromDiskFailure(incarnation int) {
 	if n.recovering {
 		return
@@ -52,12 +52,12 @@
 		n.machineIncarnation++
 		n.replies = map[int64]func(any){}
 		n.world.dangers["machines built anew after a disk refused writes"]++
-		n.world.traceEvent("disk of %s works again", n.name)
+		n.world.traceEvent("disk of %s accepts writes again", n.name)
 	}
 	n.world.after(n.settings.DiskRetryEvery(), retry)
 }
 
-// buildMachine makes the core program's machine from what its disk holds.
+// buildMachine builds the state machine of a core process from the snapshot and the log records on its disk.
 func (n *Node) buildMachine(snapshot []byte, records [][]byte) (persistentMachine, error) {
 	self := n.self()
 	if n.role == message.RoleRegistry {
@@ -66,21 +66,21 @@
 	return configstore.New(n.settings, self, snapshot, records)
 }
 
-// self is this incarnation of the node as the others see it.
+// self returns the member entry of this incarnation.
 func (n *Node) self() message.Member {
 	return message.Member{Name: n.name, Role: n.role, Voter: n.settings.Voter, Zone: n.settings.Zone, Address: n.settings.Address,
 		HTTPAddress: n.settings.HTTPAddress, StartTime: int64(n.clock.wall(n.world.now))}
 }
 
-// disksFullInTurn fills the disk of each core machine for some seconds, one after the
-// other, with a configuration written during each and at the end.
+// disksFullInTurnPlan fills the disk of each voter's machine for some seconds, one after the other, and
+// writes a configuration during each outage and one at the end.
 func disksFullInTurnPlan(_ workload.Deployment, random *rand.Rand) []Step {
 	plan := []Step{}
 	for index, voter := range workload.Voters {
 		start := time.Duration(10+7*index) * time.Second
 		plan = append(plan,
-			Step{At: start, Do: "disk-full", Target: voter, For: randomDuration(random, 2, 4)},
-			Step{At: start + randomDuration(random, 0.2, 1.5), Do: "put"})
+			Step{At: start, Do: "disk-full", Target: voter, For: between(random, 2, 4)},
+			Step{At: start + between(random, 0.2, 1.5), Do: "put"})
 	}
 	return append(plan, Step{At: 32 * time.Second, Do: "put"})
 }
--- a/internal/simulation/disk_full_test.go
+++ b/internal/simulation/disk_full_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Each core machine's disk refuses writes for a while, one after the other. Without
-// recovery in the running process the second one leaves no majority for good.
+// The disk of each core machine refuses writes for a time, one after the other. Without recovery in the
+// running process, the second full disk would leave the core without a majority permanently.
 func TestFullDisksInTurn(t *testing.T) {
 	for _, deployment := range []string{"umuyoboro", "jendela"} {
 		for seed := range uint64(1) {
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,10 +1,10 @@
-// Package simulation plays whole deployments in one process and one thread, on a simulated
-// network, clock and disk, all from one seed. It runs the product's own state machines, frontend,
-// backend and disk format; only sockets, files, timers and random sources are simulated. A seed
-// plays the same way each time: every random draw and every event happens in a fixed order.
+// Package simulation runs deployments in one process and one thread, on a simulated network, clock
+// and disk, driven by one seed. It runs the product's own state machines, frontend, backend and disk
+// format; only sockets, files, timers and random sources are simulated. Runs are deterministic: with
+// the same seed, every random draw and every event happens in the same order.
 //
-// A scenario makes a plan from the seed: steps that are each a fault or an order of an operator at
-// a time. World plays the plan and records what callers, operators and the usage collector saw;
-// package checker then holds the record against the promises. A failing plan is shrunk by leaving
-// steps out.
+// A scenario derives a plan from the seed: steps, each of which is a fault or an operator's action at
+// a given time. World executes the plan and records what callers, operators and the usage collector
+// observed; package checker then checks the record against the guarantees. Shrink reduces a failing
+// plan by removing steps.
 package simulation
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -10,13 +10,13 @@
 	"beaconvane/internal/statemachine"
 )
 
-// environment is the dispatcher's port in the simulator, for one incarnation of a proxy.
+// environment connects the frontend's dispatcher to the simulator, for one incarnation of a proxy.
 type environment struct {
 	node        *Node
 	incarnation int
 }
 
-// Now returns the simulated process clock.
+// Now returns the time on the simulated process clock.
 func (b *environment) Now() time.Duration { return b.node.Now() }
 
 // Wall returns the simulated time of day.
@@ -25,10 +25,10 @@
 // Random returns the random source of the run.
 func (b *environment) Random() *rand.Rand { return b.node.world.random }
 
-// Notify hands a notice to the control machine.
+// Notify passes a notice to the proxy's control state machine.
 func (b *environment) Notify(notice any) { b.node.apply(statemachine.LocalRequest{Request: notice}) }
 
-// Enqueue passes an item to its stage a moment later, as the workers would.
+// Enqueue runs the stage of an item 20 µs later, as the worker goroutines do. It never refuses an item.
 func (b *environment) Enqueue(stage frontend.Stage, item any) bool {
 	n := b.node
 	n.world.after(20*time.Microsecond, func() {
@@ -57,14 +57,14 @@
 	return true
 }
 
-// Cancel does nothing: the simulator's callers don't hang up, and what they give up at its
-// deadline the upstream gives up by itself.
+// Cancel does nothing: the simulated callers don't disconnect, and at a request's deadline the upstream
+// gives the request up by itself.
 func (b *environment) Cancel(string) {}
 
-// Backlog is none: the links of the simulator have no width.
+// Backlog returns 0: request traffic in the simulator uses no bandwidth.
 func (b *environment) Backlog() time.Duration { return 0 }
 
-// After calls a function at a later time.
+// After calls a function after a wait on the process clock, unless the incarnation has ended by then.
 func (b *environment) After(wait time.Duration, then func()) {
 	b.node.world.after(b.node.trueWait(wait), func() { b.node.run(b.incarnation, then) })
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -7,7 +7,8 @@
 	"beaconvane/internal/message"
 )
 
-// cores lists the core machines, replaced ones aside.
+// coreMachines returns the core machines, without retired ones and without the replacements that run
+// beside a frozen machine.
 func (w *World) coreMachines() []string {
 	list := []string{}
 	for _, node := range w.nodesByRole(message.RoleRegistry) {
@@ -18,6 +19,7 @@
 	return list
 }
 
+// allMachines returns the core machines and the proxies' machines.
 func (w *World) allMachines() []string {
 	list := append([]string{}, w.coreMachines()...)
 	for _, node := range w.nodesByRole(message.RoleProxy) {
@@ -26,6 +28,7 @@
 	return list
 }
 
+// without returns the items of a list except one.
 func without(list []string, excluded string) []string {
 	remaining := []string{}
 	for _, item := range list {
@@ -36,7 +39,7 @@
 	return remaining
 }
 
-// fault carries out one kind of step.
+// fault executes one kind of step.
 type fault func(w *World, step Step)
 
 // nodeFaults returns the faults of processes, machines and their disks, by the name that plans use.
@@ -61,7 +64,7 @@
 	}
 }
 
-// networkFaults returns the faults of the network between machines, by the name that plans use.
+// networkFaults returns the network partitions between machines, by the name that plans use.
 func networkFaults() map[string]fault {
 	return map[string]fault{
 		"isolate":          func(w *World, step Step) { w.isolate(step, w.allMachines(), true) },
@@ -72,18 +75,19 @@
 	}
 }
 
-// collectorFaults returns the faults of the usage collector, and the end of a plan's load.
+// collectorFaults returns the faults of the usage collector and the marker of the end of a plan's load,
+// by the name that plans use.
 func collectorFaults() map[string]fault {
 	return map[string]fault{
-		// The collector takes reports, but its answer is lost, an error, or late, in turn.
+		// The collector accepts reports, but most of its answers are lost and the others are late.
 		"collector-odd":  func(w *World, step Step) { w.collectorFaultyUntil = w.now + step.For },
 		"collector-down": func(w *World, step Step) { w.collectorDownUntil = w.now + step.For },
-		// Callers send no requests after this step; the callers look for it in the plan.
+		// Callers send no requests after this step; options reads its time from the plan.
 		"end": func(*World, Step) {},
 	}
 }
 
-// operatorSteps returns the orders of operators, by the name that plans use.
+// operatorSteps returns the configuration writes of operators, by the name that plans use.
 func operatorSteps() map[string]fault {
 	steps := map[string]fault{}
 	for _, name := range []string{
@@ -94,7 +98,7 @@
 	return steps
 }
 
-// allFaults joins the tables of faults; no name stands in two of them.
+// allFaults merges the tables of faults and operator steps. No name may be in more than one table.
 func allFaults() map[string]fault {
 	joined := map[string]fault{}
 	for _, table := range []map[string]fault{
@@ -106,9 +110,9 @@
 	return joined
 }
 
-// do carries out one step. Names that no table has arm a loss or are faults of upstreams.
+// runStep executes one step. A name that is in no table arms a second loss or is a fault of an upstream.
 func (w *World) runStep(step Step) {
-	w.traceEvent("STEP %s", step)
+	w.traceEvent("step %s", step)
 	if apply, found := w.faults[step.Do]; found {
 		apply(w, step)
 	} else if kind, isArmStep := strings.CutPrefix(step.Do, armPrefix); isArmStep {
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -16,20 +16,23 @@
 	"beaconvane/internal/settings"
 )
 
-// configLogRequest is the input of the linearizability check of the configuration log.
+// configLogRequest is the input of one operation in the linearizability check of the configuration log:
+// a write, or a read of the current configuration.
 type configLogRequest struct {
 	write       bool
 	version     int64
 	entry       string // version and digest of a put
-	highestWins bool   // an overtaken version is acknowledged and alters nothing
+	highestWins bool   // a write of an older version is acknowledged without effect
 }
 
+// configLogAnswer is the output of one operation.
 type configLogAnswer struct {
 	code    errcode.Code
 	digest  string
 	unknown bool
 }
 
+// configLogOperation is one operation with the times of its call and its answer.
 type configLogOperation struct {
 	request  configLogRequest
 	answer   configLogAnswer
@@ -37,7 +40,8 @@
 	answered bool
 }
 
-// readConfigLog has an operator read the current configuration at some registry now and then.
+// readConfigLog has an operator periodically read the current configuration from a random registry. Only
+// reads that return a configuration, or that there is none, go into the history.
 func (w *World) readConfigLog(every, until time.Duration) {
 	if w.now > until {
 		return
@@ -56,8 +60,8 @@
 	w.after(every, func() { w.readConfigLog(every, until) })
 }
 
-// newestEntry returns version and digest of the last entry in the model's state; zero values when
-// the state holds none. An entry that does not begin with a number is a programming error of the model.
+// newestEntry returns the version and the digest of the last entry in the model's state; zero values if
+// the state is empty. An entry that doesn't begin with a number is a programming error, so it panics.
 func newestEntry(committed string) (version int64, digest string) {
 	entries := strings.Fields(committed)
 	if len(entries) == 0 {
@@ -71,10 +75,10 @@
 	return version, digest
 }
 
-// configLogModel is the configuration log as one copy that takes one operation at a time: every
-// write and read, with when it was sent and answered, must fit one order in which each takes effect
-// at one moment between the two. A write without a known outcome may take effect at any later time,
-// or never. The state is the list of the committed versions, oldest first.
+// configLogModel is the sequential specification of the configuration log for the linearizability
+// check: there must be one order of all writes and reads in which each takes effect at one moment
+// between its call and its answer. A write with an unknown outcome may take effect at any later time,
+// or never. The state is the list of committed entries, "version:digest", oldest first.
 var configLogModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
@@ -98,7 +102,8 @@
 			return []any{applied}
 		case answer.code == errcode.ConfigurationConflict && !request.highestWins && request.version <= current && !present:
 			return []any{state}
-		case answer.code == errcode.ConfigurationConflict && request.highestWins && !present && versionCommitted(committed, request.version),
+		case answer.code == errcode.ConfigurationConflict && request.highestWins && !present &&
+			versionCommitted(committed, request.version),
 			answer.code == errcode.OK && request.highestWins && request.version < current && !versionCommitted(committed, request.version):
 			return []any{state}
 		}
@@ -107,12 +112,13 @@
 	Equal: func(one, other any) bool { return one == other },
 }
 
-// numberTaken says that some content was committed under a version.
+// versionCommitted reports whether some content has been committed under a version.
 func versionCommitted(committed string, version int64) bool {
 	return strings.Contains(" "+committed, fmt.Sprintf(" %d:", version))
 }
 
-// linear checks the operations of a run; few runs take long, those are given up.
+// checkLinearizability checks the operations of a run and returns whether they may be linearizable, and
+// their number. The few checks that take longer than the timeout count as passed.
 func (w *World) checkLinearizability() (bool, int) {
 	history := []porcupine.Operation{}
 	for index, operation := range w.configLogOperations {
--- a/internal/simulation/linearizability_test.go
+++ b/internal/simulation/linearizability_test.go
@@ -1,4 +1,4 @@
-// The order check can fail: histories that fit no order are told from those that do.
+// Tests that the linearizability check rejects histories that are not linearizable, and accepts others.
 package simulation
 
 import (
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -6,16 +6,16 @@
 	"beaconvane/internal/message"
 )
 
-// fullLink is how long a datagram may wait for a link before it is dropped.
+// maxLinkQueueDelay is the longest wait for a link at which a datagram is not dropped.
 const maxLinkQueueDelay = 250 * time.Millisecond
 
-// link is when each direction of a machine's link is free again.
+// link holds the simulated times at which each direction of a machine's link becomes idle.
 type link struct {
 	out time.Duration
 	in  time.Duration
 }
 
-// linkRate is how many bytes a second a machine's link carries each way; 0: not bounded.
+// linkRate returns the bandwidth of a node's link in bytes per second, each way; 0 means unlimited.
 func (w *World) linkRate(n *Node) int64 {
 	if n.role == message.RoleProxy {
 		return w.options.Deployment.ProxyLink
@@ -23,6 +23,7 @@
 	return w.options.Deployment.CoreLink
 }
 
+// linkOf returns the link state of a node's machine.
 func (w *World) linkOf(n *Node) *link {
 	state, known := w.links[n.machine]
 	if !known {
@@ -32,8 +33,8 @@
 	return state
 }
 
-// passLinks is when a frame that leaves now has passed both machines' links and the way
-// between them.
+// arrivalThroughLinks returns the arrival time of a frame sent now: after the sender's link, the transit
+// delay and the receiver's link. It reserves the time on both links. Frames within a machine use no link.
 func (w *World) arrivalThroughLinks(from, to *Node, size int) time.Duration {
 	transit := w.randomTransitDelay()
 	if from.machine == to.machine {
@@ -54,7 +55,7 @@
 	return arrival
 }
 
-// crowded says that a datagram would wait too long for either link.
+// linkQueueFull reports whether a datagram would wait longer than maxLinkQueueDelay for either link.
 func (w *World) linkQueueFull(from, to *Node) bool {
 	if from.machine == to.machine {
 		return false
@@ -62,6 +63,7 @@
 	return w.linkOf(from).out-w.now > maxLinkQueueDelay || w.linkOf(to).in-w.now > maxLinkQueueDelay
 }
 
+// transmissionTime returns the time a number of bytes takes at a rate in bytes per second.
 func transmissionTime(size int, rate int64) time.Duration {
 	return time.Duration(int64(size)) * time.Second / time.Duration(rate)
 }
--- a/internal/simulation/many_changes.go
+++ b/internal/simulation/many_changes.go
@@ -11,15 +11,16 @@
 	"beaconvane/internal/workload"
 )
 
-// The hundreds scenario changes the configuration hundreds of times, while core machines are away,
-// restart, lose a disk and hold the lease. A machine that returns must catch up in bounded time, its
-// disk and its frames must stay bounded, and no read may be older than what was acknowledged.
+// The hundreds scenario writes hundreds of configurations, while core machines, lease holders among
+// them, are down, restart, are partitioned or lose a disk. A machine that returns must catch up in
+// bounded time, the size of its disk and of its frames must stay bounded, and no read may return an
+// older version than the last acknowledged one.
 const (
 	changeCount         = 620
-	largeChangeInterval = 60   // every so many changes one is large
-	largeChangeRoutes   = 2500 // and has so many routes
+	largeChangeInterval = 60   // every 60th change is large
+	largeChangeRoutes   = 2500 // routes of a large change
 	changesTimeLimit    = 75 * time.Second
-	maxStoreDiskBytes   = 24 << 20 // bytes on one store's disk
+	maxStoreDiskBytes   = 24 << 20 // limit of the sum of one store's files
 )
 
 func manyChangesPlan(d workload.Deployment, random *rand.Rand) []Step {
@@ -27,23 +28,24 @@
 	chosen := random.Perm(len(names))
 	return []Step{
 		{At: 9 * time.Second, Do: "hundreds", For: changesTimeLimit},
-		{At: randomDuration(random, 11, 13), Do: "kill", Target: names[chosen[0]], For: randomDuration(random, 6, 9)},
-		{At: randomDuration(random, 26, 28), Do: "cut-core", Target: names[chosen[1]], For: randomDuration(random, 5, 8)},
-		{At: randomDuration(random, 40, 42), Do: "kill-holder", Target: settings.ConfigLogLease, For: randomDuration(random, 0.3, 2)},
-		{At: randomDuration(random, 48, 50), Do: "kill-disk", Target: names[chosen[2]], For: randomDuration(random, 0.3, 2)},
-		{At: randomDuration(random, 58, 60), Do: "kill", Target: names[chosen[1]], For: randomDuration(random, 3, 6)},
-		{At: randomDuration(random, 70, 71), Do: "kill-holder", Target: settings.ConfigLogLease, For: randomDuration(random, 0.3, 2)},
+		{At: between(random, 11, 13), Do: "kill", Target: names[chosen[0]], For: between(random, 6, 9)},
+		{At: between(random, 26, 28), Do: "cut-core", Target: names[chosen[1]], For: between(random, 5, 8)},
+		{At: between(random, 40, 42), Do: "kill-holder", Target: settings.ConfigLogLease, For: between(random, 0.3, 2)},
+		{At: between(random, 48, 50), Do: "kill-disk", Target: names[chosen[2]], For: between(random, 0.3, 2)},
+		{At: between(random, 58, 60), Do: "kill", Target: names[chosen[1]], For: between(random, 3, 6)},
+		{At: between(random, 70, 71), Do: "kill-holder", Target: settings.ConfigLogLease, For: between(random, 0.3, 2)},
 	}
 }
 
-// changeInTurn sends changes one after another until there are enough.
+// writeChangesInSequence writes the remaining changes one after another, each up to 60 ms after the answer
+// to the one before. It fails the run if some remain at the given time.
 func (w *World) writeChangesInSequence(remaining int, until time.Duration) {
 	if remaining == 0 {
 		w.dangers["hundreds of changes made"]++
 		return
 	}
 	if w.now > until {
-		w.fail("%d changes were not made in time", remaining)
+		w.fail("%d changes were not written in time", remaining)
 		return
 	}
 	w.lastVersion++
@@ -53,7 +55,8 @@
 		routes = largeChangeRoutes
 		w.dangers["large changes"]++
 	}
-	w.retryWrite(w.newConfigWrite(w.lastVersion, tenants, w.options.Deployment.Configuration(tenants, routes+int(w.lastVersion)), func(code errcode.Code) {
+	body := w.options.Deployment.Configuration(tenants, routes+int(w.lastVersion))
+	w.retryWrite(w.newConfigWrite(w.lastVersion, tenants, body, func(code errcode.Code) {
 		if code == errcode.OK {
 			w.dangers["changes acknowledged"]++
 		}
@@ -62,7 +65,7 @@
 	}))
 }
 
-// measureDisks keeps the largest sum of a store's files.
+// measureDisks records the largest size of a store's disk so far, as the sum of its files.
 func (w *World) measureDisks() {
 	for _, store := range w.nodesByRole(message.RoleConfigStore) {
 		size := 0
@@ -75,7 +78,7 @@
 	}
 }
 
-// newestOf is the newest version that a store's log holds.
+// newestVersion returns the newest configuration version in a store's log; 0 if the node isn't a store.
 func newestVersion(store *Node) int64 {
 	if machine, isStore := store.control.(*configstore.Machine); isStore {
 		return machine.NewestVersion("main")
@@ -83,9 +86,9 @@
 	return 0
 }
 
-// expectCaughtUp checks that a store that came back holds, within the bound, what had been
-// acknowledged when it came, as long as no more machines count as lost than may be: one
-// counts as lost while it is away and for the same bound after it is back.
+// expectCatchUp checks that a store that has just started has, within the catch-up bound, every version
+// acknowledged before its start. The check applies only while the other stores have a majority; a
+// machine counts as lost while it is down and for the same bound after it is back.
 func (w *World) expectCatchUp(store *Node) {
 	acknowledgedVersion, incarnation, began := w.newestAcknowledged, store.incarnation, w.now
 	bound := time.Duration(store.settings.Bounds.CatchUp) * time.Millisecond
@@ -104,12 +107,14 @@
 			w.dangers["versions they were behind"] += int(behind)
 		}
 		if version := newestVersion(store); version < acknowledgedVersion {
-			w.fail("%s holds version %d %s after its start, %d had been acknowledged", store.name, version, bound, acknowledgedVersion)
+			w.fail("%s has version %d %s after its start, want at least %d, acknowledged before the start",
+				store.name, version, bound, acknowledgedVersion)
 		}
 	})
 }
 
-// othersStand says that without this store a majority has been up and connected since a time.
+// othersHaveMajority reports whether a majority of the voters has been up, unfrozen and connected since a
+// given time, this store not counted.
 func (w *World) othersHaveMajority(store *Node, since time.Duration) bool {
 	voters, available := len(store.settings.Voters), 0
 	for _, other := range w.runningNodes(message.RoleConfigStore) {
@@ -121,8 +126,8 @@
 	return available*2 > voters
 }
 
-// isSpare says that a store holds no voter while every voter stands elsewhere: it has
-// nothing to catch up with.
+// isSpare reports whether a store has no vote while all votes are held by other running stores, so that
+// it has nothing to catch up with.
 func (w *World) isSpare(store *Node) bool {
 	if isVoting(store) {
 		return false
@@ -136,15 +141,16 @@
 	return voting > 0 && voting == w.options.Deployment.VoterCount
 }
 
+// isVoting reports whether a node is a store with a vote.
 func isVoting(store *Node) bool {
 	machine, isStore := store.control.(*configstore.Machine)
 	return isStore && machine.Voting()
 }
 
-// bounded checks the sizes at the end of a run.
+// checkSizeBounds checks the largest disk and the largest frame at the end of a run.
 func (w *World) checkSizeBounds() {
 	if w.largestStoreDiskBytes > maxStoreDiskBytes {
-		w.fail("%d bytes on one store's disk, %d are the most", w.largestStoreDiskBytes, maxStoreDiskBytes)
+		w.fail("largest store disk has %d bytes, limit is %d", w.largestStoreDiskBytes, maxStoreDiskBytes)
 	}
 	stores := w.nodesByRole(message.RoleConfigStore)
 	if len(stores) == 0 {
@@ -152,11 +158,11 @@
 	}
 	// All stores have the same limits.
 	if limit := stores[0].settings.Limits.Frame; int64(w.largestFrameBytes) > limit {
-		w.fail("a frame of %d bytes, the cap is %d", w.largestFrameBytes, limit)
+		w.fail("largest frame has %d bytes, limit is %d", w.largestFrameBytes, limit)
 	}
 }
 
-// hundredsSteps returns the step of the hundreds scenario, by the name that plans use.
+// manyChangesSteps returns the step of the hundreds scenario, by the name that plans use.
 func manyChangesSteps() map[string]fault {
 	return map[string]fault{
 		"hundreds": func(w *World, step Step) { w.writeChangesInSequence(changeCount, w.now+step.For) },
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	defaultDatagramLoss = 0.002 // share of datagrams
+	defaultDatagramLoss = 0.002 // share of datagrams lost
 	defaultDelay        = 300 * time.Microsecond
 )
 
-// network is the state of the links between machines: cuts, rates and delays.
+// network is the state of the links between machines: partitions, queues, loss and delay.
 type network struct {
-	cutCounts        map[string]int // "from>to" by machine name, counted
-	cutLinkSince     map[string]time.Duration
-	partitionedSince map[string]time.Duration // core machines cut off from all others, since when
-	lastArrival      map[string]time.Duration // "from>to" by address: when the last message arrives
+	cutCounts        map[string]int           // by "from>to" of machine names; overlapping cuts are counted
+	cutLinkSince     map[string]time.Duration // by machine: since when some link of it is cut
+	partitionedSince map[string]time.Duration // by core machine: since when it is partitioned from all others
+	lastArrival      map[string]time.Duration // by "from>to" of addresses: arrival of the last message
 	links            map[string]*link         // by machine
 	datagramLoss     float64
 	minTransitDelay  time.Duration
@@ -35,16 +35,20 @@
 		minTransitDelay:  defaultDelay,
 	}
 }
+
+// reachable reports whether the link from one node's machine to the other's is not cut.
 func (n *network) reachable(from, to *Node) bool {
 	return n.cutCounts[from.machine+">"+to.machine] == 0
 }
 
+// changeCutCount adds delta to the number of cuts of the link from one machine to another, and updates
+// since when each of the two has a cut link.
 func (w *World) changeCutCount(from, to string, delta int) {
 	w.cutCounts[from+">"+to] += delta
 	for _, machine := range []string{from, to} {
 		healed := machine
 		if !w.hasCutLink(machine) {
-			// What waited on its connections is through a moment later.
+			// Messages that waited for the cut link are delivered within a second.
 			w.after(time.Second, func() {
 				if !w.hasCutLink(healed) {
 					delete(w.cutLinkSince, healed)
@@ -56,7 +60,7 @@
 	}
 }
 
-// partitioned says that some link of the machine is cut.
+// hasCutLink reports whether any link from or to a machine is cut.
 func (n *network) hasCutLink(machine string) bool {
 	for pair, count := range n.cutCounts {
 		if count > 0 && (strings.HasPrefix(pair, machine+">") || strings.HasSuffix(pair, ">"+machine)) {
@@ -66,6 +70,8 @@
 	return false
 }
 
+// randomTransitDelay draws a message's delay: one to two times minTransitDelay, and for one in 200
+// messages up to 20 ms more.
 func (w *World) randomTransitDelay() time.Duration {
 	wait := w.minTransitDelay + time.Duration(w.random.Int64N(int64(w.minTransitDelay)))
 	if w.random.IntN(200) == 0 {
@@ -74,12 +80,12 @@
 	return wait
 }
 
-// send carries a control message: in order on a connection. Over a cut it is kept back and
-// comes late, or is lost with the connection.
+// send sends a control message over a connection, on which messages arrive in the order sent. On a cut
+// link, each attempt 200 ms apart loses the message with a probability of a third.
 func (w *World) send(from *Node, to string, msg any) {
 	frame, err := message.Encode(msg)
 	if err != nil {
-		panic(fmt.Sprintf("simulation: %T: %v", msg, err))
+		panic(fmt.Sprintf("simulation: encode message %T: %v", msg, err))
 	}
 	w.controlMessagesPerSecond[int64(w.now/time.Second)]++
 	w.largestFrameBytes = max(w.largestFrameBytes, len(frame))
@@ -108,13 +114,14 @@
 	w.at(arrival, deliver)
 }
 
+// datagram sends a datagram. It is lost at random, on a cut link, or if it would wait too long for a link.
 func (w *World) datagram(from *Node, to string, msg any) {
 	frame, err := message.Encode(msg)
 	if err != nil {
-		panic(fmt.Sprintf("simulation: %T: %v", msg, err))
+		panic(fmt.Sprintf("simulation: encode datagram %T: %v", msg, err))
 	}
 	if len(frame) > 1400 {
-		w.failures = append(w.failures, fmt.Sprintf("datagram of %d bytes: %T", len(frame), msg))
+		w.failures = append(w.failures, fmt.Sprintf("datagram of %d bytes exceeds the limit of 1400: %T", len(frame), msg))
 	}
 	target, found := w.nodeByAddress[to]
 	if !found || !w.reachable(from, target) || w.random.Float64() < w.datagramLoss || w.linkQueueFull(from, target) {
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -7,6 +7,8 @@
 	"beaconvane/internal/message"
 )
 
+// cutLinksBetween cuts the links from each left machine to each right one, and back too if both is set,
+// for a time.
 func (w *World) cutLinksBetween(left, right []string, both bool, duration time.Duration) {
 	change := func(delta int) {
 		for _, leftMachine := range left {
@@ -20,7 +22,7 @@
 	}
 	change(1)
 	for _, machine := range left {
-		// A frame under way comes again some time after the cut is mended.
+		// A frame in flight is delivered up to a second after the links are restored.
 		w.record.Disconnected = append(w.record.Disconnected, checker.Span{Name: machine, From: w.now, To: w.now + duration + time.Second})
 	}
 	w.restartServiceSpans(left, right)
@@ -30,7 +32,8 @@
 	})
 }
 
-// breakSpans begins new spans of service, as a node cut off is not held to the bounds for connected ones.
+// restartServiceSpans ends the spans of service of the smaller side and opens new ones, because the bounds
+// for connected nodes don't apply to partitioned ones.
 func (w *World) restartServiceSpans(left, right []string) {
 	smaller := left
 	if len(right) < len(left) {
@@ -46,12 +49,12 @@
 	}
 }
 
-// isolate cuts the target from the other machines, both ways or only what it sends.
+// isolate partitions the target from the other machines, in both directions or only in its sending one.
 func (w *World) isolate(step Step, machines []string, both bool) {
 	w.cutLinksBetween([]string{step.Target}, without(machines, step.Target), both, step.For)
 }
 
-// halve cuts the target and every third proxy from all other machines.
+// partitionWithSomeProxies partitions the target and every third proxy from all other machines.
 func (w *World) partitionWithSomeProxies(step Step) {
 	left, right := []string{step.Target}, without(w.coreMachines(), step.Target)
 	for index, node := range w.nodesByRole(message.RoleProxy) {
--- a/internal/simulation/never_test.go
+++ b/internal/simulation/never_test.go
@@ -1,6 +1,6 @@
-// One run for each point that must never happen: it brings the failure about, counts
-// from the record that the dangerous moment was reached, and keeps the promise. Each
-// was seen red with its guard taken out; docs/proof.md names guards and what went red.
+// One run for each of the twelve failures that must never happen. A run brings the dangerous situation
+// about, counts from the record that it was reached, and breaks no rule. Each of these tests has been
+// seen to fail with its safeguard switched off; docs/proof.md names the safeguards and the failures.
 package simulation
 
 import (
@@ -18,14 +18,14 @@
 
 const second = time.Second
 
-// simulate plays a plan beside other tests; no promise may break.
+// playParallel runs a plan in parallel with other tests. The run must break no rule.
 func playParallel(t *testing.T, deployment string, seed uint64, rate float64, plan ...Step) Result {
 	skipUnderRace(t)
 	t.Parallel()
 	return playPlan(t, deployment, seed, rate, plan...)
 }
 
-// playUnbroken plays a plan; no promise may break.
+// playPlan runs a plan. The run must break no rule.
 func playPlan(t *testing.T, deployment string, seed uint64, rate float64, plan ...Step) Result {
 	t.Helper()
 	d, _ := workload.Named(deployment)
@@ -36,7 +36,7 @@
 	return result
 }
 
-// counted counts the requests of a record for which a danger was there.
+// countRequests counts the requests of a record that match, given the executions of each.
 func countRequests(record checker.Record, matches func(request checker.CallerRequest, executions []checker.Execution) bool) int {
 	executions, count := map[string][]checker.Execution{}, 0
 	for _, execution := range record.Executions {
@@ -50,14 +50,16 @@
 	return count
 }
 
+// requireAtLeast logs a count and fails the test if it is below the minimum.
 func requireAtLeast(t *testing.T, what string, count, minimum int) {
 	t.Logf("%s: %d", what, count)
 	qt.Assert(t, count >= minimum, qt.IsTrue, qt.Commentf("%s: %d, want at least %d", what, count, minimum))
 }
 
+// outcomeUnknown reports whether the caller was answered with an unknown outcome (codes 32xx).
 func outcomeUnknown(request checker.CallerRequest) bool { return request.Code/100 == 32 }
 
-// 1: once-only requests ran, and their answers were lost with a serving proxy or an upstream.
+// Point 1: once-only requests ran, and their responses were lost when a serving proxy or an upstream crashed.
 func TestNeverTwice(t *testing.T) {
 	result := playParallel(t, "umuyoboro", 2, 500,
 		Step{12 * second, "herd", "", second},
@@ -69,7 +71,7 @@
 		}), 5)
 }
 
-// 1, at full rate: the ends of two connections to one serving proxy are told in either order.
+// Point 1, at full rate: the loss of two connections to one serving proxy is reported in either order.
 func TestNeverTwiceAtFullRate(t *testing.T) {
 	d, _ := workload.Named("umuyoboro")
 	random := rand.New(rand.NewPCG(2, 5))
@@ -80,7 +82,7 @@
 		}), 1)
 }
 
-// 2: requests that had run and could be tried again found nobody for the next try.
+// Point 2: requests that had run and could be retried found no upstream for the next attempt.
 func TestNeverBusyAfterRunning(t *testing.T) {
 	result := playParallel(t, "umuyoboro", 3, 300,
 		Step{11 * second, "upstream-kill", "registry/registry-1", 9 * second},
@@ -93,7 +95,7 @@
 		}), 3)
 }
 
-// 3: upstreams claim codes of the mesh's, refuse in their own name, and break off.
+// Point 3: upstreams send the mesh's own error codes, refuse requests themselves, and break off responses.
 func TestNeverAnotherAnswer(t *testing.T) {
 	result := playParallel(t, "jendela", 4, 120, Step{11 * second, "upstream-faults", "quoting/quoting-1", 6 * second},
 		Step{12 * second, "upstream-faults", "booking/booking-2", 6 * second})
@@ -104,14 +106,15 @@
 		}), 50)
 }
 
-// 4: callers claim to be others, show keys in cookies; upstreams call on by passes.
+// Point 4: callers forge identity headers and send keys in cookies; upstreams send nested requests with
+// delegation tokens.
 func TestNeverAnotherName(t *testing.T) {
 	result := playParallel(t, "jendela", 5, 120, Step{12 * second, "kill", "edge-3", second}, Step{14 * second, "put", "", 0})
 	requireAtLeast(t, "forged requests", result.Review.Seen["danger: requests with forged names and keys in cookies"], 100)
 	requireAtLeast(t, "further calls", result.Review.Seen["danger: further calls"], 100)
 }
 
-// 5: machines of upstreams vanish without a word, others get their addresses.
+// Point 5: machines of upstreams vanish without closing connections, and other upstreams get their addresses.
 func TestNeverAtAnHeir(t *testing.T) {
 	plan := []Step{}
 	for index, name := range []string{"dispatch/dispatch-1", "registry/registry-2", "dispatch/dispatch-3", "registry/registry-3",
@@ -119,12 +122,15 @@
 		plan = append(plan, Step{time.Duration(11+index) * second, "upstream-vanish", name, 20 * time.Millisecond})
 	}
 	result := playParallel(t, "umuyoboro", 6, 400, plan...)
-	requireAtLeast(t, "connections reset by an address's new owner", result.Review.Seen["danger: connections reset by an address's new owner"], 3)
+	requireAtLeast(t, "connections reset by an address's new owner",
+		result.Review.Seen["danger: connections reset by an address's new owner"], 3)
 }
 
-// 6: a configuration is put while a voter is cut off; proxies behind it restart.
+// Point 6: a configuration is written while a voter is partitioned; proxies that get updates from it restart.
 func TestNeverAnOlderConfiguration(t *testing.T) {
-	result := playParallel(t, "umuyoboro", 1, testRate, Step{10 * second, "cut-core", "core-1", 8 * second}, Step{11 * second, "put", "", 0},
+	result := playParallel(t, "umuyoboro", 1, testRate,
+		Step{10 * second, "cut-core", "core-1", 8 * second},
+		Step{11 * second, "put", "", 0},
 		Step{14500 * time.Millisecond, "kill", "edge-1", 300 * time.Millisecond},
 		Step{15 * second, "kill", "edge-4", 300 * time.Millisecond},
 		Step{15500 * time.Millisecond, "kill", "edge-7", 300 * time.Millisecond},
@@ -139,8 +145,8 @@
 	requireAtLeast(t, "arrivals of configurations", result.Review.Seen["configuration arrivals"], 12)
 }
 
-// 7: a key is withdrawn while a proxy is cut off for longer than the bound; callers
-// beside it go on with that key.
+// Point 7: a key is withdrawn while a proxy is isolated for longer than the bound; its callers continue
+// to use that key.
 func TestNeverAWithdrawnKey(t *testing.T) {
 	result := playParallel(t, "jendela", 7, 200, Step{12 * second, "isolate", "edge-1", 10 * second}, Step{13 * second, "withdraw", "", 0})
 	write := result.Record.Writes[len(result.Record.Writes)-1]
@@ -156,14 +162,15 @@
 		}), 1)
 }
 
-// 8: upstreams say that they leave to another proxy, while their serving proxy is cut off.
+// Point 8: upstreams announce their drain to another proxy, while their serving proxy is isolated.
 func TestNeverWorkForWhoLeft(t *testing.T) {
 	result := playParallel(t, "umuyoboro", 8, 450,
 		Step{12 * second, "isolate", "edge-1", 6 * second},
 		Step{12100 * time.Millisecond, "upstream-leave-elsewhere", "dispatch/dispatch-1", 5 * second},
 		Step{13 * second, "upstream-leave-elsewhere", "dispatch/dispatch-2", 5 * second})
 	qt.Assert(t, result.Review.Worst["drain-ms"] > 500, qt.IsTrue,
-		qt.Commentf("the cut-off home gave work for %v ms", result.Review.Worst["drain-ms"]))
+		qt.Commentf("the isolated serving proxy sent requests to draining upstreams for %v ms, want more than 500",
+			result.Review.Worst["drain-ms"]))
 	runsAfterDrain := 0
 	for _, leaving := range result.Record.DrainStarts {
 		runsAfterDrain += countRequests(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
@@ -173,7 +180,7 @@
 	requireAtLeast(t, "runs at an upstream that had said elsewhere that it leaves", runsAfterDrain, 5)
 }
 
-// 9: every machine stops politely in turn while requests run through it.
+// Point 9: one machine after another shuts down gracefully while requests run through it.
 func TestNeverDroppedInPlannedWork(t *testing.T) {
 	plan := []Step{{24 * second, "upstream-replace", "dispatch/dispatch-1", second}, {25 * second, "put", "", 0}}
 	for index, target := range []string{"edge-1", "edge-2", "core-1", "edge-3", "edge-4", "core-2", "edge-5"} {
@@ -190,19 +197,20 @@
 	requireAtLeast(t, "requests running at the signal", runningAtStop, 5)
 }
 
-// 10: a whole service ends and comes back: every request would try every upstream.
+// Point 10: all upstreams of a service crash and return, so that every request would try every upstream.
 func TestNeverAStormOfRetries(t *testing.T) {
 	result := playParallel(t, "umuyoboro", 10, 300,
 		Step{12 * second, "service-kill", "dispatch/dispatch-1", 2 * second},
 		Step{12500 * time.Millisecond, "herd", "", 300 * time.Millisecond},
 		Step{18 * second, "service-kill", "dispatch/dispatch-1", 2 * second})
 	requireAtLeast(t, "tries again", result.Review.Seen["tries again"], 20)
-	requireAtLeast(t, "requests refused for the budget", countRequests(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
-		return asked.Code == int(errcode.BusyBudget)
-	}), 20)
+	requireAtLeast(t, "requests refused because the retry budget was spent",
+		countRequests(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
+			return asked.Code == int(errcode.BusyBudget)
+		}), 20)
 }
 
-// 11: everything is killed while a window is young, and nothing else is in it.
+// Point 11: all machines crash early in a usage window, which then contains nothing else.
 func TestNeverWrongCounts(t *testing.T) {
 	for _, deployment := range []string{"umuyoboro", "jendela"} {
 		t.Run(deployment, func(t *testing.T) {
@@ -219,12 +227,12 @@
 	}
 }
 
-// 12: a voter misses a configuration, behind a cut; whoever settled it dies the moment it is
-// acknowledged, its disk lost, and the one that missed it holds the configuration log next. Later
-// everything dies.
+// Point 12: a partitioned voter misses a configuration; the lease holder that committed it crashes and
+// loses its disk as soon as the write is acknowledged, and the voter that missed it becomes the next
+// holder of the configuration log. Later all machines crash.
 func TestNeverALostConfiguration(t *testing.T) {
-	// Who holds the log next is a matter of the seed: runs are played, each unbroken, until
-	// the danger was reached.
+	// The next lease holder depends on the seed: seeds are tried until one reaches the danger. No run
+	// may break a rule.
 	skipUnderRace(t)
 	t.Parallel()
 	const firstSeed, mostRuns = 11, 12
@@ -248,5 +256,5 @@
 			return
 		}
 	}
-	t.Fatal("the voter that had missed the configuration never held the log")
+	t.Fatal("no seed made the voter that had missed the configuration the holder of the log")
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -15,8 +15,8 @@
 const maxInboxLength = 20000
 
 // Node is one simulated process: the product's state machine with its own clock and disk, and for a
-// proxy its frontend and backend. A frozen node handles nothing while its clock runs on; what
-// arrived meanwhile waits in its inbox.
+// proxy also its frontend and backend. A frozen node handles no events while its clock continues;
+// arrivals wait in its inbox until it resumes.
 type Node struct {
 	process
 	diskState
@@ -24,7 +24,7 @@
 	world         *World
 	name          string
 	role          string
-	machine       string // processes of one machine fail and are cut together
+	machine       string // processes of one machine crash and are partitioned together
 	settings      settings.Settings
 	clock         processClock
 	control       statemachine.Machine
@@ -33,28 +33,28 @@
 	lastRequestID int64
 }
 
-// process is whether and since when the process runs, and what waits while it is frozen.
+// process is the running state of a process.
 type process struct {
 	up               bool
 	frozen           bool
 	frozenAt         time.Duration
-	inbox            []func() // arrivals while it is frozen
-	incarnation      int      // grows with each boot
+	inbox            []func() // callbacks that arrived while it was frozen
+	incarnation      int      // incremented at each boot
 	startedAt        time.Duration
 	stopping         bool
-	decommissioned   bool          // it is once the process has ended
-	retired          bool          // its machine was taken away for good
-	serviceSpanStart time.Duration // begin of the span of service that is open, if spanOn
+	decommissioned   bool          // the machine is retired once the process has ended
+	retired          bool          // the machine has been removed permanently
+	serviceSpanStart time.Duration // start of the current span of service, if serviceSpanOpen
 	serviceSpanOpen  bool
 }
 
-// disks is the disk of a process of the core, its store, and the writes that wait for the disk.
+// diskState is the disk of a core process, its store, and the writes that wait for the disk.
 type diskState struct {
 	disk               *Disk
-	diskLost           bool // at least once
+	diskLost           bool // the disk has been lost at least once
 	store              *storage.Store
-	machineIncarnation int  // grows when the state machine is built, also without a new process
-	recovering         bool // the disk has refused a write; the state machine is built anew once it works
+	machineIncarnation int  // incremented when the state machine is built, also within one process
+	recovering         bool // the disk has refused a write; the state machine is rebuilt once the disk accepts writes
 
 	pendingWrites   []statemachine.Write
 	diskIdleAt      time.Duration
@@ -62,19 +62,20 @@
 	writeDelayUntil time.Duration
 }
 
-// proxyParts is what only a proxy has: the product's frontend and backend, and its connections.
+// proxyState is the state that only a proxy has: the product's frontend and backend, and its connections.
 type proxyState struct {
-	dispatcher         *frontend.Dispatcher
-	frontend           *frontend.Frontend
-	backend            *backend.Backend
-	snapshot           *proxy.Snapshot
-	connections        []*simConnection
-	connectionPools    map[backend.Target][]upstreamConnection
-	guardConnections   map[backend.Target]upstreamConnection
-	unansweredRequests int  // callers' requests not answered yet
-	listenerClosed     bool // takes no new requests
+	dispatcher       *frontend.Dispatcher
+	frontend         *frontend.Frontend
+	backend          *backend.Backend
+	snapshot         *proxy.Snapshot
+	connections      []*simConnection
+	connectionPools  map[backend.Target][]upstreamConnection
+	guardConnections map[backend.Target]upstreamConnection
+	inFlight         int  // callers' requests in flight
+	listenerClosed   bool // accepts no new requests
 }
 
+// addNode adds a node that isn't running yet, with a random clock drift and wall-clock offset.
 func (w *World) addNode(role, machine, voter, zone, address string, seeds []string) *Node {
 	cfg := w.options.Deployment.Settings(role, machine, voter, zone, address, address, seeds, "data")
 	cfg.Collector = "http://collector/"
@@ -97,7 +98,7 @@
 	return node
 }
 
-// voterName names the voter in the record: the settings' one, or the machine.
+// voterName returns the node's voter name in the record: the one in its settings, or else its machine's name.
 func (n *Node) voterName() string {
 	if n.settings.Voter != "" {
 		return n.settings.Voter
@@ -107,7 +108,7 @@
 
 func (n *Node) address() string { return n.settings.Address }
 
-// every does something in a steady rhythm of the node's clock, until the process restarts.
+// every calls a function periodically by the node's clock, until the process ends.
 func (n *Node) every(incarnation int, wait time.Duration, do func()) {
 	n.world.after(n.trueWait(wait), func() {
 		if n.up && n.incarnation == incarnation {
@@ -117,6 +118,7 @@
 	})
 }
 
+// sweepConnections expires requests and drops connections to upstreams that are closed or no longer usable.
 func (n *Node) sweepConnections() {
 	n.dispatcher.Expire()
 	for target := range n.connectionPools {
@@ -132,19 +134,21 @@
 	}
 }
 
+// reportUsage passes the frontend's usage counts to the proxy's state machine.
 func (n *Node) reportUsage() {
 	usage, closed := n.frontend.Usage(time.Duration(n.Wall().UnixNano()), mustCast[*proxy.Machine](n.control).SealedBelow())
 	n.apply(statemachine.LocalRequest{Request: proxy.UsageCounted{Usage: usage, Closed: closed}})
 }
 
-// tick is dropped, not kept back, while the process stands still.
+// tick advances the state machine. Ticks of a frozen process are dropped, not queued.
 func (n *Node) tick() {
 	if !n.frozen {
 		n.apply(statemachine.Ticked{})
 	}
 }
 
-// run does something in the process, now or when it wakes.
+// run calls a function in the process: now, or when a frozen process resumes. It does nothing if the
+// incarnation has ended or the inbox is full.
 func (n *Node) run(incarnation int, do func()) {
 	switch {
 	case !n.up || n.incarnation != incarnation:
@@ -157,12 +161,13 @@
 	}
 }
 
+// receive decodes a frame and passes the message to the state machine.
 func (n *Node) receive(from string, frame []byte) {
 	incarnation := n.incarnation
 	n.run(incarnation, func() {
 		msg, err := message.Decode(frame)
 		if err != nil {
-			n.world.fail("%s cannot read a frame: %v", n.name, err)
+			n.world.fail("%s failed to decode a frame: %v", n.name, err)
 			return
 		}
 		n.world.traceEvent("%s>%s %T %d", from, n.name, msg, len(frame))
@@ -170,6 +175,7 @@
 	})
 }
 
+// apply applies a command to the state machine at the node's time and performs the effects.
 func (n *Node) apply(command statemachine.Command) {
 	n.env.Now, n.env.Wall = n.Now(), time.Duration(n.Wall().UnixNano())
 	command.Apply(n.control, n.env)
--- a/internal/simulation/node_disk.go
+++ b/internal/simulation/node_disk.go
@@ -6,7 +6,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// write models the disk's time; what is under way at a crash may be torn.
+// scheduleWrite performs a write after the disk's delay, one write after the other, and reports the result
+// to the state machine. A write in progress at a crash may be torn.
 func (n *Node) scheduleWrite(incarnation int, write statemachine.Write) {
 	wait := n.writeDelay + time.Duration(n.world.random.Int64N(int64(n.writeDelay)+1))
 	n.diskIdleAt = max(n.diskIdleAt, n.world.now) + wait
@@ -25,7 +26,7 @@
 	})
 }
 
-// storeWrite hands a write to the store: a snapshot to keep, or a record for the log.
+// storeWrite passes a write to the store: a snapshot that replaces the log, or a record to append.
 func (n *Node) storeWrite(write statemachine.Write) error {
 	if write.Snapshot != nil {
 		return n.store.Compact(write.Snapshot)
--- a/internal/simulation/node_effects.go
+++ b/internal/simulation/node_effects.go
@@ -9,6 +9,7 @@
 	"beaconvane/internal/statemachine"
 )
 
+// perform carries out one effect of the state machine.
 func (n *Node) perform(effect any) {
 	incarnation := n.incarnation
 	switch typed := effect.(type) {
@@ -48,8 +49,9 @@
 	}
 }
 
+// recordEvent adds the events that the checker or a scenario uses to the record.
 func (n *Node) recordEvent(event statemachine.Event) {
-	n.world.traceEvent("%s NOTE %s %d %s", n.name, event.EventName, event.Epoch, event.Cause)
+	n.world.traceEvent("%s event %s %d %s", n.name, event.EventName, event.Epoch, event.Cause)
 	switch event.EventName {
 	case "lease-taken":
 		leaseName, _, _ := strings.Cut(event.Cause, " ")
@@ -82,7 +84,8 @@
 	}
 }
 
-// ask puts a question to the machine.
+// request sends a local request to the state machine. reply is called once with the answer, unless the
+// process ends before it answers.
 func (n *Node) request(request any, reply func(answer any)) {
 	n.lastRequestID++
 	requestID := n.lastRequestID
--- a/internal/simulation/node_faults.go
+++ b/internal/simulation/node_faults.go
@@ -7,7 +7,7 @@
 	"beaconvane/internal/message"
 )
 
-// machineNodes lists the processes of a machine, or the one named.
+// machineNodes returns the processes of a machine, or the one process with that name.
 func (w *World) machineNodes(target string) []*Node {
 	list := []*Node{}
 	for _, name := range w.nodeOrder {
@@ -18,7 +18,7 @@
 	return list
 }
 
-// holder finds the machine whose process acts for a tag now.
+// leaseHolder returns the voter that last took a lease, by the highest epoch on record; "" if none did.
 func (w *World) leaseHolder(leaseName string) string {
 	newest := checker.LeaseTenure{}
 	for _, tenure := range w.record.LeaseTenures {
@@ -29,6 +29,7 @@
 	return newest.Voter
 }
 
+// restart crashes nodes and boots them after the downtime, with empty disks if loseDisk is set.
 func (w *World) restart(nodes []*Node, loseDisk bool, downtime time.Duration) {
 	for _, node := range nodes {
 		node.kill(true, loseDisk)
@@ -40,25 +41,28 @@
 	})
 }
 
+// stopNodes shuts the target's processes down gracefully.
 func (w *World) stopNodes(step Step) {
 	for _, node := range w.machineNodes(step.Target) {
 		node.stop(step.For)
 	}
 }
 
+// killHolder crashes the machine that holds the lease named as the target.
 func (w *World) killHolder(step Step) {
 	if machine := w.leaseHolder(step.Target); machine != "" {
 		w.restart(w.machineNodes(machine), false, step.For)
 	}
 }
 
+// freezeHolder freezes the machine that holds the lease named as the target.
 func (w *World) freezeHolder(step Step) {
 	if machine := w.leaseHolder(step.Target); machine != "" {
 		w.freeze(w.machineNodes(machine), step.For)
 	}
 }
 
-// slowDisks makes writes of the target's processes take ten times as long.
+// slowDisks makes the disk writes of the target's processes take ten times as long.
 func (w *World) slowDisks(step Step) {
 	for _, node := range w.machineNodes(step.Target) {
 		usual := w.options.Deployment.DiskDelay
@@ -72,7 +76,8 @@
 	}
 }
 
-// failDisks has every sync fail until the processes are restarted with disks that work.
+// failDisks makes every write and sync of the target's disks fail; then the processes restart with
+// working disks.
 func (w *World) failDisks(step Step) {
 	nodes := w.machineNodes(step.Target)
 	for _, node := range nodes {
@@ -86,6 +91,7 @@
 	})
 }
 
+// restartEverySecondProxy crashes and restarts half of the proxies at once.
 func (w *World) restartEverySecondProxy(step Step) {
 	for index, node := range w.nodesByRole(message.RoleProxy) {
 		if index%2 == 0 {
@@ -94,12 +100,14 @@
 	}
 }
 
+// restartMachines crashes and restarts all processes of some machines.
 func (w *World) restartMachines(machines []string, downtime time.Duration) {
 	for _, machine := range machines {
 		w.restart(w.machineNodes(machine), false, downtime)
 	}
 }
 
+// freeze suspends nodes for a time. A node that has restarted meanwhile isn't resumed.
 func (w *World) freeze(nodes []*Node, duration time.Duration) {
 	for _, node := range nodes {
 		node.freeze()
--- a/internal/simulation/node_lifecycle.go
+++ b/internal/simulation/node_lifecycle.go
@@ -16,7 +16,8 @@
 	"beaconvane/internal/storage"
 )
 
-// boot starts the process from its disk.
+// boot starts a new incarnation of the process from its disk. It does nothing if the process is running
+// or its machine is retired.
 func (n *Node) boot() {
 	if n.up || n.retired {
 		return
@@ -27,7 +28,7 @@
 	n.up, n.frozen, n.inbox = true, false, nil
 	n.clock.bootAt = n.world.now
 	n.diskIdleAt, n.pendingWrites = 0, nil
-	n.unansweredRequests, n.listenerClosed, n.stopping, n.recovering = 0, false, false, false
+	n.inFlight, n.listenerClosed, n.stopping, n.recovering = 0, false, false, false
 	n.machineIncarnation++
 	n.env = statemachine.NewEnv(n.world.random.Uint64())
 	n.replies = map[int64]func(any){}
@@ -45,7 +46,7 @@
 		}
 	}
 	if err != nil {
-		n.world.fail("%s does not boot: %v", n.name, err)
+		n.world.fail("%s failed to boot: %v", n.name, err)
 		n.up = false
 		return
 	}
@@ -55,8 +56,10 @@
 	n.every(n.incarnation, n.settings.TickEvery(), n.tick)
 }
 
+// bootProxy builds the frontend, the backend and the state machine of a proxy.
 func (n *Node) bootProxy(self message.Member) {
-	n.connectionPools, n.guardConnections, n.connections, n.snapshot = map[backend.Target][]upstreamConnection{}, map[backend.Target]upstreamConnection{}, nil, nil
+	n.connectionPools, n.guardConnections = map[backend.Target][]upstreamConnection{}, map[backend.Target]upstreamConnection{}
+	n.connections, n.snapshot = nil, nil
 	n.backend = backend.New(n.settings, func(forward message.Forward) errcode.Code { return n.frontend.AuthorizeForward(forward) })
 	n.backend.UseTokenSource(func() string { return strconv.FormatUint(n.world.random.Uint64(), 36) })
 	n.frontend = frontend.New(n.settings, n.backend.LookupDelegation)
@@ -68,14 +71,14 @@
 	n.every(incarnation, n.settings.CountEvery(), func() { n.run(incarnation, n.reportUsage) })
 }
 
-// stopForGood ends the process politely, and its machine does not come back.
+// decommission shuts the process down gracefully and retires its machine.
 func (n *Node) decommission() {
 	n.decommissioned = true
 	n.stop(0)
 }
 
-// stop ends the process politely, as cli does on a signal: the others are told,
-// what has not started is refused, the rest is finished, then it ends.
+// stop shuts the process down gracefully, as package cli does on a signal: it signs off from the other
+// nodes, refuses requests that have not started, waits for the others, and ends.
 func (n *Node) stop(downtime time.Duration) {
 	if !n.up || n.frozen {
 		return
@@ -101,7 +104,7 @@
 		var waitForRequests func()
 		waitForRequests = func() {
 			running, queue := n.backend.Running()
-			if n.up && n.incarnation == incarnation && (n.unansweredRequests > 0 || running+queue > 0) && n.world.now-began < n.settings.Grace() {
+			if n.up && n.incarnation == incarnation && (n.inFlight > 0 || running+queue > 0) && n.world.now-began < n.settings.Grace() {
 				n.world.after(n.settings.TickEvery(), waitForRequests)
 				return
 			}
@@ -118,7 +121,8 @@
 	}
 }
 
-// kill ends the process hard; its disk forgets what was not synced.
+// kill ends the process without a shutdown; its disk may lose what was not synced. hard marks a crash in
+// the record; loseDisk replaces the disk by an empty one.
 func (n *Node) kill(hard, loseDisk bool) {
 	if !n.up {
 		return
@@ -132,7 +136,7 @@
 		n.world.record.Crashes = append(n.world.record.Crashes, checker.Span{Name: n.machine, From: n.world.now, To: n.world.now})
 	}
 	if since, cut := n.world.cutLinkSince[n.machine]; cut && n.role == message.RoleProxy {
-		// What it counted while cut off died with it, untold.
+		// The usage it counted while partitioned is lost unreported.
 		n.world.record.UsageLosses = append(n.world.record.UsageLosses, checker.Span{
 			Name: n.machine,
 			From: since - 200*time.Millisecond,
@@ -141,9 +145,9 @@
 	}
 	n.world.traceEvent("kill %s", n.name)
 	if len(n.pendingWrites) > 0 && !n.disk.failing {
-		// What the disk was at is done up to some step: written, synced, named.
+		// The write in progress is performed up to a random step: write, sync, directory sync.
 		n.disk.stepsLeft = n.world.random.IntN(7)
-		// The disk stops at that step, so the failure is what is wanted.
+		// The disk stops at that step, so an error is expected.
 		_ = n.storeWrite(n.pendingWrites[0])
 		n.world.dangers["kills in the middle of a write"]++
 	}
@@ -160,9 +164,10 @@
 	n.world.breakConnectionsTo(n)
 }
 
-// wasFrozen says that the process stood still at some time since.
+// frozenSince reports whether the process was frozen at or after a given time.
 func (n *Node) frozenSince(since time.Duration) bool { return n.frozenAt >= since }
 
+// freeze suspends the process. Its clock continues.
 func (n *Node) freeze() {
 	if n.up && !n.frozen {
 		n.closeServiceSpan()
@@ -171,13 +176,14 @@
 	}
 }
 
+// resume ends a freeze and runs what arrived during it.
 func (n *Node) resume() {
 	if !n.up || !n.frozen {
 		return
 	}
 	n.frozen = false
 	n.world.record.Disconnected = append(n.world.record.Disconnected, checker.Span{Name: n.machine, From: n.frozenAt, To: n.world.now})
-	n.world.traceEvent("wake %s", n.name)
+	n.world.traceEvent("resume %s", n.name)
 	n.openServiceSpan()
 	arrivals := n.inbox
 	n.inbox = nil
@@ -186,13 +192,21 @@
 	}
 }
 
+// openServiceSpan starts a span in which the bounds for connected nodes apply, unless a link of the machine
+// is cut.
 func (n *Node) openServiceSpan() {
 	n.serviceSpanStart, n.serviceSpanOpen = n.world.now, !n.world.hasCutLink(n.machine)
 }
 
+// closeServiceSpan ends the span of service and adds a proxy's one to the record.
 func (n *Node) closeServiceSpan() {
 	if n.serviceSpanOpen && n.role == message.RoleProxy {
-		n.world.record.Up = append(n.world.record.Up, checker.Span{Name: n.machine, From: n.serviceSpanStart, To: n.world.now, StartedAt: n.startedAt})
+		n.world.record.Up = append(n.world.record.Up, checker.Span{
+			Name:      n.machine,
+			From:      n.serviceSpanStart,
+			To:        n.world.now,
+			StartedAt: n.startedAt,
+		})
 	}
 	n.serviceSpanOpen = false
 }
--- a/internal/simulation/norace_test.go
+++ b/internal/simulation/norace_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// The other half of race_test.go: without the detector every run is played.
+// Without the race detector all runs are executed; see race_test.go.
 package simulation
 
 const raceEnabled = false
--- a/internal/simulation/operator_writes.go
+++ b/internal/simulation/operator_writes.go
@@ -14,31 +14,34 @@
 	"beaconvane/internal/settings"
 )
 
-// An operator sends an order to one registry, goes on to another after a lost answer, a failure or
-// a second of silence, and sends the same bytes until the answer is final. Every answer, also a lost
-// one, is held against earlier answers: one content for a version, and no refusal of what was accepted.
+// An operator sends a configuration write to one registry, retries at another one after a lost answer, a
+// retryable error or a timeout, and sends the same bytes until the answer is final. Every answer, also
+// one that the operator doesn't get, is checked against earlier answers: a version has one content, and
+// a write that was accepted is not refused later.
 const (
-	registrySilenceTimeout = time.Second            // after which an operator tries another registry
-	writeRetryDelay        = 50 * time.Millisecond  // before the second try; it grows with each
-	maxWriteRetryDelay     = 500 * time.Millisecond // and no further
+	registrySilenceTimeout = time.Second            // a fifth of it is added to the registry's own OperatorTimeout
+	writeRetryDelay        = 50 * time.Millisecond  // before the first retry; grows linearly with the attempts
+	maxWriteRetryDelay     = 500 * time.Millisecond // upper limit of the delay
 )
 
-// order is a content that an operator wants under a number.
+// configWrite is an operator's write of a configuration under a version, with all its attempts.
 type configWrite struct {
 	version      int64
 	tenants      []loadgen.Tenant
 	body         []byte
 	digest       string
-	lastRegistry *Node // asked last
+	lastRegistry *Node // registry of the last attempt
 	attempts     int
-	finished     bool // the operator was told yes or no
-	contested    bool // another content was sent under the same version
+	finished     bool // the operator got a final answer
+	contested    bool // a conflicting write has the same version
 	code         errcode.Code
 	finishedAt   time.Duration
 	operation    *configLogOperation
 	onFinish     func(code errcode.Code)
 }
 
+// newConfigWrite registers a write with the record and the linearizability history. onFinish may be nil;
+// it is called once with the final code.
 func (w *World) newConfigWrite(version int64, tenants []loadgen.Tenant, body []byte, onFinish func(code errcode.Code)) *configWrite {
 	write := &configWrite{version: version, tenants: tenants, body: body, digest: checker.Digest(body), onFinish: onFinish}
 	write.operation = &configLogOperation{
@@ -51,7 +54,7 @@
 	return write
 }
 
-// persist sends an order until the operator is told.
+// retryWrite sends an unfinished write to a random registry, unless the operators have stopped.
 func (w *World) retryWrite(write *configWrite) {
 	if write.finished || w.now > w.writesEnd {
 		return
@@ -68,7 +71,7 @@
 	w.sendWrite(write, chosen)
 }
 
-// sendOrder sends an order to a registry, and again elsewhere when it is not told.
+// sendWrite sends a write to a registry, and retries it at a random one if no final answer arrives.
 func (w *World) sendWrite(write *configWrite, registryNode *Node) {
 	write.attempts++
 	write.lastRegistry = registryNode
@@ -76,7 +79,7 @@
 		w.dangers["orders sent again that had been taken"]++
 		w.countWriteBelowRetention(write)
 	}
-	w.traceEvent("order %d %s at %s", write.version, write.digest, registryNode.name)
+	w.traceEvent("write %d %s to %s", write.version, write.digest, registryNode.name)
 	answered := false
 	w.askRegistry(registryNode, registry.WriteConfiguration{
 		ConfigName: "main",
@@ -96,7 +99,7 @@
 	})
 }
 
-// countOldOrder counts orders that are older than every body that a store may keep.
+// countWriteBelowRetention counts a repeated write that is older than every version a store retains.
 func (w *World) countWriteBelowRetention(write *configWrite) {
 	newer := 0
 	for version := range w.acceptedDigests {
@@ -109,9 +112,9 @@
 	}
 }
 
-// orderAnswered checks an answer; true when the operator has to send the order again.
+// handleWriteAnswer checks an answer and returns whether the operator has to retry the write.
 func (w *World) handleWriteAnswer(write *configWrite, answer registry.OperatorResponse) bool {
-	w.traceEvent("order %d %s answered %s", write.version, write.digest, answer.Code)
+	w.traceEvent("write %d %s answered %s", write.version, write.digest, answer.Code)
 	answeredVersion := gjson.GetBytes(answer.Body, "version").Int()
 	w.checkWriteAnswer(write, answer.Code, answeredVersion)
 	if w.now < w.answersLostUntil && w.random.Float64() < w.lostAnswerShare {
@@ -128,19 +131,20 @@
 	return false
 }
 
-// compareOrder holds an answer against the truth so far.
+// checkWriteAnswer checks an answer against the contents accepted so far, and records an acceptance.
 func (w *World) checkWriteAnswer(write *configWrite, code errcode.Code, answeredVersion int64) {
 	acceptedDigest, known := w.acceptedDigests[write.version]
 	switch {
 	case code == errcode.OK && known && acceptedDigest != write.digest:
-		w.fail("two contents were confirmed under %d", write.version)
+		w.fail("two different contents were accepted under version %d", write.version)
 	case code == errcode.OK && (answeredVersion == write.version || w.options.Deployment.Writes != settings.WritesHighest):
 		w.acceptedDigests[write.version] = write.digest
 	case code/1000 == 4 && code.Status() < 500 && known && acceptedDigest == write.digest:
-		w.fail("order %d, which was taken, was refused with %s", write.version, code)
+		w.fail("write of version %d was refused with %s after it had been accepted", write.version, code)
 	}
 }
 
+// finishWrite records the final answer to a write.
 func (w *World) finishWrite(write *configWrite, code errcode.Code) {
 	write.finished, write.code, write.finishedAt = true, code, w.now
 	write.operation.answer, write.operation.to, write.operation.answered = configLogAnswer{code: code}, w.now, true
@@ -152,7 +156,7 @@
 	}
 }
 
-// acknowledged records a configuration that an operator was told is taken.
+// recordAcknowledged records a configuration whose write was acknowledged to an operator.
 func (w *World) recordAcknowledged(version int64, digest string, tenants []loadgen.Tenant) {
 	write := checker.Write{
 		ConfigName: "main",
@@ -172,8 +176,9 @@
 	w.newestAcknowledged = max(w.newestAcknowledged, version)
 }
 
-// askRegistry puts an operator's question and holds the answer against what a registry in this
-// state of the world may say, and how soon.
+// askRegistry sends an operator's request to a registry. It checks that the registry answers within its
+// timeout, that a read isn't older than the last acknowledged write, and that a partitioned registry
+// answers only that it can't serve the request.
 func (w *World) askRegistry(registryNode *Node, question any, done func(answer registry.OperatorResponse)) {
 	began, incarnation, newestAcknowledged := w.now, registryNode.incarnation, w.newestAcknowledged
 	_, partitionedBefore := w.partitionedSince[registryNode.machine]
@@ -196,22 +201,25 @@
 	w.after(registryNode.settings.OperatorTimeout(bodySize)+registrySilenceTimeout/5, func() {
 		if !answered && registryNode.up && !registryNode.frozen && registryNode.incarnation == incarnation &&
 			!registryNode.frozenSince(began) {
-			w.fail("%s said nothing within %s", registryNode.name, w.now-began)
+			w.fail("%s did not answer an operator within %s", registryNode.name, w.now-began)
 		}
 	})
 }
 
-// judgeRead checks that a read gives what was acknowledged before it was sent, or newer.
+// checkReadAnswer checks that a read returns the version acknowledged before the read was sent, or a
+// newer one.
 func (w *World) checkReadAnswer(registryNode *Node, answer registry.OperatorResponse, newestAcknowledged int64) {
 	version, known := w.versionByDigest[checker.Digest(answer.Body)]
 	if !known {
-		w.fail("%s gave back a configuration that nobody sent", registryNode.name)
+		w.fail("%s returned a configuration that no operator wrote", registryNode.name)
 	} else if version < newestAcknowledged {
-		w.fail("%s gave back version %d as current, %d was acknowledged before", registryNode.name, version, newestAcknowledged)
+		w.fail("%s returned version %d as current, want at least %d, acknowledged before the read",
+			registryNode.name, version, newestAcknowledged)
 	}
 }
 
-// judgeSevered checks that a node that is cut off from the others says only that it can't answer.
+// checkPartitionedAnswer checks that a registry that is partitioned from the others answers only that it
+// can't serve the request.
 func (w *World) checkPartitionedAnswer(registryNode *Node, question any, code errcode.Code) {
 	operation := "reads"
 	if _, isWrite := question.(registry.WriteConfiguration); isWrite {
@@ -219,6 +227,6 @@
 	}
 	w.dangers[operation+" answered by a cut-off node"]++
 	if code != errcode.ConfigurationNoHolder && code != errcode.ConfigurationBehind && code != errcode.ConfigurationUnsure {
-		w.fail("%s answered %s while it was cut off", registryNode.name, code)
+		w.fail("%s answered %s while it was partitioned", registryNode.name, code)
 	}
 }
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -14,14 +14,15 @@
 	"beaconvane/internal/settings"
 )
 
-// write has an operator send a configuration to a registry, once.
+// writeOnce sends a configuration to a random registry, without retries. Invalid configurations have no
+// tenants and stay out of the linearizability history. onAnswer may be nil.
 func (w *World) writeOnce(version int64, tenants []loadgen.Tenant, body []byte, onAnswer func(code errcode.Code)) {
 	registries := w.runningNodes(message.RoleRegistry)
 	if len(registries) == 0 {
 		return
 	}
 	registryNode := registries[w.random.IntN(len(registries))]
-	w.traceEvent("put %d at %s", version, registryNode.name)
+	w.traceEvent("put %d to %s", version, registryNode.name)
 	digest := checker.Digest(body)
 	operation := &configLogOperation{
 		request: configLogRequest{write: true, version: version, entry: fmt.Sprintf("%d:%s", version, digest)},
@@ -50,7 +51,7 @@
 	})
 }
 
-// writeUntil repeats a put, as an operator would, until it is settled or refused.
+// writeUntilDecided sends a write every second until it is acknowledged or refused as a conflict.
 func (w *World) writeUntilDecided(version int64, tenants []loadgen.Tenant, extraRoutes int) {
 	body := w.options.Deployment.Configuration(tenants, extraRoutes)
 	decided := false
@@ -69,6 +70,7 @@
 	attempt()
 }
 
+// runOperatorStep executes one of the steps that write a configuration.
 func (w *World) runOperatorStep(step Step) {
 	tenants := w.options.Deployment.Tenants()
 	w.lastVersion++
@@ -92,7 +94,7 @@
 				if code == errcode.OK {
 					acknowledgedCount++
 					if acknowledgedCount == 2 {
-						w.fail("both racing puts of %d were acknowledged", version)
+						w.fail("both concurrent puts of version %d were acknowledged", version)
 					}
 				}
 			})
@@ -101,7 +103,7 @@
 		w.lastVersion--
 		w.writeOnce(version, nil, []byte(`{"services":["x"],"routes":[{"name":"r","service":"y"}]}`), func(code errcode.Code) {
 			if code != errcode.ConfigurationBad && code != errcode.ConfigurationNoHolder && code != errcode.ConfigurationUnsure {
-				w.fail("a bad configuration was answered %s", code)
+				w.fail("the put of an invalid configuration was answered %s", code)
 			}
 		})
 	case "put-and-kill", "put-and-kill-disk":
--- a/internal/simulation/partition.go
+++ b/internal/simulation/partition.go
@@ -12,13 +12,13 @@
 	"beaconvane/internal/workload"
 )
 
-// The cutoff scenario cuts a core machine off, both ways or one way, while operators send orders
-// and read on all sides and processes restart on both.
+// The cutoff scenario partitions one core machine from the others, in both directions or in one, while
+// operators write and read on both sides and processes restart on both sides.
 const (
 	partitionDuration      = 20 * time.Second
 	partitionWriteInterval = 900 * time.Millisecond
 	partitionReadInterval  = 400 * time.Millisecond
-	leaseHolderTarget      = "holder" // the machine that holds the configuration log's lease
+	leaseHolderTarget      = "holder" // target of a step: the holder of the configuration log's lease
 )
 
 func partitionPlan(d workload.Deployment, random *rand.Rand) []Step {
@@ -27,18 +27,18 @@
 	if random.IntN(2) == 0 {
 		target = leaseHolderTarget
 	}
-	start := randomDuration(random, 10, 11)
+	start := between(random, 10, 11)
 	plan := []Step{{At: start, Do: kind, Target: target, For: partitionDuration},
 		{At: start - time.Second, Do: "order-at-all-sides", For: partitionDuration + 4*time.Second}}
 	for _, restart := range []string{"restart-severed", "restart-other", "restart-with-severed-seed"} {
 		if random.IntN(2) == 0 {
-			plan = append(plan, Step{At: start + randomDuration(random, 2, 17), Do: restart, For: randomDuration(random, 0.2, 1.5)})
+			plan = append(plan, Step{At: start + between(random, 2, 17), Do: restart, For: between(random, 0.2, 1.5)})
 		}
 	}
 	return plan
 }
 
-// cutoffSteps returns the steps of the cutoff scenario, by the name that plans use.
+// partitionSteps returns the steps of the cutoff scenario, by the name that plans use.
 func partitionSteps() map[string]fault {
 	return map[string]fault{
 		"sever":                     (*World).partitionCoreMachine,
@@ -51,12 +51,14 @@
 	}
 }
 
+// operateOnBothSides has operators write and read on both sides of the partition.
 func (w *World) operateOnBothSides(step Step) {
 	until := w.now + step.For
 	w.writeOnBothSides(until)
 	w.readOnBothSides(until)
 }
 
+// restartPartitioned restarts the partitioned core machines.
 func (w *World) restartPartitioned(step Step) {
 	for _, machine := range w.partitionedMachines() {
 		w.restart(w.machineNodes(machine), false, step.For)
@@ -64,7 +66,7 @@
 	}
 }
 
-// restartOther restarts a core machine on the other side of the cut.
+// restartConnected restarts a random core machine on the other side of the partition.
 func (w *World) restartConnected(step Step) {
 	others := w.coreMachines()
 	for _, machine := range w.partitionedMachines() {
@@ -77,7 +79,8 @@
 	}
 }
 
-// sever cuts a core machine from all other core machines.
+// partitionCoreMachine partitions a core machine from all other core machines. A one-way partition drops
+// what the machine sends (sever-out) or what it receives (sever-in).
 func (w *World) partitionCoreMachine(step Step) {
 	machine := step.Target
 	if machine == leaseHolderTarget {
@@ -96,11 +99,12 @@
 	w.after(step.For, func() { delete(w.partitionedSince, machine) })
 }
 
-// settleTime is how long after the core had no majority nobody is held to the bounds for
-// connected nodes: the platform's contact-s.
+// majoritySettleTime is how long after the core regained its majority the bounds for connected nodes
+// don't apply yet: the platform's contact-s.
 const majoritySettleTime = 3 * time.Second
 
-// unsettled notes that the core has no majority for some time.
+// suspendServiceSpans ends the proxies' spans of service while the core has no majority, and opens new
+// ones majoritySettleTime after that.
 func (w *World) suspendServiceSpans(duration time.Duration) {
 	for _, proxy := range w.nodesByRole(message.RoleProxy) {
 		proxy.closeServiceSpan()
@@ -114,6 +118,7 @@
 	})
 }
 
+// partitionedMachines returns the core machines that are partitioned, in the order of the deployment.
 func (w *World) partitionedMachines() []string {
 	list := []string{}
 	for _, machine := range w.coreMachines() {
@@ -124,7 +129,8 @@
 	return list
 }
 
-// side picks a registry of the cut-off side, or of the other one.
+// randomRegistryOnSide returns a running registry on the partitioned side or on the other one; nil if
+// there is none.
 func (w *World) randomRegistryOnSide(partitioned bool) *Node {
 	registries := []*Node{}
 	for _, registryNode := range w.runningNodes(message.RoleRegistry) {
@@ -138,7 +144,7 @@
 	return registries[w.random.IntN(len(registries))]
 }
 
-// orderAtAllSides sends an order to each side, the same to both every third time.
+// writeOnBothSides periodically sends one new configuration to each side of the partition.
 func (w *World) writeOnBothSides(until time.Duration) {
 	if w.now > until {
 		return
@@ -154,6 +160,7 @@
 	w.after(partitionWriteInterval, func() { w.writeOnBothSides(until) })
 }
 
+// readOnBothSides periodically reads the configuration and the status views on each side.
 func (w *World) readOnBothSides(until time.Duration) {
 	if w.now > until {
 		return
@@ -167,8 +174,8 @@
 	w.after(partitionReadInterval, func() { w.readOnBothSides(until) })
 }
 
-// readViews checks that a node that has been cut off for long gives neither roster nor state of configurations
-// out as current.
+// checkViewsRefused checks that a registry that has been partitioned for longer than MaxAgeReady and
+// majoritySettleTime returns neither the roster nor the configuration status as current.
 func (w *World) checkViewsRefused(registryNode *Node) {
 	since, partitioned := w.partitionedSince[registryNode.machine]
 	if !partitioned || w.now-since < registryNode.settings.MaxAgeReady()+majoritySettleTime {
@@ -178,14 +185,14 @@
 		registryNode.request(question, func(answer any) {
 			w.dangers["views asked of a cut-off node"]++
 			if code := mustCast[registry.OperatorResponse](answer).Code; code == errcode.OK {
-				w.fail("%s, cut off for %s, answered %T as current", registryNode.name, w.now-since, question)
+				w.fail("%s, partitioned for %s, answered %T as current", registryNode.name, w.now-since, question)
 			}
 		})
 	}
 }
 
-// restartWithSeveredSeed restarts some proxies, whose settings now name the cut-off machine
-// first.
+// restartWithPartitionedSeed restarts every third proxy with settings whose first seed is the partitioned
+// machine.
 func (w *World) restartWithPartitionedSeed(down time.Duration) {
 	seeds := []string{}
 	for _, machine := range append(w.partitionedMachines(), w.coreMachines()...) {
--- a/internal/simulation/proxy_connection.go
+++ b/internal/simulation/proxy_connection.go
@@ -10,7 +10,7 @@
 	"beaconvane/internal/statemachine"
 )
 
-// simConnection is a traffic connection between two proxies.
+// simConnection is a traffic connection between two proxies. It implements frontend.Connection.
 type simConnection struct {
 	from, to        *Node
 	fromIncarnation int
@@ -24,6 +24,7 @@
 	lastReply       time.Duration
 }
 
+// finishDial establishes the connection, or fails it at once or after the dial timeout.
 func (s *simConnection) finishDial(target *Node, found bool) {
 	w := s.from.world
 	switch {
@@ -31,8 +32,8 @@
 	case !found || !target.up:
 		s.drop()
 	case !w.reachable(s.from, target) || !w.reachable(target, s.from) || target.frozen:
-		// Nothing answers: the dial times out. A frozen machine's kernel still takes
-		// connections, which the next case covers for short freezes.
+		// The dial times out without an answer, except at a frozen process, whose kernel still
+		// accepts connections.
 		if target.frozen {
 			s.establish(target)
 			return
@@ -43,6 +44,7 @@
 	}
 }
 
+// establish connects to the current incarnation of the target and sends the queued messages.
 func (s *simConnection) establish(target *Node) {
 	s.to, s.toIncarnation, s.established = target, target.incarnation, true
 	for _, msg := range s.queue {
@@ -51,8 +53,8 @@
 	s.queue = nil
 }
 
-// drop closes the connection; the opener sees that at once, but is told of it a little
-// later, as threads would have it: ends of several connections may be told in any order.
+// drop closes the connection. Broken reports that at once; the opener's callback runs up to 20 ms later,
+// so that the loss of several connections may be reported in any order, as with concurrent goroutines.
 func (s *simConnection) drop() {
 	if s.closed {
 		return
@@ -62,16 +64,16 @@
 	w.after(time.Duration(w.random.Int64N(int64(20*time.Millisecond))), func() { s.from.run(s.fromIncarnation, func() { s.onBroken(s) }) })
 }
 
-// Broken says whether the connection has ended.
+// Broken reports whether the connection has been closed.
 func (s *simConnection) Broken() bool { return s.closed }
 
-// Established says whether the connection was made.
+// Established reports whether the connection has been established.
 func (s *simConnection) Established() bool { return s.established }
 
-// Close ends the connection.
+// Close closes the connection without calling the opener's callback.
 func (s *simConnection) Close() { s.closed = true }
 
-// Post sends a message.
+// Post sends a message, or queues it until the connection is established.
 func (s *simConnection) Post(msg any) error {
 	if s.closed {
 		return errcode.Wrap("simulation.post", errcode.ConnectionLost, nil)
@@ -84,6 +86,7 @@
 	return nil
 }
 
+// forward delivers a message to the serving proxy and its replies to the opener, each in the order sent.
 func (s *simConnection) forward(msg any) {
 	w := s.from.world
 	arrival := max(w.now+w.randomTransitDelay(), s.lastForward)
@@ -101,7 +104,8 @@
 	})
 }
 
-// deliverLater delivers along the connection; a cut holds it up, a long one breaks the connection.
+// deliverLater calls a function at the receiver when a message arrives. While the link is cut, it retries
+// every 200 ms; after 25 retries the connection breaks.
 func (s *simConnection) deliverLater(arrival time.Duration, from, to *Node, incarnation int, do func()) {
 	w := s.from.world
 	tries := 0
@@ -124,20 +128,20 @@
 	w.at(arrival, deliver)
 }
 
-// reread passes a message through the encoding, as the real connection does.
+// encodeAndDecode passes a message through the wire encoding, as the real connection does.
 func encodeAndDecode(msg any) any {
 	frame, err := message.Encode(msg)
 	if err != nil {
-		panic(fmt.Sprintf("simulation: %T: %v", msg, err))
+		panic(fmt.Sprintf("simulation: encode %T: %v", msg, err))
 	}
 	decoded, err := message.Decode(frame)
 	if err != nil {
-		panic(fmt.Sprintf("simulation: %T: %v", msg, err))
+		panic(fmt.Sprintf("simulation: decode %T: %v", msg, err))
 	}
 	return decoded
 }
 
-// connectionsLost breaks the connections that led to a node that ended.
+// breakConnectionsTo breaks the connections of the other nodes to a node that has ended.
 func (w *World) breakConnectionsTo(ended *Node) {
 	for _, name := range w.nodeOrder {
 		node := w.nodes[name]
@@ -154,7 +158,7 @@
 				lost := connection
 				var notify func()
 				notify = func() {
-					// The end of a connection can't be heard through a cut.
+					// A cut link doesn't carry the end of the connection; retry.
 					if !w.reachable(ended, lost.from) {
 						w.after(200*time.Millisecond, notify)
 						return
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -1,7 +1,7 @@
 //go:build race
 
-// A run of the simulator is one thread: there is nothing for the race detector to find,
-// and it makes the long runs ten times slower. They are run without it.
+// Runs of the simulator are skipped under the race detector: a run uses one thread, so the detector can
+// find nothing, and it makes the long runs ten times slower.
 package simulation
 
 const raceEnabled = true
--- a/internal/simulation/random_control.go
+++ b/internal/simulation/random_control.go
@@ -6,11 +6,11 @@
 	"beaconvane/internal/workload"
 )
 
-// anyControl draws steps of the control scenarios for random plans: one kind of operators (on all
-// sides of a cut, with conflicting contents, with lost answers, sending again), and now and then a
-// core machine that is cut off.
+// randomControlSteps draws steps of the control-plane scenarios for random plans: one kind of operator
+// behaviour (writes on both sides of a partition, conflicting contents, lost answers, repeated writes),
+// and in half of the plans a partitioned core machine.
 func randomControlSteps(d workload.Deployment, random *rand.Rand) []Step {
-	start, duration := randomDuration(random, 9, 16), randomDuration(random, 4, 9)
+	start, duration := between(random, 9, 16), between(random, 4, 9)
 	plan := []Step{}
 	switch random.IntN(4) {
 	case 0:
@@ -26,7 +26,7 @@
 	}
 	if random.IntN(2) == 0 {
 		kind := []string{"sever", "sever-out", "sever-in"}[random.IntN(3)]
-		plan = append(plan, Step{start + randomDuration(random, 0, 2), kind, randomCoreMachine(d, random), randomDuration(random, 2, 8)})
+		plan = append(plan, Step{start + between(random, 0, 2), kind, randomCoreMachine(d, random), between(random, 2, 8)})
 	}
 	return plan
 }
--- a/internal/simulation/readiness.go
+++ b/internal/simulation/readiness.go
@@ -8,21 +8,25 @@
 	"beaconvane/internal/registry"
 )
 
-// The platform asks every proxy once a second whether it is ready. A proxy that says that it is must
-// not refuse a moment later for want of updates; one that could serve must not stay unready.
+// The platform probes the readiness of every proxy once a second. A proxy that has answered ready must not
+// refuse a request shortly after because its updates are stale or missing; a proxy that could serve must
+// not stay unready.
 const (
 	readinessProbeInterval = time.Second
 	readinessValidFor      = 400 * time.Millisecond
-	maxUnreadyAnswers      = 5 // answers in a row
+	maxUnreadyAnswers      = 5 // consecutive probes
 )
 
+// readiness is the result of a proxy's probes since its last start.
 type readiness struct {
 	incarnation int
-	readyAt     time.Duration // of the last yes
-	ready       bool
-	unready     int // noes in a row, while it could have served
+	readyAt     time.Duration // time of the last ready answer
+	ready       bool          // the last answer
+	unready     int           // consecutive unready answers while it could have served
 }
 
+// probeReadiness probes all running proxies periodically, and fails the run if one that could serve stays
+// unready.
 func (w *World) probeReadiness(until time.Duration) {
 	if w.now > until {
 		return
@@ -42,18 +46,18 @@
 			continue
 		}
 		state.ready = false
-		if _, linkCut := w.cutLinkSince[node.machine]; linkCut || node.stopping || !w.configurationKnownCurrent(node) || !w.coreHasMajority(node) {
+		if _, linkCut := w.cutLinkSince[node.machine]; linkCut || node.stopping || !w.configKnownCurrent(node) || !w.coreHasMajority(node) {
 			state.unready = 0
 		} else if state.unready++; state.unready == maxUnreadyAnswers {
-			w.fail("%s could serve and was unready %d s in a row", node.name, maxUnreadyAnswers)
+			w.fail("%s could have served but was unready for %d s", node.name, maxUnreadyAnswers)
 		}
 	}
 	w.after(readinessProbeInterval, func() { w.probeReadiness(until) })
 }
 
-// coreStands says that more than half of the registries are up, in reach of a node, and have the disk
-// of their vote, so every tag has a holder. One whose disk was lost is no part of that before
-// it has its vote again: while too few others are up nobody can give it one.
+// coreHasMajority reports whether more than half of the registries are up, reachable from a node and have
+// the disk with their vote, so that every lease has a holder. A registry that lost its disk counts only
+// after it has a vote again, which it can't get while too few others are up.
 func (w *World) coreHasMajority(node *Node) bool {
 	count := 0
 	for _, registryNode := range w.runningNodes(message.RoleRegistry) {
@@ -66,14 +70,14 @@
 	return count*2 > len(w.nodesByRole(message.RoleRegistry))
 }
 
-// voteLost says that the disk with a registry's vote was lost and that it has no vote again yet.
+// voterDiskLost reports whether a registry has lost the disk with its vote and has no vote again yet.
 func (w *World) voterDiskLost(registryNode *Node) bool {
 	machine, isRegistry := registryNode.control.(*registry.Machine)
 	return registryNode.diskLost && isRegistry && !machine.VoterState().Voting
 }
 
-// refusedAfterReady checks a refusal by the caller's own proxy against what it told
-// the platform.
+// checkRefusalAfterReady fails the run if a proxy refuses a request as not ready or stale, without an
+// attempt, within readinessValidFor of a ready answer.
 func (w *World) checkRefusalAfterReady(node *Node, code errcode.Code, attempts int) {
 	state := w.readiness[node.name]
 	if attempts > 0 || code != errcode.BusyNotReady && code != errcode.BusyStale || state == nil || !state.ready ||
@@ -81,6 +85,6 @@
 		return
 	}
 	if w.now-state.readyAt < readinessValidFor {
-		w.fail("%s said that it is ready and refused with %s %s later", node.name, code, w.now-state.readyAt)
+		w.fail("%s answered that it is ready and refused a request with %s %s later", node.name, code, w.now-state.readyAt)
 	}
 }
--- a/internal/simulation/refusal_causes.go
+++ b/internal/simulation/refusal_causes.go
@@ -13,18 +13,19 @@
 
 const (
 	refusedThoughAble = "refused though able"
-	maxRefusedShare   = 0.01 // of a run's requests
+	maxRefusedShare   = 0.01 // limit of their share of a run's requests
 )
 
-// settle is how long a machine or upstream that came up may take to be known.
+// propagationTime is how long the other nodes may take to learn of a machine or upstream that has started.
 const propagationTime = 2 * time.Second
 
-// able says that some upstream of the service stood ready with a free slot, beside a serving proxy that
-// this proxy could reach, and both had been so for a while.
+// upstreamAvailable reports whether some upstream of the service has been ready for propagationTime and
+// has a free slot, and its serving proxy has been up for as long and is reachable from the given proxy.
 func (w *World) upstreamAvailable(from *Node, service string) bool {
 	for _, key := range w.upstreamOrder {
 		u := w.upstreams[key]
-		if u.announcement.Service != service || !u.up || u.announcement.Draining || w.now < u.warmUntil+propagationTime || u.running >= u.slots {
+		if u.announcement.Service != service || !u.up || u.announcement.Draining ||
+			w.now < u.warmUntil+propagationTime || u.running >= u.slots {
 			continue
 		}
 		for _, servingProxy := range u.servingProxies {
@@ -40,9 +41,9 @@
 	return false
 }
 
-// knownCurrent says that some registry that this proxy could reach knew the configuration to be current;
-// a proxy may start with no other.
-func (w *World) configurationKnownCurrent(from *Node) bool {
+// configKnownCurrent reports whether some registry that a proxy can reach knows that its
+// configuration is current. A proxy may not start with any other.
+func (w *World) configKnownCurrent(from *Node) bool {
 	known := false
 	for _, registryNode := range w.runningNodes(message.RoleRegistry) {
 		if w.reachable(from, registryNode) && w.reachable(registryNode, from) {
@@ -55,8 +56,8 @@
 	return known
 }
 
-// causeOf names the cause of a request that was not answered, so that what could not be helped is
-// told apart from what the mesh refused although it could have served.
+// unansweredCause returns why a request was not answered. The causes separate unavoidable failures from
+// requests that the mesh refused although it could have served them.
 func (w *World) unansweredCause(request checker.CallerRequest) string {
 	recent := request.Sent - propagationTime
 	done := max(request.Done, request.Sent)
@@ -74,7 +75,7 @@
 	case request.Code == int(errcode.BusyStale), request.Code == int(errcode.BusyNotReady) && w.refusedConfigAgeUnknown[request.ID]:
 		return "nobody could vouch for its updates"
 	case request.Code == int(errcode.BusyBudget):
-		// The next try would have broken another promise.
+		// Another attempt would have exceeded the bound on retries.
 		return "the retry budget was spent"
 	case request.Code/100 == 32:
 		return "outcome unknown"
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -12,10 +12,10 @@
 	"beaconvane/internal/storage"
 )
 
-// replacementSuffix ends the name of a machine that was put beside the one it replaces.
+// replacementSuffix ends the name of a machine that runs beside the frozen one it replaces.
 const replacementSuffix = "-heir"
 
-// replaceVoter puts an empty machine in a voter's place, at a new address.
+// replaceVoter replaces a voter's machine by an empty one of the same name at a new address.
 func (w *World) replaceVoter(machine string, downtime time.Duration) {
 	nodes := w.machineNodes(machine)
 	for _, node := range nodes {
@@ -33,7 +33,7 @@
 			node.settings.Address, node.settings.HTTPAddress = newAddress, newAddress
 			w.nodeByAddress[newAddress] = node
 		}
-		// The newcomer's settings name the seeds of now; all others keep their old ones.
+		// The replacement's settings list the current seeds; all other nodes keep their old ones.
 		seeds := []string{}
 		for _, registryNode := range w.nodesByRole(message.RoleRegistry) {
 			seeds = append(seeds, registryNode.address())
@@ -45,8 +45,8 @@
 	})
 }
 
-// replaceCore ends a core machine for good and adds an empty one of another name at
-// another address; its settings name three core machines of now.
+// replaceCore removes a core machine permanently and adds an empty one with another name and address,
+// whose seeds are three of the current core machines.
 func (w *World) replaceCore(machine string, downtime time.Duration) {
 	for _, old := range w.machineNodes(machine) {
 		old.kill(true, true)
@@ -54,7 +54,8 @@
 		w.addedNodes++
 		host, port, _ := strings.Cut(old.settings.Address, ":")
 		replacement := w.addNode(old.role, fmt.Sprintf("%s-after", machine), "", old.settings.Zone,
-			fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.addedNodes), port), old.settings.Seeds)
+			fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.addedNodes), port),
+			old.settings.Seeds)
 		replacement.settings.Bootstrap = false
 		w.after(downtime, func() {
 			replacement.settings.Seeds = []string{}
@@ -68,8 +69,8 @@
 	}
 }
 
-// usurp freezes a core machine, puts an empty one at a new address in its voter, and
-// lets the old one wake later.
+// replaceFrozenMachine freezes a core machine and starts an empty one at a new address for the same
+// voter; the old one resumes later.
 func (w *World) replaceFrozenMachine(machine string, frozen time.Duration) {
 	for index, old := range w.machineNodes(machine) {
 		host := fmt.Sprintf("10.1.9.%d:7%d00", len(w.nodeOrder)+1, 4+index)
@@ -80,7 +81,8 @@
 	w.freeze(w.machineNodes(machine), frozen)
 }
 
-// force-recover is the operator's deed on the survivor of two lost disks.
+// forceRecover performs the operator's force-recover command on a machine that survived the loss of the
+// other disks.
 func (w *World) forceRecover(machine string) {
 	for _, node := range w.machineNodes(machine) {
 		node.kill(true, false)
@@ -88,7 +90,7 @@
 		w.after(200*time.Millisecond, func() {
 			store, snapshot, records, err := storage.Open(survivor.disk)
 			if err != nil || snapshot == nil {
-				w.fail("%s has nothing to force-recover: %v", survivor.name, err)
+				w.fail("force-recover of %s found no snapshot: %v", survivor.name, err)
 				return
 			}
 			self := message.Member{
@@ -107,7 +109,7 @@
 				err = store.Compact(machine.ForceRecover())
 			}
 			if err != nil {
-				w.fail("%s: %v", survivor.name, err)
+				w.fail("force-recover of %s failed: %v", survivor.name, err)
 			}
 			survivor.boot()
 		})
--- a/internal/simulation/same_version.go
+++ b/internal/simulation/same_version.go
@@ -11,8 +11,8 @@
 	"beaconvane/internal/workload"
 )
 
-// The same-version scenario has two operators write different contents under one version, while
-// answers are lost, orders are sent again to other nodes, and old orders return.
+// The same-version scenario has two operators write different contents under one version, while answers
+// are lost, writes are retried at other registries, and accepted writes are repeated.
 const (
 	conflictingWritesInterval = 600 * time.Millisecond
 	concurrentWriteCount      = 8
@@ -23,7 +23,7 @@
 )
 
 func sameVersionPlan(_ workload.Deployment, random *rand.Rand) []Step {
-	start := randomDuration(random, 9, 10)
+	start := between(random, 9, 10)
 	plan := []Step{
 		{At: start, Do: "rival-orders", For: sameVersionDuration},
 		{At: start + time.Second, Do: "orders-at-once", For: sameVersionDuration},
@@ -36,7 +36,7 @@
 			if extraFault == "cut-core" {
 				target = randomVoter(random)
 			}
-			plan = append(plan, Step{At: start + randomDuration(random, 2, 18), Do: extraFault, Target: target, For: randomDuration(random, 0.5, 5)})
+			plan = append(plan, Step{At: start + between(random, 2, 18), Do: extraFault, Target: target, For: between(random, 0.5, 5)})
 		}
 	}
 	return plan
@@ -56,7 +56,7 @@
 	}
 }
 
-// repeat does something in a steady rhythm.
+// repeat calls a function periodically until a simulated time.
 func (w *World) repeat(every, until time.Duration, do func()) {
 	if w.now > until {
 		return
@@ -65,7 +65,8 @@
 	w.after(every, func() { w.repeat(every, until, do) })
 }
 
-// rivalOrders sends two contents under one version at once to two registries.
+// sendConflictingWrites sends two contents under one version at the same time, to two registries if
+// there are as many.
 func (w *World) sendConflictingWrites() {
 	registries := w.runningNodes(message.RoleRegistry)
 	if len(registries) == 0 {
@@ -79,11 +80,11 @@
 		digests[index] = checker.Digest(body)
 		write := w.newConfigWrite(version, tenants, body, func(code errcode.Code) {
 			if code != errcode.OK || w.acceptedDigests[version] != digests[index] {
-				// An overtaken version is acknowledged too: it alters nothing.
+				// A write of an older version may be acknowledged too; it has no effect.
 				return
 			}
 			if confirmed++; confirmed == 2 {
-				w.fail("two operators were both told that theirs was taken under one version")
+				w.fail("both conflicting writes of version %d were acknowledged", version)
 			}
 		})
 		write.contested = true
@@ -92,7 +93,7 @@
 	w.dangers["pairs of contents under one version"]++
 }
 
-// ordersTogether sends several new versions at one time.
+// sendConcurrentWrites sends several new versions at the same time.
 func (w *World) sendConcurrentWrites() {
 	registries := w.runningNodes(message.RoleRegistry)
 	tenants := w.options.Deployment.Tenants()[:w.tenantCount]
@@ -108,7 +109,7 @@
 	w.dangers["eight orders at one time"]++
 }
 
-// resendOrder sends an accepted order again, the oldest every third time, or any.
+// resendWrite repeats an accepted write: the oldest with a probability of a third, else a random one.
 func (w *World) resendWrite() {
 	accepted := []*configWrite{}
 	for _, write := range w.configWrites {
@@ -126,19 +127,19 @@
 	}
 	repeated := w.newConfigWrite(chosen.version, chosen.tenants, chosen.body, func(code errcode.Code) {
 		if code != errcode.OK {
-			w.fail("order %d came again and was answered %s", chosen.version, code)
+			w.fail("the repeated write of accepted version %d was answered %s", chosen.version, code)
 		}
 	})
 	repeated.attempts = 1
 	w.sendWrite(repeated, registries[w.random.IntN(len(registries))])
 }
 
-// settled checks that at the end every operator was told yes or no.
+// checkWritesFinished checks at the end of a run that every write got a final answer.
 func (w *World) checkWritesFinished() {
 	for _, write := range w.configWrites {
 		switch {
 		case !write.finished:
-			w.fail("order %d (%s) was never answered, sent %d times", write.version, write.digest, write.attempts)
+			w.fail("write of version %d (%s) got no final answer in %d attempts", write.version, write.digest, write.attempts)
 		case write.contested && write.code == errcode.OK && w.acceptedDigests[write.version] == write.digest:
 			w.dangers["rival orders that were taken"]++
 		case write.contested && write.code == errcode.ConfigurationConflict:
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -16,7 +16,7 @@
 	"beaconvane/internal/workload"
 )
 
-// Step is one entry of a plan: a fault or an order of an operator, at a time.
+// Step is one entry of a plan: a fault or an operator's action, its time, target and duration.
 type Step struct {
 	At     time.Duration `json:"at"`
 	Do     string        `json:"do"`
@@ -26,9 +26,10 @@
 
 func (s Step) String() string { return fmt.Sprintf("%s %s %s for %s", s.At, s.Do, s.Target, s.For) }
 
+// loadStart is the simulated time at which callers begin to send requests.
 const loadStart = 8 * time.Second
 
-// Result is a run's outcome.
+// Result is the outcome of a run.
 type Result struct {
 	Scenario string
 	Seed     uint64
@@ -41,7 +42,8 @@
 	Record   checker.Record
 }
 
-// Play runs a plan on a deployment.
+// Play executes a plan on a deployment and checks the record. All nodes and upstreams boot within the
+// first half second; the first configuration is written after one second.
 func Play(options Options) Result {
 	w := NewWorld(options)
 	for _, name := range w.nodeOrder {
@@ -80,26 +82,27 @@
 	return result
 }
 
-// caughtUp checks that at the end every store that has a vote holds the newest version acknowledged.
+// checkCaughtUp checks at the end of a run that every store with a vote has the newest acknowledged version.
 func (w *World) checkCaughtUp() {
 	for _, store := range w.runningNodes(message.RoleConfigStore) {
 		machine, isStore := store.control.(*configstore.Machine)
 		if isStore && machine.Voting() && newestVersion(store) < w.newestAcknowledged {
-			w.fail("%s holds version %d, %d was acknowledged", store.name, newestVersion(store), w.newestAcknowledged)
+			w.fail("%s has version %d at the end, want at least %d, which was acknowledged",
+				store.name, newestVersion(store), w.newestAcknowledged)
 		}
 	}
 }
 
-// closing reads back, through each voter, every version kept and every window.
+// readBack reads every retained version and every usage window through each running registry.
 func (w *World) readBack() {
-	// What is read is under test here, not how long it takes on narrow links.
+	// This checks what is read, not how long it takes on slow links.
 	w.options.Deployment.CoreLink = 0
 	for _, node := range w.runningNodes(message.RoleRegistry) {
 		registryNode := node
 		registryNode.request(registry.ReadConfiguration{ConfigName: "main", List: true}, func(answer any) {
 			response := mustCast[registry.OperatorResponse](answer)
 			if response.Code != errcode.OK {
-				w.fail("%s does not list the versions: %s", registryNode.name, response.Code)
+				w.fail("%s failed to list the versions: %s", registryNode.name, response.Code)
 				return
 			}
 			for _, listed := range gjson.GetBytes(response.Body, "versions").Array() {
@@ -136,7 +139,8 @@
 	}
 }
 
-// restored checks that fifteen seconds after the last fault every request is answered.
+// checkRestored checks that every request sent later than the restore bound (15 s by default) after the
+// last fault was answered. It also counts unanswered requests by cause and limits the avoidable refusals.
 func (w *World) checkRestored(result *Result) {
 	bound := time.Duration(settings.Default().Bounds.Restore) * time.Millisecond
 	answeredCount, count := 0, 0
@@ -165,7 +169,7 @@
 	if share := result.Review.Worst[refusedThoughAble]; share > maxRefusedShare {
 		result.Review.Violations = append(result.Review.Violations, checker.Violation{
 			Rule:   "refused",
-			Detail: fmt.Sprintf("%.4f of all requests were refused though some upstream could have run them", share),
+			Detail: fmt.Sprintf("%.4f of all requests were refused although an upstream could have run them", share),
 		})
 	}
 	result.Review.Worst["restore-ms"] = float64(latest.Milliseconds())
@@ -186,7 +190,7 @@
 	}
 }
 
-// Run plays a named scenario with a seed.
+// Run plays a named scenario with a seed. The plan and the run have random sources of their own.
 func Run(d workload.Deployment, scenario string, seed uint64, rate float64, log func(line string)) Result {
 	plan := Scenarios[scenario](d, rand.New(rand.NewPCG(seed, 5)))
 	result := Play(options(d, seed, rate, plan, log))
@@ -195,6 +199,7 @@
 	return result
 }
 
+// options returns the options of a run. The load ends at the step "end", or else 18 s after the last fault.
 func options(d workload.Deployment, seed uint64, rate float64, plan []Step, log func(line string)) Options {
 	last := 12 * time.Second
 	for _, step := range plan {
@@ -206,7 +211,7 @@
 	return Options{Deployment: d, Seed: seed, Rate: rate, Load: last - loadStart + 18*time.Second, Plan: plan, Log: log}
 }
 
-// Shrink leaves out steps while the same rule stays broken.
+// Shrink removes steps from the plan of a failed run as long as its first broken rule stays broken.
 func Shrink(d workload.Deployment, failed Result, rate float64) Result {
 	rule := failed.Review.Violations[0].Rule
 	smallest := failed
--- a/internal/simulation/second_loss.go
+++ b/internal/simulation/second_loss.go
@@ -11,25 +11,26 @@
 	"beaconvane/internal/workload"
 )
 
-// The second-loss scenario takes another core machine away as soon as a repaired or replaced one has
-// its vote; orders must be accepted while the second machine is away.
+// The second-loss scenario loses another core machine as soon as a repaired or replaced one has its vote.
+// Writes must be accepted while the second machine is away.
 const (
-	secondLossWriteInterval = 400 * time.Millisecond // between orders
-	secondLossDelay         = 300 * time.Millisecond // of the newcomer's vote
+	secondLossWriteInterval = 400 * time.Millisecond // between writes
+	secondLossDelay         = 300 * time.Millisecond // longest delay of the loss after the replacement's vote
 	secondLossDowntime      = 8 * time.Second
-	secondLossAcceptWithin  = 6 * time.Second // of the second loss, at the latest
+	secondLossAcceptWithin  = 6 * time.Second // after the second loss
 	processesPerCoreMachine = 2               // a registry and a configstore on each core machine
 )
 
-// replacementDies is a planned replacement whose newcomer dies in the middle of it.
+// replacementCrashesStep names the step of a planned replacement whose new machine crashes before the
+// replacement is complete.
 const replacementCrashesStep = "replace-planned-heir-dies"
 
-// armedLoss waits for the moment at which a newcomer has its vote.
+// armedLoss is a loss that is triggered when a replacement has its vote.
 type armedLoss struct {
 	kind     string
 	downtime time.Duration
-	excluded string // a machine that is not lost
-	machine  string // that was lost
+	excluded string // machine that must not be lost: the one under repair
+	machine  string // the lost machine; empty until the loss is triggered
 	at       time.Duration
 }
 
@@ -38,21 +39,21 @@
 	if d.VoterCount > 0 {
 		repairs = []string{"kill-disk", "replace-core", "replace-planned", "replace-planned-alone", replacementCrashesStep}
 	}
-	first, start := randomCoreMachine(d, random), randomDuration(random, 10, 11)
+	first, start := randomCoreMachine(d, random), between(random, 10, 11)
 	repair := repairs[random.IntN(len(repairs))]
 	loss := []string{"kill", "kill-disk", "cut-core"}[random.IntN(3)]
 	plan := []Step{
 		{At: 9 * time.Second, Do: "order-steadily", For: 26 * time.Second},
-		{At: start + 10*time.Millisecond, Do: repair, Target: first, For: randomDuration(random, 0.3, 1.5)},
+		{At: start + 10*time.Millisecond, Do: repair, Target: first, For: between(random, 0.3, 1.5)},
 	}
 	if repair == replacementCrashesStep {
-		// The newcomer's end is the loss.
+		// The crash of the replacement is itself the second loss.
 		return plan
 	}
 	return append(plan, Step{At: start, Do: "arm-" + loss, Target: first, For: secondLossDowntime})
 }
 
-// armPrefix begins the names of steps that wait for a newcomer's vote; the rest names the loss.
+// armPrefix begins the names of steps that arm a second loss; the rest of the name is the kind of loss.
 const armPrefix = "arm-"
 
 // secondLossSteps returns the steps of the second-loss scenario, by the name that plans use.
@@ -65,6 +66,7 @@
 	}
 }
 
+// writePeriodically sends a new configuration every secondLossWriteInterval.
 func (w *World) writePeriodically(step Step) {
 	w.repeat(secondLossWriteInterval, w.now+step.For, func() {
 		w.lastVersion++
@@ -73,12 +75,13 @@
 	})
 }
 
-// armLoss has the loss that the step names wait for a newcomer's vote.
+// armSecondLoss arms a loss that waits for a replacement's vote.
 func (w *World) armSecondLoss(kind string, step Step) {
 	w.armed = &armedLoss{kind: kind, downtime: step.For, excluded: step.Target}
 }
 
-// recovered handles that a newcomer has its vote: the loss that was armed for it comes at any moment now.
+// voterRecovered handles a replacement process that has got its vote. Once all processes of its machine
+// have theirs, the armed loss is triggered within secondLossDelay.
 func (w *World) voterRecovered(newcomer *Node) {
 	armed := w.armed
 	w.votingProcesses[newcomer.machine]++
@@ -95,6 +98,7 @@
 	w.after(time.Duration(w.random.Int64N(int64(secondLossDelay))), func() { w.triggerSecondLoss(armed) })
 }
 
+// triggerSecondLoss executes the armed loss and checks that a write is accepted while the machine is away.
 func (w *World) triggerSecondLoss(armed *armedLoss) {
 	w.dangers["second losses right after a newcomer's vote"]++
 	w.runStep(Step{At: w.now, Do: armed.kind, Target: armed.machine, For: armed.downtime})
@@ -102,13 +106,14 @@
 	before := w.newestAcknowledged
 	w.after(secondLossAcceptWithin, func() {
 		if w.newestAcknowledged == before {
-			w.fail("no order was taken for %s after the loss of %s", secondLossAcceptWithin, armed.machine)
+			w.fail("no write was accepted for %s after the loss of %s", secondLossAcceptWithin, armed.machine)
 		}
 		w.dangers["orders taken while the second is away"] += int(w.newestAcknowledged - before)
 	})
 }
 
-// replacePlanned adds an empty machine first, and then stops the one that it replaces.
+// replacePlanned adds an empty machine and then shuts down the one that it replaces. With a non-empty
+// variant, the new machine crashes right after that.
 func (w *World) replacePlanned(machine string, wait time.Duration, variant string) {
 	replacements := []*Node{}
 	for _, old := range w.machineNodes(machine) {
@@ -135,8 +140,8 @@
 	})
 }
 
-// replaceAlone stops a machine that has the newest change on a bare majority: another one
-// is cut off for the last orders before it.
+// replaceWithBareMajority replaces a machine whose newest change is only on a bare majority, because
+// another machine is partitioned during the last writes before the shutdown.
 func (w *World) replaceWithBareMajority(machine string, wait time.Duration) {
 	others := without(w.coreMachines(), machine)
 	behind := others[w.random.IntN(len(others))]
@@ -144,7 +149,8 @@
 	w.replacePlanned(machine, wait, "")
 }
 
-// holdsNewestAlone counts leaving voters whose newest change most others lack.
+// countBareMajority counts, as a danger, a leaving machine whose newest change is on a bare majority of the
+// stores, and one that holds the configuration log's lease.
 func (w *World) countBareMajority(machine string) {
 	newest, holders := int64(0), 0
 	for _, store := range w.runningNodes(message.RoleConfigStore) {
@@ -166,7 +172,8 @@
 	}
 }
 
-// addHeir is an empty node of a role at a new address, whose seeds are of now.
+// addReplacement adds an empty node of the same role at a new address, with three current core machines
+// as seeds.
 func (w *World) addReplacement(old *Node, machine string) *Node {
 	w.addedNodes++
 	host, port, _ := strings.Cut(old.settings.Address, ":")
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -1,5 +1,5 @@
-// The fixed seeds: each was seen to fail before the round that mended it, or stands
-// for a scenario that must keep its promises. Wider sweeps are cmd/simulate's.
+// Runs with fixed seeds. Each seed either failed before a fault was fixed, or covers a scenario that must
+// break no rule. cmd/simulate runs sweeps over many seeds.
 package simulation
 
 import (
@@ -13,10 +13,10 @@
 
 const testRate = 60
 
-// oneThread leaves a run to the tests without the race detector.
+// skipUnderRace skips a test under the race detector, which can find nothing in a run of one thread.
 func skipUnderRace(t *testing.T) {
 	if raceEnabled {
-		t.Skip("one thread; run without -race")
+		t.Skip("a run uses one thread; run without -race")
 	}
 }
 
@@ -35,7 +35,7 @@
 	return result
 }
 
-// One seed, one trace; another seed, another.
+// Two runs of one seed have the same trace; runs of different seeds have different ones.
 func TestSameSeedSameTrace(t *testing.T) {
 	d, _ := workload.Named("small")
 	first, second, other := Run(d, "any", 3, testRate, nil), Run(d, "any", 3, testRate, nil), Run(d, "any", 4, testRate, nil)
@@ -44,7 +44,7 @@
 	qt.Assert(t, other.Trace, qt.Not(qt.Equals), first.Trace)
 }
 
-// Nobody takes a tag from a living holder.
+// Without faults no lease is taken over from a running holder.
 func TestCalmHasNoTakeovers(t *testing.T) {
 	for _, deployment := range []string{"umuyoboro", "jendela"} {
 		result := playScenario(t, deployment, "calm", 1)
@@ -58,25 +58,25 @@
 		deployment, scenario string
 		seed                 uint64
 	}{
-		{"umuyoboro", "disks-lost", 9},           // an epoch taken twice lost an acknowledged configuration
-		{"umuyoboro", "freeze", 7},               // given up between outcome and judge: told busy, had run
-		{"umuyoboro", "core-cut", 20},            // children of a cut-off voter moved to others behind the same voter
-		{"umuyoboro", "all-killed", 1},           // usage counts died with the whole fleet
-		{"umuyoboro", "core-cut", 9},             // the last resort chose the same stale root again
-		{"umuyoboro", "holder-killed", 19},       // a split vote made the voters forget who had held the tag
-		{"umuyoboro", "any-fleet", 27},           // acknowledged, then the holder died before its push was through
-		{"umuyoboro", "cut-and-killed", 2},       // a restarted serving proxy denied what its earlier life had started
-		{"umuyoboro", "upstreams", 5},            // an address taken over got the old owner's requests
-		{"umuyoboro", "two-disks-lost", 3},       // newcomers founded anew, and later filled two voters at once
-		{"jendela", "usurped", 6},                // the shut-out machine was still taken for the holder
-		{"umuyoboro", "restarted-behind-cut", 1}, // stands for its scenario
-		{"jendela", "any-fleet", 2},              // the same
-		{"umuyoboro", "stale-root", 1},           // a restarted proxy took an older configuration from a cut-off relay
-		{"umuyoboro", "any-fleet", 1193},         // a restarted parent knew less than its children
-		{"umuyoboro", "any-fleet", 1119},         // a former holder came back past voters that had missed its lease
-		{"umuyoboro", "any-fleet", 2016},         // counts of a dead proxy were with another voter only
-		{"umuyoboro", "two-disks-lost", 3001},    // a holder that had reported nothing began an hour back
-		{"umuyoboro", "away-and-swapped", 3000},  // back after a minute, all its seeds swapped: nobody looked for it
+		{"umuyoboro", "disks-lost", 9},           // an epoch was used twice and an acknowledged configuration was lost
+		{"umuyoboro", "freeze", 7},               // request abandoned while its outcome was decided: answered busy although it had run
+		{"umuyoboro", "core-cut", 20},            // children of a partitioned voter moved to parents behind the same voter
+		{"umuyoboro", "all-killed", 1},           // usage counts were lost when the whole fleet crashed
+		{"umuyoboro", "core-cut", 9},             // the last-resort parent choice returned to the same stale root
+		{"umuyoboro", "holder-killed", 19},       // after a split vote the voters lost the previous lease holder
+		{"umuyoboro", "any-fleet", 27},           // the holder crashed after the acknowledgement, before its push was complete
+		{"umuyoboro", "cut-and-killed", 2},       // a restarted serving proxy denied requests that its earlier incarnation had started
+		{"umuyoboro", "upstreams", 5},            // the new owner of an address got the old owner's requests
+		{"umuyoboro", "two-disks-lost", 3},       // empty machines founded a second group, and later one machine held two voters
+		{"jendela", "usurped", 6},                // the replaced machine was still treated as the lease holder
+		{"umuyoboro", "restarted-behind-cut", 1}, // covers the scenario
+		{"jendela", "any-fleet", 2},              // covers the scenario
+		{"umuyoboro", "stale-root", 1},           // a restarted proxy accepted an older configuration from a partitioned relay
+		{"umuyoboro", "any-fleet", 1193},         // a restarted parent had an older state than its children
+		{"umuyoboro", "any-fleet", 1119},         // a former holder got the lease back through voters that had missed a later lease
+		{"umuyoboro", "any-fleet", 2016},         // usage counts of a crashed proxy were at one other voter only
+		{"umuyoboro", "two-disks-lost", 3001},    // a usage lease holder without earlier reports started with windows of an hour before
+		{"umuyoboro", "away-and-swapped", 3000},  // a proxy returned after a minute with all its seeds replaced, and no node contacted it
 	} {
 		t.Run(fmt.Sprintf("%s-%s-%d", fixed.deployment, fixed.scenario, fixed.seed), func(t *testing.T) {
 			t.Parallel()
@@ -85,8 +85,8 @@
 	}
 }
 
-// Core groups that find their voters: each run must have had the voters taken that it is
-// about, and no promise broken.
+// Deployments whose core chooses its voters: each run must reach the expected number of votes taken over
+// by machines with empty disks, and break no rule.
 func TestVotersAreFound(t *testing.T) {
 	for _, fixed := range []struct {
 		deployment, scenario string
@@ -114,12 +114,12 @@
 	}
 }
 
-// Each zone in turn loses all its core machines for some six seconds. Voters stand in all
-// zones, so a majority is left and usage goes on being reported; with two voters in the
-// lost zone reports wait until it is back (6.3 s late with seed 1).
+// Each zone in turn loses all its core machines for about six seconds. With the voters spread over all
+// zones a majority remains and usage reports continue. With two voters in the lost zone, reports wait
+// until it is back (6.3 s late with seed 1).
 func TestLostZoneDoesNotDelayUsageReports(t *testing.T) {
 	t.Parallel()
-	const lateAtMost = 3000 // ms; a takeover and a report's next try
+	const lateAtMost = 3000 // ms; a lease takeover and the retry of a report
 	result := playScenario(t, "voters-zones", "zones-lost", 1)
 	qt.Assert(t, result.Review.Worst["usage-late-ms"] < lateAtMost, qt.IsTrue, qt.Commentf("%v", result.Review.Worst))
 	requireAtLeast(t, "takeovers", result.Review.Seen["takeovers"], 1)
--- a/internal/simulation/upstream.go
+++ b/internal/simulation/upstream.go
@@ -14,7 +14,7 @@
 	"beaconvane/internal/workload"
 )
 
-// Upstream is a simulated upstream process: it registers with proxies, sends heartbeats and runs requests.
+// Upstream is a simulated upstream process: it announces itself to proxies and runs requests.
 type Upstream struct {
 	world                *World
 	key                  string
@@ -31,12 +31,13 @@
 	faults               stubserver.Faults
 	firstProxy           int
 	warmUntil            time.Duration
-	silentUntil          time.Duration // announces nothing before this time
-	removed              bool
-	vanishedIncarnations map[int]bool // incarnations whose machine vanished without closing connections
+	silentUntil          time.Duration // sends no announcements before this time
+	removed              bool          // doesn't start again
+	vanishedIncarnations map[int]bool  // incarnations whose machine vanished without closing connections
 	serviceSpec          workload.Service
 }
 
+// addUpstream adds an upstream that isn't running yet, with three proxies that it may announce itself to.
 func (w *World) addUpstream(service workload.Service, index, number int) *Upstream {
 	proxies := w.nodesByRole(message.RoleProxy)
 	key := fmt.Sprintf("%s/%s-%d", service.Name, service.Name, index+1)
@@ -60,7 +61,8 @@
 	return u
 }
 
-// start brings an upstream up with a new incarnation.
+// start starts a new incarnation, which is warming for the given time. It does nothing if the upstream is
+// running or has been removed.
 func (u *Upstream) start(warm time.Duration) {
 	if u.up || u.removed {
 		return
@@ -76,7 +78,7 @@
 	u.scheduleAnnouncement(u.incarnation, 0)
 }
 
-// kill ends it hard.
+// kill crashes the process: its connections close and its running requests are lost.
 func (u *Upstream) kill() {
 	if !u.up {
 		return
@@ -94,7 +96,7 @@
 	}
 }
 
-// vanish is the end of its machine: nothing is closed, nothing is said.
+// vanish ends the upstream's machine: no connection is closed and no message is sent.
 func (u *Upstream) vanish() {
 	if !u.up {
 		return
@@ -109,6 +111,7 @@
 	u.crashCallbacks = nil
 }
 
+// scheduleAnnouncement announces the upstream after a wait and then every second, until the incarnation ends.
 func (u *Upstream) scheduleAnnouncement(incarnation int, wait time.Duration) {
 	u.world.after(wait, func() {
 		if !u.up || u.incarnation != incarnation {
@@ -121,7 +124,7 @@
 	})
 }
 
-// announce tells the first of its proxies that takes it.
+// announce sends the announcement to the first of its proxies that is running.
 func (u *Upstream) announce() {
 	announcement := u.announcement
 	announcement.Warming = u.world.now < u.warmUntil
@@ -148,7 +151,7 @@
 	}
 }
 
-// leave says that it leaves.
+// startDraining announces that the upstream drains and accepts no new requests.
 func (u *Upstream) startDraining() {
 	u.announcement.Draining = true
 	u.world.record.DrainStarts = append(u.world.record.DrainStarts, checker.DrainStart{
@@ -160,7 +163,7 @@
 	u.announce()
 }
 
-// signOff is the last word.
+// deregister deregisters the upstream at the first of its proxies that is running.
 func (u *Upstream) deregister() {
 	announcement := u.announcement
 	for _, servingProxy := range u.servingProxies {
@@ -176,7 +179,8 @@
 	}
 }
 
-// run is the work at the upstream.
+// execute runs a request. It calls end with the outcome as the serving proxy reads it, or lose if the
+// connection breaks before a response; neither if the machine vanishes.
 func (u *Upstream) execute(servingProxy *Node, decision backend.Decision, stream *upstreamStream,
 	end func(outcome message.Outcome, broke bool), lose func()) {
 	w := u.world
@@ -224,7 +228,8 @@
 	} else {
 		w.after(work/2, func() {
 			if !finished && u.up && u.incarnation == incarnation {
-				w.sendNestedRequest(servingProxy, decision, u.announcement.Service, calledKind, fmt.Sprintf("%s~%s~%d", id, u.announcement.Instance, index),
+				w.sendNestedRequest(servingProxy, decision, u.announcement.Service, calledKind,
+					fmt.Sprintf("%s~%s~%d", id, u.announcement.Instance, index),
 					func() { w.after(work/2, finish) })
 			}
 		})
@@ -234,7 +239,7 @@
 	}
 }
 
-// readHeaders returns the request's ID and whether any header shows a tenant's key.
+// readHeaders returns the request's ID, and whether any header contains a tenant's API key.
 func (u *Upstream) readHeaders(decision backend.Decision) (id string, keySeen bool) {
 	for _, header := range decision.Forward.Headers {
 		if header.Name == stubserver.IDHeader {
@@ -247,7 +252,7 @@
 	return id, keySeen
 }
 
-// recordRun notes for the checker that the upstream began to run a request.
+// recordExecution records that the upstream has started to run a request.
 func (u *Upstream) recordExecution(servingProxy *Node, decision backend.Decision, id string, keySeen bool) {
 	u.executions = append(u.executions, checker.Execution{
 		ID:           id,
@@ -264,9 +269,9 @@
 	})
 }
 
-// answerRequest writes the upstream's own whole answer to the stream and returns what the proxy
-// reads of it. Refusals and failures of the upstream are whole answers too, and a code of the mesh
-// that an upstream sets in its headers must be ignored.
+// answerRequest writes the upstream's response to the stream and returns the outcome that the proxy
+// reads. Some responses are the upstream's own refusals and failures, and one in ten carries an error
+// code of the mesh in its headers, which the proxy must ignore.
 func (u *Upstream) answerRequest(decision backend.Decision, stream *upstreamStream, index int, answer string) message.Outcome {
 	w := u.world
 	status := stubserver.Status(w.random.Float64, stubserver.UsualOtherShare)
--- a/internal/simulation/upstream_connection.go
+++ b/internal/simulation/upstream_connection.go
@@ -8,27 +8,33 @@
 	"beaconvane/internal/message"
 )
 
-// upConnection is a connection to an upstream's process, idle or as a guard. It ends when that
-// process ends; of one whose machine vanished nothing is heard.
+// upstreamConnection is a connection to an upstream's process: pooled, in use, or the guard connection
+// that detects the end of the process. It closes when the process ends, but stays open without traffic
+// when the machine vanishes.
 type upstreamConnection struct {
 	owner       *Upstream
 	incarnation int
 	stream      *upstreamStream
 }
 
+// ownerRunning reports whether the process at the other end is still running.
 func (u upstreamConnection) ownerRunning() bool {
 	return u.owner.up && u.owner.incarnation == u.incarnation
 }
 
-// quiet says that nothing has arrived on the connection, as its serving proxy sees it.
+// idle reports whether the connection is open and has no unread bytes, as its serving proxy sees it.
 func (u upstreamConnection) idle() bool {
 	return (u.ownerRunning() || u.owner.vanishedIncarnations[u.incarnation]) && u.stream.idle()
 }
 
-// guard opens the guard connection of an announced upstream and some to be kept ready, as
+// openGuardConnection opens the guard connection of an announced upstream and fills its pool, as
 // backend.UpstreamClient does.
 func (n *Node) openGuardConnection(announcement backend.Announcement) {
-	target := backend.Target{Key: announcement.Service + "/" + announcement.Instance, Address: announcement.Address, Incarnation: announcement.Incarnation}
+	target := backend.Target{
+		Key:         announcement.Service + "/" + announcement.Instance,
+		Address:     announcement.Address,
+		Incarnation: announcement.Incarnation,
+	}
 	incarnation := n.incarnation
 	n.world.after(n.world.randomTransitDelay(), func() {
 		n.run(incarnation, func() {
@@ -43,14 +49,16 @@
 	})
 }
 
+// fillPool opens connections to an upstream until the pool has the number of warm ones.
 func (n *Node) fillPool(target backend.Target) {
 	owner := n.world.upstreamByAddress[target.Address]
-	for owner != nil && owner.up && len(n.connectionPools[target]) < n.backend.WarmConnections(target) && n.backend.Dialable(n.Now(), target) {
+	for owner != nil && owner.up && len(n.connectionPools[target]) < n.backend.WarmConnections(target) &&
+		n.backend.Dialable(n.Now(), target) {
 		n.connectionPools[target] = append(n.connectionPools[target], upstreamConnection{owner: owner, incarnation: owner.incarnation})
 	}
 }
 
-// idle takes a connection that was kept.
+// takeIdleConnection removes an idle connection from the pool, and drops those that are not idle.
 func (n *Node) takeIdleConnection(target backend.Target) (upstreamConnection, bool) {
 	for list := n.connectionPools[target]; len(list) > 0; list = n.connectionPools[target] {
 		connection := list[len(list)-1]
@@ -62,8 +70,8 @@
 	return upstreamConnection{}, false
 }
 
-// call is the serving proxy's exchange with an upstream, as backend.UpstreamClient
-// makes it on sockets.
+// callUpstream sends a request from the serving proxy to an upstream, on a pooled connection or a new one,
+// as backend.UpstreamClient does on sockets.
 func (n *Node) callUpstream(incarnation int, decision backend.Decision) {
 	w := n.world
 	target := decision.Target
@@ -109,7 +117,8 @@
 	})
 }
 
-// exchange sends a request on a connection, once.
+// exchange sends a request on a connection once and completes it with the outcome, or with an unknown one
+// after 95% of the remaining time.
 func (n *Node) exchange(incarnation int, decision backend.Decision, connection upstreamConnection) {
 	w, target := n.world, decision.Target
 	target.DelegationToken = ""
@@ -153,7 +162,7 @@
 		case !connection.owner.vanishedIncarnations[connection.incarnation]:
 			lose()
 		case w.upstreamByAddress[target.Address] != nil:
-			// Whoever has the address now knows nothing of that connection and resets it.
+			// The new owner of the address doesn't have that connection and resets it.
 			w.dangers["connections reset by an address's new owner"]++
 			lose()
 		}
--- a/internal/simulation/upstream_faults.go
+++ b/internal/simulation/upstream_faults.go
@@ -8,10 +8,11 @@
 	"beaconvane/internal/stubserver"
 )
 
+// runUpstreamStep executes a fault of an upstream. It fails the run if the target doesn't exist.
 func (w *World) runUpstreamStep(step Step) {
 	u := w.upstreams[step.Target]
 	if u == nil {
-		w.fail("no target for %s", step)
+		w.fail("no upstream is the target of step %s", step)
 		return
 	}
 	switch step.Do {
@@ -33,17 +34,17 @@
 			u.kill()
 		})
 	case "upstream-handover":
-		// Ended, and its address handed at once to another service's new instance.
+		// The process crashes, and its address passes at once to a new instance of another service.
 		u.kill()
 		u.removed = true
 		w.after(step.For/50, func() { w.reassignAddress(u) })
 	case "upstream-vanish":
-		// Its machine goes without a word, and its address comes to another service.
+		// The machine vanishes without closing connections, and its address passes to another service.
 		u.vanish()
 		u.removed = true
 		w.after(w.options.Deployment.Vanish()+step.For, func() { w.reassignAddress(u) })
 	case "service-kill":
-		// Every upstream of its service ends, and comes back.
+		// Every upstream of the target's service crashes and restarts.
 		for _, key := range w.upstreamOrder {
 			if other := w.upstreams[key]; other.announcement.Service == u.announcement.Service {
 				other.kill()
@@ -51,7 +52,7 @@
 			}
 		}
 	case "upstream-leave-elsewhere":
-		// It says that it leaves, to another proxy than its serving proxy, and to nobody else.
+		// The drain is announced only to another proxy than the serving one.
 		u.servingProxies = append(append([]*Node{}, u.servingProxies[1:]...), u.servingProxies[0])
 		u.startDraining()
 		u.removed = true
@@ -65,6 +66,7 @@
 	}
 }
 
+// reassignAddress starts a new instance of another service at the address of a removed upstream.
 func (w *World) reassignAddress(old *Upstream) {
 	services := w.options.Deployment.Services
 	for _, service := range services {
@@ -90,7 +92,7 @@
 		}
 		w.upstreams[key] = replacement
 		w.upstreamOrder = append(w.upstreamOrder, key)
-		// It takes connections at once and announces itself only later, to another proxy.
+		// It accepts connections at once, and announces itself only up to two seconds later, to another proxy.
 		replacement.servingProxies = append(append([]*Node{}, old.servingProxies[1:]...), old.servingProxies[0])
 		replacement.silentUntil = w.now + time.Duration(w.random.Int64N(int64(2*time.Second)))
 		replacement.start(0)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -12,19 +12,19 @@
 	"beaconvane/internal/workload"
 )
 
-// Options shape a run.
+// Options are the parameters of a run.
 type Options struct {
 	Deployment workload.Deployment
 	Seed       uint64
 	Rate       float64
-	Load       time.Duration // how long callers ask, from the eighth second
+	Load       time.Duration // how long callers send requests, from loadStart (the eighth second) on
 	Plan       []Step
 	Log        func(line string)
 }
 
 // World is one run: simulated time, the queue of events, the network between nodes with its delays,
-// losses and cuts, and the record for the checker. The trace is a hash over every delivery, by which
-// two runs of one seed are compared.
+// losses and partitions, and the record for the checker. The trace is a hash over all logged events, by
+// which two runs of one seed are compared.
 type World struct {
 	scheduler
 	network
@@ -38,50 +38,50 @@
 	nodes         map[string]*Node
 	nodeOrder     []string
 	nodeByAddress map[string]*Node
-	addedNodes    int // of machines added
+	addedNodes    int // nodes added as replacements, for their addresses
 
 	upstreams            map[string]*Upstream
 	upstreamOrder        []string
-	upstreamByAddress    map[string]*Upstream // who owns an upstream address now
-	strayResponsesUntil  time.Duration        // until when upstreams send stray answers
+	upstreamByAddress    map[string]*Upstream // current owner of an upstream address
+	strayResponsesUntil  time.Duration        // upstreams send stray responses until then
 	record               checker.Record
 	callerRequests       []*checker.CallerRequest
-	faults               map[string]fault // by the name of a step
-	armed                *armedLoss       // the second loss that waits for a newcomer's vote
-	votingProcesses      map[string]int   // programs of a machine whose newcomers have their votes
-	collectorDownUntil   time.Duration    // until when
-	collectorFaultyUntil time.Duration
+	faults               map[string]fault // by step name
+	armed                *armedLoss       // second loss that waits for a replacement's vote
+	votingProcesses      map[string]int   // by machine: processes that got a vote on an empty disk
+	collectorDownUntil   time.Duration    // the collector accepts no reports until then
+	collectorFaultyUntil time.Duration    // the collector loses or delays its answers until then
 }
 
-// operatorRecord is what operators sent and were told.
+// operatorRecord is what operators sent and how they were answered.
 type operatorRecord struct {
 	lastVersion         int64
-	tenantCount         int // how many tenants the newest configuration has
+	tenantCount         int // tenants of the newest configuration
 	configLogOperations []*configLogOperation
 	configWrites        []*configWrite
-	writesEnd           time.Duration    // operators give up then
-	acceptedDigests     map[int64]string // digest of what was confirmed under a version, also by a lost answer
-	versionByDigest     map[string]int64 // version by digest of all that was sent
-	newestAcknowledged  int64            // version that an operator was told is taken
-	answersLostUntil    time.Duration    // until when answers to operators are lost
-	lostAnswerShare     float64          // and how many of them
+	writesEnd           time.Duration    // operators stop retrying then
+	acceptedDigests     map[int64]string // digest of the content accepted under a version, also if the answer was lost
+	versionByDigest     map[string]int64 // of all contents sent
+	newestAcknowledged  int64            // newest version acknowledged to an operator
+	answersLostUntil    time.Duration    // answers to operators are lost until then
+	lostAnswerShare     float64          // share of the answers that are lost
 }
 
-// measurements is what a run counts besides the checker's record.
+// measurements are the counts of a run besides the checker's record.
 type measurements struct {
-	controlMessagesPerSecond map[int64]int // control messages by second
+	controlMessagesPerSecond map[int64]int // by second of simulated time
 	largestFrameBytes        int
-	largestStoreDiskBytes    int            // the most bytes on one store's disk
-	dangers                  map[string]int // how often a dangerous moment was reached
+	largestStoreDiskBytes    int            // as the sum of its files
+	dangers                  map[string]int // how often each dangerous situation was reached
 	readiness                map[string]*readiness
-	refusedThoughServable    map[string]bool // requests refused while some upstream could have run them
-	refusedConfigAgeUnknown  map[string]bool // requests refused while no registry in reach knew the configuration current
+	refusedThoughServable    map[string]bool // by request ID: refused although an upstream could have run it
+	refusedConfigAgeUnknown  map[string]bool // by request ID: refused while no reachable registry knew the configuration to be current
 }
 
-// epoch is the time of day at true time 0, for usage windows.
+// epoch is the wall-clock time at simulated time 0, since the Unix epoch. Usage windows depend on it.
 const epoch = 1_800_000_000 * time.Second
 
-// NewWorld builds a deployment; nothing runs yet.
+// NewWorld builds a deployment. Its nodes and upstreams are not started.
 func NewWorld(options Options) *World {
 	w := &World{
 		network: newNetwork(),
@@ -113,7 +113,7 @@
 	return w
 }
 
-// mark folds a happening into the trace.
+// traceEvent adds an event to the trace and logs it.
 func (w *World) traceEvent(format string, values ...any) {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d|%d|", w.trace, w.now)
@@ -124,10 +124,10 @@
 	}
 }
 
-// Trace is the hash over all that happened.
+// Trace returns the hash over all events so far.
 func (w *World) Trace() uint64 { return w.trace }
 
-// Names nodesOf nodes by role.
+// nodesByRole returns the nodes of a role in the order in which they were added.
 func (w *World) nodesByRole(role string) []*Node {
 	list := []*Node{}
 	for _, name := range w.nodeOrder {
@@ -138,6 +138,7 @@
 	return list
 }
 
+// runningNodes returns the nodes of a role that are up and not frozen.
 func (w *World) runningNodes(role string) []*Node {
 	list := []*Node{}
 	for _, node := range w.nodesByRole(role) {
@@ -148,8 +149,8 @@
 	return list
 }
 
-// Finish closes the record and gives the checker's review, with the simulator's own
-// findings.
+// Finish completes the record and returns the checker's review, extended by the simulator's own
+// measurements and violations.
 func (w *World) Finish() checker.Review {
 	for _, name := range w.nodeOrder {
 		w.nodes[name].closeServiceSpan()
@@ -185,7 +186,7 @@
 	if !linearizable {
 		review.Violations = append(review.Violations, checker.Violation{
 			Rule:   "config-log-order",
-			Detail: fmt.Sprintf("%d puts and reads fit no order", count),
+			Detail: fmt.Sprintf("%d puts and reads are not linearizable", count),
 		})
 	}
 	for _, text := range w.failures {
@@ -194,7 +195,7 @@
 	return review
 }
 
-// Fail adds a finding of the scenario's own.
+// fail adds a violation found by the simulator itself.
 func (w *World) fail(format string, values ...any) {
 	w.failures = append(w.failures, fmt.Sprintf(format, values...))
 }
