--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -116,11 +116,11 @@
 			Body:     []byte{},
 			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestTimeout(),
 		}
-		sentIncarnation := incarnation
+		submittedIncarnation := incarnation
 		chosenProxy.inFlight++
 		pending := chosenProxy.dispatcher.Submit(proxyRequest, func(time.Duration) {}, func(final *frontend.Response) {
 			w.after(100*time.Microsecond, func() {
-				if !chosenProxy.up || chosenProxy.incarnation != sentIncarnation {
+				if !chosenProxy.up || chosenProxy.incarnation != submittedIncarnation {
 					return
 				}
 				chosenProxy.inFlight--
--- a/internal/simulation/control_test.go
+++ b/internal/simulation/control_test.go
@@ -12,6 +12,8 @@
 
 const controlRate = 10 // requests per second; these runs test configuration writes, not traffic
 
+// playControlSeeds runs a scenario with some seeds and returns the sums of the review's counts. No run may
+// break a rule.
 func playControlSeeds(t *testing.T, deployment, scenario string, seeds ...uint64) map[string]int {
 	skipUnderRace(t)
 	d, known := workload.Named(deployment)
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -32,6 +32,8 @@
 // NewDisk returns an empty disk without failures.
 func NewDisk() *Disk { return &Disk{files: map[string]*simFile{}, stepsLeft: -1} }
 
+// errDisk is returned by every write operation of a disk that is failing or whose machine has stopped, and by
+// operations on files that don't exist.
 var errDisk = errors.New("simulated disk failure")
 
 // Read returns a copy of a file's current content, synced or not.
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -34,10 +34,10 @@
 
 // configLogOperation is one operation with the times of its call and its answer.
 type configLogOperation struct {
-	request  configLogRequest
-	answer   configLogAnswer
-	from, to time.Duration
-	answered bool
+	request              configLogRequest
+	answer               configLogAnswer
+	calledAt, answeredAt time.Duration
+	answered             bool
 }
 
 // readConfigLog has an operator periodically read the current configuration from a random registry. Only
@@ -47,12 +47,12 @@
 		return
 	}
 	if registries := w.runningNodes(message.RoleRegistry); len(registries) > 0 {
-		operation := &configLogOperation{from: w.now}
+		operation := &configLogOperation{calledAt: w.now}
 		registries[w.random.IntN(len(registries))].request(registry.ReadConfiguration{ConfigName: "main"}, func(answer any) {
-			got := mustCast[registry.OperatorResponse](answer)
-			if got.Code == errcode.OK || got.Code == errcode.ConfigurationNotFound {
-				operation.answer = configLogAnswer{code: got.Code, digest: checker.Digest(got.Body)}
-				operation.to, operation.answered = w.now, true
+			response := mustCast[registry.OperatorResponse](answer)
+			if response.Code == errcode.OK || response.Code == errcode.ConfigurationNotFound {
+				operation.answer = configLogAnswer{code: response.Code, digest: checker.Digest(response.Body)}
+				operation.answeredAt, operation.answered = w.now, true
 				w.configLogOperations = append(w.configLogOperations, operation)
 			}
 		})
@@ -123,16 +123,16 @@
 	history := []porcupine.Operation{}
 	for index, operation := range w.configLogOperations {
 		operation.request.highestWins = w.options.Deployment.Writes == settings.WritesHighest
-		answer, to := operation.answer, int64(operation.to)
+		answer, returnedAt := operation.answer, int64(operation.answeredAt)
 		if !operation.answered || answer.code == errcode.ConfigurationUnsure {
-			answer, to = configLogAnswer{unknown: true}, math.MaxInt64
+			answer, returnedAt = configLogAnswer{unknown: true}, math.MaxInt64
 		}
 		history = append(history, porcupine.Operation{
 			ClientId: index,
 			Input:    operation.request,
-			Call:     int64(operation.from),
+			Call:     int64(operation.calledAt),
 			Output:   answer,
-			Return:   to,
+			Return:   returnedAt,
 		})
 	}
 	return porcupine.CheckOperationsTimeout(configLogModel.ToModel(), history, 20*time.Second) != porcupine.Illegal, len(history)
--- a/internal/simulation/linearizability_test.go
+++ b/internal/simulation/linearizability_test.go
@@ -12,21 +12,21 @@
 
 func TestLinearizabilityCheckRejectsInvalidHistories(t *testing.T) {
 	c := qt.New(t)
-	write := func(from, to int, version int64, entry string, code errcode.Code) *configLogOperation {
+	write := func(calledAt, answeredAt int, version int64, entry string, code errcode.Code) *configLogOperation {
 		return &configLogOperation{
-			request:  configLogRequest{write: true, version: version, entry: entry},
-			answer:   configLogAnswer{code: code},
-			from:     time.Duration(from),
-			to:       time.Duration(to),
-			answered: true,
+			request:    configLogRequest{write: true, version: version, entry: entry},
+			answer:     configLogAnswer{code: code},
+			calledAt:   time.Duration(calledAt),
+			answeredAt: time.Duration(answeredAt),
+			answered:   true,
 		}
 	}
-	read := func(from, to int, digest string) *configLogOperation {
+	read := func(calledAt, answeredAt int, digest string) *configLogOperation {
 		return &configLogOperation{
-			answer:   configLogAnswer{code: errcode.OK, digest: digest},
-			from:     time.Duration(from),
-			to:       time.Duration(to),
-			answered: true,
+			answer:     configLogAnswer{code: errcode.OK, digest: digest},
+			calledAt:   time.Duration(calledAt),
+			answeredAt: time.Duration(answeredAt),
+			answered:   true,
 		}
 	}
 	unansweredWrite := write(1, 2, 2, "2:b", errcode.OK)
--- a/internal/simulation/many_changes.go
+++ b/internal/simulation/many_changes.go
@@ -23,6 +23,7 @@
 	maxStoreDiskBytes   = 24 << 20 // limit of the sum of one store's files
 )
 
+// manyChangesPlan draws the plan of the hundreds scenario.
 func manyChangesPlan(d workload.Deployment, random *rand.Rand) []Step {
 	names := d.CoreNames()
 	chosen := random.Perm(len(names))
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	defaultDatagramLoss = 0.002 // share of datagrams lost
-	defaultDelay        = 300 * time.Microsecond
+	defaultDatagramLoss    = 0.002 // share of datagrams lost
+	defaultMinTransitDelay = 300 * time.Microsecond
 )
 
 // network is the state of the links between machines: partitions, queues, loss and delay.
@@ -24,6 +24,7 @@
 	minTransitDelay  time.Duration
 }
 
+// newNetwork returns a network without cuts, with the default loss and delay.
 func newNetwork() network {
 	return network{
 		cutCounts:        map[string]int{},
@@ -32,7 +33,7 @@
 		lastArrival:      map[string]time.Duration{},
 		links:            map[string]*link{},
 		datagramLoss:     defaultDatagramLoss,
-		minTransitDelay:  defaultDelay,
+		minTransitDelay:  defaultMinTransitDelay,
 	}
 }
 
@@ -46,12 +47,12 @@
 func (w *World) changeCutCount(from, to string, delta int) {
 	w.cutCounts[from+">"+to] += delta
 	for _, machine := range []string{from, to} {
-		healed := machine
+		restored := machine
 		if !w.hasCutLink(machine) {
 			// Messages that waited for the cut link are delivered within a second.
 			w.after(time.Second, func() {
-				if !w.hasCutLink(healed) {
-					delete(w.cutLinkSince, healed)
+				if !w.hasCutLink(restored) {
+					delete(w.cutLinkSince, restored)
 				}
 			})
 		} else if _, recorded := w.cutLinkSince[machine]; !recorded {
--- a/internal/simulation/never_test.go
+++ b/internal/simulation/never_test.go
@@ -66,8 +66,8 @@
 		Step{14 * second, "upstream-faults", "dispatch/dispatch-2", 6 * second},
 		Step{16 * second, "kill", "edge-2", second}, Step{18 * second, "upstream-kill", "dispatch/dispatch-4", second})
 	requireAtLeast(t, "once-only requests that ran and whose answer was lost",
-		countRequests(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
-			return asked.Once && len(runs) == 1 && outcomeUnknown(asked)
+		countRequests(result.Record, func(request checker.CallerRequest, executions []checker.Execution) bool {
+			return request.Once && len(executions) == 1 && outcomeUnknown(request)
 		}), 5)
 }
 
@@ -77,8 +77,8 @@
 	random := rand.New(rand.NewPCG(2, 5))
 	result := playParallel(t, "umuyoboro", 2, d.Rate, Scenarios["edges-killed"](d, random)...)
 	requireAtLeast(t, "once-only requests that ran and whose answer was lost",
-		countRequests(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
-			return asked.Once && len(runs) == 1 && outcomeUnknown(asked)
+		countRequests(result.Record, func(request checker.CallerRequest, executions []checker.Execution) bool {
+			return request.Once && len(executions) == 1 && outcomeUnknown(request)
 		}), 1)
 }
 
@@ -89,9 +89,9 @@
 		Step{11 * second, "upstream-kill", "registry/registry-2", 9 * second},
 		Step{12 * second, "upstream-faults", "registry/registry-3", 4 * second},
 		Step{17 * second, "service-kill", "dispatch/dispatch-1", 3 * second})
-	requireAtLeast(t, "requests that ran and had no second upstream to go to",
-		countRequests(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
-			return !asked.Once && len(runs) > 0 && runs[0].ResponseSent == 0 && outcomeUnknown(asked)
+	requireAtLeast(t, "requests that ran and had no second upstream for a retry",
+		countRequests(result.Record, func(request checker.CallerRequest, executions []checker.Execution) bool {
+			return !request.Once && len(executions) > 0 && executions[0].ResponseSent == 0 && outcomeUnknown(request)
 		}), 3)
 }
 
@@ -100,9 +100,9 @@
 	result := playParallel(t, "jendela", 4, 120, Step{11 * second, "upstream-faults", "quoting/quoting-1", 6 * second},
 		Step{12 * second, "upstream-faults", "booking/booking-2", 6 * second})
 	requireAtLeast(t, "answers that claim a code of the mesh's", result.Review.Seen["danger: answers that claim a code of the mesh's"], 50)
-	requireAtLeast(t, "callers told an upstream's own refusal",
-		countRequests(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
-			return asked.Code == 0 && asked.Status >= 400
+	requireAtLeast(t, "callers that got an upstream's own refusal",
+		countRequests(result.Record, func(request checker.CallerRequest, _ []checker.Execution) bool {
+			return request.Code == 0 && request.Status >= 400
 		}), 50)
 }
 
@@ -141,7 +141,7 @@
 			incarnations++
 		}
 	}
-	requireAtLeast(t, "lives begun while a voter with the older configuration was cut off", incarnations, 4)
+	requireAtLeast(t, "incarnations started while a voter with the older configuration was partitioned", incarnations, 4)
 	requireAtLeast(t, "arrivals of configurations", result.Review.Seen["configuration arrivals"], 12)
 }
 
@@ -150,15 +150,15 @@
 func TestNeverAWithdrawnKey(t *testing.T) {
 	result := playParallel(t, "jendela", 7, 200, Step{12 * second, "isolate", "edge-1", 10 * second}, Step{13 * second, "withdraw", "", 0})
 	write := result.Record.Writes[len(result.Record.Writes)-1]
-	requireAtLeast(t, "requests with the key at the cut-off proxy past the bound, refused",
-		countRequests(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
-			_, valid := write.Keys[asked.Key]
-			return asked.Proxy == "edge-1" && !valid && asked.Sent > write.At+5*second && asked.Code == int(errcode.BusyStale)
+	requireAtLeast(t, "requests with the key at the isolated proxy, refused after the bound",
+		countRequests(result.Record, func(request checker.CallerRequest, _ []checker.Execution) bool {
+			_, valid := write.Keys[request.Key]
+			return request.Proxy == "edge-1" && !valid && request.Sent > write.At+5*second && request.Code == int(errcode.BusyStale)
 		}), 3)
-	requireAtLeast(t, "requests with the key at the cut-off proxy before the bound, run",
-		countRequests(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
-			_, valid := write.Keys[asked.Key]
-			return asked.Proxy == "edge-1" && !valid && asked.Sent > write.At && len(runs) > 0
+	requireAtLeast(t, "requests with the key at the isolated proxy, run before the bound",
+		countRequests(result.Record, func(request checker.CallerRequest, executions []checker.Execution) bool {
+			_, valid := write.Keys[request.Key]
+			return request.Proxy == "edge-1" && !valid && request.Sent > write.At && len(executions) > 0
 		}), 1)
 }
 
@@ -173,11 +173,11 @@
 			result.Review.Worst["drain-ms"]))
 	runsAfterDrain := 0
 	for _, leaving := range result.Record.DrainStarts {
-		runsAfterDrain += countRequests(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
-			return len(runs) > 0 && runs[0].Instance == leaving.Instance && runs[0].At > leaving.At
+		runsAfterDrain += countRequests(result.Record, func(request checker.CallerRequest, executions []checker.Execution) bool {
+			return len(executions) > 0 && executions[0].Instance == leaving.Instance && executions[0].At > leaving.At
 		})
 	}
-	requireAtLeast(t, "runs at an upstream that had said elsewhere that it leaves", runsAfterDrain, 5)
+	requireAtLeast(t, "runs at an upstream that had announced its drain to another proxy", runsAfterDrain, 5)
 }
 
 // Point 9: one machine after another shuts down gracefully while requests run through it.
@@ -189,12 +189,13 @@
 	result := playParallel(t, "umuyoboro", 9, 300, plan...)
 	runningAtStop := 0
 	for _, stop := range result.Record.Stopped {
-		runningAtStop += countRequests(result.Record, func(asked checker.CallerRequest, runs []checker.Execution) bool {
-			return len(runs) > 0 && (asked.Proxy == stop.Name || runs[0].ServingProxy == stop.Name) && runs[0].At < stop.From &&
-				runs[0].ResponseSent > stop.From
+		runningAtStop += countRequests(result.Record, func(request checker.CallerRequest, executions []checker.Execution) bool {
+			return len(executions) > 0 && (request.Proxy == stop.Name || executions[0].ServingProxy == stop.Name) &&
+				executions[0].At < stop.From &&
+				executions[0].ResponseSent > stop.From
 		})
 	}
-	requireAtLeast(t, "requests running at the signal", runningAtStop, 5)
+	requireAtLeast(t, "requests running at the stop signal", runningAtStop, 5)
 }
 
 // Point 10: all upstreams of a service crash and return, so that every request would try every upstream.
@@ -205,8 +206,8 @@
 		Step{18 * second, "service-kill", "dispatch/dispatch-1", 2 * second})
 	requireAtLeast(t, "tries again", result.Review.Seen["tries again"], 20)
 	requireAtLeast(t, "requests refused because the retry budget was spent",
-		countRequests(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
-			return asked.Code == int(errcode.BusyBudget)
+		countRequests(result.Record, func(request checker.CallerRequest, _ []checker.Execution) bool {
+			return request.Code == int(errcode.BusyBudget)
 		}), 20)
 }
 
@@ -219,8 +220,8 @@
 				Step{killed, "kill-all", "", 4 * second},
 				Step{25 * second, "kill-holder", "usage", second})
 			requireAtLeast(t, "answers in the last tenth of a second",
-				countRequests(result.Record, func(asked checker.CallerRequest, _ []checker.Execution) bool {
-					return asked.Code == 0 && !asked.Connection && asked.Done > killed-second/10 && asked.Done <= killed
+				countRequests(result.Record, func(request checker.CallerRequest, _ []checker.Execution) bool {
+					return request.Code == 0 && !request.Connection && request.Done > killed-second/10 && request.Done <= killed
 				}), 10)
 			requireAtLeast(t, "windows read back", result.Review.Seen["windows read back"], 12)
 		})
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -12,6 +12,7 @@
 	"beaconvane/internal/storage"
 )
 
+// maxInboxLength is the number of arrivals that a frozen process queues; further ones are dropped.
 const maxInboxLength = 20000
 
 // Node is one simulated process: the product's state machine with its own clock and disk, and for a
@@ -106,6 +107,7 @@
 	return n.machine
 }
 
+// address returns the node's control address.
 func (n *Node) address() string { return n.settings.Address }
 
 // every calls a function periodically by the node's clock, until the process ends.
--- a/internal/simulation/node_lifecycle.go
+++ b/internal/simulation/node_lifecycle.go
@@ -78,7 +78,7 @@
 }
 
 // stop shuts the process down gracefully, as package cli does on a signal: it signs off from the other
-// nodes, refuses requests that have not started, waits for the others, and ends.
+// nodes, refuses requests that have not started, waits up to Grace for those in progress, and ends.
 func (n *Node) stop(downtime time.Duration) {
 	if !n.up || n.frozen {
 		return
--- a/internal/simulation/operator_writes.go
+++ b/internal/simulation/operator_writes.go
@@ -19,7 +19,7 @@
 // one that the operator doesn't get, is checked against earlier answers: a version has one content, and
 // a write that was accepted is not refused later.
 const (
-	registrySilenceTimeout = time.Second            // a fifth of it is added to the registry's own OperatorTimeout
+	registrySilenceTimeout = time.Second            // a fifth of it is added to OperatorTimeout before a retry
 	writeRetryDelay        = 50 * time.Millisecond  // before the first retry; grows linearly with the attempts
 	maxWriteRetryDelay     = 500 * time.Millisecond // upper limit of the delay
 )
@@ -45,8 +45,8 @@
 func (w *World) newConfigWrite(version int64, tenants []loadgen.Tenant, body []byte, onFinish func(code errcode.Code)) *configWrite {
 	write := &configWrite{version: version, tenants: tenants, body: body, digest: checker.Digest(body), onFinish: onFinish}
 	write.operation = &configLogOperation{
-		request: configLogRequest{write: true, version: version, entry: fmt.Sprintf("%d:%s", version, write.digest)},
-		from:    w.now,
+		request:  configLogRequest{write: true, version: version, entry: fmt.Sprintf("%d:%s", version, write.digest)},
+		calledAt: w.now,
 	}
 	w.configLogOperations = append(w.configLogOperations, write.operation)
 	w.configWrites = append(w.configWrites, write)
@@ -147,7 +147,7 @@
 // finishWrite records the final answer to a write.
 func (w *World) finishWrite(write *configWrite, code errcode.Code) {
 	write.finished, write.code, write.finishedAt = true, code, w.now
-	write.operation.answer, write.operation.to, write.operation.answered = configLogAnswer{code: code}, w.now, true
+	write.operation.answer, write.operation.answeredAt, write.operation.answered = configLogAnswer{code: code}, w.now, true
 	if code == errcode.OK && w.acceptedDigests[write.version] == write.digest {
 		w.recordAcknowledged(write.version, write.digest, write.tenants)
 	}
@@ -179,23 +179,23 @@
 // askRegistry sends an operator's request to a registry. It checks that the registry answers within its
 // timeout, that a read isn't older than the last acknowledged write, and that a partitioned registry
 // answers only that it can't serve the request.
-func (w *World) askRegistry(registryNode *Node, question any, done func(answer registry.OperatorResponse)) {
+func (w *World) askRegistry(registryNode *Node, request any, done func(answer registry.OperatorResponse)) {
 	began, incarnation, newestAcknowledged := w.now, registryNode.incarnation, w.newestAcknowledged
 	_, partitionedBefore := w.partitionedSince[registryNode.machine]
 	answered := false
-	registryNode.request(question, func(reply any) {
+	registryNode.request(request, func(reply any) {
 		answered = true
 		answer := mustCast[registry.OperatorResponse](reply)
-		if read, isRead := question.(registry.ReadConfiguration); isRead && answer.Code == errcode.OK && !read.List && read.Version == 0 {
+		if read, isRead := request.(registry.ReadConfiguration); isRead && answer.Code == errcode.OK && !read.List && read.Version == 0 {
 			w.checkReadAnswer(registryNode, answer, newestAcknowledged)
 		}
 		if since, partitioned := w.partitionedSince[registryNode.machine]; partitionedBefore && partitioned && since <= began {
-			w.checkPartitionedAnswer(registryNode, question, answer.Code)
+			w.checkPartitionedAnswer(registryNode, request, answer.Code)
 		}
 		done(answer)
 	})
 	bodySize := 0
-	if write, isWrite := question.(registry.WriteConfiguration); isWrite {
+	if write, isWrite := request.(registry.WriteConfiguration); isWrite {
 		bodySize = len(write.Body)
 	}
 	w.after(registryNode.settings.OperatorTimeout(bodySize)+registrySilenceTimeout/5, func() {
@@ -220,9 +220,9 @@
 
 // checkPartitionedAnswer checks that a registry that is partitioned from the others answers only that it
 // can't serve the request.
-func (w *World) checkPartitionedAnswer(registryNode *Node, question any, code errcode.Code) {
+func (w *World) checkPartitionedAnswer(registryNode *Node, request any, code errcode.Code) {
 	operation := "reads"
-	if _, isWrite := question.(registry.WriteConfiguration); isWrite {
+	if _, isWrite := request.(registry.WriteConfiguration); isWrite {
 		operation = "orders"
 	}
 	w.dangers[operation+" answered by a cut-off node"]++
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -25,8 +25,8 @@
 	w.traceEvent("put %d to %s", version, registryNode.name)
 	digest := checker.Digest(body)
 	operation := &configLogOperation{
-		request: configLogRequest{write: true, version: version, entry: fmt.Sprintf("%d:%s", version, digest)},
-		from:    w.now,
+		request:  configLogRequest{write: true, version: version, entry: fmt.Sprintf("%d:%s", version, digest)},
+		calledAt: w.now,
 	}
 	if tenants != nil {
 		w.configLogOperations = append(w.configLogOperations, operation)
@@ -40,7 +40,7 @@
 	}, func(answer any) {
 		response := mustCast[registry.OperatorResponse](answer)
 		code := response.Code
-		operation.answer, operation.to, operation.answered = configLogAnswer{code: code}, w.now, true
+		operation.answer, operation.answeredAt, operation.answered = configLogAnswer{code: code}, w.now, true
 		w.traceEvent("put %d answered %s", version, code)
 		if code == errcode.OK && gjson.GetBytes(response.Body, "version").Int() == version {
 			w.recordAcknowledged(version, digest, tenants)
--- a/internal/simulation/partition.go
+++ b/internal/simulation/partition.go
@@ -21,6 +21,7 @@
 	leaseHolderTarget      = "holder" // target of a step: the holder of the configuration log's lease
 )
 
+// partitionPlan draws the plan of the cutoff scenario.
 func partitionPlan(d workload.Deployment, random *rand.Rand) []Step {
 	kind := []string{"sever", "sever-out", "sever-in"}[random.IntN(3)]
 	target := randomCoreMachine(d, random)
@@ -181,11 +182,11 @@
 	if !partitioned || w.now-since < registryNode.settings.MaxAgeReady()+majoritySettleTime {
 		return
 	}
-	for _, question := range []any{registry.ReadRoster{}, registry.ReadConfigurationStatus{ConfigName: "main"}} {
-		registryNode.request(question, func(answer any) {
+	for _, request := range []any{registry.ReadRoster{}, registry.ReadConfigurationStatus{ConfigName: "main"}} {
+		registryNode.request(request, func(answer any) {
 			w.dangers["views asked of a cut-off node"]++
 			if code := mustCast[registry.OperatorResponse](answer).Code; code == errcode.OK {
-				w.fail("%s, partitioned for %s, answered %T as current", registryNode.name, w.now-since, question)
+				w.fail("%s, partitioned for %s, answered %T as current", registryNode.name, w.now-since, request)
 			}
 		})
 	}
@@ -193,7 +194,7 @@
 
 // restartWithPartitionedSeed restarts every third proxy with settings whose first seed is the partitioned
 // machine.
-func (w *World) restartWithPartitionedSeed(down time.Duration) {
+func (w *World) restartWithPartitionedSeed(downtime time.Duration) {
 	seeds := []string{}
 	for _, machine := range append(w.partitionedMachines(), w.coreMachines()...) {
 		for _, registryNode := range w.machineNodes(machine) {
@@ -205,7 +206,7 @@
 	for index, proxy := range w.nodesByRole(message.RoleProxy) {
 		if index%3 == 0 {
 			proxy.settings.Seeds = seeds[:min(len(seeds), 3)]
-			w.restart([]*Node{proxy}, false, down)
+			w.restart([]*Node{proxy}, false, downtime)
 			w.dangers["restarts with the cut-off machine as first seed"]++
 		}
 	}
--- a/internal/simulation/proxy_connection.go
+++ b/internal/simulation/proxy_connection.go
@@ -108,15 +108,15 @@
 // every 200 ms; after 25 retries the connection breaks.
 func (s *simConnection) deliverLater(arrival time.Duration, from, to *Node, incarnation int, do func()) {
 	w := s.from.world
-	tries := 0
+	retries := 0
 	var deliver func()
 	deliver = func() {
 		if s.closed || !to.up || to.incarnation != incarnation {
 			return
 		}
 		if !w.reachable(from, to) {
-			tries++
-			if tries > 25 {
+			retries++
+			if retries > 25 {
 				s.drop()
 				return
 			}
@@ -155,15 +155,15 @@
 		}
 		for _, connection := range node.connections {
 			if connection.to == ended && connection.established && !connection.closed {
-				lost := connection
+				broken := connection
 				var notify func()
 				notify = func() {
 					// A cut link doesn't carry the end of the connection; retry.
-					if !w.reachable(ended, lost.from) {
+					if !w.reachable(ended, broken.from) {
 						w.after(200*time.Millisecond, notify)
 						return
 					}
-					lost.drop()
+					broken.drop()
 				}
 				w.after(w.randomTransitDelay(), notify)
 			}
--- a/internal/simulation/refusal_causes.go
+++ b/internal/simulation/refusal_causes.go
@@ -23,12 +23,12 @@
 // has a free slot, and its serving proxy has been up for as long and is reachable from the given proxy.
 func (w *World) upstreamAvailable(from *Node, service string) bool {
 	for _, key := range w.upstreamOrder {
-		u := w.upstreams[key]
-		if u.announcement.Service != service || !u.up || u.announcement.Draining ||
-			w.now < u.warmUntil+propagationTime || u.running >= u.slots {
+		upstream := w.upstreams[key]
+		if upstream.announcement.Service != service || !upstream.up || upstream.announcement.Draining ||
+			w.now < upstream.warmUntil+propagationTime || upstream.running >= upstream.slots {
 			continue
 		}
-		for _, servingProxy := range u.servingProxies {
+		for _, servingProxy := range upstream.servingProxies {
 			if !servingProxy.up || servingProxy.frozen {
 				continue
 			}
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -71,14 +71,14 @@
 
 // replaceFrozenMachine freezes a core machine and starts an empty one at a new address for the same
 // voter; the old one resumes later.
-func (w *World) replaceFrozenMachine(machine string, frozen time.Duration) {
+func (w *World) replaceFrozenMachine(machine string, duration time.Duration) {
 	for index, old := range w.machineNodes(machine) {
 		host := fmt.Sprintf("10.1.9.%d:7%d00", len(w.nodeOrder)+1, 4+index)
 		replacement := w.addNode(old.role, machine+replacementSuffix, old.settings.Voter, old.settings.Zone, host, old.settings.Seeds)
 		replacement.name, replacement.settings.Node = old.role+"/"+machine+replacementSuffix, old.settings.Node
 		w.after(500*time.Millisecond, replacement.boot)
 	}
-	w.freeze(w.machineNodes(machine), frozen)
+	w.freeze(w.machineNodes(machine), duration)
 }
 
 // forceRecover performs the operator's force-recover command on a machine that survived the loss of the
--- a/internal/simulation/same_version.go
+++ b/internal/simulation/same_version.go
@@ -22,6 +22,7 @@
 	lostOperatorAnswerShare   = 0.7
 )
 
+// sameVersionPlan draws the plan of the same-version scenario.
 func sameVersionPlan(_ workload.Deployment, random *rand.Rand) []Step {
 	start := between(random, 9, 10)
 	plan := []Step{
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -35,10 +35,10 @@
 	Seed     uint64
 	Plan     []Step
 	Review   checker.Review
-	Trace    uint64
-	Steps    int64
-	Good     float64 // share of requests to running proxies that were answered
-	Last     time.Duration
+	Trace    uint64        // hash over all events of the run
+	Steps    int64         // events executed
+	Good     float64       // share of all requests that were answered
+	Last     time.Duration // end of the last fault
 	Record   checker.Record
 }
 
--- a/internal/simulation/second_loss.go
+++ b/internal/simulation/second_loss.go
@@ -34,6 +34,7 @@
 	at       time.Duration
 }
 
+// secondLossPlan draws the plan of the second-loss scenario: a repair or a replacement, and the armed loss.
 func secondLossPlan(d workload.Deployment, random *rand.Rand) []Step {
 	repairs := []string{"kill-disk", "replace-voter"}
 	if d.VoterCount > 0 {
@@ -77,43 +78,43 @@
 
 // armSecondLoss arms a loss that waits for a replacement's vote.
 func (w *World) armSecondLoss(kind string, step Step) {
-	w.armed = &armedLoss{kind: kind, downtime: step.For, excluded: step.Target}
+	w.pendingLoss = &armedLoss{kind: kind, downtime: step.For, excluded: step.Target}
 }
 
 // voterRecovered handles a replacement process that has got its vote. Once all processes of its machine
 // have theirs, the armed loss is triggered within secondLossDelay.
-func (w *World) voterRecovered(newcomer *Node) {
-	armed := w.armed
-	w.votingProcesses[newcomer.machine]++
-	if armed == nil || armed.machine != "" || w.votingProcesses[newcomer.machine] < processesPerCoreMachine {
+func (w *World) voterRecovered(replacement *Node) {
+	loss := w.pendingLoss
+	w.votingProcesses[replacement.machine]++
+	if loss == nil || loss.machine != "" || w.votingProcesses[replacement.machine] < processesPerCoreMachine {
 		return
 	}
 	others := []string{}
 	for _, machine := range w.coreMachines() {
-		if machine != newcomer.machine && machine != armed.excluded {
+		if machine != replacement.machine && machine != loss.excluded {
 			others = append(others, machine)
 		}
 	}
-	armed.machine = others[w.random.IntN(len(others))]
-	w.after(time.Duration(w.random.Int64N(int64(secondLossDelay))), func() { w.triggerSecondLoss(armed) })
+	loss.machine = others[w.random.IntN(len(others))]
+	w.after(time.Duration(w.random.Int64N(int64(secondLossDelay))), func() { w.triggerSecondLoss(loss) })
 }
 
 // triggerSecondLoss executes the armed loss and checks that a write is accepted while the machine is away.
-func (w *World) triggerSecondLoss(armed *armedLoss) {
+func (w *World) triggerSecondLoss(loss *armedLoss) {
 	w.dangers["second losses right after a newcomer's vote"]++
-	w.runStep(Step{At: w.now, Do: armed.kind, Target: armed.machine, For: armed.downtime})
-	armed.at = w.now
+	w.runStep(Step{At: w.now, Do: loss.kind, Target: loss.machine, For: loss.downtime})
+	loss.at = w.now
 	before := w.newestAcknowledged
 	w.after(secondLossAcceptWithin, func() {
 		if w.newestAcknowledged == before {
-			w.fail("no write was accepted for %s after the loss of %s", secondLossAcceptWithin, armed.machine)
+			w.fail("no write was accepted for %s after the loss of %s", secondLossAcceptWithin, loss.machine)
 		}
 		w.dangers["orders taken while the second is away"] += int(w.newestAcknowledged - before)
 	})
 }
 
 // replacePlanned adds an empty machine and then shuts down the one that it replaces. With a non-empty
-// variant, the new machine crashes right after that.
+// variant, the new machine crashes within secondLossDelay after that.
 func (w *World) replacePlanned(machine string, wait time.Duration, variant string) {
 	replacements := []*Node{}
 	for _, old := range w.machineNodes(machine) {
@@ -144,27 +145,27 @@
 // another machine is partitioned during the last writes before the shutdown.
 func (w *World) replaceWithBareMajority(machine string, wait time.Duration) {
 	others := without(w.coreMachines(), machine)
-	behind := others[w.random.IntN(len(others))]
-	w.cutLinksBetween([]string{behind}, without(w.coreMachines(), behind), true, wait+500*time.Millisecond)
+	laggard := others[w.random.IntN(len(others))]
+	w.cutLinksBetween([]string{laggard}, without(w.coreMachines(), laggard), true, wait+500*time.Millisecond)
 	w.replacePlanned(machine, wait, "")
 }
 
 // countBareMajority counts, as a danger, a leaving machine whose newest change is on a bare majority of the
 // stores, and one that holds the configuration log's lease.
 func (w *World) countBareMajority(machine string) {
-	newest, holders := int64(0), 0
+	newestOfMachine, upToDate := int64(0), 0
 	for _, store := range w.runningNodes(message.RoleConfigStore) {
 		version := newestVersion(store)
 		if store.machine == machine {
-			newest = version
+			newestOfMachine = version
 		}
 	}
 	for _, store := range w.runningNodes(message.RoleConfigStore) {
-		if newestVersion(store) >= newest {
-			holders++
+		if newestVersion(store) >= newestOfMachine {
+			upToDate++
 		}
 	}
-	if holders*2 <= len(w.coreMachines())+1 {
+	if upToDate*2 <= len(w.coreMachines())+1 {
 		w.dangers["leaving voters with the newest change on a bare majority"]++
 	}
 	if machine == w.leaseHolder(settings.ConfigLogLease) {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -11,6 +11,7 @@
 	"beaconvane/internal/workload"
 )
 
+// testRate is in requests per second.
 const testRate = 60
 
 // skipUnderRace skips a test under the race detector, which can find nothing in a run of one thread.
@@ -20,6 +21,7 @@
 	}
 }
 
+// playScenario runs a scenario with a seed. The run must break no rule.
 func playScenario(t *testing.T, deployment, scenario string, seed uint64) Result {
 	skipUnderRace(t)
 	d, known := workload.Named(deployment)
@@ -67,13 +69,13 @@
 		{"umuyoboro", "any-fleet", 27},           // the holder crashed after the acknowledgement, before its push was complete
 		{"umuyoboro", "cut-and-killed", 2},       // a restarted serving proxy denied requests that its earlier incarnation had started
 		{"umuyoboro", "upstreams", 5},            // the new owner of an address got the old owner's requests
-		{"umuyoboro", "two-disks-lost", 3},       // empty machines founded a second group, and later one machine held two voters
+		{"umuyoboro", "two-disks-lost", 3},       // empty machines founded a new group, and later filled two voters at once
 		{"jendela", "usurped", 6},                // the replaced machine was still treated as the lease holder
 		{"umuyoboro", "restarted-behind-cut", 1}, // covers the scenario
 		{"jendela", "any-fleet", 2},              // covers the scenario
 		{"umuyoboro", "stale-root", 1},           // a restarted proxy accepted an older configuration from a partitioned relay
 		{"umuyoboro", "any-fleet", 1193},         // a restarted parent had an older state than its children
-		{"umuyoboro", "any-fleet", 1119},         // a former holder got the lease back through voters that had missed a later lease
+		{"umuyoboro", "any-fleet", 1119},         // a former holder returned through voters that had missed its lease
 		{"umuyoboro", "any-fleet", 2016},         // usage counts of a crashed proxy were at one other voter only
 		{"umuyoboro", "two-disks-lost", 3001},    // a usage lease holder without earlier reports started with windows of an hour before
 		{"umuyoboro", "away-and-swapped", 3000},  // a proxy returned after a minute with all its seeds replaced, and no node contacted it
--- a/internal/simulation/upstream.go
+++ b/internal/simulation/upstream.go
@@ -23,11 +23,11 @@
 	workTime             time.Duration
 	up                   bool
 	incarnation          int
-	running              int
+	running              int // requests in progress
 	maxRunning           int
 	slots                int
 	executions           []checker.Execution
-	crashCallbacks       []func()
+	crashCallbacks       []func() // called at a crash, one for each request
 	faults               stubserver.Faults
 	firstProxy           int
 	warmUntil            time.Duration
@@ -136,12 +136,12 @@
 		if !servingProxy.up || servingProxy.frozen {
 			continue
 		}
-		chosenServingProxy, servingProxyLife := servingProxy, servingProxy.incarnation
+		chosenServingProxy, proxyIncarnation := servingProxy, servingProxy.incarnation
 		u.world.after(200*time.Microsecond, func() {
 			if u.incarnation != incarnation || !u.up {
 				return
 			}
-			chosenServingProxy.run(servingProxyLife, func() {
+			chosenServingProxy.run(proxyIncarnation, func() {
 				if chosenServingProxy.dispatcher.Announce(announcement) {
 					chosenServingProxy.openGuardConnection(announcement)
 				}
@@ -182,7 +182,7 @@
 // execute runs a request. It calls end with the outcome as the serving proxy reads it, or lose if the
 // connection breaks before a response; neither if the machine vanishes.
 func (u *Upstream) execute(servingProxy *Node, decision backend.Decision, stream *upstreamStream,
-	end func(outcome message.Outcome, broke bool), lose func()) {
+	end func(outcome message.Outcome, broken bool), lose func()) {
 	w := u.world
 	u.running++
 	u.maxRunning = max(u.maxRunning, u.running)
--- a/internal/simulation/upstream_connection.go
+++ b/internal/simulation/upstream_connection.go
@@ -127,13 +127,13 @@
 		connection.stream = &upstreamStream{}
 	}
 	finished := false
-	end := func(outcome message.Outcome, broke bool) {
+	end := func(outcome message.Outcome, broken bool) {
 		if finished {
 			return
 		}
 		finished = true
 		n.run(incarnation, func() {
-			if broke {
+			if broken {
 				n.backend.InvalidateProof(target)
 			} else if outcome.Kind == message.Completed {
 				n.backend.RecordActivity(n.Now(), target)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -47,7 +47,7 @@
 	record               checker.Record
 	callerRequests       []*checker.CallerRequest
 	faults               map[string]fault // by step name
-	armed                *armedLoss       // second loss that waits for a replacement's vote
+	pendingLoss          *armedLoss       // second loss that waits for a replacement's vote
 	votingProcesses      map[string]int   // by machine: processes that got a vote on an empty disk
 	collectorDownUntil   time.Duration    // the collector accepts no reports until then
 	collectorFaultyUntil time.Duration    // the collector loses or delays its answers until then
