--- a/internal/routeconfig/check_values.go
+++ b/internal/routeconfig/check_values.go
@@ -7,22 +7,23 @@
 	"github.com/tidwall/gjson"
 )
 
-// Problems that several fields may have.
+// Problems that are reported for several fields.
 const (
-	wantObject      = "want an object"
-	wantList        = "want a list"
-	wantText        = "want a text that is not empty"
-	wantBool        = "want true or false"
-	wantAboveZero   = "want a whole number above 0"
-	wantPositive    = "want a whole number above 0, or a fraction of one"
-	wantNotNegative = "want a number of 0 or more"
-	wantPriority    = "want a whole number of 0 or more"
+	problemNotObject             = "want an object"
+	problemNotList               = "want a list"
+	problemNotText               = "want a text that is not empty"
+	problemNotBool               = "want true or false"
+	problemNotPositiveInteger    = "want a whole number above 0"
+	problemNotPositive           = "want a whole number above 0, or a fraction of one"
+	problemNegative              = "want a number of 0 or more"
+	problemNotNonNegativeInteger = "want a whole number of 0 or more"
 )
 
-// unbounded is the bound of a number that may be as large as it likes.
-const unbounded = 0
+// noMaximum is passed to checkPositiveInteger for a number without a maximum.
+const noMaximum = 0
 
-// checkUnique notes a name, and finds fault with one that is there already.
+// checkUnique adds a name to those already seen, and adds a fault if it is one of them. A lenient
+// configuration may repeat names.
 func (c *checker) checkUnique(names map[string]bool, path, name, problem string) {
 	if names[name] && !c.lenient {
 		c.add(path, problem)
@@ -30,13 +31,13 @@
 	names[name] = true
 }
 
-// checkList checks each item of a list, if there is one; items are counted from 0 in their paths.
+// checkList checks each item of an optional list. The path of an item ends in its index, from 0.
 func (c *checker) checkList(path string, value gjson.Result, checkItem func(path string, item gjson.Result)) {
 	if !value.Exists() {
 		return
 	}
 	if !value.IsArray() {
-		c.add(path, wantList)
+		c.add(path, problemNotList)
 		return
 	}
 	for index, item := range value.Array() {
@@ -44,20 +45,20 @@
 	}
 }
 
-// checkText returns a text; "" is a fault.
-func (c *checker) checkText(path string, value gjson.Result) string {
+// checkString checks that a value is a string that is not empty, and returns it; "" if it is not.
+func (c *checker) checkString(path string, value gjson.Result) string {
 	if value.Type != gjson.String || value.String() == "" {
-		c.add(path, wantText)
+		c.add(path, problemNotText)
 		return ""
 	}
 	return value.String()
 }
 
-// checkTextSet returns the texts of a list, in which each may stand once.
-func (c *checker) checkTextSet(path string, value gjson.Result) map[string]bool {
+// checkStringSet checks that an optional list holds distinct strings, and returns them.
+func (c *checker) checkStringSet(path string, value gjson.Result) map[string]bool {
 	texts := map[string]bool{}
 	c.checkList(path, value, func(itemPath string, item gjson.Result) {
-		text := c.checkText(itemPath, item)
+		text := c.checkString(itemPath, item)
 		if texts[text] {
 			c.add(itemPath, "stands twice")
 		}
@@ -66,60 +67,62 @@
 	return texts
 }
 
+// checkBool checks that an optional value is true or false.
 func (c *checker) checkBool(path string, value gjson.Result) {
 	if value.Exists() && !value.IsBool() {
-		c.add(path, wantBool)
+		c.add(path, problemNotBool)
 	}
 }
 
-// checkChoice wants one of some texts, if there is a value.
+// checkChoice checks that an optional value is one of the choices.
 func (c *checker) checkChoice(path string, value gjson.Result, choices []string, problem string) {
 	if value.Exists() && !slices.Contains(choices, value.String()) {
 		c.add(path, problem)
 	}
 }
 
-// checkCount wants a whole number above 0. A lenient configuration may say 0 for "not set", and
-// fractions.
+// checkCount checks that an optional value is a whole number above 0. A lenient configuration may also
+// give 0, which means "not set", and fractions.
 func (c *checker) checkCount(path string, value gjson.Result) {
 	if !c.lenient {
-		c.checkWholeNumber(path, value, unbounded)
+		c.checkPositiveInteger(path, value, noMaximum)
 		return
 	}
 	if value.Exists() && (value.Type != gjson.Number || value.Num < 0) {
-		c.add(path, wantNotNegative)
+		c.add(path, problemNegative)
 	}
 }
 
-// checkPositive wants a number above 0, fractions included.
-func (c *checker) checkPositive(path string, value gjson.Result) {
+// checkPositiveNumber checks that an optional value is a number above 0. It may be a fraction.
+func (c *checker) checkPositiveNumber(path string, value gjson.Result) {
 	if value.Exists() && (value.Type != gjson.Number || value.Num <= 0) {
-		c.add(path, wantPositive)
+		c.add(path, problemNotPositive)
 	}
 }
 
-// checkPriority wants a whole number of 0 or more.
-func (c *checker) checkPriority(path string, value gjson.Result) {
-	if value.Exists() && (!isWhole(value) || value.Int() < 0) {
-		c.add(path, wantPriority)
+// checkNonNegativeInteger checks that an optional value is a whole number of 0 or more.
+func (c *checker) checkNonNegativeInteger(path string, value gjson.Result) {
+	if value.Exists() && (!isInteger(value) || value.Int() < 0) {
+		c.add(path, problemNotNonNegativeInteger)
 	}
 }
 
-// checkWholeNumber wants a whole number above 0 and, unless it is unbounded, up to a bound.
-func (c *checker) checkWholeNumber(path string, value gjson.Result, bound int64) {
+// checkPositiveInteger checks that an optional value is a whole number above 0 and, unless the maximum is
+// noMaximum, not above the maximum.
+func (c *checker) checkPositiveInteger(path string, value gjson.Result, maximum int64) {
 	if !value.Exists() {
 		return
 	}
-	if !isWhole(value) || value.Int() <= 0 {
-		c.add(path, wantAboveZero)
+	if !isInteger(value) || value.Int() <= 0 {
+		c.add(path, problemNotPositiveInteger)
 		return
 	}
-	if bound > unbounded && value.Int() > bound {
-		c.add(path, fmt.Sprintf("the settings allow at most %d", bound))
+	if maximum > noMaximum && value.Int() > maximum {
+		c.add(path, fmt.Sprintf("the settings allow at most %d", maximum))
 	}
 }
 
-// isWhole says that a value is a number without a fraction that fits 64 bits.
-func isWhole(value gjson.Result) bool {
+// isInteger reports whether a value is a number without a fraction that fits in 64 bits.
+func isInteger(value gjson.Result) bool {
 	return value.Type == gjson.Number && value.Num == float64(value.Int())
 }
--- a/internal/routeconfig/fuzz_test.go
+++ b/internal/routeconfig/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Any bytes are refused with faults or give a configuration that answers every question;
-// the same bytes always get the same verdict, for every voter checks alone.
+// Any bytes are either refused with faults or give a configuration whose methods don't panic. Check is
+// deterministic: each voter checks a configuration on its own, and all must decide alike.
 func FuzzCheck(f *testing.F) {
 	f.Add([]byte(pathConfiguration), "host", "/x/y")
 	f.Add([]byte(strings.Replace(pathConfiguration, "[", "{", 1)), "", "/")
@@ -20,9 +20,9 @@
 			checked := limits
 			checked.Lenient = lenient
 			faults, tooLarge := Check(body, checked)
-			again, tooLargeAgain := Check(body, checked)
-			if fmt.Sprint(faults) != fmt.Sprint(again) || tooLarge != tooLargeAgain {
-				t.Fatalf("two verdicts: %v and %v", faults, again)
+			repeatedFaults, repeatedTooLarge := Check(body, checked)
+			if fmt.Sprint(faults) != fmt.Sprint(repeatedFaults) || tooLarge != repeatedTooLarge {
+				t.Fatalf("Check is not deterministic: it returned %v and then %v", faults, repeatedFaults)
 			}
 			if len(faults) > 0 || tooLarge {
 				continue
@@ -41,18 +41,19 @@
 	})
 }
 
+// A path that NormalizePath accepts is normalised by it in one step.
 func FuzzNormalPath(f *testing.F) {
 	f.Add("/x/y")
 	f.Add("/%7e/%2f")
 	f.Add("/a/../b")
 	f.Fuzz(func(t *testing.T, raw string) {
-		normal, err := NormalizePath(raw)
+		normalized, err := NormalizePath(raw)
 		if err != nil {
 			return
 		}
-		again, err := NormalizePath(normal)
-		if err != nil || again != normal {
-			t.Fatalf("%q becomes %q, and that becomes %q (%v)", raw, normal, again, err)
+		again, err := NormalizePath(normalized)
+		if err != nil || again != normalized {
+			t.Fatalf("%q becomes %q, and that becomes %q (%v)", raw, normalized, again, err)
 		}
 	})
 }
--- a/internal/routeconfig/lenient_test.go
+++ b/internal/routeconfig/lenient_test.go
@@ -1,5 +1,5 @@
-// Tests of lenient configurations: what the platform page calls invalid is refused, and nothing
-// else, over generated configurations.
+// Tests of lenient limits with generated configurations: Check refuses exactly what the platform page (docs/platform.md)
+// calls invalid.
 package routeconfig
 
 import (
@@ -13,15 +13,16 @@
 )
 
 const (
-	generated     = 300
-	generatorSeed = 17
+	generatedCount = 300
+	generatorSeed  = 17
 )
 
 var lenientLimits = Limits{MaxBytes: 4 << 20, MaxEntries: 20000, MaxTimeout: 10 * time.Minute, Lenient: true}
 
+// pick returns a random one of some values.
 func pick[T any](random *rand.Rand, from ...T) T { return from[random.IntN(len(from))] }
 
-// generate makes a configuration that the page allows.
+// generate returns a random configuration that the platform page allows.
 func generate(random *rand.Rand) map[string]any {
 	services, serviceNames := []any{}, []string{}
 	for number := range 1 + random.IntN(4) {
@@ -74,10 +75,10 @@
 	return configuration
 }
 
-func TestEveryAllowedConfigurationIsTaken(t *testing.T) {
+func TestEveryAllowedConfigurationIsAccepted(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(generatorSeed, generatorSeed))
-	for range generated {
+	for range generatedCount {
 		body, err := json.Marshal(generate(random))
 		c.Assert(err, qt.IsNil)
 		faults, tooLarge := Check(body, lenientLimits)
@@ -92,11 +93,12 @@
 	}
 }
 
-// Each thing that the page calls invalid, and each that its days send, made of a sound
-// configuration.
+// Each change makes a valid configuration invalid in one way. The changes are those that the platform page calls
+// invalid, and those to the content that the action bad_config of internal/tools/days makes. Check refuses them all,
+// and also truncated configurations.
 func TestEveryInvalidConfigurationIsRefused(t *testing.T) {
 	c := qt.New(t)
-	spoil := map[string]func(configuration, route map[string]any){
+	invalidations := map[string]func(configuration, route map[string]any){
 		"unknown service": func(_, route map[string]any) { delete(route, "split"); route["service"] = "nobody" },
 		"unknown service of a split": func(_, route map[string]any) {
 			route["split"] = []any{map[string]any{"service": "nobody", "weight": 1}}
@@ -113,7 +115,7 @@
 				map[string]any{"name": "b", "keys": []string{"k"}},
 			}
 		},
-		"two routes at one place": func(configuration, route map[string]any) {
+		"two routes with one match": func(configuration, route map[string]any) {
 			twin := map[string]any{"name": "twin", "host": route["host"], "prefix": route["prefix"],
 				"service": "service-0", "timeout_ms": 1}
 			configuration["routes"] = append(configuration["routes"].([]any), twin)
@@ -123,15 +125,15 @@
 		},
 	}
 	random := rand.New(rand.NewPCG(generatorSeed+1, generatorSeed))
-	for name, spoiled := range spoil {
-		for tried := 0; tried < 50; {
+	for name, invalidate := range invalidations {
+		for checked := 0; checked < 50; {
 			configuration := generate(random)
 			routes := configuration["routes"].([]any)
 			if len(routes) == 0 {
 				continue
 			}
-			tried++
-			spoiled(configuration, routes[random.IntN(len(routes))].(map[string]any))
+			checked++
+			invalidate(configuration, routes[random.IntN(len(routes))].(map[string]any))
 			body, err := json.Marshal(configuration)
 			c.Assert(err, qt.IsNil)
 			faults, _ := Check(body, lenientLimits)
