--- a/internal/simulation/random_control.go
+++ b/internal/simulation/random_control.go
@@ -6,7 +6,7 @@
 	"beaconvane/internal/workload"
 )
 
-// randomControlSteps draws steps of the control-plane scenarios for random plans: one kind of operator
+// randomControlSteps draws steps of the scenarios of configuration writes for random plans: one kind of operator
 // behaviour (writes on both sides of a partition, conflicting contents, lost answers, repeated writes),
 // and in half of the plans a partitioned core machine.
 func randomControlSteps(d workload.Deployment, random *rand.Rand) []Step {
--- a/internal/simulation/scenarios.go
+++ b/internal/simulation/scenarios.go
@@ -409,7 +409,7 @@
 	return append(append([]string{}, d.Zones...), settings.UsageLease, settings.ConfigLogLease)
 }
 
-// randomFleetPlan draws steps without those of the control-plane scenarios. The fixed seeds in the tests
+// randomFleetPlan draws steps without those of the scenarios of configuration writes. The fixed seeds in the tests
 // depend on its draws.
 func randomFleetPlan(d workload.Deployment, random *rand.Rand) []Step {
 	plan := []Step{}
@@ -419,7 +419,7 @@
 	return plan
 }
 
-// randomPlan draws a fleet plan and adds steps of the control-plane scenarios.
+// randomPlan draws a fleet plan and adds steps of the scenarios of configuration writes.
 func randomPlan(d workload.Deployment, random *rand.Rand) []Step {
 	return append(randomFleetPlan(d, random), randomControlSteps(d, random)...)
 }
