--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -16,19 +16,21 @@
 	"beaconvane/internal/stubserver"
 )
 
-// requestSoon is the callers' open loop.
-func (w *World) requestSoon(number int, begin time.Duration) {
-	when := begin + time.Duration(float64(number)/w.options.Rate*float64(time.Second))
-	if when > begin+w.options.Load {
+// scheduleRequest schedules the request with this number and, after it, the next one, until the load
+// ends. The loop is open: send times don't depend on responses.
+func (w *World) scheduleRequest(number int, begin time.Duration) {
+	sendAt := begin + time.Duration(float64(number)/w.options.Rate*float64(time.Second))
+	if sendAt > begin+w.options.Load {
 		return
 	}
-	w.at(when, func() {
-		w.requestOne(number)
-		w.requestSoon(number+1, begin)
+	w.at(sendAt, func() {
+		w.sendRandomRequest(number)
+		w.scheduleRequest(number+1, begin)
 	})
 }
 
-func (w *World) requestOne(number int) {
+// sendRandomRequest sends a request of a random kind, drawn by weight, from a random tenant.
+func (w *World) sendRandomRequest(number int) {
 	d := w.options.Deployment
 	total := 0.0
 	for _, kind := range d.Kinds {
@@ -42,16 +44,18 @@
 		}
 	}
 	tenants := d.Tenants()
-	w.requestWith(fmt.Sprintf("q%d", number), chosenKind, tenants[w.random.IntN(len(tenants))])
+	w.sendToRandomProxy(fmt.Sprintf("q%d", number), chosenKind, tenants[w.random.IntN(len(tenants))])
 }
 
-func (w *World) requestWith(id string, kind loadgen.Kind, tenant loadgen.Tenant) {
-	proxies := w.nodesOf(message.RoleProxy)
+// sendToRandomProxy sends a caller's request to a random proxy. One in eight carries forged identity
+// headers and API keys in a cookie.
+func (w *World) sendToRandomProxy(id string, kind loadgen.Kind, tenant loadgen.Tenant) {
+	proxies := w.nodesByRole(message.RoleProxy)
 	header := http.Header{}
 	header.Set(frontend.APIKeyHeader, tenant.Key)
 	header.Set(backend.CallerHeader, kind.Caller)
 	if w.random.IntN(8) == 0 {
-		// Some callers claim to be others, and show their key in more places.
+		// The proxy must ignore the forged identity and must not pass the keys on.
 		header.Set(backend.TenantHeader, "tenant-0")
 		header.Set("X_Calling_Service", "dispatch")
 		header.Set("Cookie", "session="+strings.ToUpper(tenant.Key)+"; other="+w.options.Deployment.Tenants()[0].Key)
@@ -61,83 +65,87 @@
 		checker.CallerRequest{ID: id, Tenant: tenant.Name, Key: tenant.Key, Caller: kind.Caller}, func() {})
 }
 
-// callOn is an upstream's further call, with the pass of the request that it runs.
-func (w *World) callOn(servingProxy *Node, order backend.Decision, from string, kind loadgen.Kind, id string, then func()) {
+// sendNestedRequest sends the request that an upstream makes, with the delegation token, while it runs
+// another one. It calls done once: at the response, or after two seconds.
+func (w *World) sendNestedRequest(servingProxy *Node, decision backend.Decision, caller string, kind loadgen.Kind, id string, done func()) {
 	header := http.Header{}
-	header.Set(backend.DelegationHeader, order.Target.DelegationToken)
+	header.Set(backend.DelegationHeader, decision.Target.DelegationToken)
 	header.Set(backend.CallerHeader, "somebody")
 	key := ""
 	for _, tenant := range w.options.Deployment.Tenants() {
-		if tenant.Name == order.Forward.Tenant {
+		if tenant.Name == decision.Forward.Tenant {
 			key = tenant.Key
 		}
 	}
-	over := false
-	once := func() {
-		if !over {
-			over = true
-			then()
+	finished := false
+	finish := func() {
+		if !finished {
+			finished = true
+			done()
 		}
 	}
-	// It waits no longer than this for what it called.
-	w.after(2*time.Second, once)
+	// The upstream waits at most this long for the nested response.
+	w.after(2*time.Second, finish)
 	w.dangers["further calls"]++
-	w.sendRequest(servingProxy, header, kind, checker.CallerRequest{ID: id, Tenant: order.Forward.Tenant, Key: key, Caller: from}, once)
+	w.sendRequest(servingProxy, header, kind,
+		checker.CallerRequest{ID: id, Tenant: decision.Forward.Tenant, Key: key, Caller: caller}, finish)
 }
 
-func (w *World) sendRequest(chosenProxy *Node, header http.Header, kind loadgen.Kind, response checker.CallerRequest, then func()) {
-	asked := &response
-	asked.Proxy = chosenProxy.machine
-	asked.Route, asked.Service, asked.Once = kind.Route, kind.Service, kind.Once
-	asked.Intended, asked.Sent = w.now, w.now
-	asked.Connection = true
-	w.asked = append(w.asked, asked)
+// sendRequest submits a caller's request to a proxy, adds it to the record and calls done at the
+// response. done is not called if the proxy ends before it responds.
+func (w *World) sendRequest(chosenProxy *Node, header http.Header, kind loadgen.Kind, initial checker.CallerRequest, done func()) {
+	request := &initial
+	request.Proxy = chosenProxy.machine
+	request.Route, request.Service, request.Once = kind.Route, kind.Service, kind.Once
+	request.Intended, request.Sent = w.now, w.now
+	request.Connection = true
+	w.callerRequests = append(w.callerRequests, request)
 	if !chosenProxy.up || chosenProxy.listenerClosed {
-		asked.Done = w.now
-		then()
+		request.Done = w.now
+		done()
 		return
 	}
 	incarnation := chosenProxy.incarnation
 	chosenProxy.run(incarnation, func() {
-		header.Set(stubserver.IDHeader, asked.ID)
-		request := &frontend.Request{
-			ID:       asked.ID + "@" + chosenProxy.machine,
+		header.Set(stubserver.IDHeader, request.ID)
+		proxyRequest := &frontend.Request{
+			ID:       request.ID + "@" + chosenProxy.machine,
 			Method:   kind.Method,
 			RawPath:  kind.Path,
 			Header:   header,
 			Body:     []byte{},
 			Deadline: chosenProxy.Now() + chosenProxy.settings.RequestTimeout(),
 		}
-		sentIncarnation := incarnation
+		submittedIncarnation := incarnation
 		chosenProxy.inFlight++
-		going := chosenProxy.tracker.Submit(request, func(time.Duration) {}, func(final *frontend.Response) {
+		pending := chosenProxy.dispatcher.Submit(proxyRequest, func(time.Duration) {}, func(final *frontend.Response) {
 			w.after(100*time.Microsecond, func() {
-				if !chosenProxy.up || chosenProxy.incarnation != sentIncarnation {
+				if !chosenProxy.up || chosenProxy.incarnation != submittedIncarnation {
 					return
 				}
 				chosenProxy.inFlight--
-				asked.Connection, asked.Done, asked.Status, asked.Body = false, w.now, final.Status, string(final.Body)
-				asked.Code, asked.Retry = int(final.Code), final.RetryAfter > 0
-				for _, line := range final.Headers {
-					switch line.Name {
+				request.Connection, request.Done, request.Status, request.Body = false, w.now, final.Status, string(final.Body)
+				request.Code, request.Retry = int(final.Code), final.RetryAfter > 0
+				for _, responseHeader := range final.Headers {
+					switch responseHeader.Name {
 					case stubserver.ResponseMarkHeader:
-						asked.ResponseMark = line.Value
+						request.ResponseMark = responseHeader.Value
 					case frontend.CodeHeader:
-						asked.Code, _ = strconv.Atoi(line.Value)
+						request.Code, _ = strconv.Atoi(responseHeader.Value)
 					}
 				}
-				w.refusedAfterReady(chosenProxy, errcode.Code(asked.Code), request.Attempts)
-				if asked.Code == int(errcode.BusyNotReady) && !w.knownCurrent(chosenProxy) {
-					w.refusedUnknownAge[asked.ID] = true
+				w.checkRefusalAfterReady(chosenProxy, errcode.Code(request.Code), proxyRequest.Attempts)
+				if request.Code == int(errcode.BusyNotReady) && !w.configKnownCurrent(chosenProxy) {
+					w.refusedConfigAgeUnknown[request.ID] = true
 				}
-				if asked.Code != 0 && w.able(chosenProxy, kind.Service) {
-					w.couldServe[asked.ID] = true
+				if request.Code != 0 && w.upstreamAvailable(chosenProxy, kind.Service) {
+					w.refusedThoughServable[request.ID] = true
 				}
-				then()
+				done()
 			})
 		})
 		w.after(chosenProxy.trueWait(chosenProxy.settings.RequestTimeout()), func() {
-			chosenProxy.run(incarnation, func() { chosenProxy.tracker.Abandon(going) })
+			chosenProxy.run(incarnation, func() { chosenProxy.dispatcher.Abandon(pending) })
 		})
 	})
 }
--- a/internal/simulation/deployment.go
+++ b/internal/simulation/deployment.go
@@ -7,7 +7,8 @@
 	"beaconvane/internal/workload"
 )
 
-func (w *World) build() {
+// addDeployment adds the nodes and upstreams of the deployment, without starting them.
+func (w *World) addDeployment() {
 	d := w.options.Deployment
 	seeds := []string{}
 	for index := range workload.Voters {
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -6,34 +6,37 @@
 	"os"
 )
 
-// simFile is a file whose unsynced bytes may vanish or be torn at a crash.
+// simFile is a file whose unsynced bytes may be lost or torn at a crash.
 type simFile struct {
-	synced  []byte
-	current []byte
-	durable bool // its name is in the folder for good
+	synced      []byte
+	current     []byte
+	nameDurable bool // its directory entry has been synced
 }
 
-// Disk is a simulated folder; it implements storage.Directory.
+// Disk is a simulated directory; it implements storage.Directory.
 type Disk struct {
-	files map[string]*simFile
-	fail  bool
-	steps int // how many more steps are done before the machine stops; below 0: no end
+	files     map[string]*simFile
+	failing   bool
+	stepsLeft int // operations left before the machine stops; negative: unlimited
 }
 
-// works counts a step; false when the disk fails or the machine has stopped.
-func (d *Disk) works() bool {
-	if d.fail || d.steps == 0 {
+// takeStep consumes one operation. It returns false if the disk is failing or the machine has stopped.
+func (d *Disk) takeStep() bool {
+	if d.failing || d.stepsLeft == 0 {
 		return false
 	}
-	d.steps--
+	d.stepsLeft--
 	return true
 }
 
-// NewDisk is an empty one.
-func NewDisk() *Disk { return &Disk{files: map[string]*simFile{}, steps: -1} }
+// NewDisk returns an empty disk without failures.
+func NewDisk() *Disk { return &Disk{files: map[string]*simFile{}, stepsLeft: -1} }
 
+// errDisk is returned by every write operation of a disk that is failing or whose machine has stopped, and by
+// operations on files that don't exist.
 var errDisk = errors.New("simulated disk failure")
 
+// Read returns a copy of a file's current content, synced or not.
 func (d *Disk) Read(name string) ([]byte, error) {
 	file, found := d.files[name]
 	if !found {
@@ -42,8 +45,9 @@
 	return append([]byte{}, file.current...), nil
 }
 
+// Write replaces a file's content; it is not durable before Sync.
 func (d *Disk) Write(name string, body []byte) error {
-	if !d.works() {
+	if !d.takeStep() {
 		return errDisk
 	}
 	file, found := d.files[name]
@@ -55,10 +59,10 @@
 	return nil
 }
 
-// Append writes behind the end of a file.
+// Append writes at the end of an existing file.
 func (d *Disk) Append(name string, body []byte) error {
 	file, found := d.files[name]
-	if !found || !d.works() {
+	if !found || !d.takeStep() {
 		return errDisk
 	}
 	file.current = append(append([]byte{}, file.current...), body...)
@@ -68,37 +72,38 @@
 // Sync makes a file's content durable.
 func (d *Disk) Sync(name string) error {
 	file, found := d.files[name]
-	if !found || !d.works() {
+	if !found || !d.takeStep() {
 		return errDisk
 	}
 	file.synced = append([]byte{}, file.current...)
 	return nil
 }
 
-// Truncate cuts a file to a size in bytes.
+// Truncate shortens a file to a size in bytes.
 func (d *Disk) Truncate(name string, size int64) error {
 	file, found := d.files[name]
-	if !found || !d.works() {
+	if !found || !d.takeStep() {
 		return errDisk
 	}
 	file.current = append([]byte{}, file.current[:size]...)
 	return nil
 }
 
-// SyncDirectory makes the list of files durable.
+// SyncDirectory makes the directory entries of all files durable.
 func (d *Disk) SyncDirectory() error {
-	if !d.works() {
+	if !d.takeStep() {
 		return errDisk
 	}
 	for _, file := range d.files {
-		file.durable = true
+		file.nameDurable = true
 	}
 	return nil
 }
 
-// Crash forgets what was not synced, or keeps a part of it.
+// Crash simulates a power failure: each file loses its unsynced changes, or keeps all or some of them,
+// at random. It ends the limit set by StopAfter.
 func (d *Disk) Crash(random *rand.Rand) {
-	d.steps = -1
+	d.stepsLeft = -1
 	names := []string{}
 	for _, name := range []string{"slot.0", "slot.1", "log"} {
 		if _, found := d.files[name]; found {
@@ -107,7 +112,7 @@
 	}
 	for _, name := range names {
 		file := d.files[name]
-		if !file.durable && random.IntN(2) == 0 {
+		if !file.nameDurable && random.IntN(2) == 0 {
 			delete(d.files, name)
 			continue
 		}
@@ -117,18 +122,18 @@
 		appended := len(file.current) > len(file.synced) && string(file.current[:len(file.synced)]) == string(file.synced)
 		switch {
 		case appended:
-			kept := len(file.synced) + random.IntN(len(file.current)-len(file.synced)+1)
+			keptLength := len(file.synced) + random.IntN(len(file.current)-len(file.synced)+1)
 			if random.IntN(2) == 0 {
-				file.current = file.current[:kept]
+				file.current = file.current[:keptLength]
 				break
 			}
-			// The length is there, and sectors of the new part in any order.
-			for at := len(file.synced); at < len(file.current); {
-				end := min(len(file.current), (at/512+1)*512)
+			// The new length is durable, but only a random set of the appended 512-byte sectors is.
+			for offset := len(file.synced); offset < len(file.current); {
+				end := min(len(file.current), (offset/512+1)*512)
 				if random.IntN(2) == 0 {
-					clear(file.current[at:end])
+					clear(file.current[offset:end])
 				}
-				at = end
+				offset = end
 			}
 		case random.IntN(2) == 0:
 			file.current = append([]byte{}, file.synced...)
@@ -141,28 +146,29 @@
 	}
 }
 
-// overwritten is a file that was emptied and written anew, when the cut of its length is lost.
+// overwritten returns the content of a file that was truncated and rewritten, if the truncation is lost
+// in a crash: the new bytes, followed by the tail of the old ones.
 func overwritten(old, written []byte) []byte {
 	return append(append([]byte{}, written...), old[min(len(old), len(written)):]...)
 }
 
-// StopAfter has the machine stop after so many more operations; Crash lifts it.
-func (d *Disk) StopAfter(steps int) { d.steps = steps }
+// StopAfter makes every operation fail after the given number of further ones, until Crash.
+func (d *Disk) StopAfter(steps int) { d.stepsLeft = steps }
 
-// Stopped says that the machine has stopped within an operation.
-func (d *Disk) Stopped() bool { return d.steps == 0 }
+// Stopped reports whether the limit set by StopAfter has been reached.
+func (d *Disk) Stopped() bool { return d.stepsLeft == 0 }
 
-// Copy is a disk with the same files, synced and not.
+// Copy returns an independent disk with the same files, both synced and unsynced content.
 func (d *Disk) Copy() *Disk {
-	copied := &Disk{files: map[string]*simFile{}, fail: d.fail, steps: d.steps}
+	copied := &Disk{files: map[string]*simFile{}, failing: d.failing, stepsLeft: d.stepsLeft}
 	for name, file := range d.files {
-		same := *file
-		copied.files[name] = &same
+		clone := *file
+		copied.files[name] = &clone
 	}
 	return copied
 }
 
-// Sizes tells of each file how much of it is synced and how much there is.
+// Sizes returns for each file its synced and its current length in bytes.
 func (d *Disk) Sizes() map[string][2]int {
 	sizes := map[string][2]int{}
 	for name, file := range d.files {
--- a/internal/simulation/replacement.go
+++ b/internal/simulation/replacement.go
@@ -12,30 +12,30 @@
 	"beaconvane/internal/storage"
 )
 
-// replacementSuffix ends the name of a machine that was put beside the one it replaces.
+// replacementSuffix ends the name of a machine that runs beside the frozen one it replaces.
 const replacementSuffix = "-heir"
 
-// replaceVoter puts an empty machine in a voter's place, at a new address.
-func (w *World) replaceVoter(machine string, down time.Duration) {
+// replaceVoter replaces a voter's machine by an empty one of the same name at a new address.
+func (w *World) replaceVoter(machine string, downtime time.Duration) {
 	nodes := w.machineNodes(machine)
 	for _, node := range nodes {
 		node.kill(true, true)
 	}
-	w.after(down, func() {
+	w.after(downtime, func() {
 		for _, node := range nodes {
 			old := node.settings.Address
 			parts := strings.SplitN(old, ":", 2)
-			fresh := parts[0] + "9:" + parts[1]
-			if _, taken := w.byAddress[fresh]; taken {
-				fresh = parts[0] + "8:" + parts[1]
+			newAddress := parts[0] + "9:" + parts[1]
+			if _, taken := w.nodeByAddress[newAddress]; taken {
+				newAddress = parts[0] + "8:" + parts[1]
 			}
-			delete(w.byAddress, old)
-			node.settings.Address, node.settings.HTTPAddress = fresh, fresh
-			w.byAddress[fresh] = node
+			delete(w.nodeByAddress, old)
+			node.settings.Address, node.settings.HTTPAddress = newAddress, newAddress
+			w.nodeByAddress[newAddress] = node
 		}
-		// The newcomer's settings name the seeds of now; all others keep their old ones.
+		// The replacement's settings list the current seeds; all other nodes keep their old ones.
 		seeds := []string{}
-		for _, registryNode := range w.nodesOf(message.RoleRegistry) {
+		for _, registryNode := range w.nodesByRole(message.RoleRegistry) {
 			seeds = append(seeds, registryNode.address())
 		}
 		for _, node := range nodes {
@@ -45,20 +45,21 @@
 	})
 }
 
-// replaceCore ends a core machine for good and adds an empty one of another name at
-// another address; its settings name three core machines of now.
-func (w *World) replaceCore(machine string, down time.Duration) {
+// replaceCore removes a core machine permanently and adds an empty one with another name and address,
+// whose seeds are three of the current core machines.
+func (w *World) replaceCore(machine string, downtime time.Duration) {
 	for _, old := range w.machineNodes(machine) {
 		old.kill(true, true)
 		old.retired = true
-		w.serial++
+		w.addedNodes++
 		host, port, _ := strings.Cut(old.settings.Address, ":")
 		replacement := w.addNode(old.role, fmt.Sprintf("%s-after", machine), "", old.settings.Zone,
-			fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.serial), port), old.settings.Seeds)
+			fmt.Sprintf("%s.%s:%s", strings.Join(strings.Split(host, ".")[:3], "."), strconv.Itoa(100+w.addedNodes), port),
+			old.settings.Seeds)
 		replacement.settings.Bootstrap = false
-		w.after(down, func() {
+		w.after(downtime, func() {
 			replacement.settings.Seeds = []string{}
-			for _, registryNode := range w.nodesOf(message.RoleRegistry) {
+			for _, registryNode := range w.nodesByRole(message.RoleRegistry) {
 				if registryNode != replacement && !registryNode.retired && len(replacement.settings.Seeds) < 3 {
 					replacement.settings.Seeds = append(replacement.settings.Seeds, registryNode.address())
 				}
@@ -68,19 +69,20 @@
 	}
 }
 
-// usurp freezes a core machine, puts an empty one at a new address in its voter, and
-// lets the old one wake later.
-func (w *World) usurp(machine string, frozen time.Duration) {
+// replaceFrozenMachine freezes a core machine and starts an empty one at a new address for the same
+// voter; the old one resumes later.
+func (w *World) replaceFrozenMachine(machine string, duration time.Duration) {
 	for index, old := range w.machineNodes(machine) {
-		host := fmt.Sprintf("10.1.9.%d:7%d00", len(w.order)+1, 4+index)
+		host := fmt.Sprintf("10.1.9.%d:7%d00", len(w.nodeOrder)+1, 4+index)
 		replacement := w.addNode(old.role, machine+replacementSuffix, old.settings.Voter, old.settings.Zone, host, old.settings.Seeds)
 		replacement.name, replacement.settings.Node = old.role+"/"+machine+replacementSuffix, old.settings.Node
 		w.after(500*time.Millisecond, replacement.boot)
 	}
-	w.freeze(w.machineNodes(machine), frozen)
+	w.freeze(w.machineNodes(machine), duration)
 }
 
-// force-recover is the operator's deed on the survivor of two lost disks.
+// forceRecover performs the operator's force-recover command on a machine that survived the loss of the
+// other disks.
 func (w *World) forceRecover(machine string) {
 	for _, node := range w.machineNodes(machine) {
 		node.kill(true, false)
@@ -88,7 +90,7 @@
 		w.after(200*time.Millisecond, func() {
 			store, snapshot, records, err := storage.Open(survivor.disk)
 			if err != nil || snapshot == nil {
-				w.fail("%s has nothing to force-recover: %v", survivor.name, err)
+				w.fail("force-recover of %s found no snapshot: %v", survivor.name, err)
 				return
 			}
 			self := message.Member{
@@ -107,7 +109,7 @@
 				err = store.Compact(machine.ForceRecover())
 			}
 			if err != nil {
-				w.fail("%s: %v", survivor.name, err)
+				w.fail("force-recover of %s failed: %v", survivor.name, err)
 			}
 			survivor.boot()
 		})
