--- a/internal/explore/action.go
+++ b/internal/explore/action.go
@@ -20,26 +20,26 @@
 // The kinds of action. Node and Peer are places in the order in which processes were
 // made; Rounds is how long a state lasts.
 const (
-	Lose       Kind = "lose"        // the next message is lost
-	Double     Kind = "double"      // the next message comes a second time, Rounds later
-	Late       Kind = "late"        // the next message comes Rounds later
-	Crash      Kind = "crash"       // Node stops, keeps a part of what was not synced, and restarts after Rounds
-	CrashDisk  Kind = "crash-disk"  // Node stops within its next write, after DiskSteps operations of the disk
-	DiskLost   Kind = "disk-lost"   // Node stops and restarts with an empty disk
-	DiskSlow   Kind = "disk-slow"   // Node's writes wait for Rounds
-	Replace    Kind = "replace"     // Node is gone for good; a new one with an empty disk starts after Rounds
-	Join       Kind = "join"        // a new process with an empty disk starts
-	Leave      Kind = "leave"       // Node is asked to stop politely, and is gone for good once it has
-	Cut        Kind = "cut"         // Node and Peer don't hear each other
-	CutOneWay  Kind = "cut-one-way" // Peer does not hear Node
-	Isolate    Kind = "isolate"     // Node and all others don't hear each other
-	Freeze     Kind = "freeze"      // Node takes nothing; its clock runs on
-	ClockStep  Kind = "clock-step"  // Node's time of day leaps by Rounds
-	WriteOrder Kind = "write"       // an operator sends Version with Content to Node
-	ReadOrder  Kind = "read"        // an operator asks Node for the current version
+	DropMessage      Kind = "lose"        // the next message is lost
+	DuplicateMessage Kind = "double"      // the next message comes a second time, Rounds later
+	DelayMessage     Kind = "late"        // the next message comes Rounds later
+	Crash            Kind = "crash"       // Node stops, keeps a part of what was not synced, and restarts after Rounds
+	CrashDuringWrite Kind = "crash-disk"  // Node stops within its next write, after DiskSteps operations of the disk
+	LoseDisk         Kind = "disk-lost"   // Node stops and restarts with an empty disk
+	SlowDisk         Kind = "disk-slow"   // Node's writes wait for Rounds
+	Replace          Kind = "replace"     // Node is gone for good; a new one with an empty disk starts after Rounds
+	Join             Kind = "join"        // a new process with an empty disk starts
+	Leave            Kind = "leave"       // Node is asked to stop politely, and is gone for good once it has
+	Cut              Kind = "cut"         // Node and Peer don't hear each other
+	CutOneWay        Kind = "cut-one-way" // Peer does not hear Node
+	Isolate          Kind = "isolate"     // Node and all others don't hear each other
+	Freeze           Kind = "freeze"      // Node takes nothing; its clock runs on
+	ClockStep        Kind = "clock-step"  // Node's time of day leaps by Rounds
+	SendWrite        Kind = "write"       // an operator sends Version with Content to Node
+	SendRead         Kind = "read"        // an operator asks Node for the current version
 
-	DropFromProxy Kind = "deaf"     // Node hears nothing of proxy Peer
-	UpstreamStep  Kind = "upstream" // upstream Peer of proxy Node leaves, is gone, or comes back
+	DropFromProxy   Kind = "deaf"     // Node hears nothing of proxy Peer
+	AdvanceUpstream Kind = "upstream" // upstream Peer of proxy Node leaves, is gone, or comes back
 )
 
 // Action is one departure from the default schedule.
@@ -51,16 +51,16 @@
 	Peer      int    `json:"peer,omitempty"`
 	Rounds    int    `json:"rounds,omitempty"`
 	DiskSteps int    `json:"disk_steps,omitempty"`
-	Dice      uint64 `json:"dice,omitempty"` // what a crash keeps of unsynced writes
+	CrashSeed uint64 `json:"dice,omitempty"` // what a crash keeps of unsynced writes
 	Version   int64  `json:"version,omitempty"`
 	Content   int    `json:"content,omitempty"`
-	Bad       bool   `json:"bad,omitempty"` // a content that the check refuses
+	Invalid   bool   `json:"bad,omitempty"` // a content that the check refuses
 }
 
-// lasts is for how many rounds its effects may go on.
-func (a Action) lasts() int {
+// effectRounds is for how many rounds its effects may go on.
+func (a Action) effectRounds() int {
 	if a.Kind == Leave {
-		return leaveLimit
+		return leaveTimeoutRounds
 	}
 	return a.Rounds
 }
@@ -88,9 +88,9 @@
 
 // String writes a plan, one action a line, in the form that ParsePlan reads.
 func (p Plan) String() string {
-	head := p
-	head.Actions = []Action{}
-	body, err := json.Marshal(head)
+	header := p
+	header.Actions = []Action{}
+	body, err := json.Marshal(header)
 	if err != nil {
 		return err.Error()
 	}
@@ -103,14 +103,14 @@
 
 // ParsePlan reads what String wrote; lines that begin with # are left out.
 func ParsePlan(text string) (Plan, error) {
-	plan, read := Plan{}, false
+	plan, headerRead := Plan{}, false
 	for number, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		if !read {
-			read = true
+		if !headerRead {
+			headerRead = true
 			if err := json.Unmarshal([]byte(line), &plan); err != nil {
 				return plan, fmt.Errorf("line %d: %w", number+1, err)
 			}
@@ -122,7 +122,7 @@
 		}
 		plan.Actions = append(plan.Actions, action)
 	}
-	if !read {
+	if !headerRead {
 		return plan, fmt.Errorf("no plan in %d bytes", len(text))
 	}
 	return plan, nil
--- a/internal/explore/checks.go
+++ b/internal/explore/checks.go
@@ -12,21 +12,21 @@
 // decidedList is a member list under which a majority decided something.
 type decidedList struct {
 	list map[string]string
-	by   string
+	decidedBy   string
 }
 
 // checkContact checks that a statement of fact comes only from a process that has heard a majority
 // since the request came.
-func (w *World) checkContact(p *process, asked request) {
-	heard := 1
-	for _, step := range p.contacts {
-		if step >= asked.arrived {
-			heard++
+func (w *World) checkContact(p *process, answered request) {
+	contacted := 1
+	for _, step := range p.lastContact {
+		if step >= answered.arrivalStep {
+			contacted++
 		}
 	}
-	if heard*2 <= w.plan.Voters {
-		w.violate("contact", "%s answers %s with %s, and has heard %d of %d voters since it was asked",
-			p.name(), asked.operation, asked.operation.answer, heard, w.plan.Voters)
+	if contacted*2 <= w.plan.Voters {
+		w.reportViolation("contact", "%s answers %s with %s, and has heard %d of %d voters since it was asked",
+			p.name(), answered.operation, answered.operation.outcome, contacted, w.plan.Voters)
 	}
 }
 
@@ -37,19 +37,19 @@
 		return
 	}
 	state := p.machine.VoterState()
-	for _, earlier := range w.lists {
-		if !ordered(earlier.list, state.MemberList) && !ordered(state.MemberList, earlier.list) {
-			w.violate("one-line", "%s decided under %s, and %s under %s", earlier.by, listText(earlier.list), p.name(),
-				listText(state.MemberList))
+	for _, earlier := range w.decidedLists {
+		if !notNewer(earlier.list, state.MemberList) && !notNewer(state.MemberList, earlier.list) {
+			w.reportViolation("one-line", "%s decided under %s, and %s under %s", earlier.decidedBy, formatMemberList(earlier.list), p.name(),
+				formatMemberList(state.MemberList))
 			return
 		}
 	}
-	if len(w.lists) == 0 || !maps.Equal(w.lists[len(w.lists)-1].list, state.MemberList) {
-		w.lists = append(w.lists, decidedList{maps.Clone(state.MemberList), p.name()})
+	if len(w.decidedLists) == 0 || !maps.Equal(w.decidedLists[len(w.decidedLists)-1].list, state.MemberList) {
+		w.decidedLists = append(w.decidedLists, decidedList{maps.Clone(state.MemberList), p.name()})
 	}
 }
 
-func ordered(one, other map[string]string) bool {
+func notNewer(one, other map[string]string) bool {
 	for voter, identity := range one {
 		if identity > other[voter] {
 			return false
@@ -58,28 +58,28 @@
 	return true
 }
 
-func listText(list map[string]string) string {
-	parts := []string{}
+func formatMemberList(list map[string]string) string {
+	entries := []string{}
 	for _, voter := range slices.Sorted(maps.Keys(list)) {
-		parts = append(parts, voter+"="+quorum.SignatureIdentity(list[voter]))
+		entries = append(entries, voter+"="+quorum.SignatureIdentity(list[voter]))
 	}
-	return strings.Join(parts, " ")
+	return strings.Join(entries, " ")
 }
 
-// snapshotMost is more than a snapshot of all kept versions and of all that a run adds to
+// maxSnapshotBytes is more than a snapshot of all kept versions and of all that a run adds to
 // the member list may have.
-const snapshotMost = 4096
+const maxSnapshotBytes = 4096
 
-// registrySnapshotMost is the same for a registry, with the windows of a run.
-const registrySnapshotMost = 16384
+// maxRegistrySnapshotBytes is the same for a registry, with the windows of a run.
+const maxRegistrySnapshotBytes = 16384
 
 func (w *World) checkSnapshot(p *process, snapshot []byte) {
-	most := snapshotMost
+	limit := maxSnapshotBytes
 	if w.fleet != nil {
-		most = registrySnapshotMost
+		limit = maxRegistrySnapshotBytes
 	}
-	if len(snapshot) > most {
-		w.violate("bounded", "%s writes a snapshot of %d bytes", p.name(), len(snapshot))
+	if len(snapshot) > limit {
+		w.reportViolation("bounded", "%s writes a snapshot of %d bytes", p.name(), len(snapshot))
 	}
 }
 
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -10,8 +10,8 @@
 	"beaconvane/internal/message"
 )
 
-// walksOf are the groups that every run of the tests walks through.
-var walksOf = map[string]struct {
+// configStoreWalks are the groups that every run of the tests walks through.
+var configStoreWalks = map[string]struct {
 	options Options
 	count   int64
 }{
@@ -25,7 +25,7 @@
 	if racing {
 		t.Skip("each walk is one thread; run without -race")
 	}
-	for name, walks := range walksOf {
+	for name, walks := range configStoreWalks {
 		t.Run(name, func(t *testing.T) {
 			summary := Sweep(walks.options, 1, walks.count, runtime.GOMAXPROCS(0), 0, nil)
 			t.Logf("%d walks, %d steps, %d epochs held, %d answers in %s", summary.Walks, summary.Steps, summary.Epochs,
@@ -68,7 +68,7 @@
 			}
 			qt.Assert(t, summary.Epochs > summary.Walks*2, qt.IsTrue,
 				qt.Commentf("%d epochs in %d walks: the leases hardly moved", summary.Epochs, summary.Walks))
-			for _, kind := range []Kind{Crash, CrashDisk, DiskLost, Replace, Cut, Isolate, Freeze, DropFromProxy, UpstreamStep} {
+			for _, kind := range []Kind{Crash, CrashDuringWrite, LoseDisk, Replace, Cut, Isolate, Freeze, DropFromProxy, AdvanceUpstream} {
 				qt.Assert(t, summary.Counts[kind] > 0, qt.IsTrue, qt.Commentf("no %s in %d walks", kind, summary.Walks))
 			}
 		})
@@ -76,7 +76,7 @@
 }
 
 // A walk and its replay from text come to the same.
-func TestReplayIsTheWalk(t *testing.T) {
+func TestReplayRepeatsTheWalk(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
 		options := Options{Voters: 3, Rounds: 150, Faults: 10}
 		if seed > 5 {
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestParsePlanNamesTheBadLine(t *testing.T) {
+func TestParsePlanErrorNamesTheLine(t *testing.T) {
 	_, err := ParsePlan("{\"seed\":1}\n{\"round\":\"x\"}")
 	qt.Assert(t, strings.HasPrefix(err.Error(), "line 2: "), qt.IsTrue)
 	_, err = ParsePlan("# nothing\n")
@@ -101,7 +101,7 @@
 }
 
 // Every single fault at every message and write of four rounds around operators' orders.
-func TestSearchOfOneFaultIsWholeAndFindsNothing(t *testing.T) {
+func TestSearchOfOneFaultIsExhaustiveAndFindsNoViolation(t *testing.T) {
 	if racing {
 		t.Skip("each run is one thread; run without -race")
 	}
@@ -118,16 +118,16 @@
 }
 
 // Two runs of one plan come to one fingerprint; a lost message that mattered makes another.
-func TestFingerprintTellsStatesApart(t *testing.T) {
-	at := func(actions ...Action) uint64 {
+func TestFingerprintDistinguishesStates(t *testing.T) {
+	stateAfter := func(actions ...Action) uint64 {
 		w := newWorld(Plan{Role: message.RoleConfigStore, Seed: 1, Voters: 3, Rounds: 13}, &replayer{actions}, nil)
 		w.run()
-		return w.state()
+		return w.fingerprint()
 	}
-	write := Action{Round: 11, Kind: WriteOrder, Node: 2, Version: 1, Content: 1}
-	qt.Assert(t, at(), qt.Equals, at())
-	qt.Assert(t, at(write), qt.Equals, at(write))
-	qt.Assert(t, at(write), qt.Not(qt.Equals), at())
+	write := Action{Round: 11, Kind: SendWrite, Node: 2, Version: 1, Content: 1}
+	qt.Assert(t, stateAfter(), qt.Equals, stateAfter())
+	qt.Assert(t, stateAfter(write), qt.Equals, stateAfter(write))
+	qt.Assert(t, stateAfter(write), qt.Not(qt.Equals), stateAfter())
 	cut := Action{Round: 12, Kind: Isolate, Node: 1, Rounds: 9}
-	qt.Assert(t, at(write, cut), qt.Not(qt.Equals), at(write))
+	qt.Assert(t, stateAfter(write, cut), qt.Not(qt.Equals), stateAfter(write))
 }
--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -10,59 +10,59 @@
 )
 
 const (
-	// leaveLimit is after how many rounds a process that was asked to stop is ended.
-	leaveLimit = 60
-	// processLimit bounds the processes that a run adds.
-	processLimit = 12
+	// leaveTimeoutRounds is after how many rounds a process that was asked to stop is ended.
+	leaveTimeoutRounds = 60
+	// maxProcesses bounds the processes that a run adds.
+	maxProcesses = 12
 )
 
-// do carries an action out and reports whether it could. An action that is impossible where it
+// applyAction carries an action out and reports whether it could. An action that is impossible where it
 // stands (its process is down, its message is not there, it would lose too many disks) does nothing,
 // so that every part of a plan is a plan and plans can be shrunk.
-func (w *World) do(action Action) bool {
+func (w *World) applyAction(action Action) bool {
 	switch action.Kind {
-	case Lose, Double, Late:
-		return w.doMessage(action)
+	case DropMessage, DuplicateMessage, DelayMessage:
+		return w.applyMessageFault(action)
 	case Join:
-		return w.doJoin()
-	case UpstreamStep:
+		return w.applyJoin()
+	case AdvanceUpstream:
 		return w.changeUpstream(action.Node, action.Peer)
 	}
 	if action.Node < 0 || action.Node >= len(w.processes) {
 		return false
 	}
 	p := w.processes[action.Node]
-	if !p.up || p.gone {
+	if !p.up || p.removed {
 		return false
 	}
-	w.note("%s", action)
+	w.logf("%s", action)
 	switch action.Kind {
 	case Crash:
-		p.stop(action.Dice)
-		w.after(action.Rounds, func() { p.boot(w) })
-	case CrashDisk:
+		p.crash(action.CrashSeed)
+		w.schedule(action.Rounds, func() { p.start(w) })
+	case CrashDuringWrite:
 		p.disk.StopAfter(max(action.DiskSteps, 1))
-		w.crashDice[p.index], w.crashRounds[p.index] = action.Dice, action.Rounds
-	case DiskLost:
-		return w.doDiskLost(p, action)
-	case DiskSlow:
-		p.slowTo = w.round + action.Rounds
+		w.crashSeeds[p.index], w.crashRounds[p.index] = action.CrashSeed, action.Rounds
+	case LoseDisk:
+		return w.applyDiskLoss(p, action)
+	case SlowDisk:
+		p.slowUntil = w.round + action.Rounds
 	case Replace:
-		return w.doReplace(p, action)
+		return w.applyReplace(p, action)
 	case Leave:
-		return w.doLeave(p)
+		return w.applyLeave(p)
 	case Cut, CutOneWay, Isolate:
-		return w.doCut(p, action)
+		return w.applyCut(p, action)
 	case DropFromProxy:
-		return w.doDropFromProxy(p, action)
+		return w.applyDropFromProxy(p, action)
 	case Freeze:
-		return w.doFreeze(p, action)
+		return w.applyFreeze(p, action)
 	case ClockStep:
-		p.wall += time.Duration(action.Rounds) * roundTime
-	case WriteOrder:
-		w.doWrite(p, action)
-	case ReadOrder:
-		w.ask(p, &operation{kind: readKind}, func(id int64) any {
+		p.wallOffset += time.Duration(action.Rounds) * roundDuration
+	case SendWrite:
+		w.applyWrite(p, action)
+	case SendRead:
+		w.sendRequest(p, &operation{kind: readKind}, func(id int64) any {
 			return message.ReadRequest{RequestID: id, ConfigName: configName}
 		})
 	default:
@@ -71,8 +71,8 @@
 	return true
 }
 
-// doDropFromProxy has the process receive nothing from a proxy of the fleet for some rounds.
-func (w *World) doDropFromProxy(p *process, action Action) bool {
+// applyDropFromProxy has the process receive nothing from a proxy of the fleet for some rounds.
+func (w *World) applyDropFromProxy(p *process, action Action) bool {
 	if w.fleet == nil {
 		return false
 	}
@@ -80,151 +80,151 @@
 	return true
 }
 
-// doFreeze stops the process from running for some rounds, unless it restarts before.
-func (w *World) doFreeze(p *process, action Action) bool {
+// applyFreeze stops the process from running for some rounds, unless it restarts before.
+func (w *World) applyFreeze(p *process, action Action) bool {
 	if p.frozen {
 		return false
 	}
 	p.frozen = true
 	incarnation := p.incarnation
-	w.after(action.Rounds, func() {
+	w.schedule(action.Rounds, func() {
 		if p.incarnation == incarnation {
-			p.frozen, p.thawedAt = false, w.round
+			p.frozen, p.thawRound = false, w.round
 		}
 	})
 	return true
 }
 
-func (w *World) doMessage(action Action) bool {
-	if len(w.queue) == 0 || w.inRound == 0 || w.queue[0].datagram || w.queue[0].write != nil || w.queue[0].from == operatorAddress {
+func (w *World) applyMessageFault(action Action) bool {
+	if len(w.queue) == 0 || w.stepInRound == 0 || w.queue[0].datagram || w.queue[0].write != nil || w.queue[0].from == operatorAddress {
 		return false
 	}
 	next := w.queue[0]
-	w.note("%s of %T from %s to %s", action, next.message, next.from, next.to.address)
+	w.logf("%s of %T from %s to %s", action, next.message, next.from, next.to.address)
 	switch action.Kind {
-	case Lose:
+	case DropMessage:
 		w.queue = w.queue[1:]
-	case Double:
-		w.hold(next, action.Rounds)
-	case Late:
+	case DuplicateMessage:
+		w.delay(next, action.Rounds)
+	case DelayMessage:
 		w.queue = w.queue[1:]
-		w.hold(next, action.Rounds)
+		w.delay(next, action.Rounds)
 	}
 	return true
 }
 
-// spared says that a majority besides this process has its data: the promises hold only
+// canLoseData says that a majority besides this process has its data: the promises hold only
 // while not more disks are lost than a group of its size bears.
-func (w *World) spared(lost *process) bool {
-	if !lost.seated {
+func (w *World) canLoseData(candidate *process) bool {
+	if !candidate.hasVoter {
 		return true
 	}
-	newest := w.newestList()
-	whole := 0
+	memberList := w.newestMemberList()
+	intact := 0
 	for _, p := range w.processes {
 		state := p.machine.VoterState()
-		replaced := !w.plan.Named && newest[state.Voter] != state.Identity
-		if p.seated && !p.gone && !replaced && p != lost {
-			whole++
+		replaced := !w.plan.Named && memberList[state.Voter] != state.Identity
+		if p.hasVoter && !p.removed && !replaced && p != candidate {
+			intact++
 		}
 	}
-	return whole > w.plan.Voters/2
+	return intact > w.plan.Voters/2
 }
 
-// newestList joins the member lists of all processes, voter by voter.
-func (w *World) newestList() map[string]string {
-	newest := map[string]string{}
+// newestMemberList joins the member lists of all processes, voter by voter.
+func (w *World) newestMemberList() map[string]string {
+	merged := map[string]string{}
 	for _, p := range w.processes {
 		for voter, identity := range p.machine.VoterState().MemberList {
-			newest[voter] = max(newest[voter], identity)
+			merged[voter] = max(merged[voter], identity)
 		}
 	}
-	return newest
+	return merged
 }
 
-func (w *World) doDiskLost(p *process, action Action) bool {
-	if !w.spared(p) {
+func (w *World) applyDiskLoss(p *process, action Action) bool {
+	if !w.canLoseData(p) {
 		return false
 	}
-	p.stop(action.Dice)
-	p.disk, p.seated = simulation.NewDisk(), false
-	w.after(action.Rounds, func() { p.boot(w) })
+	p.crash(action.CrashSeed)
+	p.disk, p.hasVoter = simulation.NewDisk(), false
+	w.schedule(action.Rounds, func() { p.start(w) })
 	return true
 }
 
-func (w *World) doReplace(p *process, action Action) bool {
-	if w.plan.Named || !w.spared(p) || len(w.processes) >= processLimit {
+func (w *World) applyReplace(p *process, action Action) bool {
+	if w.plan.Named || !w.canLoseData(p) || len(w.processes) >= maxProcesses {
 		return false
 	}
 	w.retire(p)
-	w.after(action.Rounds, func() { w.addProcess(false) })
+	w.schedule(action.Rounds, func() { w.addProcess(false) })
 	return true
 }
 
-func (w *World) doJoin() bool {
-	if w.plan.Named || len(w.processes) >= processLimit {
+func (w *World) applyJoin() bool {
+	if w.plan.Named || len(w.processes) >= maxProcesses {
 		return false
 	}
 	w.addProcess(false)
 	return true
 }
 
-func (w *World) doLeave(p *process) bool {
-	if w.plan.Named || p.leaving || !w.spared(p) {
+func (w *World) applyLeave(p *process) bool {
+	if w.plan.Named || p.leaving || !w.canLoseData(p) {
 		return false
 	}
 	p.leaving = true
 	incarnation := p.incarnation
-	w.after(leaveLimit, func() {
-		if p.incarnation == incarnation && !p.gone {
+	w.schedule(leaveTimeoutRounds, func() {
+		if p.incarnation == incarnation && !p.removed {
 			w.retire(p)
 		}
 	})
-	p.apply(w, statemachine.LocalRequest{RequestID: 1, Request: stopQuestion(p.role)})
+	p.apply(w, statemachine.LocalRequest{RequestID: 1, Request: stopRequest(p.role)})
 	return true
 }
 
-func (w *World) doCut(p *process, action Action) bool {
-	heals := w.round + action.Rounds
+func (w *World) applyCut(p *process, action Action) bool {
+	cutUntil := w.round + action.Rounds
 	if action.Kind == Isolate {
 		for _, peer := range w.processes {
-			w.cutTo[[2]int{p.index, peer.index}], w.cutTo[[2]int{peer.index, p.index}] = heals, heals
+			w.cutUntil[[2]int{p.index, peer.index}], w.cutUntil[[2]int{peer.index, p.index}] = cutUntil, cutUntil
 		}
 		return true
 	}
 	if action.Peer < 0 || action.Peer >= len(w.processes) || action.Peer == action.Node {
 		return false
 	}
-	w.cutTo[[2]int{p.index, action.Peer}] = heals
+	w.cutUntil[[2]int{p.index, action.Peer}] = cutUntil
 	if action.Kind == Cut {
-		w.cutTo[[2]int{action.Peer, p.index}] = heals
+		w.cutUntil[[2]int{action.Peer, p.index}] = cutUntil
 	}
 	return true
 }
 
-// bodyOf is the configuration that an operator sends as a content under a version.
-func bodyOf(version int64, content int, bad bool) []byte {
+// configBody is the configuration that an operator sends as a content under a version.
+func configBody(version int64, content int, invalid bool) []byte {
 	field := "note"
-	if bad {
+	if invalid {
 		field = "colour"
 	}
 	return []byte(fmt.Sprintf(`{%q:"%d of %d","services":["x"],"tenants":[],"routes":[]}`, field, content, version))
 }
 
-func (w *World) doWrite(p *process, action Action) {
-	body := bodyOf(action.Version, action.Content, action.Bad)
-	w.ask(p, &operation{kind: writeKind, version: action.Version, body: string(body)}, func(id int64) any {
+func (w *World) applyWrite(p *process, action Action) {
+	body := configBody(action.Version, action.Content, action.Invalid)
+	w.sendRequest(p, &operation{kind: writeKind, version: action.Version, body: string(body)}, func(id int64) any {
 		return message.WriteRequest{RequestID: id, ConfigName: configName, Version: action.Version, Body: body}
 	})
 }
 
-// ask hands an operator's order or question to a process at once; it counts as asked now.
-func (w *World) ask(p *process, asked *operation, messageOf func(id int64) any) {
-	id := w.history.begin(w, asked)
+// sendRequest hands an operator's order or question to a process at once; it counts as asked now.
+func (w *World) sendRequest(p *process, started *operation, newMessage func(id int64) any) {
+	id := w.history.begin(w, started)
 	w.step++
-	p.requests[id] = request{asked, w.step}
-	order := item{step: w.step, from: operatorAddress, to: p, incarnation: p.incarnation, message: messageOf(id)}
-	w.queue = append([]item{order}, w.queue...)
+	p.requests[id] = request{started, w.step}
+	queued := item{sentStep: w.step, from: operatorAddress, to: p, incarnation: p.incarnation, message: newMessage(id)}
+	w.queue = append([]item{queued}, w.queue...)
 }
 
 const operatorAddress = "10.9.0.1:1"
--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -17,8 +17,8 @@
 // machines, disks, messages and writes in flight, lasting faults, and what operators were told. Two
 // runs with one fingerprint at one round go on alike.
 type fingerprint struct {
-	text strings.Builder
-	met  map[uintptr]int
+	text    strings.Builder
+	visited map[uintptr]int
 }
 
 var settingsType = reflect.TypeFor[settings.Settings]()
@@ -80,11 +80,11 @@
 		return
 	}
 	if value.Kind() == reflect.Pointer {
-		if number, met := f.met[value.Pointer()]; met {
+		if number, visited := f.visited[value.Pointer()]; visited {
 			fmt.Fprintf(&f.text, "#%d,", number)
 			return
 		}
-		f.met[value.Pointer()] = len(f.met)
+		f.visited[value.Pointer()] = len(f.visited)
 	} else {
 		f.text.WriteString(value.Elem().Type().String())
 	}
@@ -103,13 +103,13 @@
 	}
 }
 
-// state is the fingerprint of a world at a round's end.
-func (w *World) state() uint64 {
-	f := &fingerprint{met: map[uintptr]int{}}
+// fingerprint is the fingerprint of a world at a round's end.
+func (w *World) fingerprint() uint64 {
+	f := &fingerprint{visited: map[uintptr]int{}}
 	for _, p := range w.processes {
-		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.gone, p.leaving, p.seated, p.incarnation,
-			p.bootAt,
-			p.wall, max(p.slowTo-w.round, 0))
+		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.removed, p.leaving, p.hasVoter, p.incarnation,
+			p.startedAt,
+			p.wallOffset, max(p.slowUntil-w.round, 0))
 		f.add(reflect.ValueOf(p.machine))
 		f.add(reflect.ValueOf(p.env))
 		f.addDisk(p.disk)
@@ -117,16 +117,16 @@
 	}
 	f.addItems(w.queue)
 	for round := w.round; round <= w.plan.Rounds; round++ {
-		f.addItems(w.later[round])
+		f.addItems(w.delayed[round])
 		fmt.Fprintf(&f.text, "%d timers,", len(w.timers[round]))
 	}
-	for pair, heals := range w.cutTo {
-		if heals <= w.round {
-			delete(w.cutTo, pair)
+	for pair, cutUntil := range w.cutUntil {
+		if cutUntil <= w.round {
+			delete(w.cutUntil, pair)
 		}
 	}
-	f.add(reflect.ValueOf(w.cutTo))
-	f.add(reflect.ValueOf(w.history.contents))
+	f.add(reflect.ValueOf(w.cutUntil))
+	f.add(reflect.ValueOf(w.history.committedBodies))
 	f.add(reflect.ValueOf(w.history.refused))
 	f.add(reflect.ValueOf(w.holders))
 	hash := fnv.New64a()
@@ -135,14 +135,14 @@
 }
 
 func (f *fingerprint) addItems(items []item) {
-	for _, held := range items {
-		fmt.Fprintf(&f.text, "%s>%s %d %T;", held.from, held.to.address, held.incarnation, held.message)
-		if held.write == nil {
-			f.add(reflect.ValueOf(held.message))
+	for _, pending := range items {
+		fmt.Fprintf(&f.text, "%s>%s %d %T;", pending.from, pending.to.address, pending.incarnation, pending.message)
+		if pending.write == nil {
+			f.add(reflect.ValueOf(pending.message))
 			continue
 		}
-		fmt.Fprintf(&f.text, "%d;", held.write.RequestID)
-		f.addBytes(held.write.Record)
-		f.addBytes(held.write.Snapshot)
+		fmt.Fprintf(&f.text, "%d;", pending.write.RequestID)
+		f.addBytes(pending.write.Record)
+		f.addBytes(pending.write.Snapshot)
 	}
 }
--- a/internal/explore/history.go
+++ b/internal/explore/history.go
@@ -31,8 +31,8 @@
 
 func (o outcome) String() string { return fmt.Sprintf("%s version %d %s", o.code, o.version, o.body) }
 
-// factual says that the outcome is about the configuration, not about the process.
-func (o outcome) factual() bool {
+// aboutConfig says that the outcome is about the configuration, not about the process.
+func (o outcome) aboutConfig() bool {
 	switch o.code {
 	case errcode.OK, errcode.ConfigurationBad, errcode.ConfigurationConflict, errcode.ConfigurationNotFound, errcode.ConfigurationTooLarge:
 		return o.known
@@ -41,75 +41,75 @@
 }
 
 type operation struct {
-	kind     operationKind
-	version  int64
-	body     string
-	answer   outcome
-	from, to int64
-	floor    int64 // the newest version that anyone was told of before this was asked
+	kind                 operationKind
+	version              int64
+	body                 string
+	outcome              outcome
+	callStep, returnStep int64
+	minVersion           int64 // the newest version that anyone was told of before this was asked
 }
 
 type history struct {
-	highest    bool
-	operations []*operation
-	contents   map[int64]string // by version: what is known to be committed
-	refused    map[string]bool  // orders that were refused for what they are
-	floor      int64
+	highest         bool
+	operations      []*operation
+	committedBodies map[int64]string // by version: what is known to be committed
+	refused         map[string]bool  // orders that were refused for what they are
+	newestKnown     int64
 }
 
 func newHistory(highest bool) history {
-	return history{highest: highest, contents: map[int64]string{}, refused: map[string]bool{}}
+	return history{highest: highest, committedBodies: map[int64]string{}, refused: map[string]bool{}}
 }
 
-func (h *history) begin(w *World, asked *operation) int64 {
-	asked.from, asked.floor = w.step, h.floor
-	h.operations = append(h.operations, asked)
+func (h *history) begin(w *World, started *operation) int64 {
+	started.callStep, started.minVersion = w.step, h.newestKnown
+	h.operations = append(h.operations, started)
 	return int64(len(h.operations))
 }
 
-// answer notes an outcome and checks what can be checked at once.
-func (h *history) answer(w *World, asked *operation, response message.StoreResponse) {
-	asked.to = w.step
-	asked.answer = outcome{known: true, code: errcode.Code(response.Code), version: response.Version, body: string(response.Body)}
-	switch asked.answer.code {
+// recordOutcome notes an outcome and checks what can be checked at once.
+func (h *history) recordOutcome(w *World, finished *operation, response message.StoreResponse) {
+	finished.returnStep = w.step
+	finished.outcome = outcome{known: true, code: errcode.Code(response.Code), version: response.Version, body: string(response.Body)}
+	switch finished.outcome.code {
 	case errcode.OK:
-		if asked.kind == writeKind && asked.answer.version == asked.version {
-			asked.answer.body = asked.body
+		if finished.kind == writeKind && finished.outcome.version == finished.version {
+			finished.outcome.body = finished.body
 		}
-		h.committed(w, asked)
+		h.recordCommit(w, finished)
 	case errcode.ConfigurationNotFound:
-		if asked.floor > 0 {
-			w.violate("durable", "nothing is found, and version %d was told of before", asked.floor)
+		if finished.minVersion > 0 {
+			w.reportViolation("durable", "nothing is found, and version %d was told of before", finished.minVersion)
 		}
 	case errcode.ConfigurationConflict, errcode.ConfigurationBad:
-		if asked.kind == writeKind {
-			h.refuse(w, asked)
+		if finished.kind == writeKind {
+			h.recordRefusal(w, finished)
 		}
 	}
 }
 
-func orderKey(version int64, body string) string { return fmt.Sprintf("%d %s", version, body) }
+func writeKey(version int64, body string) string { return fmt.Sprintf("%d %s", version, body) }
 
-func (h *history) committed(w *World, asked *operation) {
-	version, body := asked.answer.version, asked.answer.body
-	if content, known := h.contents[version]; known && content != body {
-		w.violate("one-content", "version %d is %s and was %s", version, body, content)
+func (h *history) recordCommit(w *World, finished *operation) {
+	version, body := finished.outcome.version, finished.outcome.body
+	if content, known := h.committedBodies[version]; known && content != body {
+		w.reportViolation("one-content", "version %d is %s and was %s", version, body, content)
 	}
-	if h.refused[orderKey(version, body)] {
-		w.violate("no-false-refusal", "version %d, %s is committed and was refused", version, body)
+	if h.refused[writeKey(version, body)] {
+		w.reportViolation("no-false-refusal", "version %d, %s is committed and was refused", version, body)
 	}
-	rereading := asked.kind == writeKind && !h.highest && version == asked.version
-	if version < asked.floor && !rereading {
-		w.violate("durable", "%s gives version %d, and %d was told of before", asked, version, asked.floor)
+	confirmsOldVersion := finished.kind == writeKind && !h.highest && version == finished.version
+	if version < finished.minVersion && !confirmsOldVersion {
+		w.reportViolation("durable", "%s gives version %d, and %d was told of before", finished, version, finished.minVersion)
 	}
-	h.contents[version] = body
-	h.floor = max(h.floor, version)
+	h.committedBodies[version] = body
+	h.newestKnown = max(h.newestKnown, version)
 }
 
-func (h *history) refuse(w *World, asked *operation) {
-	h.refused[orderKey(asked.version, asked.body)] = true
-	if content, known := h.contents[asked.version]; known && content == asked.body {
-		w.violate("no-false-refusal", "%s is refused with %s and was committed", asked, asked.answer)
+func (h *history) recordRefusal(w *World, finished *operation) {
+	h.refused[writeKey(finished.version, finished.body)] = true
+	if content, known := h.committedBodies[finished.version]; known && content == finished.body {
+		w.reportViolation("no-false-refusal", "%s is refused with %s and was committed", finished, finished.outcome)
 	}
 }
 
@@ -128,16 +128,16 @@
 
 // step gives porcupine's untyped values their types; any other type is a programming error.
 func (h *history) step(state, input, output any) []any {
-	committed, isState := state.(string)
-	asked, isOperation := input.(*operation)
-	answer, isOutcome := output.(outcome)
+	committedVersions, isState := state.(string)
+	performed, isOperation := input.(*operation)
+	observed, isOutcome := output.(outcome)
 	if !isState || !isOperation || !isOutcome {
 		panic(fmt.Sprintf("explore: the model got a %T, a %T and a %T", state, input, output))
 	}
-	return h.next(committed, asked, answer)
+	return h.next(committedVersions, performed, observed)
 }
 
-const entryMark = "\n"
+const entryEnd = "\n"
 
 // newestEntry returns version and body of the last entry in the model's state; zero values when the
 // state holds none. An entry that does not begin with a number is a programming error of the model.
@@ -145,7 +145,7 @@
 	if state == "" {
 		return 0, ""
 	}
-	entries := strings.Split(strings.TrimSuffix(state, entryMark), entryMark)
+	entries := strings.Split(strings.TrimSuffix(state, entryEnd), entryEnd)
 	number, body, _ := strings.Cut(entries[len(entries)-1], " ")
 	version, err := strconv.ParseInt(number, 10, 64)
 	if err != nil {
@@ -155,20 +155,20 @@
 }
 
 // next returns the states that may follow state when the operation was answered so.
-func (h *history) next(state string, asked *operation, answer outcome) []any {
+func (h *history) next(state string, performed *operation, observed outcome) []any {
 	current, currentBody := newestEntry(state)
-	same := answer.version == current && answer.body == currentBody
-	if asked.kind == readKind {
-		return nextRead(state, answer, same)
+	matchesCurrent := observed.version == current && observed.body == currentBody
+	if performed.kind == readKind {
+		return nextRead(state, observed, matchesCurrent)
 	}
-	return h.nextWrite(state, asked, answer, asked.version > current, same)
+	return h.nextWrite(state, performed, observed, performed.version > current, matchesCurrent)
 }
 
 // nextRead leaves the state as it is; no state follows an answer that does not fit it.
-func nextRead(state string, answer outcome, same bool) []any {
-	found := answer.code == errcode.OK && same
-	empty := answer.code == errcode.ConfigurationNotFound && state == ""
-	if !answer.known || found || empty {
+func nextRead(state string, observed outcome, matchesCurrent bool) []any {
+	found := observed.code == errcode.OK && matchesCurrent
+	empty := observed.code == errcode.ConfigurationNotFound && state == ""
+	if !observed.known || found || empty {
 		return []any{state}
 	}
 	return nil
@@ -177,48 +177,48 @@
 // nextWrite adds the entry where the answer says so, and both does and does not where the answer
 // is unknown. newer says that the write's version is above the state's, same that the answer names
 // the state's newest entry.
-func (h *history) nextWrite(state string, asked *operation, answer outcome, newer, same bool) []any {
-	entry := orderKey(asked.version, asked.body) + entryMark
-	held := strings.Contains(entryMark+state, entryMark+entry)
+func (h *history) nextWrite(state string, performed *operation, observed outcome, newer, matchesCurrent bool) []any {
+	entry := writeKey(performed.version, performed.body) + entryEnd
+	committed := strings.Contains(entryEnd+state, entryEnd+entry)
 	switch {
-	case !answer.known && newer:
+	case !observed.known && newer:
 		return []any{state, state + entry}
-	case !answer.known:
+	case !observed.known:
 		return []any{state}
-	case answer.code == errcode.OK && newer && answer.version == asked.version:
+	case observed.code == errcode.OK && newer && observed.version == performed.version:
 		return []any{state + entry}
-	case answer.code == errcode.OK && held && answer.version == asked.version:
+	case observed.code == errcode.OK && committed && observed.version == performed.version:
 		return []any{state}
-	case answer.code == errcode.OK && h.highest && answer.version > asked.version && same:
+	case observed.code == errcode.OK && h.highest && observed.version > performed.version && matchesCurrent:
 		return []any{state}
-	case answer.code == errcode.ConfigurationConflict && !newer && !held:
+	case observed.code == errcode.ConfigurationConflict && !newer && !committed:
 		return []any{state}
 	}
 	return nil
 }
 
-const linearLimit = 5 * time.Second
+const linearizabilityTimeout = 5 * time.Second
 
-// checkHistory looks for an order of all that had an effect or told of one.
-func (w *World) checkHistory() {
+// checkLinearizability looks for an order of all that had an effect or told of one.
+func (w *World) checkLinearizability() {
 	list := []porcupine.Operation{}
-	for _, asked := range w.history.operations {
-		answer, to := asked.answer, asked.to
-		switch answer.code {
+	for _, recorded := range w.history.operations {
+		observed, returnStep := recorded.outcome, recorded.returnStep
+		switch observed.code {
 		case errcode.ConfigurationBad, errcode.ConfigurationTooLarge, errcode.ConfigurationNoHolder, errcode.ConfigurationBehind:
 			continue
 		case errcode.ConfigurationUnsure:
-			answer = outcome{}
+			observed = outcome{}
 		}
-		if !answer.known {
-			if asked.kind == readKind {
+		if !observed.known {
+			if recorded.kind == readKind {
 				continue
 			}
-			to = math.MaxInt64
+			returnStep = math.MaxInt64
 		}
-		list = append(list, porcupine.Operation{ClientId: len(list), Input: asked, Call: asked.from, Output: answer, Return: to})
+		list = append(list, porcupine.Operation{ClientId: len(list), Input: recorded, Call: recorded.callStep, Output: observed, Return: returnStep})
 	}
-	if porcupine.CheckOperationsTimeout(w.history.model(), list, linearLimit) == porcupine.Illegal {
-		w.violate("linearizable", "%d writes and reads fit no order", len(list))
+	if porcupine.CheckOperationsTimeout(w.history.model(), list, linearizabilityTimeout) == porcupine.Illegal {
+		w.reportViolation("linearizable", "%d writes and reads fit no order", len(list))
 	}
 }
--- a/internal/explore/machine.go
+++ b/internal/explore/machine.go
@@ -30,8 +30,8 @@
 	return nil, fmt.Errorf("no machine of role %q is explored", role)
 }
 
-// stopQuestion asks a role's machine to end politely.
-func stopQuestion(role string) any {
+// stopRequest asks a role's machine to end politely.
+func stopRequest(role string) any {
 	if role == message.RoleRegistry {
 		return registry.Stop{}
 	}
--- a/internal/explore/run.go
+++ b/internal/explore/run.go
@@ -35,7 +35,7 @@
 	w := newWorld(plan, chooser, log)
 	w.run()
 	plan.Actions = w.applied
-	return Result{Plan: plan, Violation: w.violation, Steps: w.step, Counts: w.counts, Epochs: len(w.holders), Answers: w.history.answers()}
+	return Result{Plan: plan, Violation: w.violation, Steps: w.step, Counts: w.counts, Epochs: len(w.holders), Answers: w.history.factualAnswers()}
 }
 
 // Walk plays one guided random walk.
@@ -50,7 +50,7 @@
 	due := []Action{}
 	for len(r.actions) > 0 {
 		next := r.actions[0]
-		if next.Round > w.round || next.Round == w.round && next.Step > w.inRound {
+		if next.Round > w.round || next.Round == w.round && next.Step > w.stepInRound {
 			break
 		}
 		due = append(due, next)
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -38,200 +38,200 @@
 }
 
 type search struct {
-	options  Options
-	bounds   Bounds
-	seed     uint64
-	orders   []Action
-	lock     sync.Mutex
-	ready    *sync.Cond
-	open     []branch
-	busy     int
-	met      map[uint64]int // by state: the fewest faults that led there
-	searched Searched
-	began    time.Time
-	random   *rand.Rand
+	options   Options
+	bounds    Bounds
+	seed      uint64
+	requests  []Action
+	mutex     sync.Mutex
+	ready     *sync.Cond
+	pending   []branch
+	running   int
+	visited   map[uint64]int // by state: the fewest faults that led there
+	result    Searched
+	startTime time.Time
+	random    *rand.Rand
 }
 
-// operatorsOrders are two operators' orders around the window and questions behind it.
-func operatorsOrders(options Options, bounds Bounds) []Action {
-	holderMostly := func(round, node int, version int64, content int) Action {
-		return Action{Round: round, Kind: WriteOrder, Node: node, Version: version, Content: content}
+// operatorRequests are two operators' orders around the window and questions behind it.
+func operatorRequests(options Options, bounds Bounds) []Action {
+	write := func(round, node int, version int64, content int) Action {
+		return Action{Round: round, Kind: SendWrite, Node: node, Version: version, Content: content}
 	}
-	orders := []Action{}
+	requests := []Action{}
 	for node := range options.Voters {
-		orders = append(orders, holderMostly(bounds.From, node, 1, 1))
+		requests = append(requests, write(bounds.From, node, 1, 1))
 	}
 	for node := range options.Voters {
-		orders = append(orders, holderMostly(bounds.From+1, node, 2, 2+node%2))
+		requests = append(requests, write(bounds.From+1, node, 2, 2+node%2))
 	}
 	for _, round := range []int{bounds.To + 4, bounds.To + 15, options.Rounds - 12, options.Rounds - 3} {
 		for node := range options.Voters {
-			orders = append(orders, holderMostly(round, node, 1, 1), Action{Round: round, Kind: ReadOrder, Node: node})
+			requests = append(requests, write(round, node, 1, 1), Action{Round: round, Kind: SendRead, Node: node})
 		}
 	}
-	return orders
+	return requests
 }
 
 // Search runs through all plans within the bounds, in an order drawn from the seed.
 func Search(options Options, bounds Bounds, seed uint64, workers int, progress func(Searched)) Searched {
 	s := &search{
-		options: options,
-		bounds:  bounds,
-		seed:    seed,
-		orders:  operatorsOrders(options, bounds),
-		met:     map[uint64]int{},
-		began:   time.Now(),
-		random:  rand.New(rand.NewPCG(seed, 0xdf5)),
+		options:   options,
+		bounds:    bounds,
+		seed:      seed,
+		requests:  operatorRequests(options, bounds),
+		visited:   map[uint64]int{},
+		startTime: time.Now(),
+		random:    rand.New(rand.NewPCG(seed, 0xdf5)),
 	}
-	s.ready = sync.NewCond(&s.lock)
-	s.searched.Summary = Summary{Counts: map[Kind]int64{}, Found: map[string]Result{}, Broken: map[string]int64{}}
-	s.open = []branch{{}}
-	waiting := sync.WaitGroup{}
-	members := goroutine.New()
-	told := s.began
+	s.ready = sync.NewCond(&s.mutex)
+	s.result.Summary = Summary{Counts: map[Kind]int64{}, Found: map[string]Result{}, Broken: map[string]int64{}}
+	s.pending = []branch{{}}
+	waitGroup := sync.WaitGroup{}
+	group := goroutine.New()
+	lastProgress := s.startTime
 	for range workers {
-		waiting.Add(1)
-		members.Go("explore.search", func(context.Context) {
-			defer waiting.Done()
-			for next, more := s.take(); more; next, more = s.take() {
-				s.play(next)
-				s.lock.Lock()
-				if progress != nil && time.Since(told) > progressEvery {
-					told = time.Now()
-					s.searched.Elapsed = time.Since(s.began)
-					progress(s.searched)
+		waitGroup.Add(1)
+		group.Go("explore.search", func(context.Context) {
+			defer waitGroup.Done()
+			for next, more := s.nextBranch(); more; next, more = s.nextBranch() {
+				s.runBranch(next)
+				s.mutex.Lock()
+				if progress != nil && time.Since(lastProgress) > progressInterval {
+					lastProgress = time.Now()
+					s.result.Elapsed = time.Since(s.startTime)
+					progress(s.result)
 				}
-				s.lock.Unlock()
+				s.mutex.Unlock()
 			}
 		})
 	}
-	waiting.Wait()
-	s.searched.Elapsed = time.Since(s.began)
-	s.searched.Exhaustive = len(s.open) == 0
-	return s.searched
+	waitGroup.Wait()
+	s.result.Elapsed = time.Since(s.startTime)
+	s.result.Exhaustive = len(s.pending) == 0
+	return s.result
 }
 
-// take gives the next branch; false when all is searched or a limit is reached.
-func (s *search) take() (branch, bool) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	for len(s.open) == 0 && s.busy > 0 {
+// nextBranch gives the next branch; false when all is searched or a limit is reached.
+func (s *search) nextBranch() (branch, bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for len(s.pending) == 0 && s.running > 0 {
 		s.ready.Wait()
 	}
-	over := s.bounds.Runs > 0 && s.searched.Walks >= s.bounds.Runs || s.bounds.Limit > 0 && time.Since(s.began) > s.bounds.Limit
-	if len(s.open) == 0 || over {
+	limitReached := s.bounds.Runs > 0 && s.result.Walks >= s.bounds.Runs || s.bounds.Limit > 0 && time.Since(s.startTime) > s.bounds.Limit
+	if len(s.pending) == 0 || limitReached {
 		s.ready.Broadcast()
 		return branch{}, false
 	}
-	index := s.random.IntN(len(s.open))
-	last := len(s.open) - 1
-	s.open[index], s.open[last] = s.open[last], s.open[index]
-	next := s.open[last]
-	s.open = s.open[:last]
-	s.busy++
+	index := s.random.IntN(len(s.pending))
+	last := len(s.pending) - 1
+	s.pending[index], s.pending[last] = s.pending[last], s.pending[index]
+	next := s.pending[last]
+	s.pending = s.pending[:last]
+	s.running++
 	return next, true
 }
 
-// play runs a branch and opens those that go on from it.
-func (s *search) play(next branch) {
-	scout := &scout{replayer: replayer{merge(s.orders, next.actions)}, search: s, branch: next}
+// runBranch runs a branch and opens those that go on from it.
+func (s *search) runBranch(next branch) {
+	expander := &branchExpander{replayer: replayer{mergeActions(s.requests, next.actions)}, search: s, branch: next}
 	plan := s.options.plan(s.seed)
-	w := newWorld(plan, scout, nil)
+	w := newWorld(plan, expander, nil)
 	w.run()
 	plan.Actions = w.applied
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.busy--
-	s.searched.add(Result{
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.running--
+	s.result.add(Result{
 		Plan:      plan,
 		Violation: w.violation,
 		Steps:     w.step,
 		Counts:    w.counts,
 		Epochs:    len(w.holders),
-		Answers:   w.history.answers(),
+		Answers:   w.history.factualAnswers(),
 	})
-	s.searched.Deepest = max(s.searched.Deepest, len(next.actions))
-	s.open = append(s.open, scout.found...)
+	s.result.Deepest = max(s.result.Deepest, len(next.actions))
+	s.pending = append(s.pending, expander.successors...)
 	s.ready.Broadcast()
 }
 
-// scout replays a branch and, behind its last fault, lists the faults that may come next.
-type scout struct {
+// branchExpander replays a branch and, behind its last fault, lists the faults that may come next.
+type branchExpander struct {
 	replayer
-	search *search
-	branch branch
-	found  []branch
-	cut    bool
+	search     *search
+	branch     branch
+	successors []branch
+	pruned     bool
 }
 
-func (c *scout) choose(w *World, next *item) []Action {
+func (c *branchExpander) choose(w *World, next *item) []Action {
 	due := c.replayer.choose(w, next)
-	behind := w.round > c.branch.round || w.round == c.branch.round && w.inRound > c.branch.step
-	if next == nil && w.inRound > 0 && w.round == c.branch.round && len(c.branch.actions) > 0 {
-		c.cut = c.search.known(w, len(c.branch.actions))
-		if c.cut {
-			c.found = nil
+	afterBranch := w.round > c.branch.round || w.round == c.branch.round && w.stepInRound > c.branch.step
+	if next == nil && w.stepInRound > 0 && w.round == c.branch.round && len(c.branch.actions) > 0 {
+		c.pruned = c.search.recordState(w, len(c.branch.actions))
+		if c.pruned {
+			c.successors = nil
 		}
 	}
 	bounds := c.search.bounds
 	inWindow := w.round >= bounds.From && w.round < bounds.To
-	if next == nil || c.cut || !behind || !inWindow || !matters(next) || len(c.branch.actions) >= bounds.Faults {
+	if next == nil || c.pruned || !afterBranch || !inWindow || !isCritical(next) || len(c.branch.actions) >= bounds.Faults {
 		return due
 	}
-	for _, fault := range c.search.faultsAt(w, next) {
-		fault.Round, fault.Step = w.round, w.inRound
+	for _, fault := range c.search.possibleFaults(w, next) {
+		fault.Round, fault.Step = w.round, w.stepInRound
 		actions := append(append([]Action{}, c.branch.actions...), fault)
-		c.found = append(c.found, branch{actions, w.round, w.inRound})
+		c.successors = append(c.successors, branch{actions, w.round, w.stepInRound})
 	}
 	return due
 }
 
-// known notes a state; true when another branch came to it with no more faults.
-func (s *search) known(w *World, faults int) bool {
-	state := w.state()
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if fewest, met := s.met[state]; met && fewest <= faults {
-		s.searched.Pruned++
+// recordState notes a state; true when another branch came to it with no more faults.
+func (s *search) recordState(w *World, faults int) bool {
+	state := w.fingerprint()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if fewest, visited := s.visited[state]; visited && fewest <= faults {
+		s.result.Pruned++
 		return true
 	}
-	s.met[state] = faults
-	s.searched.States++
+	s.visited[state] = faults
+	s.result.States++
 	return false
 }
 
-// faultsAt lists what may happen at a message or a write.
-func (s *search) faultsAt(w *World, next *item) []Action {
+// possibleFaults lists what may happen at a message or a write.
+func (s *search) possibleFaults(w *World, next *item) []Action {
 	faults := []Action{}
 	if next.write != nil {
 		for steps := 1; steps <= 6; steps++ {
-			for dice := range uint64(2) {
+			for crashSeed := range uint64(2) {
 				faults = append(faults, Action{
-					Kind:      CrashDisk,
+					Kind:      CrashDuringWrite,
 					Node:      next.to.index,
 					DiskSteps: steps,
-					Dice:      dice,
+					CrashSeed: crashSeed,
 					Rounds:    s.bounds.Length[0],
 				})
 			}
 		}
-		faults = append(faults, Action{Kind: DiskSlow, Node: next.to.index, Rounds: s.bounds.Length[0]})
+		faults = append(faults, Action{Kind: SlowDisk, Node: next.to.index, Rounds: s.bounds.Length[0]})
 	} else {
-		faults = append(faults, Action{Kind: Lose}, Action{Kind: Double, Rounds: 2}, Action{Kind: Late, Rounds: 3})
+		faults = append(faults, Action{Kind: DropMessage}, Action{Kind: DuplicateMessage, Rounds: 2}, Action{Kind: DelayMessage, Rounds: 3})
 	}
-	concerned := map[int]bool{next.to.index: true}
+	involved := map[int]bool{next.to.index: true}
 	if sender := w.byAddress[next.from]; sender != nil {
-		concerned[sender.index] = true
+		involved[sender.index] = true
 		faults = append(faults, Action{Kind: Cut, Node: sender.index, Peer: next.to.index, Rounds: s.bounds.Length[len(s.bounds.Length)-1]},
 			Action{Kind: CutOneWay, Node: sender.index, Peer: next.to.index, Rounds: s.bounds.Length[len(s.bounds.Length)-1]})
 	}
 	for node := range w.plan.Voters {
-		if !concerned[node] {
+		if !involved[node] {
 			continue
 		}
 		for _, length := range s.bounds.Length {
-			for _, kind := range []Kind{Crash, Isolate, Freeze, DiskLost} {
-				faults = append(faults, Action{Kind: kind, Node: node, Rounds: length, Dice: 1})
+			for _, kind := range []Kind{Crash, Isolate, Freeze, LoseDisk} {
+				faults = append(faults, Action{Kind: kind, Node: node, Rounds: length, CrashSeed: 1})
 			}
 		}
 		faults = append(faults, Action{Kind: Replace, Node: node, Rounds: 1})
@@ -239,12 +239,12 @@
 	return faults
 }
 
-// merge puts faults among the orders, by place.
-func merge(orders, faults []Action) []Action {
+// mergeActions puts faults among the orders, by place.
+func mergeActions(requests, faults []Action) []Action {
 	merged := []Action{}
-	for len(orders)+len(faults) > 0 {
-		if len(faults) == 0 || len(orders) > 0 && before(orders[0], faults[0]) {
-			merged, orders = append(merged, orders[0]), orders[1:]
+	for len(requests)+len(faults) > 0 {
+		if len(faults) == 0 || len(requests) > 0 && notAfter(requests[0], faults[0]) {
+			merged, requests = append(merged, requests[0]), requests[1:]
 		} else {
 			merged, faults = append(merged, faults[0]), faults[1:]
 		}
@@ -252,15 +252,15 @@
 	return merged
 }
 
-func before(one, other Action) bool {
+func notAfter(one, other Action) bool {
 	return one.Round < other.Round || one.Round == other.Round && one.Step <= other.Step
 }
 
-// answers counts those that state a fact.
-func (h *history) answers() int {
+// factualAnswers counts those that state a fact.
+func (h *history) factualAnswers() int {
 	count := 0
-	for _, asked := range h.operations {
-		if asked.answer.factual() {
+	for _, recorded := range h.operations {
+		if recorded.outcome.aboutConfig() {
 			count++
 		}
 	}
--- a/internal/explore/sweep.go
+++ b/internal/explore/sweep.go
@@ -28,39 +28,39 @@
 // time is up (0: no limit); progress is told now and then.
 func Sweep(options Options, first uint64, count int64, workers int, limit time.Duration, progress func(Summary)) Summary {
 	summary := Summary{Counts: map[Kind]int64{}, Found: map[string]Result{}, Broken: map[string]int64{}}
-	began := time.Now()
+	startTime := time.Now()
 	next := atomic.Int64{}
-	lock := sync.Mutex{}
-	told := began
-	waiting := sync.WaitGroup{}
-	members := goroutine.New()
+	mutex := sync.Mutex{}
+	lastProgress := startTime
+	waitGroup := sync.WaitGroup{}
+	group := goroutine.New()
 	for range workers {
-		waiting.Add(1)
-		members.Go("explore.walk", func(context.Context) {
-			defer waiting.Done()
+		waitGroup.Add(1)
+		group.Go("explore.walk", func(context.Context) {
+			defer waitGroup.Done()
 			for {
 				index := next.Add(1) - 1
-				if index >= count || limit > 0 && time.Since(began) > limit {
+				if index >= count || limit > 0 && time.Since(startTime) > limit {
 					return
 				}
 				result := Walk(options, first+uint64(index))
-				lock.Lock()
+				mutex.Lock()
 				summary.add(result)
-				if progress != nil && time.Since(told) > progressEvery {
-					told = time.Now()
-					summary.Elapsed = time.Since(began)
+				if progress != nil && time.Since(lastProgress) > progressInterval {
+					lastProgress = time.Now()
+					summary.Elapsed = time.Since(startTime)
 					progress(summary)
 				}
-				lock.Unlock()
+				mutex.Unlock()
 			}
 		})
 	}
-	waiting.Wait()
-	summary.Elapsed = time.Since(began)
+	waitGroup.Wait()
+	summary.Elapsed = time.Since(startTime)
 	return summary
 }
 
-const progressEvery = 5 * time.Second
+const progressInterval = 5 * time.Second
 
 func (s *Summary) add(result Result) {
 	s.Walks++
@@ -75,7 +75,7 @@
 	}
 	rule := result.Violation.Rule
 	s.Broken[rule]++
-	if held, found := s.Found[rule]; !found || result.Plan.Seed < held.Plan.Seed {
+	if earlier, found := s.Found[rule]; !found || result.Plan.Seed < earlier.Plan.Seed {
 		s.Found[rule] = result
 	}
 }
