--- a/internal/explore/action.go
+++ b/internal/explore/action.go
@@ -1,11 +1,11 @@
-// Package explore searches the states of the real control machines for broken promises.
-// It drives the configuration store with its quorum and its leases through
-// internal/statemachine: there is no second model of them. A default schedule delivers
-// every message in order, syncs every write at once and ticks all clocks alike; a run
-// departs from it by a list of actions, each addressed by the round of the clock and the
-// step within that round. Random walks draw the actions, the systematic search
-// enumerates them, and a replay reads them from a file; all three run the same code, so
-// whatever is found can be shrunk by leaving actions out.
+// Package explore searches the states of the real control state machines for violations of their
+// safety rules. It drives the configuration store and the registry, with their quorum and leases,
+// through internal/statemachine, so there is no second model of them that could differ. The default
+// schedule delivers every message in order, syncs every write at once and ticks all clocks alike. A
+// run deviates from it by a list of actions, each addressed by the round of the clock and the step
+// within that round. Random walks draw the actions, the exhaustive search enumerates them, and a
+// replay reads them from a file. All three run the same code, so every violation found can be shrunk
+// by removing actions.
 package explore
 
 import (
@@ -14,50 +14,50 @@
 	"strings"
 )
 
-// Kind names what an action does.
+// Kind is the kind of an action; its text is stored in plans.
 type Kind string
 
-// The kinds of action. Node and Peer are places in the order in which processes were
-// made; Rounds is how long a state lasts.
+// The kinds of action. Node and Peer are process indexes, in order of creation, unless stated
+// otherwise. Rounds is the duration of a lasting effect.
 const (
-	DropMessage      Kind = "lose"        // the next message is lost
-	DuplicateMessage Kind = "double"      // the next message comes a second time, Rounds later
-	DelayMessage     Kind = "late"        // the next message comes Rounds later
-	Crash            Kind = "crash"       // Node stops, keeps a part of what was not synced, and restarts after Rounds
-	CrashDuringWrite Kind = "crash-disk"  // Node stops within its next write, after DiskSteps operations of the disk
-	LoseDisk         Kind = "disk-lost"   // Node stops and restarts with an empty disk
-	SlowDisk         Kind = "disk-slow"   // Node's writes wait for Rounds
-	Replace          Kind = "replace"     // Node is gone for good; a new one with an empty disk starts after Rounds
+	DropMessage      Kind = "lose"        // the next message is dropped
+	DuplicateMessage Kind = "double"      // the next message is delivered a second time, Rounds later
+	DelayMessage     Kind = "late"        // the next message is delivered Rounds later
+	Crash            Kind = "crash"       // Node stops, keeps some of its unsynced writes, and restarts after Rounds
+	CrashDuringWrite Kind = "crash-disk"  // Node stops during its next write, after DiskSteps disk operations, and restarts after Rounds
+	LoseDisk         Kind = "disk-lost"   // Node stops and restarts with an empty disk after Rounds
+	SlowDisk         Kind = "disk-slow"   // Node's writes are delayed until Rounds have passed
+	Replace          Kind = "replace"     // Node stops permanently; a new process with an empty disk starts after Rounds
 	Join             Kind = "join"        // a new process with an empty disk starts
-	Leave            Kind = "leave"       // Node is asked to stop politely, and is gone for good once it has
-	Cut              Kind = "cut"         // Node and Peer don't hear each other
-	CutOneWay        Kind = "cut-one-way" // Peer does not hear Node
-	Isolate          Kind = "isolate"     // Node and all others don't hear each other
-	Freeze           Kind = "freeze"      // Node takes nothing; its clock runs on
-	ClockStep        Kind = "clock-step"  // Node's time of day leaps by Rounds
-	SendWrite        Kind = "write"       // an operator sends Version with Content to Node
-	SendRead         Kind = "read"        // an operator asks Node for the current version
+	Leave            Kind = "leave"       // Node shuts down gracefully and doesn't restart
+	Cut              Kind = "cut"         // messages between Node and Peer are blocked
+	CutOneWay        Kind = "cut-one-way" // messages from Node to Peer are blocked
+	Isolate          Kind = "isolate"     // messages between Node and all other processes are blocked
+	Freeze           Kind = "freeze"      // Node processes nothing, while its clock advances
+	ClockStep        Kind = "clock-step"  // Node's wall clock jumps by Rounds, which may be negative
+	SendWrite        Kind = "write"       // an operator sends Node a write of Version with Content
+	SendRead         Kind = "read"        // an operator reads the current version from Node
 
-	DropFromProxy   Kind = "deaf"     // Node hears nothing of proxy Peer
-	AdvanceUpstream Kind = "upstream" // upstream Peer of proxy Node leaves, is gone, or comes back
+	DropFromProxy   Kind = "deaf"     // Node receives nothing from the proxy with index Peer
+	AdvanceUpstream Kind = "upstream" // upstream Peer of proxy Node drains, deregisters or registers again
 )
 
-// Action is one departure from the default schedule.
+// Action is one deviation from the default schedule.
 type Action struct {
 	Round     int    `json:"round"`
-	Step      int    `json:"step"` // within the round; 0 is before the clocks tick
+	Step      int    `json:"step"` // within Round; 0 is before the clocks tick
 	Kind      Kind   `json:"kind"`
 	Node      int    `json:"node,omitempty"`
 	Peer      int    `json:"peer,omitempty"`
 	Rounds    int    `json:"rounds,omitempty"`
 	DiskSteps int    `json:"disk_steps,omitempty"`
-	CrashSeed uint64 `json:"dice,omitempty"` // what a crash keeps of unsynced writes
+	CrashSeed uint64 `json:"dice,omitempty"` // selects the unsynced writes that survive a crash
 	Version   int64  `json:"version,omitempty"`
 	Content   int    `json:"content,omitempty"`
-	Invalid   bool   `json:"bad,omitempty"` // a content that the check refuses
+	Invalid   bool   `json:"bad,omitempty"` // the content fails the configuration's validation
 }
 
-// effectRounds is for how many rounds its effects may go on.
+// effectRounds returns the number of rounds for which the action's effects may last.
 func (a Action) effectRounds() int {
 	if a.Kind == Leave {
 		return leaveTimeoutRounds
@@ -65,6 +65,7 @@
 	return a.Rounds
 }
 
+// String returns the action as JSON, in the form that ParsePlan reads.
 func (a Action) String() string {
 	body, err := json.Marshal(a)
 	if err != nil {
@@ -73,20 +74,19 @@
 	return string(body)
 }
 
-// Plan is a run's whole departure from the default schedule, with what it needs to be
-// played again.
+// Plan lists all actions of a run, with the options and the seed that are needed to replay it.
 type Plan struct {
 	Role    string   `json:"role"`
 	Seed    uint64   `json:"seed"`
 	Voters  int      `json:"voters"`
-	Named   bool     `json:"named,omitempty"` // the settings name the voters
+	Named   bool     `json:"named,omitempty"` // the settings list the voters by name
 	Highest bool     `json:"highest,omitempty"`
 	Rounds  int      `json:"rounds"`
-	Except  []string `json:"except,omitempty"` // rules that are not looked at
+	Except  []string `json:"except,omitempty"` // rules that are not checked
 	Actions []Action `json:"actions"`
 }
 
-// String writes a plan, one action a line, in the form that ParsePlan reads.
+// String returns the plan in the form that ParsePlan reads: a header line, then one action per line.
 func (p Plan) String() string {
 	header := p
 	header.Actions = []Action{}
@@ -101,7 +101,7 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// ParsePlan reads what String wrote; lines that begin with # are left out.
+// ParsePlan parses the output of Plan.String. Empty lines and lines that begin with # are ignored.
 func ParsePlan(text string) (Plan, error) {
 	plan, headerRead := Plan{}, false
 	for number, line := range strings.Split(text, "\n") {
@@ -123,7 +123,7 @@
 		plan.Actions = append(plan.Actions, action)
 	}
 	if !headerRead {
-		return plan, fmt.Errorf("no plan in %d bytes", len(text))
+		return plan, fmt.Errorf("no plan in %d bytes: expected a JSON header line", len(text))
 	}
 	return plan, nil
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -10,7 +10,7 @@
 	"beaconvane/internal/message"
 )
 
-// configStoreWalks are the groups that every run of the tests walks through.
+// configStoreWalks lists the groups of configuration stores that are explored, with the number of walks of each.
 var configStoreWalks = map[string]struct {
 	options Options
 	count   int64
@@ -21,9 +21,11 @@
 	"five":          {Options{Voters: 5, Rounds: 200, Faults: 12}, 100},
 }
 
+// Random walks of configuration stores violate no rule. The lease must move and every kind of fault must occur, or the
+// walks would check little.
 func TestWalksKeepAllPromises(t *testing.T) {
 	if racing {
-		t.Skip("each walk is one thread; run without -race")
+		t.Skip("each walk is single-threaded; run without -race")
 	}
 	for name, walks := range configStoreWalks {
 		t.Run(name, func(t *testing.T) {
@@ -47,10 +49,10 @@
 	}
 }
 
-// The same of registries: roster, usage reports and their fences.
+// Random walks of registries violate no rule on the roster, the usage reports and their fencing epochs.
 func TestWalksOfRegistriesKeepAllPromises(t *testing.T) {
 	if racing {
-		t.Skip("each walk is one thread; run without -race")
+		t.Skip("each walk is single-threaded; run without -race")
 	}
 	for name, walks := range map[string]struct {
 		options Options
@@ -75,7 +77,7 @@
 	}
 }
 
-// A walk and its replay from text come to the same.
+// The replay of a walk's printed plan takes the same steps and has the same result as the walk.
 func TestReplayRepeatsTheWalk(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
 		options := Options{Voters: 3, Rounds: 150, Faults: 10}
@@ -83,7 +85,7 @@
 			options = Options{Role: message.RoleRegistry, Voters: 3, Rounds: 320, Faults: 8}
 		}
 		walked := Walk(options, seed)
-		plan, err := ParsePlan("# a remark\n" + walked.Plan.String())
+		plan, err := ParsePlan("# a comment\n" + walked.Plan.String())
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, plan, qt.DeepEquals, walked.Plan)
 		replayed := Replay(plan, nil)
@@ -93,17 +95,19 @@
 	}
 }
 
+// A parse error names the line, and a text without a plan is an error.
 func TestParsePlanErrorNamesTheLine(t *testing.T) {
 	_, err := ParsePlan("{\"seed\":1}\n{\"round\":\"x\"}")
 	qt.Assert(t, strings.HasPrefix(err.Error(), "line 2: "), qt.IsTrue)
-	_, err = ParsePlan("# nothing\n")
+	_, err = ParsePlan("# only a comment\n")
 	qt.Assert(t, err, qt.ErrorMatches, "no plan in .*")
 }
 
-// Every single fault at every message and write of four rounds around operators' orders.
+// The search tries every single fault at every critical message and write of four rounds around operators' writes. It
+// must complete and find no violation.
 func TestSearchOfOneFaultIsExhaustiveAndFindsNoViolation(t *testing.T) {
 	if racing {
-		t.Skip("each run is one thread; run without -race")
+		t.Skip("each run is single-threaded; run without -race")
 	}
 	searched := Search(Options{Voters: 3, Rounds: 70},
 		Bounds{From: 10, To: 14, Faults: 1, Length: []int{4, 40}}, 1, runtime.GOMAXPROCS(0), nil)
@@ -117,7 +121,7 @@
 	}
 }
 
-// Two runs of one plan come to one fingerprint; a lost message that mattered makes another.
+// Two runs of the same plan have the same fingerprint; a write or a lasting isolation changes it.
 func TestFingerprintDistinguishesStates(t *testing.T) {
 	stateAfter := func(actions ...Action) uint64 {
 		w := newWorld(Plan{Role: message.RoleConfigStore, Seed: 1, Voters: 3, Rounds: 13}, &replayer{actions}, nil)
--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// leaveTimeoutRounds is after how many rounds a process that was asked to stop is ended.
+	// leaveTimeoutRounds is when a process that was asked to shut down is stopped if it hasn't finished.
 	leaveTimeoutRounds = 60
-	// maxProcesses bounds the processes that a run adds.
+	// maxProcesses is the maximum number of processes in a run, stopped ones included.
 	maxProcesses = 12
 )
 
-// applyAction carries an action out and reports whether it could. An action that is impossible where it
-// stands (its process is down, its message is not there, it would lose too many disks) does nothing,
-// so that every part of a plan is a plan and plans can be shrunk.
+// applyAction applies an action and reports whether it took effect. An action that is impossible in the current
+// state (its process is down, there is no message, too many disks would be lost) does nothing. So every subset of
+// a plan's actions is a valid plan, which Shrink relies on.
 func (w *World) applyAction(action Action) bool {
 	switch action.Kind {
 	case DropMessage, DuplicateMessage, DelayMessage:
@@ -71,7 +71,7 @@
 	return true
 }
 
-// applyDropFromProxy has the process receive nothing from a proxy of the fleet for some rounds.
+// applyDropFromProxy drops all messages from a proxy of the fleet to the process for action.Rounds.
 func (w *World) applyDropFromProxy(p *process, action Action) bool {
 	if w.fleet == nil {
 		return false
@@ -80,7 +80,7 @@
 	return true
 }
 
-// applyFreeze stops the process from running for some rounds, unless it restarts before.
+// applyFreeze freezes the process for action.Rounds, or until it restarts.
 func (w *World) applyFreeze(p *process, action Action) bool {
 	if p.frozen {
 		return false
@@ -95,6 +95,7 @@
 	return true
 }
 
+// applyMessageFault drops, duplicates or delays the next message. It skips datagrams, writes and operators' requests.
 func (w *World) applyMessageFault(action Action) bool {
 	if len(w.queue) == 0 || w.stepInRound == 0 || w.queue[0].datagram || w.queue[0].write != nil || w.queue[0].from == operatorAddress {
 		return false
@@ -113,8 +114,8 @@
 	return true
 }
 
-// canLoseData says that a majority besides this process has its data: the promises hold only
-// while not more disks are lost than a group of its size bears.
+// canLoseData reports whether a majority of the voters keeps its data without candidate: the rules hold only
+// while no more disks are lost than a group of this size tolerates.
 func (w *World) canLoseData(candidate *process) bool {
 	if !candidate.hasVoter {
 		return true
@@ -131,7 +132,7 @@
 	return intact > w.plan.Voters/2
 }
 
-// newestMemberList joins the member lists of all processes, voter by voter.
+// newestMemberList merges the member lists of all processes: the highest identity of each voter.
 func (w *World) newestMemberList() map[string]string {
 	merged := map[string]string{}
 	for _, p := range w.processes {
@@ -142,6 +143,7 @@
 	return merged
 }
 
+// applyDiskLoss crashes the process and restarts it with an empty disk.
 func (w *World) applyDiskLoss(p *process, action Action) bool {
 	if !w.canLoseData(p) {
 		return false
@@ -152,6 +154,7 @@
 	return true
 }
 
+// applyReplace stops the process permanently and adds a new one after action.Rounds.
 func (w *World) applyReplace(p *process, action Action) bool {
 	if w.plan.Named || !w.canLoseData(p) || len(w.processes) >= maxProcesses {
 		return false
@@ -161,6 +164,7 @@
 	return true
 }
 
+// applyJoin adds a process.
 func (w *World) applyJoin() bool {
 	if w.plan.Named || len(w.processes) >= maxProcesses {
 		return false
@@ -169,6 +173,7 @@
 	return true
 }
 
+// applyLeave asks the process to shut down gracefully, and stops it after leaveTimeoutRounds if it hasn't.
 func (w *World) applyLeave(p *process) bool {
 	if w.plan.Named || p.leaving || !w.canLoseData(p) {
 		return false
@@ -184,6 +189,7 @@
 	return true
 }
 
+// applyCut blocks messages between the process and one peer or all others for action.Rounds.
 func (w *World) applyCut(p *process, action Action) bool {
 	cutUntil := w.round + action.Rounds
 	if action.Kind == Isolate {
@@ -202,7 +208,8 @@
 	return true
 }
 
-// configBody is the configuration that an operator sends as a content under a version.
+// configBody returns a configuration that is unique to version and content. An invalid one has an unknown field, so
+// that validation fails.
 func configBody(version int64, content int, invalid bool) []byte {
 	field := "note"
 	if invalid {
@@ -211,6 +218,7 @@
 	return []byte(fmt.Sprintf(`{%q:"%d of %d","services":["x"],"tenants":[],"routes":[]}`, field, content, version))
 }
 
+// applyWrite sends an operator's write to the process.
 func (w *World) applyWrite(p *process, action Action) {
 	body := configBody(action.Version, action.Content, action.Invalid)
 	w.sendRequest(p, &operation{kind: writeKind, version: action.Version, body: string(body)}, func(id int64) any {
@@ -218,7 +226,8 @@
 	})
 }
 
-// sendRequest hands an operator's order or question to a process at once; it counts as asked now.
+// sendRequest records an operator's request as started and puts it at the front of the queue. newMessage builds the
+// message from the request id.
 func (w *World) sendRequest(p *process, started *operation, newMessage func(id int64) any) {
 	id := w.history.begin(w, started)
 	w.step++
@@ -227,4 +236,5 @@
 	w.queue = append([]item{queued}, w.queue...)
 }
 
+// operatorAddress is the sender of all operators' requests.
 const operatorAddress = "10.9.0.1:1"
--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -13,16 +13,18 @@
 	"beaconvane/internal/storage"
 )
 
-// fingerprint folds the state of a run into a hash, through unexported fields and pointers as well:
-// machines, disks, messages and writes in flight, lasting faults, and what operators were told. Two
-// runs with one fingerprint at one round go on alike.
+// fingerprint serializes the state of a run for hashing, including unexported fields and what pointers refer to:
+// machines, disks, messages and writes in flight, lasting faults, and the outcomes that operators received. Two
+// runs with the same fingerprint at the same round continue alike.
 type fingerprint struct {
 	text    strings.Builder
-	visited map[uintptr]int
+	visited map[uintptr]int // by pointer: its number, in order of first visit
 }
 
+// settingsType is skipped: settings follow from the process's index and incarnation, which are serialized.
 var settingsType = reflect.TypeFor[settings.Settings]()
 
+// add serializes any value.
 func (f *fingerprint) add(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -46,7 +48,7 @@
 			f.add(value.Index(index))
 		}
 	case reflect.Func, reflect.Chan, reflect.UnsafePointer:
-		// What a continuation will do follows from the write that it waits for.
+		// A continuation's effect is determined by the write that it waits for, which is serialized on its own.
 		fmt.Fprintf(&f.text, "%t,", value.IsNil())
 	case reflect.String:
 		fmt.Fprintf(&f.text, "%q,", value.String())
@@ -55,8 +57,8 @@
 	}
 }
 
-// addBytes reads a message, if it is one: the same message has many forms, since its maps
-// are written in any order.
+// addBytes decodes body first if it is a message: maps are encoded in any order, so equal messages can differ
+// in their bytes.
 func (f *fingerprint) addBytes(body []byte) {
 	if decoded, err := message.Decode(body); err == nil {
 		f.add(reflect.ValueOf(decoded))
@@ -65,7 +67,8 @@
 	fmt.Fprintf(&f.text, "%x,", body)
 }
 
-// addDisk takes what a start from the disk would find, and what a crash might lose.
+// addDisk serializes what a restart would read from the disk, and each file's synced and total size, which bound
+// what a crash may lose.
 func (f *fingerprint) addDisk(disk *simulation.Disk) {
 	f.add(reflect.ValueOf(disk.Sizes()))
 	_, snapshot, records, err := storage.Open(disk.Copy())
@@ -74,6 +77,7 @@
 	f.add(reflect.ValueOf(records))
 }
 
+// addPointer serializes what a pointer or interface refers to, and a pointer seen before as its number.
 func (f *fingerprint) addPointer(value reflect.Value) {
 	if value.IsNil() {
 		f.text.WriteString("nil,")
@@ -91,6 +95,7 @@
 	f.add(value.Elem())
 }
 
+// addMap serializes a map in the order of its keys.
 func (f *fingerprint) addMap(value reflect.Value) {
 	keys := value.MapKeys()
 	slices.SortFunc(keys, func(one, other reflect.Value) int {
@@ -103,13 +108,12 @@
 	}
 }
 
-// fingerprint is the fingerprint of a world at a round's end.
+// fingerprint returns the hash of the world's state at the end of a round. It removes expired cuts from cutUntil.
 func (w *World) fingerprint() uint64 {
 	f := &fingerprint{visited: map[uintptr]int{}}
 	for _, p := range w.processes {
 		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.removed, p.leaving, p.hasVoter, p.incarnation,
-			p.startedAt,
-			p.wallOffset, max(p.slowUntil-w.round, 0))
+			p.startedAt, p.wallOffset, max(p.slowUntil-w.round, 0))
 		f.add(reflect.ValueOf(p.machine))
 		f.add(reflect.ValueOf(p.env))
 		f.addDisk(p.disk)
@@ -134,6 +138,7 @@
 	return hash.Sum64()
 }
 
+// addItems serializes messages and writes in flight.
 func (f *fingerprint) addItems(items []item) {
 	for _, pending := range items {
 		fmt.Fprintf(&f.text, "%s>%s %d %T;", pending.from, pending.to.address, pending.incarnation, pending.message)
--- a/internal/explore/fleet.go
+++ b/internal/explore/fleet.go
@@ -12,70 +12,72 @@
 	"beaconvane/internal/statemachine"
 )
 
-// The fleet is what registries serve in a run: proxies with heartbeats, usage counts and upstreams
-// that come and go, and the usage collector. It keeps no promises itself; it is the truth that the
-// registries' roster and reports are checked against.
+// The fleet models the clients of the registries in a run: proxies that send heartbeats and usage counts, their
+// upstreams, which register and deregister, and the usage collector. It is not checked itself; it is the reference
+// for the registries' roster and reports.
 const (
 	fleetProxies      = 2
 	upstreamsPerProxy = 2
-	// heartbeatRounds is the interval of a proxy's heartbeats and counts.
+	// heartbeatRounds is the interval of a proxy's heartbeats and usage updates.
 	heartbeatRounds = 2
 	fleetZone       = "z"
 	fleetTenant     = "tenant"
-	// updatesPerFullUpdate: of so many updates of usage one holds the windows that are over.
+	// updatesPerFullUpdate: one in this many usage updates includes the closed windows.
 	updatesPerFullUpdate = 2
 	// windowRounds is the length of a usage window.
 	windowRounds = 10
-	// reportsPerLostResponse: of so many answers of the collector one is lost.
+	// reportsPerLostResponse: one in this many responses of the collector is lost.
 	reportsPerLostResponse = 2
-	// thawGraceRounds is how long after a thaw an act does not count as one out of order.
+	// thawGraceRounds is how long after a freeze a report is exempt from the rule "rest".
 	thawGraceRounds = 6
-	// maxWindowsBehind is how many windows the reports may be behind when a run ends in calm.
+	// maxWindowsBehind is how many windows the reports may lag at the end of a run without faults.
 	maxWindowsBehind = 8
 )
 
-// fleetUpstream is an upstream as it stands in truth.
+// fleetUpstream is the actual state of an upstream.
 type fleetUpstream struct {
 	registration message.Registration
 	registered   bool
 	probeResult  int64
 }
 
+// fleetProxy is a proxy, with the usage that it counted.
 type fleetProxy struct {
 	name        string
 	address     string
-	sequence    int64 // of its usage updates
+	sequence    int64 // of the last usage update
 	upstreams   []*fleetUpstream
-	counts      map[int64]int64 // by window
-	sealedBelow int64           // windows below it are sealed, as some registry said
+	counts      map[int64]int64 // requests by usage window
+	sealedBelow int64           // windows below it are sealed, according to the registries' responses
 }
 
-// windowReport is what the collector took of a window.
+// windowReport is the last report of a usage window that the collector received.
 type windowReport struct {
-	counts map[string]int64
-	epoch  int64
-	reporter     string
+	counts   map[string]int64
+	epoch    int64
+	reporter string
 }
 
-// collectorCall is a call that reached the collector.
+// collectorCall is the last of a series of consecutive reports from one node.
 type collectorCall struct {
 	node  string
 	round int
 }
 
-// fleet is the registries' surroundings.
+// fleet is the state of the proxies and of the collector.
 type fleet struct {
 	proxies            []*fleetProxy
-	windows            map[int64]windowReport
-	newestWindow       int64            // window that was reported
-	highestFence       int64            // the highest that the collector has seen
-	fenceUsers         map[int64]string // by fence: the incarnation that used it
-	calls              []collectorCall  // the first of each holder in a row
+	windows            map[int64]windowReport // by usage window
+	newestWindow       int64                  // highest window that was reported
+	highestFence       int64                  // highest lease epoch that the collector received
+	fenceUsers         map[int64]string       // by lease epoch: the incarnation that reported under it
+	calls              []collectorCall        // one per series of reports from the same node
 	reportCount        int64
-	dropFromProxyUntil map[[2]int]int              // by process and proxy: the round until which nothing comes through
-	changes            map[message.Position]string // by position: what was broadcast as the change to it
+	dropFromProxyUntil map[[2]int]int              // by process and proxy: the round until which messages are dropped
+	changes            map[message.Position]string // by position: the change that was broadcast
 }
 
+// newFleet returns a fleet with all upstreams registered.
 func newFleet() *fleet {
 	f := &fleet{
 		windows:            map[int64]windowReport{},
@@ -108,14 +110,15 @@
 	return f
 }
 
-// currentWindow is the usage currentWindow of the true time.
+// currentWindow returns the usage window at the reference time, without clock steps.
 func (w *World) currentWindow() int64 {
 	return int64((startTime + w.now) / w.fleetSettings().UsageWindow())
 }
 
+// fleetSettings returns the settings that all processes share: those of the first one.
 func (w *World) fleetSettings() settings.Settings { return w.processes[0].settings }
 
-// runFleet is a round of the proxies: each counts a request, and sends what is due.
+// runFleet runs a round of the proxies: each counts one request and sends the heartbeat and usage update that are due.
 func (w *World) runFleet() {
 	if w.fleet == nil {
 		return
@@ -139,8 +142,8 @@
 	}
 }
 
-// usageReceivers are the processes that the proxies tell their counts: one more than may be lost,
-// of those that hold a voter.
+// usageReceivers returns the processes that receive usage updates: those with a voter, at most one more than the
+// number of voters that the group can lose.
 func (w *World) usageReceivers() []int {
 	indexes := []int{}
 	for _, p := range w.upProcesses() {
@@ -151,11 +154,12 @@
 	return indexes
 }
 
-// sendFromFleet puts a message of the fleet into the queue.
+// sendFromFleet queues a message from a proxy.
 func (w *World) sendFromFleet(to *process, from string, body any) {
 	w.queue = append(w.queue, item{sentStep: w.step, from: from, to: to, incarnation: to.incarnation, message: body})
 }
 
+// heartbeat returns the heartbeats of all registered upstreams.
 func (x *fleetProxy) heartbeat(window int64) message.HeartbeatBatch {
 	batch := message.HeartbeatBatch{
 		Proxy:           x.name,
@@ -178,8 +182,8 @@
 	return batch
 }
 
-// usageUpdate tells the counts of the windows that are not sealed; like a real proxy it names the
-// closed ones only in updates that hold them.
+// usageUpdate returns the counts of the windows that are not sealed. Like a real proxy, it sets ClosedBelow only in
+// updates that include the closed windows.
 func (x *fleetProxy) usageUpdate(current int64) message.UsageUpdate {
 	update := message.UsageUpdate{Proxy: x.name, StartTime: 1, Sequence: x.sequence, Counts: []message.UsageCount{}, ClosedBelow: current}
 	if x.sequence%updatesPerFullUpdate != 0 {
@@ -198,7 +202,7 @@
 	return update
 }
 
-// deliverToProxy takes what a registry sends to a proxy; false where it is for none.
+// deliverToProxy delivers a registry's message to a proxy. It returns false if no proxy has the address.
 func (w *World) deliverToProxy(to string, body any) bool {
 	if w.fleet == nil {
 		return false
@@ -218,6 +222,7 @@
 	return false
 }
 
+// answerProbe marks the probed upstream as answered; the next heartbeat carries the result.
 func (x *fleetProxy) answerProbe(request message.ProbeRequest) {
 	for _, upstream := range x.upstreams {
 		if upstream.registration.Instance == request.Instance && upstream.registration.Incarnation == request.Incarnation {
@@ -226,8 +231,8 @@
 	}
 }
 
-// changeUpstream lets an upstream take its next step: it leaves, is gone, comes back in a
-// new incarnation.
+// changeUpstream moves an upstream to its next state: ready, draining, deregistered, then ready again in a new
+// incarnation. It returns false if there is no such upstream.
 func (w *World) changeUpstream(proxy, index int) bool {
 	if w.fleet == nil || proxy >= len(w.fleet.proxies) || index >= upstreamsPerProxy {
 		return false
@@ -246,26 +251,27 @@
 	return true
 }
 
-// recordRosterChange notes a roster change that a holder sends.
+// recordRosterChange records a roster change that a lease holder sends and checks the rule "one-change".
 func (w *World) recordRosterChange(p *process, change message.RosterChange) {
 	if w.fleet == nil {
 		return
 	}
 	position := message.Position{Topic: change.Position.Topic, Epoch: change.Position.Epoch, Seq: change.Position.Seq}
-	content := fmt.Sprintf("%+v gone %t to %d", change.Registration, change.Removed, change.Position.Hash)
+	content := fmt.Sprintf("%+v removed %t to %d", change.Registration, change.Removed, change.Position.Hash)
 	if earlier, known := w.fleet.changes[position]; known && earlier != content {
-		w.reportViolation("one-change", "%s broadcasts %s as (%d,%d), which was %s", p.name(), content, position.Epoch, position.Seq, earlier)
+		w.reportViolation("one-change", "%s broadcasts %s at position (%d,%d), where %s was broadcast before", p.name(), content,
+			position.Epoch, position.Seq, earlier)
 	}
 	w.fleet.changes[position] = content
 }
 
-// deliverReport takes a usage report: it reaches the collector at once, and the answer is lost at
-// times.
+// deliverReport delivers a usage report to the collector at once, unless it has expired. The response arrives a
+// round later; one in reportsPerLostResponse is lost.
 func (w *World) deliverReport(p *process, report registry.UsageReport) {
 	if w.fleet == nil || p.now(w) > report.ExpiresAt {
 		return
 	}
-	w.logf("%s reports window %d under %d: %v", p.name(), report.Window, report.Epoch, report.Counts)
+	w.logf("%s reports window %d under epoch %d: %v", p.name(), report.Window, report.Epoch, report.Counts)
 	w.checkReport(p, report)
 	w.fleet.recordReport(p, w.round, report)
 	w.fleet.reportCount++
@@ -280,6 +286,7 @@
 	})
 }
 
+// recordReport records a report as received by the collector.
 func (f *fleet) recordReport(p *process, round int, report registry.UsageReport) {
 	f.windows[report.Window] = windowReport{counts: maps.Clone(report.Counts), epoch: report.Epoch, reporter: p.name()}
 	f.newestWindow = max(f.newestWindow, report.Window)
@@ -292,30 +299,34 @@
 	f.calls = append(f.calls, collectorCall{p.name(), round})
 }
 
+// incarnationName identifies the current incarnation of a process.
 func incarnationName(p *process) string {
 	return fmt.Sprintf("%s in incarnation %d", p.name(), p.incarnation)
 }
 
-// checkReport checks that a window has one value, a fence one holder, fences don't fall, and no holder
-// comes back within the rest.
+// checkReport checks the rules on usage reports: a window has one value, a lease epoch is used by one incarnation,
+// epochs don't decrease, and a former holder doesn't report again within the holder cool-down.
 func (w *World) checkReport(p *process, report registry.UsageReport) {
 	f := w.fleet
 	if earlier, known := f.windows[report.Window]; known && !maps.Equal(earlier.counts, report.Counts) {
-		w.reportViolation("one-value", "%s reports window %d as %v, and %s has as %v", p.name(), report.Window, report.Counts, earlier.reporter,
-			earlier.counts)
+		w.reportViolation("one-value", "%s reports window %d as %v, and %s reported it as %v", p.name(), report.Window, report.Counts,
+			earlier.reporter, earlier.counts)
 	}
 	if report.Epoch < f.highestFence {
-		w.reportViolation("fence", "%s reports under %d, and %d was seen", p.name(), report.Epoch, f.highestFence)
+		w.reportViolation("fence", "%s reports under epoch %d after a report under epoch %d", p.name(), report.Epoch, f.highestFence)
 	}
 	if incarnation, used := f.fenceUsers[report.Epoch]; used && incarnation != incarnationName(p) {
-		w.reportViolation("one-fence", "%s reports under %d, which is that of %s", incarnationName(p), report.Epoch, incarnation)
+		w.reportViolation("one-fence", "%s reports under epoch %d, which %s used", incarnationName(p), report.Epoch, incarnation)
 	}
-	if earlier, interrupted := f.callBeforeOther(p.name()); interrupted && w.round-earlier.round < w.cooldownRounds() && w.round-p.thawRound > thawGraceRounds {
-		w.reportViolation("rest", "%s acts %d rounds after it acted before another", p.name(), w.round-earlier.round)
+	if earlier, interrupted := f.callBeforeOther(p.name()); interrupted && w.round-earlier.round < w.cooldownRounds() &&
+		w.round-p.thawRound > thawGraceRounds {
+		w.reportViolation("rest", "%s reports %d rounds after its last report before another node reported, want at least %d", p.name(),
+			w.round-earlier.round, w.cooldownRounds())
 	}
 }
 
-// callBeforeOther gives the last act of a node behind which another node acted.
+// callBeforeOther returns the node's last report that was followed by another node's report; false if there is none,
+// or if the node itself reported last.
 func (f *fleet) callBeforeOther(node string) (collectorCall, bool) {
 	if len(f.calls) < 2 || f.calls[len(f.calls)-1].node == node {
 		return collectorCall{}, false
@@ -328,10 +339,11 @@
 	return collectorCall{}, false
 }
 
+// cooldownRounds returns the holder cool-down in rounds.
 func (w *World) cooldownRounds() int { return int(w.fleetSettings().HolderCooldown() / roundDuration) }
 
-// checkFleet holds the roster and the reports against the truth, at the end of a run that
-// was calm for long enough.
+// checkFleet compares the roster and the usage reports with the fleet at the end of a run, if its last
+// faultFreeRounds had no faults and a majority of the voters is up.
 func (w *World) checkFleet() {
 	if w.fleet == nil || w.plan.Rounds-w.faultFreeFrom < faultFreeRounds || !w.majorityUp() {
 		return
@@ -343,17 +355,18 @@
 			continue
 		}
 		if actual := machine.Registrations(fleetZone); !slices.Equal(actual, expected) {
-			w.reportViolation("converge", "%s has %v, and the truth is %v", p.name(), actual, expected)
+			w.reportViolation("converge", "%s has the roster %v, want %v", p.name(), actual, expected)
 		}
 	}
 	if w.fleet.newestWindow < w.currentWindow()-maxWindowsBehind {
-		w.reportViolation("reported", "window %d is the newest that was reported, and %d is under way", w.fleet.newestWindow, w.currentWindow())
+		w.reportViolation("reported", "window %d is the newest reported one, while window %d is current",
+			w.fleet.newestWindow, w.currentWindow())
 	}
 	w.checkCounts()
 }
 
-// majorityUp says that a majority of the voters runs: two that leave at one time with nobody
-// to take their places leave none.
+// majorityUp reports whether a majority of the voters is up. There is none if, for example, two processes leave at
+// the same time and no others replace them.
 func (w *World) majorityUp() bool {
 	memberList, up := w.newestMemberList(), 0
 	for _, p := range w.upProcesses() {
@@ -365,7 +378,7 @@
 	return up*2 > w.plan.Voters
 }
 
-// checkCounts checks that what was counted while there were no faults is reported as it was.
+// checkCounts checks that the windows of the second half of the fault-free rounds are reported with exact counts.
 func (w *World) checkCounts() {
 	settledRound := w.faultFreeFrom + faultFreeRounds/2
 	firstWindow := int64((startTime+time.Duration(settledRound)*roundDuration)/w.fleetSettings().UsageWindow()) + 1
@@ -375,13 +388,13 @@
 			counted += proxy.counts[window]
 		}
 		if window >= firstWindow && reported.counts[fleetTenant] != counted {
-			w.reportViolation("counts", "window %d was reported as %d by %s, and %d were counted", window, reported.counts[fleetTenant], reported.reporter,
-				counted)
+			w.reportViolation("counts", "window %d was reported as %d by %s, want %d", window, reported.counts[fleetTenant],
+				reported.reporter, counted)
 		}
 	}
 }
 
-// expectedRoster is what every registry has to hold in the end.
+// expectedRoster returns the roster that every registry must hold at the end of the run.
 func (f *fleet) expectedRoster() []message.Registration {
 	list := []message.Registration{}
 	for _, proxy := range f.proxies {
--- a/internal/explore/machine.go
+++ b/internal/explore/machine.go
@@ -10,16 +10,16 @@
 	"beaconvane/internal/statemachine"
 )
 
-// controlMachine is a machine with a voter.
+// controlMachine is a state machine that holds a voter of the quorum.
 type controlMachine interface {
 	statemachine.Machine
-	// VoterState is what the machine's disk says of its voter.
+	// VoterState returns the persisted state of the machine's voter.
 	VoterState() message.VoterState
-	// Serving says that it acts as the holder of some lease.
+	// Serving reports whether the machine acts as the holder of a lease.
 	Serving() bool
 }
 
-// newMachine restores a role's machine from what its disk held.
+// newMachine restores the state machine of a role from the snapshot and the records on its disk.
 func newMachine(role string, cfg settings.Settings, self message.Member, snapshot []byte, records [][]byte) (controlMachine, error) {
 	switch role {
 	case message.RoleConfigStore:
@@ -27,10 +27,10 @@
 	case message.RoleRegistry:
 		return registry.New(cfg, self, snapshot, records)
 	}
-	return nil, fmt.Errorf("no machine of role %q is explored", role)
+	return nil, fmt.Errorf("role %q cannot be explored: expected %q or %q", role, message.RoleConfigStore, message.RoleRegistry)
 }
 
-// stopRequest asks a role's machine to end politely.
+// stopRequest returns the local request that shuts a role's machine down gracefully.
 func stopRequest(role string) any {
 	if role == message.RoleRegistry {
 		return registry.Stop{}
--- a/internal/explore/norace_test.go
+++ b/internal/explore/norace_test.go
@@ -1,6 +1,7 @@
 //go:build !race
 
-// The other half of race_test.go: without the detector every run is played.
+// The counterpart of race_test.go: without the race detector all runs are made.
 package explore
 
+// racing reports whether the race detector is on.
 const racing = false
--- a/internal/explore/process.go
+++ b/internal/explore/process.go
@@ -11,12 +11,13 @@
 	"beaconvane/internal/storage"
 )
 
-// request is an operator's order or question that a process has not answered yet.
+// request is an operator's write or read that a process has not answered yet.
 type request struct {
 	operation   *operation
-	arrivalStep int64 // the world's step
+	arrivalStep int64 // value of World.step
 }
 
+// process is a simulated process: a state machine, its disk and its clocks.
 type process struct {
 	index       int
 	settings    settings.Settings
@@ -28,22 +29,23 @@
 	store       *storage.Store
 	up          bool
 	frozen      bool
-	removed     bool // for good
-	leaving     bool
+	removed     bool // permanently stopped
+	leaving     bool // a graceful shutdown was requested
 	hasVoter    bool // holds a voter, with its data on disk
 	incarnation int
-	startedAt   time.Duration
-	wallOffset  time.Duration
-	slowUntil   int // round until which writes wait
-	thawRound   int // round
-	inbox       []item
-	requests    map[int64]request
-	lastContact map[string]int64 // by sender: the newest step at which a message that came was sent
+	startedAt   time.Duration     // World.now of the last start
+	wallOffset  time.Duration     // sum of the clock steps
+	slowUntil   int               // round until which writes are delayed
+	thawRound   int               // round of the last end of a freeze
+	inbox       []item            // received while frozen
+	requests    map[int64]request // by request id
+	lastContact map[string]int64  // by sender: the highest sentStep of the messages received from it as a voter
 }
 
 func (p *process) name() string { return p.settings.Node }
 
-// start starts the process from its disk.
+// start starts a new incarnation from the disk, unless the process is up or removed. A failure to restore the
+// machine violates the rule "restart".
 func (p *process) start(w *World) {
 	if p.up || p.removed {
 		return
@@ -66,11 +68,11 @@
 		p.up = false
 		return
 	}
-	// A crash may come between the write that makes a voter and the event that says so.
+	// A crash may have come after the write that makes the process a voter and before the event that reports it.
 	p.hasVoter = p.machine.VoterState().Voting
 }
 
-// crash ends the process at once; the disk keeps what the dice say of unsynced writes.
+// crash stops the process at once; seed selects the unsynced writes that the disk keeps.
 func (p *process) crash(seed uint64) {
 	if !p.up {
 		return
@@ -79,9 +81,10 @@
 	p.disk.Crash(rand.New(rand.NewPCG(seed, 7)))
 }
 
-// now is the process's own clock.
+// now returns the process's monotonic clock, which starts at 0 with each incarnation.
 func (p *process) now(w *World) time.Duration { return w.now - p.startedAt }
 
+// apply runs a command on the machine and carries out its effects.
 func (p *process) apply(w *World, command statemachine.Command) {
 	p.env.Now, p.env.Wall = p.now(w), startTime+w.now+p.wallOffset
 	command.Apply(p.machine, p.env)
@@ -90,7 +93,7 @@
 	}
 }
 
-// sync carries out a write and tells the machine.
+// sync carries out a write and reports its completion to the machine, unless the disk stops within the write.
 func (p *process) sync(w *World, write statemachine.Write) {
 	var failure error
 	if write.Snapshot != nil {
--- a/internal/explore/run.go
+++ b/internal/explore/run.go
@@ -2,27 +2,29 @@
 
 import "beaconvane/internal/message"
 
-// Options shape an exploration.
+// Options configure an exploration.
 type Options struct {
-	Role    string // of the machines: message.RoleConfigStore or message.RoleRegistry; "" is the former
+	Role    string // message.RoleConfigStore or message.RoleRegistry; "" selects RoleConfigStore
 	Voters  int
 	Named   bool
 	Highest bool
 	Rounds  int
 	Faults  int
-	Except  []string // rules that are not looked at, to see what lies behind a known fault
+	Except  []string // rules that are not checked, to find violations that a known fault would hide
 }
 
-// Result is what a run came to.
+// Result is the outcome of one run. Plan holds the actions that took effect; Violation is nil if no rule was
+// violated.
 type Result struct {
 	Plan      Plan
 	Violation *Violation
 	Steps     int64
 	Counts    map[Kind]int
-	Epochs    int // that were held
-	Answers   int
+	Epochs    int // lease epochs that were held
+	Answers   int // responses that state a fact about the configuration
 }
 
+// plan returns a plan without actions for a run with these options.
 func (o Options) plan(seed uint64) Plan {
 	role := o.Role
 	if role == "" {
@@ -31,19 +33,27 @@
 	return Plan{Role: role, Seed: seed, Voters: o.Voters, Named: o.Named, Highest: o.Highest, Rounds: o.Rounds, Except: o.Except}
 }
 
+// play runs a plan with the actions of chooser.
 func play(plan Plan, chooser chooser, log func(line string)) Result {
 	w := newWorld(plan, chooser, log)
 	w.run()
 	plan.Actions = w.applied
-	return Result{Plan: plan, Violation: w.violation, Steps: w.step, Counts: w.counts, Epochs: len(w.holders), Answers: w.history.factualAnswers()}
+	return Result{
+		Plan:      plan,
+		Violation: w.violation,
+		Steps:     w.step,
+		Counts:    w.counts,
+		Epochs:    len(w.holders),
+		Answers:   w.history.factualAnswers(),
+	}
 }
 
-// Walk plays one guided random walk.
+// Walk runs one random walk, which draws its actions from the seed.
 func Walk(options Options, seed uint64) Result {
 	return play(options.plan(seed), newWalker(seed, options), nil)
 }
 
-// replayer gives a plan's actions at their places.
+// replayer returns a plan's actions at the round and step that each names.
 type replayer struct{ actions []Action }
 
 func (r *replayer) choose(w *World, _ *item) []Action {
@@ -59,12 +69,12 @@
 	return due
 }
 
-// Replay plays a plan; log, if any, is told every happening.
+// Replay runs a plan. If log is not nil, it is called with one line per event of the run.
 func Replay(plan Plan, log func(line string)) Result {
 	return play(plan, &replayer{plan.Actions}, log)
 }
 
-// Shrink leaves actions out as long as the same promise is broken.
+// Shrink removes actions from the plan as long as the same rule is violated. found must hold a violation.
 func Shrink(found Result) Result {
 	rule := found.Violation.Rule
 	breaks := func(plan Plan) (Result, bool) {
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -9,34 +9,35 @@
 	"beaconvane/internal/goroutine"
 )
 
-// Bounds limit a search. The search tries every way to depart from the default schedule by up to a
-// number of faults within a window of rounds, and cuts a branch where it reaches a state that another
+// Bounds limit a search. The search tries every way to deviate from the default schedule by up to a
+// number of faults within a window of rounds. It prunes a branch that reaches a state that another
 // branch reached at the same round.
 type Bounds struct {
-	From   int           // first round in which faults come
-	To     int           // first round in which none come any more
-	Faults int           // in one run
+	From   int           // first round with faults
+	To     int           // first round after the faults
+	Faults int           // maximum in one run
 	Runs   int64         // 0: no limit
 	Limit  time.Duration // 0: no limit
-	Length []int         // how many rounds a lasting fault lasts
+	Length []int         // durations of lasting faults, in rounds; at least one
 }
 
-// Searched is what a search came to.
+// Searched is the result of a search.
 type Searched struct {
 	Summary
-	States     int64 // that were met first
-	Pruned     int64 // branches that came to a state met before
-	Exhaustive bool  // everything within the bounds was searched
-	Deepest    int   // faults in one run
+	States     int64 // distinct states reached
+	Pruned     int64 // branches that reached a known state
+	Exhaustive bool  // all plans within the bounds were run
+	Deepest    int   // largest number of faults in one run
 }
 
-// branch is a plan to be run, with the place behind which further faults may come.
+// branch is a plan to run. Its successors add one fault after the given round and step.
 type branch struct {
 	actions []Action
 	round   int
 	step    int
 }
 
+// search is the state that the workers of a Search share; mutex guards the fields that change.
 type search struct {
 	options   Options
 	bounds    Bounds
@@ -46,13 +47,13 @@
 	ready     *sync.Cond
 	pending   []branch
 	running   int
-	visited   map[uint64]int // by state: the fewest faults that led there
+	visited   map[uint64]int // by state fingerprint: the fewest faults that led to it
 	result    Searched
 	startTime time.Time
 	random    *rand.Rand
 }
 
-// operatorRequests are two operators' orders around the window and questions behind it.
+// operatorRequests returns two operators' writes at the start of the fault window, and writes and reads after it.
 func operatorRequests(options Options, bounds Bounds) []Action {
 	write := func(round, node int, version int64, content int) Action {
 		return Action{Round: round, Kind: SendWrite, Node: node, Version: version, Content: content}
@@ -72,7 +73,8 @@
 	return requests
 }
 
-// Search runs through all plans within the bounds, in an order drawn from the seed.
+// Search runs all plans within the bounds on concurrent workers, in an order drawn from the seed. If progress is
+// not nil, it is called every progressInterval.
 func Search(options Options, bounds Bounds, seed uint64, workers int, progress func(Searched)) Searched {
 	s := &search{
 		options:   options,
@@ -111,7 +113,8 @@
 	return s.result
 }
 
-// nextBranch gives the next branch; false when all is searched or a limit is reached.
+// nextBranch removes and returns a random pending branch. It returns false if the search is complete or a limit
+// is reached.
 func (s *search) nextBranch() (branch, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -132,7 +135,7 @@
 	return next, true
 }
 
-// runBranch runs a branch and opens those that go on from it.
+// runBranch runs a branch and adds its successors to the pending branches.
 func (s *search) runBranch(next branch) {
 	expander := &branchExpander{replayer: replayer{mergeActions(s.requests, next.actions)}, search: s, branch: next}
 	plan := s.options.plan(s.seed)
@@ -155,7 +158,7 @@
 	s.ready.Broadcast()
 }
 
-// branchExpander replays a branch and, behind its last fault, lists the faults that may come next.
+// branchExpander replays a branch and collects its successors: one per fault that is possible after the last one.
 type branchExpander struct {
 	replayer
 	search     *search
@@ -164,6 +167,7 @@
 	pruned     bool
 }
 
+// choose implements chooser.
 func (c *branchExpander) choose(w *World, next *item) []Action {
 	due := c.replayer.choose(w, next)
 	afterBranch := w.round > c.branch.round || w.round == c.branch.round && w.stepInRound > c.branch.step
@@ -186,7 +190,7 @@
 	return due
 }
 
-// recordState notes a state; true when another branch came to it with no more faults.
+// recordState records the state of w. It returns true if a branch with at most as many faults has reached it.
 func (s *search) recordState(w *World, faults int) bool {
 	state := w.fingerprint()
 	s.mutex.Lock()
@@ -200,7 +204,7 @@
 	return false
 }
 
-// possibleFaults lists what may happen at a message or a write.
+// possibleFaults lists the faults to try at a message or a write.
 func (s *search) possibleFaults(w *World, next *item) []Action {
 	faults := []Action{}
 	if next.write != nil {
@@ -239,7 +243,7 @@
 	return faults
 }
 
-// mergeActions puts faults among the orders, by place.
+// mergeActions merges two lists of actions that are sorted by round and step; requests go first at equal positions.
 func mergeActions(requests, faults []Action) []Action {
 	merged := []Action{}
 	for len(requests)+len(faults) > 0 {
@@ -252,11 +256,12 @@
 	return merged
 }
 
+// notAfter reports whether one happens at or before the round and step of other.
 func notAfter(one, other Action) bool {
 	return one.Round < other.Round || one.Round == other.Round && one.Step <= other.Step
 }
 
-// factualAnswers counts those that state a fact.
+// factualAnswers counts the operations whose outcome concerns the configuration.
 func (h *history) factualAnswers() int {
 	count := 0
 	for _, recorded := range h.operations {
--- a/internal/explore/sequences.go
+++ b/internal/explore/sequences.go
@@ -6,8 +6,8 @@
 	"beaconvane/internal/message"
 )
 
-// dueActions takes the planned actions of a round. Chained actions are a loss right after another or after
-// its repair, around a write that only a bare majority has.
+// dueActions removes and returns the planned actions that are due. Planned sequences are faults right after one
+// another or after a repair, around a write that only a bare majority holds.
 func (k *walker) dueActions(round int) []Action {
 	actions, rest := []Action{}, []Action{}
 	for _, planned := range k.planned {
@@ -21,15 +21,15 @@
 	return actions
 }
 
-// firstFaults make a follower that has the write lose it, stand still or leave; secondFaults
-// then take the holder, before or after the follower is replaced.
+// firstFaults make a follower that holds the write lose it, stop or become unreachable. secondFaults then hit the lease
+// holder, before or after the follower is replaced.
 var (
 	firstFaults  = []Kind{LoseDisk, LoseDisk, Replace, Replace, Crash, Freeze, Isolate, CrashDuringWrite}
 	secondFaults = []Kind{Isolate, Isolate, Freeze, Crash, CrashDuringWrite, LoseDisk, Replace}
 )
 
-// planDoubleFailure cuts the holder from as many followers as it can spare, has it take a
-// write, takes a follower that has the write, then the holder, and asks all others.
+// planDoubleFailure cuts the lease holder off from as many followers as it can lose, sends it a write, plans a fault of
+// a follower that holds the write, then one of the holder, and reads from all others.
 func (k *walker) planDoubleFailure(w *World) {
 	serving := w.servingProcesses()
 	if len(serving) == 0 {
@@ -74,7 +74,7 @@
 	slices.SortStableFunc(k.planned, func(one, other Action) int { return one.Round - other.Round })
 }
 
-// planRequests asks all but the lost holder, and now and then writes.
+// planRequests plans reads, and occasional writes, at all processes except the failed holder.
 func (k *walker) planRequests(w *World, holder int, add func(Action)) {
 	for _, p := range w.processes {
 		if p.index == holder {
@@ -88,9 +88,9 @@
 	}
 }
 
-// planUncommittedWrite has the holder take a write that no follower hears of, asks the holder
-// while the write is in flight, restarts it at times so that it goes on with what its
-// disk has, and then takes it away from the others for good.
+// planUncommittedWrite sends the lease holder a write whose log messages are dropped, and reads from the holder while
+// the write is in flight. Half of the time it restarts the holder, which then continues from its disk. Finally it
+// isolates the holder for 60 rounds and reads from the others.
 func (k *walker) planUncommittedWrite(w *World) {
 	serving := w.servingProcesses()
 	if len(serving) == 0 {
@@ -124,7 +124,7 @@
 	k.faultsLeft -= 2
 }
 
-// dropsLogMessage says that a message tells followers of the log, while they are not to hear of it.
+// dropsLogMessage reports whether next is a message of log replication while these are dropped.
 func (k *walker) dropsLogMessage(w *World, next *item) bool {
 	if w.round >= k.muteLogUntil {
 		return false
@@ -136,9 +136,9 @@
 	return false
 }
 
-// planSealDivergence makes the counts of the followers differ from the holder's, lets one of them
-// at most hear of the windows that the holder seals, takes that one's unsynced writes at
-// times, and then takes the holder away: whoever comes next has to report the same values.
+// planSealDivergence makes the followers' usage counts differ from the holder's and cuts the holder off from as many
+// followers as it can lose, so that at most the remaining ones learn of the windows that the holder seals. Sometimes
+// one of these loses its unsynced writes. Then the holder is isolated: the next holder must report the same values.
 func (k *walker) planSealDivergence(w *World) {
 	holder, found := w.runningReporter()
 	if !found {
@@ -184,8 +184,8 @@
 	k.faultsLeft -= 2
 }
 
-// runningReporter gives the process that the collector heard from last; false where there is none
-// that runs.
+// runningReporter returns the index of the process that sent the last usage report; false if there is none or it is
+// not running.
 func (w *World) runningReporter() (int, bool) {
 	if w.fleet == nil || len(w.fleet.calls) == 0 {
 		return 0, false
--- a/internal/explore/sweep.go
+++ b/internal/explore/sweep.go
@@ -12,20 +12,20 @@
 	"beaconvane/internal/goroutine"
 )
 
-// Summary joins the results of many walks or of a search.
+// Summary aggregates the results of many walks or of a search.
 type Summary struct {
 	Walks   int64
 	Steps   int64
 	Epochs  int64
 	Answers int64
 	Counts  map[Kind]int64
-	Found   map[string]Result // the first of each rule
-	Broken  map[string]int64  // walks by rule
+	Found   map[string]Result // by rule: the violation with the lowest seed, the first found of these
+	Broken  map[string]int64  // by rule: the number of walks that violated it
 	Elapsed time.Duration
 }
 
-// Sweep plays walks from a first seed on, some at a time, until count are played or the
-// time is up (0: no limit); progress is told now and then.
+// Sweep runs walks with consecutive seeds, starting at first, on concurrent workers. It stops after count walks
+// or after limit (0: no limit). If progress is not nil, it is called every progressInterval.
 func Sweep(options Options, first uint64, count int64, workers int, limit time.Duration, progress func(Summary)) Summary {
 	summary := Summary{Counts: map[Kind]int64{}, Found: map[string]Result{}, Broken: map[string]int64{}}
 	startTime := time.Now()
@@ -60,8 +60,10 @@
 	return summary
 }
 
+// progressInterval is the minimum time between two progress reports.
 const progressInterval = 5 * time.Second
 
+// add adds the result of one walk. The caller must serialize calls.
 func (s *Summary) add(result Result) {
 	s.Walks++
 	s.Steps += result.Steps
@@ -80,8 +82,8 @@
 	}
 }
 
-// Find plays walks until one breaks a promise, and gives the shrunk counterexample and how
-// many walks it took; false when none of count does.
+// Find runs walks until one violates a rule. It returns the shrunk counterexample and the number of walks run,
+// or false if none of count walks violates a rule.
 func Find(options Options, first uint64, count int64, workers int) (Result, int64, bool) {
 	batch := int64(workers)
 	for played := int64(0); played < count; played += batch {
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -6,33 +6,34 @@
 	"beaconvane/internal/message"
 )
 
-// walker draws actions as the run goes on. Each walk has a few kinds of faults of its own and favours
-// the moments that matter: messages and writes of a commit, of a lease and of a change of voters.
+// walker draws the actions of a random walk during the run. Each walk uses a few kinds of faults and prefers
+// critical moments: the messages and writes of a commit, of a lease and of a change of voters.
 type walker struct {
 	random        *rand.Rand
-	faultsLeft    int // faults that may still come
+	faultsLeft    int // how many more faults may be drawn
 	faultKinds    []Kind
-	faultRate     float64 // of faults, per message that matters
-	burstEnd      int     // the round at which a burst of faults is over
-	faultsFrom    int     // the round at which faults begin
-	requestRate   float64 // of operators' orders, per round
-	sequenceRate     float64 // of planned second losses, per round
-	newestVersion int64
-	sentWrites    []Action // orders, for sending again
-	planned       []Action // what is planned for later rounds
-	muteLogUntil  int      // until which round followers hear nothing of the log
-	lastContent   int
-
-	upstreamRate float64 // of upstreams' steps, per round
-	faultsUntil  int     // the round behind which no fault comes; 0: there is none
+	faultRate     float64  // probability of a fault per critical message or write
+	burstEnd      int      // first round after a burst of faults
+	faultsFrom    int      // first round with faults
+	requestRate   float64  // probability of an operator's request per round
+	sequenceRate  float64  // probability of a planned sequence of faults per round
+	newestVersion int64    // highest version of the writes so far
+	sentWrites    []Action // writes that may be sent again
+	planned       []Action // actions for later rounds
+	muteLogUntil  int      // round until which log messages are dropped
+	lastContent   int      // numbers the contents of the writes
+
+	upstreamRate float64 // probability of a state change of an upstream per round
+	faultsUntil  int     // first round without actions at the end of the run; 0: no limit
 }
 
-// disruptiveFaults may move the lease or lose data; each walk has one of them at least.
+// disruptiveFaults may move the lease or lose data; each walk uses at least one of these kinds.
 var disruptiveFaults = []Kind{Crash, CrashDuringWrite, LoseDisk, Replace, Leave, Cut, Isolate, Freeze}
 
+// allFaults are the kinds of faults of all walks; DropFromProxy is added for registries.
 var allFaults = append([]Kind{DropMessage, DuplicateMessage, DelayMessage, SlowDisk, Join, CutOneWay, ClockStep}, disruptiveFaults...)
 
-// newWalker draws what kind of walk it is.
+// newWalker draws the kinds and the rates of the walk's faults from the seed.
 func newWalker(seed uint64, options Options) *walker {
 	random, faults := rand.New(rand.NewPCG(seed, 0x5eed)), options.Faults
 	k := &walker{random: random, faultsLeft: faults/3 + random.IntN(faults-faults/3+1)}
@@ -58,16 +59,15 @@
 	return k
 }
 
-// faultFreeRounds is how long a run of registries is calm at its end, so that what they hold may
-// be compared with the truth.
+// faultFreeRounds is how long a run of registries is free of faults at its end, so that they converge before their
+// state is compared with the fleet.
 const faultFreeRounds = 120
 
-// minRegistryFaultRate is the least rate of faults in a walk among registries, which has fewer
-// messages that matter.
+// minRegistryFaultRate is the minimum fault rate in walks of registries, which send fewer critical messages.
 const minRegistryFaultRate = 0.1
 
-// configureForRegistry makes it a walk among registries: no orders of operators, upstreams that come
-// and go, and calm at the end.
+// configureForRegistry sets the walk up for registries: no operators' requests, upstreams that register and
+// deregister, and no faults at the end.
 func (k *walker) configureForRegistry(options Options) {
 	k.requestRate = 0
 	k.upstreamRate = 0.02 + 0.1*k.random.Float64()
@@ -76,18 +76,17 @@
 	k.faultsUntil = options.Rounds - faultFreeRounds - maxFaultRounds
 }
 
-// One walk in four loses a good part of the messages that matter, so that what rests on
-// a message that came is told from what rests on one that was sent.
+// One walk in four drops many critical messages, which exposes code that treats a sent message as received.
 const (
 	lossyFaultRate = 0.35
 	lossyMaxFaults = 60
 )
 
-// walksPerEarlyFaultWalk is how many walks go to one that has faults from the start. A process that restarts
-// founds no group, so most of these never come to serve.
+// walksPerEarlyFaultWalk: one in this many walks has faults from the start. A restarted process doesn't form a group,
+// so most of these walks never serve.
 const walksPerEarlyFaultWalk = 8
 
-// isCritical says that a fault at this message or write is worth more than at others.
+// isCritical reports whether a fault at this message or write is more likely to expose an error than at others.
 func isCritical(next *item) bool {
 	if next.write != nil {
 		return true
@@ -101,13 +100,14 @@
 	return false
 }
 
-// burstRounds is how long after a fault the next one is likelier: a second loss right
-// after a first, or after its repair, is worth more than one at any time.
+// For burstRounds after a fault the probability of the next one is multiplied by burstFactor: a second fault right
+// after the first, or after its repair, is more likely to expose an error than one at any other time.
 const (
 	burstRounds = 15
 	burstFactor = 4
 )
 
+// choose implements chooser.
 func (k *walker) choose(w *World, next *item) []Action {
 	if k.faultsUntil > 0 && w.round >= k.faultsUntil {
 		return nil
@@ -134,6 +134,7 @@
 	return k.drawFault(w, next)
 }
 
+// drawFault draws one fault and starts a burst.
 func (k *walker) drawFault(w *World, next *item) []Action {
 	action := Action{
 		Kind:      k.faultKinds[k.random.IntN(len(k.faultKinds))],
@@ -151,8 +152,8 @@
 	return []Action{action}
 }
 
-// drawRounds is how long a fault lasts: mostly short, now and then long enough for others
-// to take over, or to replace who is away.
+// drawRounds draws the duration of a fault: mostly short, sometimes long enough for another process to take over the
+// lease or to replace the absent one.
 func (k *walker) drawRounds() int {
 	switch k.random.IntN(4) {
 	case 0:
@@ -163,10 +164,10 @@
 	return maxFaultRounds/4 + k.random.IntN(maxFaultRounds*3/4)
 }
 
-// maxFaultRounds is the longest that a fault lasts.
+// maxFaultRounds is the maximum duration of a fault.
 const maxFaultRounds = 60
 
-// drawTarget is mostly a process that the message concerns, or the holder.
+// drawTarget draws a process, preferring lease holders and the sender and receiver of next.
 func (k *walker) drawTarget(w *World, next *item) int {
 	if serving := w.servingProcesses(); len(serving) > 0 && k.random.IntN(3) == 0 {
 		return serving[k.random.IntN(len(serving))].index
@@ -180,9 +181,11 @@
 	return k.random.IntN(len(w.processes))
 }
 
-// startupRounds is about how long a group needs to be founded and to serve.
+// startupRounds is about how many rounds a group needs to form and to start serving.
 const startupRounds = 10
 
+// chooseAtRoundStart returns the actions at the start of a round: planned ones, a fault, a change of an upstream and
+// operators' requests.
 func (k *walker) chooseAtRoundStart(w *World) []Action {
 	actions := k.dueActions(w.round)
 	if len(k.planned) == 0 && w.round >= k.faultsFrom && k.faultsLeft > 0 && k.random.Float64() < k.sequenceRate {
@@ -200,7 +203,7 @@
 	return actions
 }
 
-// planSequence plans a row of losses around a write, or around a window of usage.
+// planSequence plans a sequence of faults around a write, or around a usage window.
 func (k *walker) planSequence(w *World) {
 	switch {
 	case w.fleet != nil:
@@ -212,8 +215,8 @@
 	}
 }
 
-// drawRequest is an operator's: a read, a new version, another operator's content under the
-// same version, an older version, or an drawRequest sent again.
+// drawRequest draws an operator's request: a read, a new version, another content under the newest version, an older
+// version, or an earlier write sent again.
 func (k *walker) drawRequest(w *World) Action {
 	node := k.random.IntN(len(w.processes))
 	if serving := w.servingProcesses(); len(serving) > 0 && k.random.IntN(4) > 0 {
@@ -235,6 +238,7 @@
 	return k.newWrite(node, k.newestVersion)
 }
 
+// newWrite returns a write with a new content and records it in sentWrites.
 func (k *walker) newWrite(node int, version int64) Action {
 	k.lastContent++
 	action := Action{Kind: SendWrite, Node: node, Version: version, Content: k.lastContent, Invalid: k.random.IntN(20) == 0}
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -14,73 +14,76 @@
 )
 
 const (
-	// startTime is the time of day at the first round.
+	// startTime is the wall clock at the start of a run, since 1970.
 	startTime = 1_800_000_000 * time.Second
-	// roundDuration is how far the clocks go in a round.
+	// roundDuration is how far the clocks advance per round.
 	roundDuration = 50 * time.Millisecond
-	// maxItemsPerRound bounds a round, should messages beget messages without end.
+	// maxItemsPerRound bounds a round in which messages cause further messages endlessly.
 	maxItemsPerRound = 2000
-	// configName is the configuration that the operators write.
+	// configName is the configuration that operators write and read.
 	configName = "main"
-	// retainedVersions is small, so that old versions are dropped within a run.
+	// retainedVersions is small, so that old versions are dropped during a run.
 	retainedVersions = 3
 	operators        = 2
 )
 
-// item is a message or a write on its way.
+// item is a message in flight, or a write that is not synced yet.
 type item struct {
-	sentStep    int64 // when it was sent
+	sentStep    int64 // value of World.step when it was sent
 	from        string
-	fromVoter   bool // the sender held a voter when it sent this
+	fromVoter   bool // the sender held a voter at that time
 	to          *process
-	incarnation int
+	incarnation int // of to; a restart discards the item
 	message     any
 	datagram    bool
-	write       *statemachine.Write
+	write       *statemachine.Write // nil for a message
 }
 
-// chooser gives the actions that come before a step; next is nil at a round's begin.
+// chooser returns the actions to apply before the item next is processed. next is nil at the start of a round, with
+// stepInRound 0, and at its end, with stepInRound above 0.
 type chooser interface {
 	choose(w *World, next *item) []Action
 }
 
-// World is one run.
+// World is the state of one run: processes, messages in flight, lasting faults, and the history that is checked.
 type World struct {
 	plan          Plan
 	chooser       chooser
 	round         int
-	stepInRound   int // steps of this round so far
-	step          int64
-	now           time.Duration
+	stepInRound   int           // items processed in this round
+	step          int64         // logical time: counts ticks, items and requests
+	now           time.Duration // time since the start of the run
 	processes     []*process
 	byAddress     map[string]*process
 	queue         []item
 	delayed       map[int][]item
 	timers        map[int][]func()
-	cutUntil      map[[2]int]int // by sender and receiver: the round at which the cut heals
+	cutUntil      map[[2]int]int // by sender and receiver: the round at which the cut ends
 	history       history
 	decidedLists  []decidedList
-	holders       map[string]string // by tag and epoch: the incarnation that held it
-	fleet         *fleet            // of registries; nil for configuration stores
-	faultFreeFrom int               // round from which on no fault comes or lasts
+	holders       map[string]string // by lease tag and epoch: the incarnation that held it
+	fleet         *fleet            // clients of the registries; nil for configuration stores
+	faultFreeFrom int               // first round after the last fault has ended
 	violation     *Violation
 	log           func(line string)
 	applied       []Action
-	counts        map[Kind]int
+	counts        map[Kind]int // applied actions by kind
 
-	crashSeeds  map[int]uint64
-	crashRounds map[int]int
+	crashSeeds  map[int]uint64 // by process: CrashSeed of its last CrashDuringWrite
+	crashRounds map[int]int    // by process: Rounds of its last CrashDuringWrite
 }
 
-// Violation is a broken promise.
+// Violation is a violation of one of the rules that Rules lists.
 type Violation struct {
 	Rule   string
 	Detail string
 	Round  int
 }
 
+// String returns the round, the rule and the detail.
 func (v Violation) String() string { return fmt.Sprintf("round %d: %s: %s", v.Round, v.Rule, v.Detail) }
 
+// newWorld returns a run before its first round, with all voters started. log may be nil.
 func newWorld(plan Plan, chooser chooser, log func(line string)) *World {
 	w := &World{
 		plan:        plan,
@@ -105,8 +108,8 @@
 	return w
 }
 
-// settingsFor are a process's settings: times are short, so that a run of some hundred
-// rounds holds many changes of the holder; their ratios are the product's own.
+// settingsFor returns a process's settings. The times are short, so that the lease holder changes many times
+// within a few hundred rounds; their ratios equal the product's.
 func (w *World) settingsFor(index int, bootstrap bool) settings.Settings {
 	cfg := settings.Default()
 	cfg.Node = fmt.Sprintf("n%d", index)
@@ -137,8 +140,10 @@
 	return cfg
 }
 
+// processAddress returns the address of the process with this index.
 func processAddress(index int) string { return fmt.Sprintf("10.0.0.%d:1", index+1) }
 
+// addProcess starts a new process with an empty disk; bootstrap allows it to form a group.
 func (w *World) addProcess(bootstrap bool) {
 	index := len(w.processes)
 	p := &process{
@@ -153,13 +158,14 @@
 	p.start(w)
 }
 
+// logf writes a line with round and step to the log, if there is one.
 func (w *World) logf(format string, values ...any) {
 	if w.log != nil {
 		w.log(fmt.Sprintf("%4d.%-4d ", w.round, w.stepInRound) + fmt.Sprintf(format, values...))
 	}
 }
 
-// reportViolation keeps the first broken promise; the run ends there.
+// reportViolation records the first violation, at which the run ends. Rules in Plan.Except are ignored.
 func (w *World) reportViolation(rule, format string, values ...any) {
 	if w.violation == nil && !slices.Contains(w.plan.Except, rule) {
 		w.violation = &Violation{Rule: rule, Detail: fmt.Sprintf(format, values...), Round: w.round}
@@ -167,13 +173,13 @@
 	}
 }
 
-// schedule does something at the begin of a later round.
+// schedule runs callback at the start of a later round; rounds below 1 count as 1.
 func (w *World) schedule(rounds int, callback func()) {
 	at := w.round + max(rounds, 1)
 	w.timers[at] = append(w.timers[at], callback)
 }
 
-// run plays all rounds, or until a promise is broken.
+// run runs all rounds, or until a rule is violated.
 func (w *World) run() {
 	for w.round = 0; w.round < w.plan.Rounds && w.violation == nil; w.round++ {
 		w.runRound()
@@ -184,6 +190,8 @@
 	}
 }
 
+// runRound runs one round of the clocks: scheduled callbacks, actions, the fleet, delayed messages and the ticks of
+// all processes, then the queue until it is empty.
 func (w *World) runRound() {
 	w.stepInRound = 0
 	w.now += roundDuration
@@ -207,12 +215,12 @@
 		w.stepInRound++
 		w.processItem()
 	}
-	// Actions that a replay has beyond the last step still belong to the round.
+	// A replay may hold actions after the round's last step; they are applied in the same round.
 	w.stepInRound = maxItemsPerRound
 	w.applyActions(nil)
 }
 
-// requeueInbox hands a process that was thawed what came meanwhile.
+// requeueInbox puts the items that a process received while frozen at the front of the queue.
 func (w *World) requeueInbox(p *process) {
 	if !p.up || p.frozen || len(p.inbox) == 0 {
 		return
@@ -222,6 +230,7 @@
 	w.queue = append(received, w.queue...)
 }
 
+// applyActions applies the actions that the chooser returns and records those that took effect.
 func (w *World) applyActions(next *item) {
 	for _, action := range w.chooser.choose(w, next) {
 		action.Round, action.Step = w.round, w.stepInRound
@@ -233,7 +242,7 @@
 	}
 }
 
-// processItem delivers the next message or ends the next write.
+// processItem delivers the message or completes the write at the front of the queue.
 func (w *World) processItem() {
 	if !w.queue[0].datagram {
 		w.applyActions(&w.queue[0])
@@ -263,11 +272,12 @@
 	w.deliver(p, next)
 }
 
+// deliver hands a message to a process, unless the link from the sender is cut.
 func (w *World) deliver(p *process, next item) {
 	if sender := w.byAddress[next.from]; sender != nil {
 		if cutUntil := w.cutUntil[[2]int{sender.index, p.index}]; w.round < cutUntil {
 			if !next.datagram {
-				// A connection keeps what it was given, and may get it through yet.
+				// A connection retransmits: the message arrives once the link is back. A datagram is lost.
 				w.delay(next, cutUntil-w.round)
 			}
 			return
@@ -282,12 +292,13 @@
 	p.apply(w, statemachine.Arrived{From: next.from, Message: next.message})
 }
 
+// delay queues an item again at the start of a later round; rounds below 1 count as 1.
 func (w *World) delay(delayed item, rounds int) {
 	at := w.round + max(rounds, 1)
 	w.delayed[at] = append(w.delayed[at], delayed)
 }
 
-// perform carries an effect out.
+// perform carries out an effect of a machine.
 func (w *World) perform(p *process, effect any) {
 	switch effect := effect.(type) {
 	case statemachine.Send:
@@ -341,11 +352,13 @@
 	}
 }
 
+// retire stops a process permanently.
 func (w *World) retire(p *process) {
 	p.crash(0)
 	p.removed, p.hasVoter = true, false
 }
 
+// handleEvent updates hasVoter and checks lease epochs and member lists.
 func (w *World) handleEvent(p *process, event statemachine.Event) {
 	w.logf("%s EVENT %s %d %s", p.name(), event.EventName, event.Epoch, event.Cause)
 	switch event.EventName {
@@ -357,7 +370,7 @@
 		tag, _, _ := strings.Cut(event.Cause, " by ")
 		leaseEpoch, incarnation := fmt.Sprintf("epoch %d of %s", event.Epoch, tag), incarnationName(p)
 		if previous, held := w.holders[leaseEpoch]; held && previous != incarnation {
-			w.reportViolation("one-holder-an-epoch", "%s is held by %s and was by %s", leaseEpoch, incarnation, previous)
+			w.reportViolation("one-holder-an-epoch", "%s is held by %s and was held by %s", leaseEpoch, incarnation, previous)
 		}
 		w.holders[leaseEpoch] = incarnation
 		w.checkDecidedList(p)
@@ -366,7 +379,7 @@
 	}
 }
 
-// recordResponse notes an operator's answer at the moment at which it is sent.
+// recordResponse records and checks a response to an operator when it is sent; it always arrives.
 func (w *World) recordResponse(p *process, response message.StoreResponse) {
 	pending, known := p.requests[response.RequestID]
 	if !known {
@@ -381,7 +394,7 @@
 	}
 }
 
-// servingProcesses lists the processes that say that they serve.
+// servingProcesses lists the running processes that act as lease holders.
 func (w *World) servingProcesses() []*process {
 	list := []*process{}
 	for _, p := range w.processes {
@@ -392,7 +405,7 @@
 	return list
 }
 
-// upProcesses lists those that run.
+// upProcesses lists the processes that are up, frozen ones included.
 func (w *World) upProcesses() []*process {
 	list := slices.Clone(w.processes)
 	return slices.DeleteFunc(list, func(p *process) bool { return !p.up || p.removed })
