--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -34,10 +34,10 @@
 				summary.Answers, summary.Elapsed)
 			for rule, found := range summary.Found {
 				shrunk := Shrink(found)
-				t.Errorf("%s is broken by %d walks: %s\n%s", rule, summary.Broken[rule], shrunk.Violation, shrunk.Plan)
+				t.Errorf("rule %s is violated by %d walks: %s\n%s", rule, summary.Broken[rule], shrunk.Violation, shrunk.Plan)
 			}
 			qt.Assert(t, summary.Epochs > summary.Walks, qt.IsTrue,
-				qt.Commentf("%d epochs in %d walks: the lease hardly moved", summary.Epochs, summary.Walks))
+				qt.Commentf("%d epochs in %d walks: the lease rarely changed hands", summary.Epochs, summary.Walks))
 			qt.Assert(t, summary.Answers > summary.Walks*5, qt.IsTrue)
 			for _, kind := range allFaults {
 				if walks.options.Named && (kind == Replace || kind == Join || kind == Leave) {
@@ -66,10 +66,10 @@
 			t.Logf("%d walks, %d steps, %d epochs held in %s", summary.Walks, summary.Steps, summary.Epochs, summary.Elapsed)
 			for rule, found := range summary.Found {
 				shrunk := Shrink(found)
-				t.Errorf("%s is broken by %d walks: %s\n%s", rule, summary.Broken[rule], shrunk.Violation, shrunk.Plan)
+				t.Errorf("rule %s is violated by %d walks: %s\n%s", rule, summary.Broken[rule], shrunk.Violation, shrunk.Plan)
 			}
 			qt.Assert(t, summary.Epochs > summary.Walks*2, qt.IsTrue,
-				qt.Commentf("%d epochs in %d walks: the leases hardly moved", summary.Epochs, summary.Walks))
+				qt.Commentf("%d epochs in %d walks: the leases rarely changed hands", summary.Epochs, summary.Walks))
 			for _, kind := range []Kind{Crash, CrashDuringWrite, LoseDisk, Replace, Cut, Isolate, Freeze, DropFromProxy, AdvanceUpstream} {
 				qt.Assert(t, summary.Counts[kind] > 0, qt.IsTrue, qt.Commentf("no %s in %d walks", kind, summary.Walks))
 			}
@@ -117,7 +117,7 @@
 	qt.Assert(t, searched.Deepest, qt.Equals, 1)
 	qt.Assert(t, searched.Walks > 300, qt.IsTrue)
 	for rule, found := range searched.Found {
-		t.Errorf("%s: %s\n%s", rule, found.Violation, found.Plan)
+		t.Errorf("rule %s is violated: %s\n%s", rule, found.Violation, found.Plan)
 	}
 }
 
--- a/internal/explore/faults.go
+++ b/internal/explore/faults.go
@@ -101,7 +101,7 @@
 		return false
 	}
 	next := w.queue[0]
-	w.logf("%s of %T from %s to %s", action, next.message, next.from, next.to.address)
+	w.logf("%s applied to %T from %s to %s", action, next.message, next.from, next.to.address)
 	switch action.Kind {
 	case DropMessage:
 		w.queue = w.queue[1:]
--- a/internal/explore/run.go
+++ b/internal/explore/run.go
@@ -77,12 +77,12 @@
 // Shrink removes actions from the plan as long as the same rule is violated. found must hold a violation.
 func Shrink(found Result) Result {
 	rule := found.Violation.Rule
-	breaks := func(plan Plan) (Result, bool) {
+	replayViolates := func(plan Plan) (Result, bool) {
 		result := Replay(plan, nil)
 		return result, result.Violation != nil && result.Violation.Rule == rule
 	}
-	best, broken := breaks(found.Plan)
-	if !broken {
+	best, violated := replayViolates(found.Plan)
+	if !violated {
 		return found
 	}
 	for size := max(len(best.Plan.Actions)/2, 1); ; {
@@ -91,7 +91,7 @@
 			plan := best.Plan
 			plan.Actions = append(append([]Action{}, best.Plan.Actions[:from]...),
 				best.Plan.Actions[min(from+size, len(best.Plan.Actions)):]...)
-			if result, broken := breaks(plan); broken {
+			if result, violated := replayViolates(plan); violated {
 				best, shrunk = result, true
 				continue
 			}
--- a/internal/explore/sweep.go
+++ b/internal/explore/sweep.go
@@ -77,7 +77,7 @@
 	}
 	rule := result.Violation.Rule
 	s.Broken[rule]++
-	if earlier, found := s.Found[rule]; !found || result.Plan.Seed < earlier.Plan.Seed {
+	if earlier, recorded := s.Found[rule]; !recorded || result.Plan.Seed < earlier.Plan.Seed {
 		s.Found[rule] = result
 	}
 }
