--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -9,229 +9,233 @@
 	"beaconvane/internal/goroutine"
 )
 
-// Bounds limit a search. The search tries every way to depart from the default schedule by up to a
-// number of faults within a window of rounds, and cuts a branch where it reaches a state that another
+// Bounds limit a search. The search tries every way to deviate from the default schedule by up to a
+// number of faults within a window of rounds. It prunes a branch that reaches a state that another
 // branch reached at the same round.
 type Bounds struct {
-	From   int           // first round in which faults come
-	To     int           // first round in which none come any more
-	Faults int           // in one run
+	From   int           // first round with faults
+	To     int           // first round after the faults
+	Faults int           // maximum in one run
 	Runs   int64         // 0: no limit
 	Limit  time.Duration // 0: no limit
-	Length []int         // how many rounds a lasting fault lasts
+	Length []int         // durations of lasting faults, in rounds; at least one
 }
 
-// Searched is what a search came to.
+// Searched is the result of a search.
 type Searched struct {
 	Summary
-	States     int64 // that were met first
-	Pruned     int64 // branches that came to a state met before
-	Exhaustive bool  // everything within the bounds was searched
-	Deepest    int   // faults in one run
+	States     int64 // distinct states reached
+	Pruned     int64 // branches that reached a known state
+	Exhaustive bool  // all plans within the bounds were run
+	Deepest    int   // largest number of faults in one run
 }
 
-// branch is a plan to be run, with the place behind which further faults may come.
+// branch is a plan to run. Its successors add one fault after the given round and step.
 type branch struct {
 	actions []Action
 	round   int
 	step    int
 }
 
+// search is the state that the workers of a Search share; mutex guards the fields that change.
 type search struct {
-	options  Options
-	bounds   Bounds
-	seed     uint64
-	orders   []Action
-	lock     sync.Mutex
-	ready    *sync.Cond
-	open     []branch
-	busy     int
-	met      map[uint64]int // by state: the fewest faults that led there
-	searched Searched
-	began    time.Time
-	random   *rand.Rand
+	options   Options
+	bounds    Bounds
+	seed      uint64
+	requests  []Action
+	mutex     sync.Mutex
+	ready     *sync.Cond
+	pending   []branch
+	running   int
+	visited   map[uint64]int // by state fingerprint: the fewest faults that led to it
+	result    Searched
+	startTime time.Time
+	random    *rand.Rand
 }
 
-// operatorsOrders are two operators' orders around the window and questions behind it.
-func operatorsOrders(options Options, bounds Bounds) []Action {
-	holderMostly := func(round, node int, version int64, content int) Action {
-		return Action{Round: round, Kind: WriteOrder, Node: node, Version: version, Content: content}
+// operatorRequests returns two operators' writes at the start of the fault window, and writes and reads after it.
+func operatorRequests(options Options, bounds Bounds) []Action {
+	write := func(round, node int, version int64, content int) Action {
+		return Action{Round: round, Kind: SendWrite, Node: node, Version: version, Content: content}
 	}
-	orders := []Action{}
+	requests := []Action{}
 	for node := range options.Voters {
-		orders = append(orders, holderMostly(bounds.From, node, 1, 1))
+		requests = append(requests, write(bounds.From, node, 1, 1))
 	}
 	for node := range options.Voters {
-		orders = append(orders, holderMostly(bounds.From+1, node, 2, 2+node%2))
+		requests = append(requests, write(bounds.From+1, node, 2, 2+node%2))
 	}
 	for _, round := range []int{bounds.To + 4, bounds.To + 15, options.Rounds - 12, options.Rounds - 3} {
 		for node := range options.Voters {
-			orders = append(orders, holderMostly(round, node, 1, 1), Action{Round: round, Kind: ReadOrder, Node: node})
+			requests = append(requests, write(round, node, 1, 1), Action{Round: round, Kind: SendRead, Node: node})
 		}
 	}
-	return orders
+	return requests
 }
 
-// Search runs through all plans within the bounds, in an order drawn from the seed.
+// Search runs all plans within the bounds on concurrent workers, in an order drawn from the seed. If progress is
+// not nil, it is called every progressInterval.
 func Search(options Options, bounds Bounds, seed uint64, workers int, progress func(Searched)) Searched {
 	s := &search{
-		options: options,
-		bounds:  bounds,
-		seed:    seed,
-		orders:  operatorsOrders(options, bounds),
-		met:     map[uint64]int{},
-		began:   time.Now(),
-		random:  rand.New(rand.NewPCG(seed, 0xdf5)),
+		options:   options,
+		bounds:    bounds,
+		seed:      seed,
+		requests:  operatorRequests(options, bounds),
+		visited:   map[uint64]int{},
+		startTime: time.Now(),
+		random:    rand.New(rand.NewPCG(seed, 0xdf5)),
 	}
-	s.ready = sync.NewCond(&s.lock)
-	s.searched.Summary = Summary{Counts: map[Kind]int64{}, Found: map[string]Result{}, Broken: map[string]int64{}}
-	s.open = []branch{{}}
-	waiting := sync.WaitGroup{}
-	members := goroutine.New()
-	told := s.began
+	s.ready = sync.NewCond(&s.mutex)
+	s.result.Summary = Summary{Counts: map[Kind]int64{}, Found: map[string]Result{}, Broken: map[string]int64{}}
+	s.pending = []branch{{}}
+	waitGroup := sync.WaitGroup{}
+	group := goroutine.New()
+	lastProgress := s.startTime
 	for range workers {
-		waiting.Add(1)
-		members.Go("explore.search", func(context.Context) {
-			defer waiting.Done()
-			for next, more := s.take(); more; next, more = s.take() {
-				s.play(next)
-				s.lock.Lock()
-				if progress != nil && time.Since(told) > progressEvery {
-					told = time.Now()
-					s.searched.Elapsed = time.Since(s.began)
-					progress(s.searched)
+		waitGroup.Add(1)
+		group.Go("explore.search", func(context.Context) {
+			defer waitGroup.Done()
+			for next, more := s.nextBranch(); more; next, more = s.nextBranch() {
+				s.runBranch(next)
+				s.mutex.Lock()
+				if progress != nil && time.Since(lastProgress) > progressInterval {
+					lastProgress = time.Now()
+					s.result.Elapsed = time.Since(s.startTime)
+					progress(s.result)
 				}
-				s.lock.Unlock()
+				s.mutex.Unlock()
 			}
 		})
 	}
-	waiting.Wait()
-	s.searched.Elapsed = time.Since(s.began)
-	s.searched.Exhaustive = len(s.open) == 0
-	return s.searched
+	waitGroup.Wait()
+	s.result.Elapsed = time.Since(s.startTime)
+	s.result.Exhaustive = len(s.pending) == 0
+	return s.result
 }
 
-// take gives the next branch; false when all is searched or a limit is reached.
-func (s *search) take() (branch, bool) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	for len(s.open) == 0 && s.busy > 0 {
+// nextBranch removes and returns a random pending branch. It returns false if the search is complete or a limit
+// is reached.
+func (s *search) nextBranch() (branch, bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for len(s.pending) == 0 && s.running > 0 {
 		s.ready.Wait()
 	}
-	over := s.bounds.Runs > 0 && s.searched.Walks >= s.bounds.Runs || s.bounds.Limit > 0 && time.Since(s.began) > s.bounds.Limit
-	if len(s.open) == 0 || over {
+	limitReached := s.bounds.Runs > 0 && s.result.Walks >= s.bounds.Runs || s.bounds.Limit > 0 && time.Since(s.startTime) > s.bounds.Limit
+	if len(s.pending) == 0 || limitReached {
 		s.ready.Broadcast()
 		return branch{}, false
 	}
-	index := s.random.IntN(len(s.open))
-	last := len(s.open) - 1
-	s.open[index], s.open[last] = s.open[last], s.open[index]
-	next := s.open[last]
-	s.open = s.open[:last]
-	s.busy++
+	index := s.random.IntN(len(s.pending))
+	last := len(s.pending) - 1
+	s.pending[index], s.pending[last] = s.pending[last], s.pending[index]
+	next := s.pending[last]
+	s.pending = s.pending[:last]
+	s.running++
 	return next, true
 }
 
-// play runs a branch and opens those that go on from it.
-func (s *search) play(next branch) {
-	scout := &scout{replayer: replayer{merge(s.orders, next.actions)}, search: s, branch: next}
+// runBranch runs a branch and adds its successors to the pending branches.
+func (s *search) runBranch(next branch) {
+	expander := &branchExpander{replayer: replayer{mergeActions(s.requests, next.actions)}, search: s, branch: next}
 	plan := s.options.plan(s.seed)
-	w := newWorld(plan, scout, nil)
+	w := newWorld(plan, expander, nil)
 	w.run()
 	plan.Actions = w.applied
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.busy--
-	s.searched.add(Result{
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.running--
+	s.result.add(Result{
 		Plan:      plan,
 		Violation: w.violation,
 		Steps:     w.step,
 		Counts:    w.counts,
 		Epochs:    len(w.holders),
-		Answers:   w.history.answers(),
+		Answers:   w.history.factualAnswers(),
 	})
-	s.searched.Deepest = max(s.searched.Deepest, len(next.actions))
-	s.open = append(s.open, scout.found...)
+	s.result.Deepest = max(s.result.Deepest, len(next.actions))
+	s.pending = append(s.pending, expander.successors...)
 	s.ready.Broadcast()
 }
 
-// scout replays a branch and, behind its last fault, lists the faults that may come next.
-type scout struct {
+// branchExpander replays a branch and collects its successors: one per fault that is possible after the last one.
+type branchExpander struct {
 	replayer
-	search *search
-	branch branch
-	found  []branch
-	cut    bool
+	search     *search
+	branch     branch
+	successors []branch
+	pruned     bool
 }
 
-func (c *scout) choose(w *World, next *item) []Action {
+// choose implements chooser.
+func (c *branchExpander) choose(w *World, next *item) []Action {
 	due := c.replayer.choose(w, next)
-	behind := w.round > c.branch.round || w.round == c.branch.round && w.inRound > c.branch.step
-	if next == nil && w.inRound > 0 && w.round == c.branch.round && len(c.branch.actions) > 0 {
-		c.cut = c.search.known(w, len(c.branch.actions))
-		if c.cut {
-			c.found = nil
+	afterBranch := w.round > c.branch.round || w.round == c.branch.round && w.stepInRound > c.branch.step
+	if next == nil && w.stepInRound > 0 && w.round == c.branch.round && len(c.branch.actions) > 0 {
+		c.pruned = c.search.recordState(w, len(c.branch.actions))
+		if c.pruned {
+			c.successors = nil
 		}
 	}
 	bounds := c.search.bounds
 	inWindow := w.round >= bounds.From && w.round < bounds.To
-	if next == nil || c.cut || !behind || !inWindow || !matters(next) || len(c.branch.actions) >= bounds.Faults {
+	if next == nil || c.pruned || !afterBranch || !inWindow || !isCritical(next) || len(c.branch.actions) >= bounds.Faults {
 		return due
 	}
-	for _, fault := range c.search.faultsAt(w, next) {
-		fault.Round, fault.Step = w.round, w.inRound
+	for _, fault := range c.search.possibleFaults(w, next) {
+		fault.Round, fault.Step = w.round, w.stepInRound
 		actions := append(append([]Action{}, c.branch.actions...), fault)
-		c.found = append(c.found, branch{actions, w.round, w.inRound})
+		c.successors = append(c.successors, branch{actions, w.round, w.stepInRound})
 	}
 	return due
 }
 
-// known notes a state; true when another branch came to it with no more faults.
-func (s *search) known(w *World, faults int) bool {
-	state := w.state()
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if fewest, met := s.met[state]; met && fewest <= faults {
-		s.searched.Pruned++
+// recordState records the state of w. It returns true if a branch with at most as many faults has reached it.
+func (s *search) recordState(w *World, faults int) bool {
+	state := w.fingerprint()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if fewest, visited := s.visited[state]; visited && fewest <= faults {
+		s.result.Pruned++
 		return true
 	}
-	s.met[state] = faults
-	s.searched.States++
+	s.visited[state] = faults
+	s.result.States++
 	return false
 }
 
-// faultsAt lists what may happen at a message or a write.
-func (s *search) faultsAt(w *World, next *item) []Action {
+// possibleFaults lists the faults to try at a message or a write.
+func (s *search) possibleFaults(w *World, next *item) []Action {
 	faults := []Action{}
 	if next.write != nil {
 		for steps := 1; steps <= 6; steps++ {
-			for dice := range uint64(2) {
+			for crashSeed := range uint64(2) {
 				faults = append(faults, Action{
-					Kind:      CrashDisk,
+					Kind:      CrashDuringWrite,
 					Node:      next.to.index,
 					DiskSteps: steps,
-					Dice:      dice,
+					CrashSeed: crashSeed,
 					Rounds:    s.bounds.Length[0],
 				})
 			}
 		}
-		faults = append(faults, Action{Kind: DiskSlow, Node: next.to.index, Rounds: s.bounds.Length[0]})
+		faults = append(faults, Action{Kind: SlowDisk, Node: next.to.index, Rounds: s.bounds.Length[0]})
 	} else {
-		faults = append(faults, Action{Kind: Lose}, Action{Kind: Double, Rounds: 2}, Action{Kind: Late, Rounds: 3})
+		faults = append(faults, Action{Kind: DropMessage}, Action{Kind: DuplicateMessage, Rounds: 2}, Action{Kind: DelayMessage, Rounds: 3})
 	}
-	concerned := map[int]bool{next.to.index: true}
+	involved := map[int]bool{next.to.index: true}
 	if sender := w.byAddress[next.from]; sender != nil {
-		concerned[sender.index] = true
+		involved[sender.index] = true
 		faults = append(faults, Action{Kind: Cut, Node: sender.index, Peer: next.to.index, Rounds: s.bounds.Length[len(s.bounds.Length)-1]},
 			Action{Kind: CutOneWay, Node: sender.index, Peer: next.to.index, Rounds: s.bounds.Length[len(s.bounds.Length)-1]})
 	}
 	for node := range w.plan.Voters {
-		if !concerned[node] {
+		if !involved[node] {
 			continue
 		}
 		for _, length := range s.bounds.Length {
-			for _, kind := range []Kind{Crash, Isolate, Freeze, DiskLost} {
-				faults = append(faults, Action{Kind: kind, Node: node, Rounds: length, Dice: 1})
+			for _, kind := range []Kind{Crash, Isolate, Freeze, LoseDisk} {
+				faults = append(faults, Action{Kind: kind, Node: node, Rounds: length, CrashSeed: 1})
 			}
 		}
 		faults = append(faults, Action{Kind: Replace, Node: node, Rounds: 1})
@@ -239,12 +243,12 @@
 	return faults
 }
 
-// merge puts faults among the orders, by place.
-func merge(orders, faults []Action) []Action {
+// mergeActions merges two lists of actions that are sorted by round and step; requests go first at equal positions.
+func mergeActions(requests, faults []Action) []Action {
 	merged := []Action{}
-	for len(orders)+len(faults) > 0 {
-		if len(faults) == 0 || len(orders) > 0 && before(orders[0], faults[0]) {
-			merged, orders = append(merged, orders[0]), orders[1:]
+	for len(requests)+len(faults) > 0 {
+		if len(faults) == 0 || len(requests) > 0 && notAfter(requests[0], faults[0]) {
+			merged, requests = append(merged, requests[0]), requests[1:]
 		} else {
 			merged, faults = append(merged, faults[0]), faults[1:]
 		}
@@ -252,15 +256,16 @@
 	return merged
 }
 
-func before(one, other Action) bool {
+// notAfter reports whether one happens at or before the round and step of other.
+func notAfter(one, other Action) bool {
 	return one.Round < other.Round || one.Round == other.Round && one.Step <= other.Step
 }
 
-// answers counts those that state a fact.
-func (h *history) answers() int {
+// factualAnswers counts the operations whose outcome concerns the configuration.
+func (h *history) factualAnswers() int {
 	count := 0
-	for _, asked := range h.operations {
-		if asked.answer.factual() {
+	for _, recorded := range h.operations {
+		if recorded.outcome.aboutConfig() {
 			count++
 		}
 	}
--- a/internal/simulation/disk_full_test.go
+++ b/internal/simulation/disk_full_test.go
@@ -6,12 +6,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Each core machine's disk refuses writes for a while, one after the other. Without
-// recovery in the running process the second one leaves no majority for good.
+// The disk of each core machine refuses writes for a time, one after the other. Without recovery in the
+// running process, the second full disk would leave the core without a majority permanently.
 func TestFullDisksInTurn(t *testing.T) {
 	for _, deployment := range []string{"umuyoboro", "jendela"} {
 		for seed := range uint64(1) {
-			result := play(t, deployment, "disks-full-in-turn", seed)
+			result := playScenario(t, deployment, "disks-full-in-turn", seed)
 			qt.Assert(t, result.Review.Seen["danger: machines built anew after a disk refused writes"] >= 3, qt.IsTrue,
 				qt.Commentf("%v", result.Review.Seen))
 		}
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -10,13 +10,13 @@
 	"beaconvane/internal/statemachine"
 )
 
-// environment is the dispatcher's port in the simulator, for one incarnation of a proxy.
+// environment connects the frontend's dispatcher to the simulator, for one incarnation of a proxy.
 type environment struct {
 	node        *Node
 	incarnation int
 }
 
-// Now returns the simulated process clock.
+// Now returns the time on the simulated process clock.
 func (b *environment) Now() time.Duration { return b.node.Now() }
 
 // Wall returns the simulated time of day.
@@ -25,46 +25,46 @@
 // Random returns the random source of the run.
 func (b *environment) Random() *rand.Rand { return b.node.world.random }
 
-// Notify hands a notice to the control machine.
+// Notify passes a notice to the proxy's control state machine.
 func (b *environment) Notify(notice any) { b.node.apply(statemachine.LocalRequest{Request: notice}) }
 
-// Enqueue passes an item to its stage a moment later, as the workers would.
-func (b *environment) Enqueue(env frontend.Stage, item any) bool {
+// Enqueue runs the stage of an item 20 µs later, as the worker goroutines do. It never refuses an item.
+func (b *environment) Enqueue(stage frontend.Stage, item any) bool {
 	n := b.node
 	n.world.after(20*time.Microsecond, func() {
 		n.run(b.incarnation, func() {
-			switch env {
+			switch stage {
 			case frontend.StageAdmit:
-				n.tracker.Admit(mustBe[*frontend.PendingRequest](item))
+				n.dispatcher.Admit(mustCast[*frontend.PendingRequest](item))
 			case frontend.StageSelect:
-				trip := mustBe[*frontend.PendingRequest](item)
-				before := trip.Request.Attempts
-				n.tracker.SelectUpstream(trip)
-				if trip.Request.Attempts > before {
+				pending := mustCast[*frontend.PendingRequest](item)
+				before := pending.Request.Attempts
+				n.dispatcher.SelectUpstream(pending)
+				if pending.Request.Attempts > before {
 					n.world.record.Attempts = append(n.world.record.Attempts, checker.Attempt{
-						Service: trip.Request.Route.Service,
+						Service: pending.Request.Route.Service,
 						At:      n.world.now,
 						Retry:   before > 0,
 					})
 				}
 			case frontend.StageOutcome:
-				n.tracker.HandleOutcome(mustBe[frontend.AttemptOutcome](item))
+				n.dispatcher.HandleOutcome(mustCast[frontend.AttemptOutcome](item))
 			case frontend.StageStart:
-				n.call(b.incarnation, mustBe[backend.Decision](item))
+				n.callUpstream(b.incarnation, mustCast[backend.Decision](item))
 			}
 		})
 	})
 	return true
 }
 
-// Cancel does nothing: the simulator's callers don't hang up, and what they give up at its
-// deadline the upstream gives up by itself.
+// Cancel does nothing: the simulated callers don't disconnect, and at a request's deadline the upstream
+// gives the request up by itself.
 func (b *environment) Cancel(string) {}
 
-// Backlog is none: the links of the simulator have no width.
+// Backlog returns 0: request traffic in the simulator uses no bandwidth.
 func (b *environment) Backlog() time.Duration { return 0 }
 
-// After calls a function at a later time.
+// After calls a function after a wait on the process clock, unless the incarnation has ended by then.
 func (b *environment) After(wait time.Duration, then func()) {
 	b.node.world.after(b.node.trueWait(wait), func() { b.node.run(b.incarnation, then) })
 }
@@ -72,9 +72,9 @@
 // Open opens a simulated connection to a serving proxy.
 func (b *environment) Open(servingProxy string, received func(msg any), closed func(connection frontend.Connection)) frontend.Connection {
 	n := b.node
-	connection := &simConnection{from: n, lifeFrom: b.incarnation, received: received, broke: closed}
+	connection := &simConnection{from: n, fromIncarnation: b.incarnation, onMessage: received, onBroken: closed}
 	n.connections = append(n.connections, connection)
-	target, found := n.world.byAddress[servingProxy]
-	n.world.after(n.world.transit()*2, func() { connection.dialled(target, found) })
+	target, found := n.world.nodeByAddress[servingProxy]
+	n.world.after(n.world.randomTransitDelay()*2, func() { connection.finishDial(target, found) })
 	return connection
 }
--- a/internal/simulation/linearizability.go
+++ b/internal/simulation/linearizability.go
@@ -16,48 +16,52 @@
 	"beaconvane/internal/settings"
 )
 
-// configLogRequest is the input of the linearizability check of the configuration log.
+// configLogRequest is the input of one operation in the linearizability check of the configuration log:
+// a write, or a read of the current configuration.
 type configLogRequest struct {
-	write   bool
-	version int64
-	entry   string // version and digest of a put
-	highest bool   // an overtaken version is acknowledged and alters nothing
+	write       bool
+	version     int64
+	entry       string // version and digest of a put
+	highestWins bool   // a write of an older version is acknowledged without effect
 }
 
+// configLogAnswer is the output of one operation.
 type configLogAnswer struct {
 	code    errcode.Code
 	digest  string
 	unknown bool
 }
 
+// configLogOperation is one operation with the times of its call and its answer.
 type configLogOperation struct {
-	request  configLogRequest
-	answer   configLogAnswer
-	from, to time.Duration
-	answered bool
+	request              configLogRequest
+	answer               configLogAnswer
+	calledAt, answeredAt time.Duration
+	answered             bool
 }
 
-// readConfigLog has an operator read the current configuration at some registry now and then.
+// readConfigLog has an operator periodically read the current configuration from a random registry. Only
+// reads that return a configuration, or that there is none, go into the history.
 func (w *World) readConfigLog(every, until time.Duration) {
 	if w.now > until {
 		return
 	}
-	if registries := w.alive(message.RoleRegistry); len(registries) > 0 {
-		operation := &configLogOperation{from: w.now}
+	if registries := w.runningNodes(message.RoleRegistry); len(registries) > 0 {
+		operation := &configLogOperation{calledAt: w.now}
 		registries[w.random.IntN(len(registries))].request(registry.ReadConfiguration{ConfigName: "main"}, func(answer any) {
-			got := mustBe[registry.OperatorResponse](answer)
-			if got.Code == errcode.OK || got.Code == errcode.ConfigurationNotFound {
-				operation.answer = configLogAnswer{code: got.Code, digest: checker.Digest(got.Body)}
-				operation.to, operation.answered = w.now, true
-				w.operations = append(w.operations, operation)
+			response := mustCast[registry.OperatorResponse](answer)
+			if response.Code == errcode.OK || response.Code == errcode.ConfigurationNotFound {
+				operation.answer = configLogAnswer{code: response.Code, digest: checker.Digest(response.Body)}
+				operation.answeredAt, operation.answered = w.now, true
+				w.configLogOperations = append(w.configLogOperations, operation)
 			}
 		})
 	}
 	w.after(every, func() { w.readConfigLog(every, until) })
 }
 
-// newestEntry returns version and digest of the last entry in the model's state; zero values when
-// the state holds none. An entry that does not begin with a number is a programming error of the model.
+// newestEntry returns the version and the digest of the last entry in the model's state; zero values if
+// the state is empty. An entry that doesn't begin with a number is a programming error, so it panics.
 func newestEntry(committed string) (version int64, digest string) {
 	entries := strings.Fields(committed)
 	if len(entries) == 0 {
@@ -71,18 +75,18 @@
 	return version, digest
 }
 
-// configLogModel is the configuration log as one copy that takes one operation at a time: every
-// write and read, with when it was sent and answered, must fit one order in which each takes effect
-// at one moment between the two. A write without a known outcome may take effect at any later time,
-// or never. The state is the list of the committed versions, oldest first.
+// configLogModel is the sequential specification of the configuration log for the linearizability
+// check: there must be one order of all writes and reads in which each takes effect at one moment
+// between its call and its answer. A write with an unknown outcome may take effect at any later time,
+// or never. The state is the list of committed entries, "version:digest", oldest first.
 var configLogModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		committed := mustBe[string](state)
-		request := mustBe[configLogRequest](input)
-		answer := mustBe[configLogAnswer](output)
+		committed := mustCast[string](state)
+		request := mustCast[configLogRequest](input)
+		answer := mustCast[configLogAnswer](output)
 		current, currentDigest := newestEntry(committed)
-		held := strings.Contains(" "+committed+" ", " "+request.entry+" ")
+		present := strings.Contains(" "+committed+" ", " "+request.entry+" ")
 		applied := strings.TrimSpace(committed + " " + request.entry)
 		switch {
 		case !request.write && answer.code == errcode.ConfigurationNotFound && committed == "",
@@ -92,14 +96,15 @@
 			return nil
 		case answer.unknown && request.version > current:
 			return []any{state, applied}
-		case answer.unknown, answer.code == errcode.ConfigurationNoHolder, answer.code == errcode.OK && held:
+		case answer.unknown, answer.code == errcode.ConfigurationNoHolder, answer.code == errcode.OK && present:
 			return []any{state}
 		case answer.code == errcode.OK && request.version > current:
 			return []any{applied}
-		case answer.code == errcode.ConfigurationConflict && !request.highest && request.version <= current && !held:
+		case answer.code == errcode.ConfigurationConflict && !request.highestWins && request.version <= current && !present:
 			return []any{state}
-		case answer.code == errcode.ConfigurationConflict && request.highest && !held && numberTaken(committed, request.version),
-			answer.code == errcode.OK && request.highest && request.version < current && !numberTaken(committed, request.version):
+		case answer.code == errcode.ConfigurationConflict && request.highestWins && !present &&
+			versionCommitted(committed, request.version),
+			answer.code == errcode.OK && request.highestWins && request.version < current && !versionCommitted(committed, request.version):
 			return []any{state}
 		}
 		return nil
@@ -107,26 +112,27 @@
 	Equal: func(one, other any) bool { return one == other },
 }
 
-// numberTaken says that some content was committed under a version.
-func numberTaken(committed string, version int64) bool {
+// versionCommitted reports whether some content has been committed under a version.
+func versionCommitted(committed string, version int64) bool {
 	return strings.Contains(" "+committed, fmt.Sprintf(" %d:", version))
 }
 
-// linear checks the operations of a run; few runs take long, those are given up.
-func (w *World) linear() (bool, int) {
+// checkLinearizability checks the operations of a run and returns whether they may be linearizable, and
+// their number. The few checks that take longer than the timeout count as passed.
+func (w *World) checkLinearizability() (bool, int) {
 	history := []porcupine.Operation{}
-	for index, operation := range w.operations {
-		operation.request.highest = w.options.Deployment.Writes == settings.WritesHighest
-		answer, to := operation.answer, int64(operation.to)
+	for index, operation := range w.configLogOperations {
+		operation.request.highestWins = w.options.Deployment.Writes == settings.WritesHighest
+		answer, returnedAt := operation.answer, int64(operation.answeredAt)
 		if !operation.answered || answer.code == errcode.ConfigurationUnsure {
-			answer, to = configLogAnswer{unknown: true}, math.MaxInt64
+			answer, returnedAt = configLogAnswer{unknown: true}, math.MaxInt64
 		}
 		history = append(history, porcupine.Operation{
 			ClientId: index,
 			Input:    operation.request,
-			Call:     int64(operation.from),
+			Call:     int64(operation.calledAt),
 			Output:   answer,
-			Return:   to,
+			Return:   returnedAt,
 		})
 	}
 	return porcupine.CheckOperationsTimeout(configLogModel.ToModel(), history, 20*time.Second) != porcupine.Illegal, len(history)
