--- a/internal/checker/answers.go
+++ b/internal/checker/answers.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// checkAnswers checks what callers were told: what must not run twice did not, busy answers are
-// true, and upstreams' answers are their own and come at once.
+// checkAnswers checks the answers that callers received: a request marked "once" ran at most once, a
+// request that was answered as busy ran nowhere, and an upstream's answer is that of one of the
+// request's runs and was delivered without delay.
 func (r *Review) checkAnswers(record Record, runs map[string][]Execution) {
 	for _, request := range record.Requests {
-		own := runs[request.ID]
+		executions := runs[request.ID]
 		r.count(requestSent)
-		if request.Once && len(own) > 1 {
-			r.violate(ranTwice, "%s (%s) ran %d times", request.ID, request.Route, len(own))
+		if request.Once && len(executions) > 1 {
+			r.addViolation(onceRequestRanTwice, "%s (%s) ran %d times", request.ID, request.Route, len(executions))
 		}
 		switch {
 		case request.Connection:
-			r.count(noAnswer)
+			r.count(connectionError)
 		case request.Code != 0 && request.Status == http.StatusServiceUnavailable:
-			r.checkBusyAnswer(request, own)
+			r.checkBusyAnswer(request, executions)
 		case request.Code == 0:
-			r.checkUpstreamAnswer(record, request, own)
+			r.checkUpstreamAnswer(record, request, executions)
 		default:
 			r.count(otherAnswer)
 			if request.Status >= http.StatusBadGateway {
@@ -31,48 +32,49 @@
 	}
 }
 
-// checkBusyAnswer checks an answer that says that nothing ran.
+// checkBusyAnswer checks a busy answer, by which the mesh reports that the request did not run.
 func (r *Review) checkBusyAnswer(request CallerRequest, runs []Execution) {
 	r.count(busyAnswer)
 	if len(runs) > 0 {
-		r.violate(busyRan, "%s was told busy (%d) and ran at %s", request.ID, request.Code, runs[0].Instance)
+		r.addViolation(busyRequestRan, "%s was answered as busy (%d), but ran at %s", request.ID, request.Code, runs[0].Instance)
 	}
 	if !request.Retry {
-		r.violate(noRetryAfter, "%s was told busy (%d) without Retry-After", request.ID, request.Code)
+		r.addViolation(noRetryAfter, "%s was answered as busy (%d) without a Retry-After header", request.ID, request.Code)
 	}
 }
 
-// checkUpstreamAnswer checks an upstream's answer: one of the request's runs sent it, and it was not
-// held back, unless a machine on its way was frozen or cut off.
+// checkUpstreamAnswer checks an upstream's answer: one of the request's runs sent it, and it reached
+// the caller within Bounds.ResponseDelay, unless a proxy on its path was frozen or disconnected.
 func (r *Review) checkUpstreamAnswer(record Record, request CallerRequest, runs []Execution) {
 	r.count(upstreamAnswer)
-	own, excused := false, false
+	matched, failedMeanwhile := false, false
 	delay := time.Duration(math.MaxInt64)
-	for _, ran := range runs {
-		if !ran.sent(request) {
+	for _, execution := range runs {
+		if !execution.produced(request) {
 			continue
 		}
-		own = true
-		delay = min(delay, request.Done-ran.ResponseSent)
-		excused = Within(record.Disconnected, request.Proxy, ran.ResponseSent, request.Done) ||
-			Within(record.Disconnected, ran.ServingProxy, ran.ResponseSent, request.Done)
+		matched = true
+		delay = min(delay, request.Done-execution.ResponseSent)
+		failedMeanwhile = Within(record.Disconnected, request.Proxy, execution.ResponseSent, request.Done) ||
+			Within(record.Disconnected, execution.ServingProxy, execution.ResponseSent, request.Done)
 	}
-	if !own {
-		r.violate(foreignAnswer, "%s got status %d, mark %q and a body of %d bytes that no run of it sent",
+	if !matched {
+		r.addViolation(answerOfNoRun, "%s received status %d, mark %q and a body of %d bytes, which none of its runs sent",
 			request.ID, request.Status, request.ResponseMark, len(request.Body))
 		return
 	}
-	if excused {
-		r.count(answerOverFailure)
+	if failedMeanwhile {
+		r.count(answerDuringFailure)
 		return
 	}
-	r.measure(answerHoldMS, float64(delay.Milliseconds()))
+	r.recordWorst(answerDelayMS, float64(delay.Milliseconds()))
 	if delay > record.Bounds.ResponseDelay {
-		r.violate(answerHeldBack, "%s was held for %s", request.ID, delay)
+		r.addViolation(answerDelayed, "%s received its answer %s after it was sent, bound %s",
+			request.ID, delay, record.Bounds.ResponseDelay)
 	}
 }
 
-// sent reports whether this run sent, complete, the answer that the caller got.
-func (ran Execution) sent(request CallerRequest) bool {
-	return ran.Answer == request.Body && ran.Status == request.Status && ran.ResponseMark == request.ResponseMark && ran.ResponseSent > 0
+// produced reports whether this run sent, completely, the answer that the caller received.
+func (e Execution) produced(request CallerRequest) bool {
+	return e.Answer == request.Body && e.Status == request.Status && e.ResponseMark == request.ResponseMark && e.ResponseSent > 0
 }
--- a/internal/checker/bounds.go
+++ b/internal/checker/bounds.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Bounds are the limits of the promises that have one. A KeyWithdrawal of 0 is not checked.
+// Bounds are the limits of the guarantees that have one. A KeyWithdrawal of 0 is not checked.
 type Bounds struct {
-	ConfigurationInForce time.Duration // from the acknowledgement until it is in force on each node
-	RollbackWindow       time.Duration // for which an older version may be in force again
-	KeyWithdrawal        time.Duration // for which a withdrawn key may still work
-	Drain                time.Duration // for which a draining upstream may still get requests
-	ResponseDelay        time.Duration // for which a complete answer may be delayed
-	HolderCooldown       time.Duration // before a lease may go back to its former holder
-	UsageReportDelay     time.Duration // from a window's end to its report
-	UsageError           float64       // share of a window's counts that may be wrong
-	RetryShare           float64       // retries for each first attempt in RetryWindow
+	ConfigurationInForce time.Duration // from the acknowledgement of a version until it is in force on each node
+	RollbackWindow       time.Duration // during which a node may go back to an older version
+	KeyWithdrawal        time.Duration // during which a withdrawn key may still be accepted
+	Drain                time.Duration // during which a draining upstream may still receive requests
+	ResponseDelay        time.Duration // from the upstream's complete answer until the caller has it
+	HolderCooldown       time.Duration // before a lease may return to its previous holder
+	UsageReportDelay     time.Duration // from the end of a usage window to its report
+	UsageError           float64       // allowed deviation, as a share of a window's counts
+	RetryShare           float64       // allowed retries per first attempt in RetryWindow
 	RetryWindow          time.Duration
-	RetryAllowance       int // retries in RetryWindow beyond the share
+	RetryAllowance       int // retries in RetryWindow that are allowed beyond RetryShare
 }
 
-// BriefBounds returns the bounds of docs/brief.md; withdrawal says whether withdrawn keys have one.
+// BriefBounds returns the bounds of docs/brief.md. KeyWithdrawal is set only if withdrawal is true.
 func BriefBounds(withdrawal bool) Bounds {
 	bounds := Bounds{
 		ConfigurationInForce: 2 * time.Second,
@@ -37,8 +37,9 @@
 	return bounds
 }
 
-// Stretch returns bounds whose times, and share of wrong usage counts, are larger by a factor, for a
-// smoke test on a machine of unknown speed. What must never happen at all stays as it is.
+// Stretch returns a copy of the bounds in which the maximum durations and UsageError are multiplied by
+// a factor, for a smoke test on a machine of unknown speed. HolderCooldown, which is a minimum, and the
+// limits on retries stay unchanged.
 func (b Bounds) Stretch(by float64) Bounds {
 	for _, bound := range []*time.Duration{
 		&b.ConfigurationInForce, &b.RollbackWindow, &b.KeyWithdrawal, &b.Drain, &b.ResponseDelay, &b.UsageReportDelay,
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,48 +1,48 @@
-// Package checker verifies a finished run against the promises of the mesh. It compares what callers
-// sent and received, what upstreams ran, which configurations nodes had in force, who held leases,
-// and what the usage collector was told.
+// Package checker verifies a finished run against the guarantees of the mesh. It compares what callers
+// sent and received, what upstreams ran, which configurations were in force on the nodes, which voters
+// held leases, and which reports the usage collector received.
 //
-// The input is a Record, which the fleet of real processes and the simulator both produce; times in
-// it are since the start of the run. The output is a Review: the broken promises, the worst figure
-// for each promise with a bound, and how often each kind of event was seen, so that a run which never
-// exercised a promise can be told from one that kept it.
+// The input is a Record, which the fleet of real processes and the simulator both produce; its times
+// are relative to the start of the run. The output is a Review: the violations, the worst figure for
+// each guarantee with a bound, and the number of events of each kind, which shows whether the run
+// exercised a guarantee at all.
 //
-// The promises are the constants of type rule in rules.go, their bounds are in Bounds, and each
-// subject has a file of its own with the checks.
+// The guarantees are the constants of type rule in rules.go, and their bounds are in Bounds. The checks
+// of each subject are in a separate file.
 package checker
 
 import "fmt"
 
-// Violation is a broken promise.
+// Violation is one violation of a guarantee. Rule is the name of the rule.
 type Violation struct {
 	Rule   string
 	Detail string
 }
 
-// Review is the outcome of a check: the broken promises, the worst figure by name, and how often
-// each kind of event was seen.
+// Review is the result of a check: the violations, the worst value of each figure by the figure's name,
+// and the number of events by the event's name.
 type Review struct {
 	Violations []Violation
 	Worst      map[string]float64
 	Seen       map[string]int
 }
 
-// violate adds a broken promise.
-func (r *Review) violate(broken rule, format string, values ...any) {
-	r.Violations = append(r.Violations, Violation{Rule: string(broken), Detail: fmt.Sprintf(format, values...)})
+// addViolation adds a violation of a rule.
+func (r *Review) addViolation(violated rule, format string, values ...any) {
+	r.Violations = append(r.Violations, Violation{Rule: string(violated), Detail: fmt.Sprintf(format, values...)})
 }
 
-// measure keeps the highest value of a figure.
-func (r *Review) measure(name figure, value float64) {
+// recordWorst records a value of a figure if it is the highest so far.
+func (r *Review) recordWorst(name figure, value float64) {
 	if highest, known := r.Worst[string(name)]; !known || value > highest {
 		r.Worst[string(name)] = value
 	}
 }
 
-// count counts an event.
-func (r *Review) count(seen event) { r.Seen[string(seen)]++ }
+// count increments the number of events of one kind.
+func (r *Review) count(observed event) { r.Seen[string(observed)]++ }
 
-// Check holds a record against all promises.
+// Check checks a record against all rules.
 func Check(record Record) Review {
 	review := Review{Worst: map[string]float64{}, Seen: map[string]int{}}
 	runs := runsByID(record)
@@ -59,22 +59,22 @@
 	review.Seen[string(readinessChecked)] = record.ReadyAsked
 	review.checkUsage(record)
 	review.checkLeaseHolders(record)
-	review.checkPoliteStops(record)
+	review.checkGracefulStops(record)
 	review.checkSlots(record)
-	review.checkLeaseActs(record)
+	review.checkHolderActions(record)
 	return review
 }
 
-// runsByID returns the runs of each request.
+// runsByID groups the runs by the ID of their request.
 func runsByID(record Record) map[string][]Execution {
 	runs := map[string][]Execution{}
-	for _, ran := range record.Executions {
-		runs[ran.ID] = append(runs[ran.ID], ran)
+	for _, execution := range record.Executions {
+		runs[execution.ID] = append(runs[execution.ID], execution)
 	}
 	return runs
 }
 
-// requestsByID returns the requests by the ID that their callers gave them.
+// requestsByID indexes the requests by the ID that their callers assigned.
 func requestsByID(record Record) map[string]CallerRequest {
 	requests := map[string]CallerRequest{}
 	for _, request := range record.Requests {
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -1,4 +1,5 @@
-// Each check can fail: a correct record passes, and one planted fault breaks its rule.
+// These tests guard against a check that never reports anything: a valid record passes, and for each
+// rule one changed entry of the record is reported as a violation of that rule.
 package checker
 
 import (
@@ -11,7 +12,8 @@
 
 const sec = time.Second
 
-func clean() Record {
+// validRecord returns a record that violates no rule.
+func validRecord() Record {
 	return Record{
 		Requests: []CallerRequest{
 			{
@@ -69,8 +71,8 @@
 
 func TestEachCheckCanFail(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(Check(clean()).Violations, qt.HasLen, 0)
-	for rule, plant := range map[string]func(r *Record){
+	c.Assert(Check(validRecord()).Violations, qt.HasLen, 0)
+	for rule, breakRule := range map[string]func(r *Record){
 		"once": func(r *Record) { r.Executions = append(r.Executions, r.Executions[0]) },
 		"busy-ran": func(r *Record) {
 			r.Executions = append(r.Executions, Execution{ID: "b", Service: "pay", Tenant: "t", Caller: "c"})
@@ -126,12 +128,12 @@
 			}
 		},
 	} {
-		record := clean()
-		plant(&record)
+		record := validRecord()
+		breakRule(&record)
 		rules := map[string]bool{}
 		for _, violation := range Check(record).Violations {
 			rules[violation.Rule] = true
 		}
-		c.Check(rules[strings.TrimSpace(rule)], qt.IsTrue, qt.Commentf("%s was planted, found %v", rule, rules))
+		c.Check(rules[strings.TrimSpace(rule)], qt.IsTrue, qt.Commentf("the record violates %s, the review reports %v", rule, rules))
 	}
 }
--- a/internal/checker/configurations.go
+++ b/internal/checker/configurations.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// checkConfigurationArrivals checks that each acknowledged version comes into force in time on every
-// node that was up and connected all the while.
+// checkConfigurationArrivals checks that each acknowledged version is in force within
+// Bounds.ConfigurationInForce on every node that was running and connected during that time.
 func (r *Review) checkConfigurationArrivals(record Record) {
 	bound := record.Bounds.ConfigurationInForce
 	for _, write := range record.Writes {
@@ -14,87 +14,91 @@
 			r.count(configurationArrival)
 			at, arrived := inForceAt(record.Activations, write, span)
 			if !arrived || at > write.At+bound {
-				r.violate(configurationLate, "version %d acknowledged at %s is in force on %s at %s",
-					write.Version, write.At, span.Name, at)
+				r.addViolation(configurationLate, "version %d was acknowledged at %s and in force on %s at %s (-1ns: never), bound %s",
+					write.Version, write.At, span.Name, at, bound)
 				continue
 			}
-			r.measure(configurationMS, float64(max(0, at-write.At).Milliseconds()))
+			r.recordWorst(configurationMS, float64(max(0, at-write.At).Milliseconds()))
 		}
 	}
 }
 
-// inForceAt returns when a node, in the incarnation of a span, first had a version or a newer one in
-// force.
-func inForceAt(forced []Activation, write Write, span Span) (at time.Duration, arrived bool) {
+// inForceAt returns when the written version, or a newer one, was first in force on the node of a span
+// in the incarnation of that span. If it never was, at is -1 and arrived is false.
+func inForceAt(activations []Activation, write Write, span Span) (at time.Duration, arrived bool) {
 	at = -1
-	for _, force := range forced {
-		if force.Node != span.Name || force.ConfigName != write.ConfigName || force.Version < write.Version || force.At < span.StartedAt {
+	for _, activation := range activations {
+		if activation.Node != span.Name || activation.ConfigName != write.ConfigName ||
+			activation.Version < write.Version || activation.At < span.StartedAt {
 			continue
 		}
-		if at < 0 || force.At < at {
-			at = force.At
+		if at < 0 || activation.At < at {
+			at = activation.At
 		}
 	}
 	return at, at >= 0
 }
 
-// checkConfigurationOrder checks that no node goes back to an older version.
+// checkConfigurationOrder checks that no node returns to an older version of a configuration later than
+// Bounds.RollbackWindow after the newest one came into force.
 func (r *Review) checkConfigurationOrder(record Record) {
-	type topic struct{ node, configName string }
-	newest := map[topic]Activation{}
-	for _, force := range record.Activations {
-		key := topic{force.Node, force.ConfigName}
-		last, known := newest[key]
-		if known && force.Version < last.Version && force.At > last.At+record.Bounds.RollbackWindow {
-			r.violate(configurationSlip, "%s went from %d to %d", force.Node, last.Version, force.Version)
+	type nodeConfig struct{ node, configName string }
+	latest := map[nodeConfig]Activation{}
+	for _, activation := range record.Activations {
+		key := nodeConfig{activation.Node, activation.ConfigName}
+		last, known := latest[key]
+		if known && activation.Version < last.Version && activation.At > last.At+record.Bounds.RollbackWindow {
+			r.addViolation(configurationRolledBack, "%s returned from version %d to version %d",
+				activation.Node, last.Version, activation.Version)
 			continue
 		}
-		if !known || force.Version >= last.Version {
-			newest[key] = force
+		if !known || activation.Version >= last.Version {
+			latest[key] = activation
 		}
 	}
 }
 
-// storedLog is one configuration at one voter: the digest of each version that it returns.
+// storedLog holds the versions of one configuration that one voter returned: their digests, and the
+// lowest version among them.
 type storedLog struct {
 	digests map[int64]string
 	lowest  int64
 }
 
-// discarded reports whether a voter need not have a version any more: it has as many as it must
-// keep, all of them newer.
-func (s *storedLog) discarded(version int64, mustKeep int) bool {
-	return len(s.digests) >= mustKeep && version < s.lowest
+// mayLack reports whether the voter is allowed to have discarded a version: it returned at least as
+// many versions as it has to retain, and all of them are newer.
+func (s *storedLog) mayLack(version int64, retained int) bool {
+	return len(s.digests) >= retained && version < s.lowest
 }
 
-// checkConfigurationCopies checks that at the end each voter returns the very bytes of every
-// acknowledged version, as far as it must keep them.
+// checkConfigurationCopies checks that at the end of the run each voter returns every acknowledged
+// version that it has to retain, byte for byte.
 func (r *Review) checkConfigurationCopies(record Record) {
-	type place struct{ voter, configName string }
-	logs := map[place]*storedLog{}
-	for _, kept := range record.StoredVersions {
+	type voterConfig struct{ voter, configName string }
+	logs := map[voterConfig]*storedLog{}
+	for _, stored := range record.StoredVersions {
 		r.count(versionReadBack)
-		at := place{kept.Voter, kept.ConfigName}
-		if logs[at] == nil {
-			logs[at] = &storedLog{digests: map[int64]string{}, lowest: kept.Version}
+		key := voterConfig{stored.Voter, stored.ConfigName}
+		if logs[key] == nil {
+			logs[key] = &storedLog{digests: map[int64]string{}, lowest: stored.Version}
 		}
-		logs[at].digests[kept.Version] = kept.Digest
-		logs[at].lowest = min(logs[at].lowest, kept.Version)
+		logs[key].digests[stored.Version] = stored.Digest
+		logs[key].lowest = min(logs[key].lowest, stored.Version)
 	}
-	for at, log := range logs {
+	for key, log := range logs {
 		for _, write := range record.Writes {
-			if write.ConfigName != at.configName {
+			if write.ConfigName != key.configName {
 				continue
 			}
 			digest, stored := log.digests[write.Version]
 			switch {
-			case !stored && log.discarded(write.Version, record.RetainedVersions):
+			case !stored && log.mayLack(write.Version, record.RetainedVersions):
 			case !stored:
-				r.violate(configurationLost, "%s %d was acknowledged, %s does not give it back",
-					at.configName, write.Version, at.voter)
+				r.addViolation(configurationLost, "%s version %d was acknowledged, but %s does not return it",
+					key.configName, write.Version, key.voter)
 			case digest != write.Digest:
-				r.violate(configurationLost, "%s %d comes back from %s with other bytes",
-					at.configName, write.Version, at.voter)
+				r.addViolation(configurationLost, "%s version %d is returned by %s with a different digest",
+					key.configName, write.Version, key.voter)
 			}
 		}
 	}
--- a/internal/checker/keys.go
+++ b/internal/checker/keys.go
@@ -5,36 +5,38 @@
 	"time"
 )
 
-// checkWithdrawnKeys checks that a withdrawn key stops working in time.
+// checkWithdrawnKeys checks that no request with a withdrawn key ran if it was sent later than
+// Bounds.KeyWithdrawal after the withdrawal.
 func (r *Review) checkWithdrawnKeys(record Record, requests map[string]CallerRequest) {
 	if record.Bounds.KeyWithdrawal == 0 {
 		return
 	}
 	withdrawnAt := withdrawnKeys(record.Writes)
-	for _, ran := range record.Executions {
-		request := requests[ran.ID]
+	for _, execution := range record.Executions {
+		request := requests[execution.ID]
 		at, withdrawn := withdrawnAt[request.Key]
 		if !withdrawn || request.Key == "" {
 			continue
 		}
 		r.count(withdrawnKeyRun)
-		late := request.Sent - at
-		if late > record.Bounds.KeyWithdrawal {
-			r.violate(keyLate, "%s ran with a key withdrawn %s before it was sent", ran.ID, late)
-		} else if late > 0 {
-			r.measure(keyWithdrawalMS, float64(late.Milliseconds()))
+		delay := request.Sent - at
+		if delay > record.Bounds.KeyWithdrawal {
+			r.addViolation(withdrawnKeyAccepted, "%s ran with a key that was withdrawn %s before the request was sent", execution.ID, delay)
+		} else if delay > 0 {
+			r.recordWorst(keyWithdrawalMS, float64(delay.Milliseconds()))
 		}
 	}
 }
 
-// withdrawnKeys returns when each key that the newest version does not have was withdrawn.
+// withdrawnKeys returns, for each key that the newest acknowledged version lacks, when the version that
+// removed it was acknowledged.
 func withdrawnKeys(acknowledged []Write) map[string]time.Duration {
 	withdrawn := map[string]time.Duration{}
 	writes := append([]Write{}, acknowledged...)
 	sort.Slice(writes, func(i, j int) bool { return writes[i].Version < writes[j].Version })
 	for index := 1; index < len(writes); index++ {
 		for key := range writes[index-1].Keys {
-			if _, still := writes[index].Keys[key]; !still {
+			if _, present := writes[index].Keys[key]; !present {
 				withdrawn[key] = writes[index].At
 			}
 		}
--- a/internal/checker/record.go
+++ b/internal/checker/record.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// CallerRequest is one request as its caller saw it.
+// CallerRequest is one request and its outcome as observed by the caller.
 type CallerRequest struct {
 	ID           string        `json:"id"`
 	Proxy        string        `json:"proxy"`
@@ -15,16 +15,16 @@
 	Tenant       string        `json:"tenant"`
 	Caller       string        `json:"caller"`
 	Key          string        `json:"-"`
-	Once         bool          `json:"once"`     // must not run twice
-	Intended     time.Duration `json:"intended"` // when the load's schedule wanted it sent
+	Once         bool          `json:"once"`     // must run at most once
+	Intended     time.Duration `json:"intended"` // when the load's schedule had it sent
 	Sent         time.Duration `json:"sent"`
 	Done         time.Duration `json:"done"`
 	Status       int           `json:"status"`
-	Code         int           `json:"code"`             // of the mesh, where the answer is its own; 0: an upstream's answer
+	Code         int           `json:"code"`             // error code of an answer that the mesh itself gave; 0: an upstream's answer
 	Retry        bool          `json:"retry_after"`      // the answer had a Retry-After header
-	Connection   bool          `json:"connection_error"` // no answer at all
+	Connection   bool          `json:"connection_error"` // no complete answer was received
 	Body         string        `json:"body"`
-	ResponseMark string        `json:"mark"` // the header by which an upstream marks its answer
+	ResponseMark string        `json:"mark"` // value of the header that identifies the run that answered
 }
 
 // Execution is one run of a request at an upstream.
@@ -46,7 +46,8 @@
 	ServingProxy string        `json:"serving_proxy"` // machine of the serving proxy, where known
 }
 
-// Write is an acknowledged version of a configuration: what it allows from then on.
+// Write is an acknowledged version of a configuration, with the routes and keys that it allows. At is
+// the time of the acknowledgement.
 type Write struct {
 	ConfigName string
 	Version    int64
@@ -56,7 +57,7 @@
 	Digest     string            // of its bytes
 }
 
-// Digest returns a short hash by which bytes are compared.
+// Digest returns a short, non-cryptographic hash of a configuration's bytes.
 func Digest(body []byte) string {
 	hash := fnv.New64a()
 	_, _ = hash.Write(body) // a hash never fails
@@ -71,8 +72,8 @@
 	Digest     string
 }
 
-// Attempt is one attempt to send a request from a proxy to a serving proxy; Retry says that it was
-// not the request's first.
+// Attempt is one attempt to send a request from a proxy to a serving proxy. Retry is true for every
+// attempt but the request's first.
 type Attempt struct {
 	Service string
 	At      time.Duration
@@ -87,15 +88,15 @@
 	At         time.Duration
 }
 
-// Span is an interval of time of a node or upstream, both ends included.
+// Span is a closed interval of time that applies to the node or upstream of that name.
 type Span struct {
 	Name      string
 	From      time.Duration
 	To        time.Duration
-	StartedAt time.Duration // when this incarnation of the node began, before From after a cut
+	StartedAt time.Duration // start of this incarnation of the node; earlier than From if the span begins with a reconnection
 }
 
-// Within reports whether a machine has a span that touches the interval from one time to another.
+// Within reports whether one of the machine's spans overlaps the closed interval between two times.
 func Within(spans []Span, machine string, from, to time.Duration) bool {
 	for _, span := range spans {
 		if span.Name == machine && span.From <= to && span.To >= from {
@@ -105,14 +106,14 @@
 	return false
 }
 
-// Peak is the highest number of requests that an upstream ran at one time, and its slots.
+// Peak is the highest number of requests that an upstream ran concurrently, and its number of slots.
 type Peak struct {
 	Instance   string
 	MaxRunning int
 	Slots      int
 }
 
-// DrainStart records that an upstream announced that it is draining; Incarnation is its incarnation.
+// DrainStart records when an incarnation of an upstream announced that it is draining.
 type DrainStart struct {
 	Service     string
 	Instance    string
@@ -120,17 +121,18 @@
 	At          time.Duration
 }
 
-// Reported is a usage window as the collector got it.
+// Reported is the report of a usage window as the collector received it, or, among Record.StoredUsage,
+// as a voter returned it. From is the voter.
 type Reported struct {
 	Window int64
 	From   string
 	Counts map[string]int64
 	At     time.Duration
-	End    time.Duration // end of the window on the same clock
+	End    time.Duration // end of the window, also since the start of the run
 }
 
-// LeaseTenure records that a voter became the holder of a lease, or, among Record.HolderActions, that it acted as
-// the holder. LeaseName is the name of the lease.
+// LeaseTenure records that a voter became the holder of a lease, or, among Record.HolderActions, that
+// it acted as the holder.
 type LeaseTenure struct {
 	LeaseName string
 	Voter     string
@@ -138,29 +140,29 @@
 	At        time.Duration
 }
 
-// Record is all that a run left behind. Times are since the start of the run.
+// Record is everything observed during a run. Times are relative to the start of the run.
 type Record struct {
 	Requests         []CallerRequest
 	Executions       []Execution
 	Writes           []Write
 	Activations      []Activation
-	Up               []Span // nodes running and connected to the core, by name
-	Disconnected     []Span // machines frozen or cut off, by name
-	Peaks            []Peak // the most that ran at one time, by upstream
-	Crashes          []Span // hard ends of machines and upstreams, by name
-	Stopped          []Span // polite stops of proxies, from the signal to the exit
-	UsageLosses      []Span // intervals whose usage counts were lost with a proxy that was cut off
+	Up               []Span // intervals during which a node was running and connected to the core
+	Disconnected     []Span // intervals during which a machine was frozen or disconnected
+	Peaks            []Peak // highest concurrency of each upstream
+	Crashes          []Span // kills of machines and upstreams, which end without a shutdown
+	Stopped          []Span // graceful stops of proxies, from the signal to the exit
+	UsageLosses      []Span // intervals whose usage counts were lost with a disconnected proxy
 	DrainStarts      []DrainStart
 	Reported         []Reported
-	StoredUsage      []Reported // windows as the voters give them back
+	StoredUsage      []Reported // windows as the voters return them at the end of the run
 	Attempts         []Attempt
 	StoredVersions   []StoredVersion
-	ReadyAsked       int // how often the platform checked the readiness of a node
-	RetainedVersions int // how many versions a voter must keep
+	ReadyAsked       int // how often the platform queried the readiness of a node
+	RetainedVersions int // number of versions that a voter must retain
 	End              time.Duration
 	LeaseTenures     []LeaseTenure
-	HolderActions    []LeaseTenure // changes made by a holder, with the epoch
-	Window           time.Duration // length of a usage window; 0: counts are not checked
-	Epoch            time.Duration // time of day at time 0
+	HolderActions    []LeaseTenure // changes made by a holder, with the epoch of its lease
+	Window           time.Duration // length of a usage window; 0: usage counts are not checked
+	Epoch            time.Duration // Unix time of the start of the run
 	Bounds           Bounds
 }
--- a/internal/checker/rules.go
+++ b/internal/checker/rules.go
@@ -1,102 +1,108 @@
 package checker
 
-// rule names a promise of the mesh. Reports and tests know the promises by these texts.
+// rule is the name of a guarantee of the mesh, by which reports and tests identify it.
 type rule string
 
-// The promises, each named for the fault that breaks it.
+// Rules. Each constant is named for the violation.
 const (
-	// ranTwice: a request marked "once" runs at most once.
-	ranTwice rule = "once"
-	// busyRan: a request that was answered as busy ran nowhere.
-	busyRan rule = "busy-ran"
+	// onceRequestRanTwice: a request marked "once" runs at most once.
+	onceRequestRanTwice rule = "once"
+	// busyRequestRan: a request that was answered as busy ran nowhere.
+	busyRequestRan rule = "busy-ran"
 	// noRetryAfter: a busy answer has a Retry-After header.
 	noRetryAfter rule = "retry-after"
-	// foreignAnswer: an answer that is not the mesh's own is, byte for byte, that of a run.
-	foreignAnswer rule = "own-answer"
-	// answerHeldBack: a complete answer reaches its caller within Bounds.ResponseDelay.
-	answerHeldBack rule = "answer-hold"
+	// answerOfNoRun: an answer without an error code of the mesh equals, byte for byte, the answer that
+	// one of the request's runs sent.
+	answerOfNoRun rule = "own-answer"
+	// answerDelayed: a complete answer reaches its caller within Bounds.ResponseDelay.
+	answerDelayed rule = "answer-hold"
 	// answerLost: an answer that an upstream sent completely reaches its caller, unless a machine
-	// on its way failed; a polite stop of a proxy loses no request.
+	// on its path failed; a graceful stop of a proxy loses no request.
 	answerLost rule = "dropped"
-	// strayRun: an upstream runs only what a caller sent.
-	strayRun rule = "stray"
-	// wrongIdentity: an upstream sees the request's own tenant and caller.
+	// runOfUnknownRequest: an upstream runs only requests that a caller sent.
+	runOfUnknownRequest rule = "stray"
+	// wrongIdentity: an upstream receives the tenant and caller of the request.
 	wrongIdentity rule = "identity"
-	// keySeen: an upstream never sees a tenant's key.
-	keySeen rule = "key-seen"
-	// wrongService: a request runs at its own service, as some configuration allowed.
-	wrongService rule = "landing"
+	// keyExposed: an upstream never receives a tenant's key.
+	keyExposed rule = "key-seen"
+	// wrongTarget: a request runs at the service that it was sent for, and some acknowledged
+	// configuration routes its route to that service.
+	wrongTarget rule = "landing"
 	// configurationLate: an acknowledged version is in force on each connected node within
 	// Bounds.ConfigurationInForce.
 	configurationLate rule = "configuration-late"
-	// configurationSlip: a node goes back to no older version after Bounds.RollbackWindow.
-	configurationSlip rule = "configuration-slip"
-	// configurationLost: each voter returns the very bytes of every acknowledged version.
+	// configurationRolledBack: a node returns to no older version after Bounds.RollbackWindow.
+	configurationRolledBack rule = "configuration-slip"
+	// configurationLost: each voter returns every acknowledged version that it has to retain, byte for
+	// byte.
 	configurationLost rule = "configuration-lost"
-	// keyLate: a withdrawn key stops working within Bounds.KeyWithdrawal.
-	keyLate rule = "key-late"
-	// drainLate: a draining upstream gets no new request after Bounds.Drain.
-	drainLate rule = "drain-late"
-	// slotsExceeded: an upstream never runs more at one time than it has slots.
+	// withdrawnKeyAccepted: a withdrawn key is rejected after Bounds.KeyWithdrawal.
+	withdrawnKeyAccepted rule = "key-late"
+	// requestAfterDrain: a draining upstream receives no new request after Bounds.Drain.
+	requestAfterDrain rule = "drain-late"
+	// slotsExceeded: an upstream never runs more requests concurrently than it has slots.
 	slotsExceeded rule = "slots"
-	// retryShareExceeded: retries stay below Bounds.RetryShare of the first attempts.
+	// retryShareExceeded: in any Bounds.RetryWindow there are at most Bounds.RetryShare times as many
+	// retries as first attempts, plus Bounds.RetryAllowance.
 	retryShareExceeded rule = "retry-share"
 	// usageLate: a usage window is reported within Bounds.UsageReportDelay of its end.
 	usageLate rule = "usage-late"
-	// usageChanged: a usage window has the same counts each time that it is reported or read.
+	// usageChanged: every report and every read of a usage window has the same counts.
 	usageChanged rule = "usage-twice"
-	// usageMissing: every usage window with answers is reported, and the windows have no gap.
+	// usageMissing: every usage window with answers is reported, and the reported windows are
+	// consecutive.
 	usageMissing rule = "usage-missing"
-	// usageOff: a usage window's counts are within Bounds.UsageError of what callers saw.
-	usageOff rule = "usage-off"
+	// usageInaccurate: a usage window's counts deviate by at most Bounds.UsageError from the answers that
+	// callers received.
+	usageInaccurate rule = "usage-off"
 	// leaseFlapped: a voter gets a lease back from another only after Bounds.HolderCooldown.
 	leaseFlapped rule = "back-and-forth"
-	// twoHolders: an epoch of a lease has one holder.
+	// twoHolders: an epoch of a lease has a single holder.
 	twoHolders rule = "two-holders"
-	// staleAct: no holder acts once the holder of a higher epoch has.
-	staleAct rule = "stale-act"
+	// staleHolderAction: no holder acts after the holder of a higher epoch has acted.
+	staleHolderAction rule = "stale-act"
 )
 
-// figure names a measured value whose worst case a Review keeps.
+// figure is the name of a measured value whose maximum a Review records.
 type figure string
 
-// The figures.
+// Figures.
 const (
-	answerHoldMS    figure = "answer-hold-ms"
+	answerDelayMS   figure = "answer-hold-ms"
 	configurationMS figure = "configuration-in-force-ms"
 	keyWithdrawalMS figure = "key-withdrawal-ms"
 	drainMS         figure = "drain-ms"
-	slotsUsed       figure = "slots-used" // share of the slots
+	slotsUsed       figure = "slots-used" // running requests as a share of the slots
 	retryShare      figure = "retry-share"
 	usageLateMS     figure = "usage-late-ms"
-	usageDeviation  figure = "usage-off" // share of the counts
+	usageDeviation  figure = "usage-off" // as a share of the counts
 )
 
-// event names what a Review counts.
+// event is the name of a kind of event that a Review counts.
 type event string
 
-// The events.
+// Events.
 const (
-	requestSent           event = "asked"
-	noAnswer              event = "no answer"
-	busyAnswer            event = "busy"
-	upstreamAnswer        event = "answered"
-	otherAnswer           event = "refused or unknown"
-	unknownOutcome        event = "unknown"
-	answerOverFailure     event = "answers over a frozen or cut machine"
-	answerLostWithMachine event = "answers lost with a machine"
-	runSeen               event = "ran"
-	politeStop            event = "polite stops"
-	configurationArrival  event = "configuration arrivals"
-	versionReadBack       event = "versions read back"
-	withdrawnKeyRun       event = "withdrawn key runs"
-	drainSeen             event = "drains"
-	attemptAgain          event = "tries again"
-	retrySeen             event = "retries seen"
-	usageReport           event = "usage reports"
-	windowReadBack        event = "windows read back"
-	leaseSeen             event = "leases"
-	leaseTakeover         event = "takeovers"
-	leaseAct              event = "holder acts"
-	readinessChecked      event = "asked whether ready"
+	requestSent          event = "asked"
+	connectionError      event = "no answer"
+	busyAnswer           event = "busy"
+	upstreamAnswer       event = "answered"
+	otherAnswer          event = "refused or unknown"
+	unknownOutcome       event = "unknown"
+	answerDuringFailure  event = "answers over a frozen or cut machine"
+	answerLostInFailure  event = "answers lost with a machine"
+	runRecorded          event = "ran"
+	gracefulStop         event = "polite stops"
+	configurationArrival event = "configuration arrivals"
+	versionReadBack      event = "versions read back"
+	withdrawnKeyRun      event = "withdrawn key runs"
+	drainStarted         event = "drains"
+	retrySent            event = "tries again"
+	retryRan             event = "retries seen"
+	usageReport          event = "usage reports"
+	windowReadBack       event = "windows read back"
+	leaseTenure          event = "leases"
+	leaseTakeover        event = "takeovers"
+	holderAction         event = "holder acts"
+	readinessChecked     event = "asked whether ready"
 )
--- a/internal/checker/runs.go
+++ b/internal/checker/runs.go
@@ -1,39 +1,40 @@
 package checker
 
-// landing is a service at which a configuration lets requests of a route run.
-type landing struct{ route, service string }
+// routeTarget is a service to which a configuration sends the requests of a route.
+type routeTarget struct{ route, service string }
 
-// checkRuns checks each run at an upstream: a caller sent the request, a configuration allowed it
-// there, and the upstream saw tenant and caller but not the key.
+// checkRuns checks each run at an upstream: a caller sent the request, some acknowledged configuration
+// routes it to that service, and the upstream received tenant and caller but not the key.
 func (r *Review) checkRuns(record Record, requests map[string]CallerRequest) {
-	allowed := allowedLandings(record.Writes)
-	for _, ran := range record.Executions {
-		r.count(runSeen)
-		request, known := requests[ran.ID]
+	allowed := allowedTargets(record.Writes)
+	for _, execution := range record.Executions {
+		r.count(runRecorded)
+		request, known := requests[execution.ID]
 		if !known {
-			r.violate(strayRun, "%s ran unknown request %q", ran.Instance, ran.ID)
+			r.addViolation(runOfUnknownRequest, "%s ran unknown request %q", execution.Instance, execution.ID)
 			continue
 		}
-		if ran.Tenant != request.Tenant || ran.Caller != request.Caller {
-			r.violate(wrongIdentity, "%s ran as tenant %q caller %q, want %q %q",
-				ran.ID, ran.Tenant, ran.Caller, request.Tenant, request.Caller)
+		if execution.Tenant != request.Tenant || execution.Caller != request.Caller {
+			r.addViolation(wrongIdentity, "%s ran with tenant %q and caller %q, want %q and %q",
+				execution.ID, execution.Tenant, execution.Caller, request.Tenant, request.Caller)
 		}
-		if ran.KeySeen {
-			r.violate(keySeen, "%s showed the key to %s", ran.ID, ran.Instance)
+		if execution.KeySeen {
+			r.addViolation(keyExposed, "%s exposed the tenant's key to %s", execution.ID, execution.Instance)
 		}
-		mayLand := len(allowed) == 0 || allowed[landing{request.Route, ran.Service}]
-		if ran.Service != request.Service || !mayLand {
-			r.violate(wrongService, "%s for %s landed at %s %s", ran.ID, request.Service, ran.Service, ran.Address)
+		targetAllowed := len(allowed) == 0 || allowed[routeTarget{request.Route, execution.Service}]
+		if execution.Service != request.Service || !targetAllowed {
+			r.addViolation(wrongTarget, "%s for service %s ran at service %s, address %s",
+				execution.ID, request.Service, execution.Service, execution.Address)
 		}
 	}
 }
 
-// allowedLandings returns what any of the acknowledged versions allows.
-func allowedLandings(writes []Write) map[landing]bool {
-	allowed := map[landing]bool{}
+// allowedTargets returns the services of each route in any of the acknowledged versions.
+func allowedTargets(writes []Write) map[routeTarget]bool {
+	allowed := map[routeTarget]bool{}
 	for _, write := range writes {
 		for route, service := range write.Services {
-			allowed[landing{route, service}] = true
+			allowed[routeTarget{route, service}] = true
 		}
 	}
 	return allowed
--- a/internal/checker/upstreams.go
+++ b/internal/checker/upstreams.go
@@ -1,34 +1,36 @@
 package checker
 
-// checkDrains checks that an upstream gets no new request for long after it announced that it is
-// draining.
+// checkDrains checks that an upstream receives no new request later than Bounds.Drain after it
+// announced that it is draining.
 func (r *Review) checkDrains(record Record) {
-	for _, leaving := range record.DrainStarts {
-		r.count(drainSeen)
-		for _, ran := range record.Executions {
-			if !leaving.ranAfter(ran) {
+	for _, drain := range record.DrainStarts {
+		r.count(drainStarted)
+		for _, execution := range record.Executions {
+			if !drain.precedes(execution) {
 				continue
 			}
-			late := ran.At - leaving.At
-			r.measure(drainMS, float64(late.Milliseconds()))
-			if late > record.Bounds.Drain {
-				r.violate(drainLate, "%s got %s %s after it said it leaves", leaving.Instance, ran.ID, late)
+			delay := execution.At - drain.At
+			r.recordWorst(drainMS, float64(delay.Milliseconds()))
+			if delay > record.Bounds.Drain {
+				r.addViolation(requestAfterDrain, "%s received %s %s after it announced that it is draining",
+					drain.Instance, execution.ID, delay)
 			}
 		}
 	}
 }
 
-// ranAfter reports whether a run began at the draining incarnation after its announcement.
-func (l DrainStart) ranAfter(ran Execution) bool {
-	return ran.Service == l.Service && ran.Instance == l.Instance && ran.Incarnation == l.Incarnation && ran.At >= l.At
+// precedes reports whether a run began at the draining incarnation at or after its announcement.
+func (d DrainStart) precedes(execution Execution) bool {
+	return execution.Service == d.Service && execution.Instance == d.Instance &&
+		execution.Incarnation == d.Incarnation && execution.At >= d.At
 }
 
-// checkSlots checks that no upstream ran more at one time than it has slots.
+// checkSlots checks that no upstream ran more requests concurrently than it has slots.
 func (r *Review) checkSlots(record Record) {
 	for _, peak := range record.Peaks {
-		r.measure(slotsUsed, float64(peak.MaxRunning)/float64(peak.Slots))
+		r.recordWorst(slotsUsed, float64(peak.MaxRunning)/float64(peak.Slots))
 		if peak.MaxRunning > peak.Slots {
-			r.violate(slotsExceeded, "%s ran %d at one time, slots %d", peak.Instance, peak.MaxRunning, peak.Slots)
+			r.addViolation(slotsExceeded, "%s ran %d requests concurrently, has %d slots", peak.Instance, peak.MaxRunning, peak.Slots)
 		}
 	}
 }
--- a/internal/checker/usage.go
+++ b/internal/checker/usage.go
@@ -6,31 +6,34 @@
 	"time"
 )
 
-// windowEdge is how far from the border of two windows an answer may count in either.
-const windowEdge = 80 * time.Millisecond
+// windowBoundaryTolerance is the distance from the boundary of two usage windows within which an answer
+// may count in either, since clocks differ and answers take time.
+const windowBoundaryTolerance = 80 * time.Millisecond
 
-// checkUsage checks the reports of usage windows: in time, the same whenever a window comes again, none
-// missing, and near to what callers saw.
+// checkUsage checks that usage windows are reported in time, that repeated reports and later reads have
+// the same counts, that no window is missing, and that the counts match the answers of the callers
+// within Bounds.UsageError.
 func (r *Review) checkUsage(record Record) {
 	reports := r.firstReports(record)
-	for _, reread := range record.StoredUsage {
+	for _, stored := range record.StoredUsage {
 		r.count(windowReadBack)
-		if first, known := reports[reread.Window]; known && !maps.Equal(first.Counts, reread.Counts) {
-			r.violate(usageChanged, "window %d was reported as %v, %s gives back %v",
-				reread.Window, first.Counts, reread.From, reread.Counts)
+		if first, known := reports[stored.Window]; known && !maps.Equal(first.Counts, stored.Counts) {
+			r.addViolation(usageChanged, "window %d was reported as %v, %s returns %v",
+				stored.Window, first.Counts, stored.From, stored.Counts)
 		}
 	}
 	if record.Window == 0 {
 		return
 	}
-	least, most := countAnswers(record)
-	r.checkMissingWindows(record, reports, least)
+	lowest, highest := countAnswers(record)
+	r.checkMissingWindows(record, reports, lowest)
 	for window, report := range reports {
-		r.checkWindowCounts(record.Bounds, window, report.Counts, least[window], most[window])
+		r.checkWindowCounts(record.Bounds, window, report.Counts, lowest[window], highest[window])
 	}
 }
 
-// firstReports returns the first report of each window, and checks it and its repetitions.
+// firstReports returns the first report of each window. It checks that the first report is in time and
+// that repetitions have the same counts.
 func (r *Review) firstReports(record Record) map[int64]Reported {
 	reports := map[int64]Reported{}
 	for _, report := range record.Reported {
@@ -38,23 +41,24 @@
 		first, known := reports[report.Window]
 		if known {
 			if !maps.Equal(first.Counts, report.Counts) {
-				r.violate(usageChanged, "window %d was %v, then %v", report.Window, first.Counts, report.Counts)
+				r.addViolation(usageChanged, "window %d was reported as %v, then as %v", report.Window, first.Counts, report.Counts)
 			}
 			continue
 		}
 		reports[report.Window] = report
-		late := report.At - report.End
-		r.measure(usageLateMS, float64(late.Milliseconds()))
-		if late > record.Bounds.UsageReportDelay {
-			r.violate(usageLate, "window %d came %s after its end", report.Window, late)
+		delay := report.At - report.End
+		r.recordWorst(usageLateMS, float64(delay.Milliseconds()))
+		if delay > record.Bounds.UsageReportDelay {
+			r.addViolation(usageLate, "window %d was reported %s after its end", report.Window, delay)
 		}
 	}
 	return reports
 }
 
-// tenantCounts are answers by window and tenant.
+// tenantCounts holds numbers of answers by window and tenant.
 type tenantCounts map[int64]map[string]int64
 
+// add counts one answer of a tenant in a window.
 func (t tenantCounts) add(window int64, tenant string) {
 	if t[window] == nil {
 		t[window] = map[string]int64{}
@@ -62,76 +66,80 @@
 	t[window][tenant]++
 }
 
-// countAnswers returns the least and the most that a true report may contain: an answer near the
-// border of two windows may count in either, since clocks differ and answers take time.
-func countAnswers(record Record) (least, most tenantCounts) {
-	least, most = tenantCounts{}, tenantCounts{}
+// countAnswers returns the lowest and the highest counts that an accurate report may contain. An answer
+// near the boundary of two windows may count in either; one whose count was lost with a disconnected
+// proxy need not be counted.
+func countAnswers(record Record) (lowest, highest tenantCounts) {
+	lowest, highest = tenantCounts{}, tenantCounts{}
 	for _, request := range record.Requests {
 		if request.Code != 0 || request.Connection {
 			continue
 		}
-		early := int64((record.Epoch + request.Done - windowEdge) / record.Window)
-		late := int64((record.Epoch + request.Done + windowEdge) / record.Window)
-		most.add(early, request.Tenant)
+		firstWindow := int64((record.Epoch + request.Done - windowBoundaryTolerance) / record.Window)
+		lastWindow := int64((record.Epoch + request.Done + windowBoundaryTolerance) / record.Window)
+		highest.add(firstWindow, request.Tenant)
 		if Within(record.UsageLosses, request.Proxy, request.Done, request.Done) {
 			continue
 		}
-		if early == late {
-			least.add(early, request.Tenant)
+		if firstWindow == lastWindow {
+			lowest.add(firstWindow, request.Tenant)
 		} else {
-			most.add(late, request.Tenant)
+			highest.add(lastWindow, request.Tenant)
 		}
 	}
-	return least, most
+	return lowest, highest
 }
 
-// checkMissingWindows checks that no window with answers, and none among those reported, is missing.
-func (r *Review) checkMissingWindows(record Record, reports map[int64]Reported, least tenantCounts) {
+// checkMissingWindows checks that each window with answers whose report was due before the end of the
+// run is reported, and that there is no gap between the reported windows.
+func (r *Review) checkMissingWindows(record Record, reports map[int64]Reported, lowest tenantCounts) {
 	first, last := int64(math.MaxInt64), int64(0)
 	for window := range reports {
 		first, last = min(first, window), max(last, window)
 	}
-	for window := range least {
+	for window := range lowest {
 		due := time.Duration(window+1)*record.Window - record.Epoch + record.Bounds.UsageReportDelay
 		if _, reported := reports[window]; !reported && due <= record.End {
-			r.violate(usageMissing, "window %d had answers and was never reported", window)
+			r.addViolation(usageMissing, "window %d has answers, but was never reported", window)
 		}
 	}
 	for window := first; window < last; window++ {
 		if _, reported := reports[window]; !reported {
-			r.violate(usageMissing, "window %d is a gap among those reported", window)
+			r.addViolation(usageMissing, "window %d is missing between windows that were reported", window)
 		}
 	}
 }
 
-// busyTenant is how many answers a tenant needs in a window before its own deviation is looked at;
-// below it one request would be too much.
-const busyTenant = 100
+// minTenantAnswers is the number of answers from which on a tenant's deviation in a window is checked
+// by itself; with fewer answers a single request could exceed the bound.
+const minTenantAnswers = 100
 
-// checkWindowCounts sums the deviations tenant by tenant, so that counts under a wrong tenant show
-// twice, and looks at each busy tenant by itself.
-func (r *Review) checkWindowCounts(bounds Bounds, window int64, counts, least, most map[string]int64) {
+// checkWindowCounts compares the sum of the tenants' deviations with Bounds.UsageError, so that an
+// answer counted under the wrong tenant counts twice, and also the deviation of each tenant that has
+// at least minTenantAnswers.
+func (r *Review) checkWindowCounts(bounds Bounds, window int64, counts, lowest, highest map[string]int64) {
 	tenants := map[string]bool{}
-	for _, list := range []map[string]int64{counts, least, most} {
+	for _, list := range []map[string]int64{counts, lowest, highest} {
 		for tenant := range list {
 			tenants[tenant] = true
 		}
 	}
-	off, all, worst := int64(0), int64(0), 0.0
+	deviations, answers, worst := int64(0), int64(0), 0.0
 	for tenant := range tenants {
-		deviation := max(0, least[tenant]-counts[tenant], counts[tenant]-most[tenant])
-		off += deviation
-		all += most[tenant]
-		if most[tenant] >= busyTenant {
-			worst = max(worst, float64(deviation)/float64(most[tenant]))
+		deviation := max(0, lowest[tenant]-counts[tenant], counts[tenant]-highest[tenant])
+		deviations += deviation
+		answers += highest[tenant]
+		if highest[tenant] >= minTenantAnswers {
+			worst = max(worst, float64(deviation)/float64(highest[tenant]))
 		}
 	}
-	if all == 0 && off == 0 {
+	if answers == 0 && deviations == 0 {
 		return
 	}
-	share := max(worst, float64(off)/float64(max(1, all)))
-	r.measure(usageDeviation, share)
+	share := max(worst, float64(deviations)/float64(max(1, answers)))
+	r.recordWorst(usageDeviation, share)
 	if share > bounds.UsageError {
-		r.violate(usageOff, "window %d reported %v, callers saw %v to %v", window, counts, least, most)
+		r.addViolation(usageInaccurate, "window %d was reported as %v, the callers' answers allow %v to %v",
+			window, counts, lowest, highest)
 	}
 }
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,7 +1,7 @@
-// Package loadgen generates load in an open loop: requests start at a set rate whether or not earlier
-// ones were answered, so that a stall shows as late answers and not as fewer requests. Latency counts
-// from the intended start. Every request has an ID of its own, recorded with its answer, by which the
-// checker finds what the upstreams ran.
+// Package loadgen generates load in an open loop: requests start at a fixed rate, whether or not earlier
+// ones were answered, so that a stall shows as high latency and not as fewer requests. Latency is
+// measured from the intended start. Every request has a unique ID, recorded with its answer, by which
+// the checker finds the request's runs at the upstreams.
 package loadgen
 
 import (
@@ -23,7 +23,7 @@
 	"beaconvane/internal/stubserver"
 )
 
-// Kind is one kind of request with its weight in the mix.
+// Kind is one kind of request, with its weight in the mix of requests.
 type Kind struct {
 	Route   string  `json:"route"`
 	Service string  `json:"service"`
@@ -33,32 +33,32 @@
 	Once    bool    `json:"once"`
 	Body    int     `json:"body_bytes"`
 	Weight  float64 `json:"weight"`
-	Calls   string  `json:"calls"` // the route that its upstream calls for a share of the runs
+	Calls   string  `json:"calls"` // route that its upstream calls in a share of the runs; empty for none
 }
 
-// Tenant is a tenant with a key to use.
+// Tenant is a tenant with the key that its requests carry.
 type Tenant struct {
 	Name string `json:"name"`
 	Key  string `json:"key"`
 }
 
-// Plan is what to request, where, how fast and for how long.
+// Plan describes a load: the kinds of requests, the proxies, the rate and the duration.
 type Plan struct {
 	Proxies []string      `json:"proxies"`
 	Kinds   []Kind        `json:"kinds"`
 	Tenants []Tenant      `json:"tenants"`
 	Rate    float64       `json:"rate"` // requests a second
 	Length  time.Duration `json:"length"`
-	Limit   time.Duration `json:"limit"` // of one request
+	Limit   time.Duration `json:"limit"` // timeout of one request
 	Seed    uint64        `json:"seed"`
-	Base    time.Time     `json:"-"` // times of the record are since then
+	Base    time.Time     `json:"-"` // start of the run, to which the times of the record are relative
 }
 
-// seedStream is the second half of the random source's seed; the plan gives the first.
+// seedStream is the second half of the seed of the random source. Plan.Seed is the first half.
 const seedStream = 7
 
-// Run makes the requests of a plan and returns their record, once all are answered or the context
-// has ended.
+// Run sends the requests of a plan and returns their record once all of them have ended. It sends no
+// further requests after the context has ended.
 func Run(ctx context.Context, group *goroutine.Group, plan Plan) []checker.CallerRequest {
 	run := &run{plan: plan, client: newClient(plan), random: rand.New(rand.NewPCG(plan.Seed, seedStream))}
 	begin := time.Now()
@@ -68,28 +68,30 @@
 		if !waitUntil(ctx, intended) {
 			break
 		}
-		kind, asked := run.next(number, intended)
-		run.waiting.Add(1)
+		kind, request := run.next(number, intended)
+		run.pending.Add(1)
 		group.Go("loadgen.request", func(context.Context) {
-			defer run.waiting.Done()
-			run.request(kind, &asked)
-			run.addRecord(asked)
+			defer run.pending.Done()
+			run.send(kind, &request)
+			run.addRecord(request)
 		})
 	}
-	run.waiting.Wait()
+	run.pending.Wait()
 	return run.record
 }
 
-// run is the state of a plan that is being run.
+// run is the state of a load in progress.
 type run struct {
 	plan    Plan
 	client  *http.Client
 	random  *rand.Rand
-	waiting sync.WaitGroup
+	pending sync.WaitGroup
 	lock    sync.Mutex
 	record  []checker.CallerRequest
 }
 
+// newClient returns an HTTP client with the timeout of a plan, which reuses connections and does not
+// follow redirects.
 func newClient(plan Plan) *http.Client {
 	return &http.Client{
 		Timeout:       plan.Limit,
@@ -104,7 +106,7 @@
 	}
 }
 
-// waitUntil waits for a time; it returns false when the context ended first.
+// waitUntil blocks until a time. It returns false if the context ended first.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	wait := time.Until(at)
 	if wait <= 0 {
@@ -120,7 +122,7 @@
 	}
 }
 
-// next draws kind, tenant and proxy of the next request.
+// next draws the kind, tenant and proxy of the next request.
 func (r *run) next(number int, intended time.Time) (Kind, checker.CallerRequest) {
 	kind := r.drawKind()
 	tenant := r.plan.Tenants[r.random.IntN(len(r.plan.Tenants))]
@@ -138,56 +140,57 @@
 	}
 }
 
-// drawKind draws a kind of request by weight.
+// drawKind draws a kind of request with a probability proportional to its weight.
 func (r *run) drawKind() Kind {
 	total := 0.0
 	for _, kind := range r.plan.Kinds {
 		total += kind.Weight
 	}
-	left := r.random.Float64() * total
+	remaining := r.random.Float64() * total
 	for _, kind := range r.plan.Kinds {
-		if left -= kind.Weight; left < 0 {
+		if remaining -= kind.Weight; remaining < 0 {
 			return kind
 		}
 	}
 	return r.plan.Kinds[0]
 }
 
-// addRecord adds a request to the record.
-func (r *run) addRecord(asked checker.CallerRequest) {
+// addRecord appends a request with its outcome to the record.
+func (r *run) addRecord(request checker.CallerRequest) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.record = append(r.record, asked)
+	r.record = append(r.record, request)
 }
 
-// request makes one request and records its answer.
-func (r *run) request(kind Kind, asked *checker.CallerRequest) {
-	asked.Sent = time.Since(r.plan.Base)
-	// A body that is no bytes.Reader can't be rewound, so the library can't send it again.
+// send sends one request and records its outcome.
+func (r *run) send(kind Kind, record *checker.CallerRequest) {
+	record.Sent = time.Since(r.plan.Base)
+	// net/http resends a request on a new connection only if it can rewind the body. Hiding the
+	// bytes.Reader prevents that, so that each request is sent once.
 	body := io.MultiReader(bytes.NewReader(make([]byte, kind.Body)))
-	request, err := http.NewRequest(kind.Method, "http://"+asked.Proxy+kind.Path, body)
+	request, err := http.NewRequest(kind.Method, "http://"+record.Proxy+kind.Path, body)
 	if err != nil {
-		asked.Connection = true
+		record.Connection = true
 		return
 	}
 	request.ContentLength = int64(kind.Body)
 	if kind.Body == 0 {
 		request.Body = http.NoBody
 	}
-	request.Header.Set(stubserver.IDHeader, asked.ID)
-	request.Header.Set(frontend.APIKeyHeader, asked.Key)
+	request.Header.Set(stubserver.IDHeader, record.ID)
+	request.Header.Set(frontend.APIKeyHeader, record.Key)
 	request.Header.Set(backend.CallerHeader, kind.Caller)
 	response, err := r.client.Do(request)
 	if err != nil {
-		asked.Connection, asked.Done = true, time.Since(r.plan.Base)
+		record.Connection, record.Done = true, time.Since(r.plan.Base)
 		return
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
-	asked.Done = time.Since(r.plan.Base)
-	asked.Connection = err != nil
-	asked.Status, asked.Body = response.StatusCode, string(answer)
-	asked.Code, _ = strconv.Atoi(response.Header.Get(frontend.CodeHeader))
-	asked.ResponseMark = response.Header.Get(stubserver.ResponseMarkHeader)
-	asked.Retry = response.Header.Get("Retry-After") != ""
+	record.Done = time.Since(r.plan.Base)
+	record.Connection = err != nil
+	record.Status, record.Body = response.StatusCode, string(answer)
+	record.Code, _ = strconv.Atoi(response.Header.Get(frontend.CodeHeader))
+	record.ResponseMark = response.Header.Get(stubserver.ResponseMarkHeader)
+	record.Retry = response.Header.Get("Retry-After") != ""
 }
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -7,8 +7,9 @@
 	"beaconvane/internal/checker"
 )
 
-// Summary is a run in numbers; latencies are those of good answers, in milliseconds from the intended
-// start.
+// Summary holds the figures of a load. Good counts the answers of upstreams, Share is Good as a share of
+// Asked, and ByCode counts the other outcomes by the mesh's error code, or as "connection". Latencies
+// are those of the good answers, in milliseconds from the intended start.
 type Summary struct {
 	Asked   int            `json:"asked"`
 	Good    int            `json:"good"`
@@ -20,19 +21,19 @@
 	Longest float64        `json:"max_ms"`
 }
 
-// Summarise counts answers and computes the percentiles of the latencies.
+// Summarise counts the outcomes and computes the percentiles of the latencies.
 func Summarise(list []checker.CallerRequest) Summary {
 	summary := Summary{Asked: len(list), ByCode: map[string]int{}}
 	latencies := []float64{}
-	for _, asked := range list {
+	for _, request := range list {
 		switch {
-		case asked.Connection:
+		case request.Connection:
 			summary.ByCode["connection"]++
-		case asked.Code != 0:
-			summary.ByCode[strconv.Itoa(asked.Code)]++
+		case request.Code != 0:
+			summary.ByCode[strconv.Itoa(request.Code)]++
 		default:
 			summary.Good++
-			latencies = append(latencies, float64((asked.Done-asked.Intended).Microseconds())/1000)
+			latencies = append(latencies, float64((request.Done-request.Intended).Microseconds())/1000)
 		}
 	}
 	if len(list) > 0 {
--- a/internal/stubserver/announcements.go
+++ b/internal/stubserver/announcements.go
@@ -11,7 +11,7 @@
 	"beaconvane/internal/backend"
 )
 
-// Change changes the announcement, and announces at once.
+// Change modifies the announcement and sends it immediately.
 func (u *StubServer) Change(alter func(announcement *backend.Announcement)) {
 	u.lock.Lock()
 	alter(&u.Announcement)
@@ -19,23 +19,23 @@
 	u.AnnounceOnce()
 }
 
-// signOff is the body of the request that ends an incarnation.
+// signOff is the body of the request that signs off an incarnation.
 type signOff struct {
 	Service     string `json:"service"`
 	Instance    string `json:"instance"`
 	Incarnation int64  `json:"incarnation"`
 }
 
-// SignOff tells the proxy that this incarnation has ended.
+// SignOff reports to the proxy that this incarnation has ended.
 func (u *StubServer) SignOff() {
 	u.lock.Lock()
-	end := signOff{Service: u.Announcement.Service, Instance: u.Announcement.Instance, Incarnation: u.Announcement.Incarnation}
+	request := signOff{Service: u.Announcement.Service, Instance: u.Announcement.Instance, Incarnation: u.Announcement.Incarnation}
 	u.lock.Unlock()
-	body, _ := json.Marshal(end)
+	body, _ := json.Marshal(request)
 	u.post("/beacon/signoff", body)
 }
 
-// announce announces at a steady interval until the context ends.
+// announce sends the announcement at intervals of Every until the context ends.
 func (u *StubServer) announce(ctx context.Context) {
 	ticker := time.NewTicker(u.Every)
 	defer ticker.Stop()
@@ -50,7 +50,7 @@
 	}
 }
 
-// AnnounceOnce announces to the first proxy that answers.
+// AnnounceOnce sends the announcement to the first proxy that accepts it.
 func (u *StubServer) AnnounceOnce() {
 	u.lock.Lock()
 	body, _ := json.Marshal(u.Announcement)
@@ -58,18 +58,19 @@
 	u.post("/beacon/announce", body)
 }
 
-// post sends a body to the proxies in turn until one answers, which is the serving proxy from then on.
+// post sends a body to the proxies in order until one answers with 200 or 404, which is the serving
+// proxy from then on.
 func (u *StubServer) post(path string, body []byte) {
-	for _, proxyNode := range u.Proxies {
-		response, err := u.announceClient.Post("http://"+proxyNode+path, "application/json", bytes.NewReader(body))
+	for _, proxyAddress := range u.Proxies {
+		response, err := u.announceClient.Post("http://"+proxyAddress+path, "application/json", bytes.NewReader(body))
 		if err != nil {
 			continue
 		}
-		_, _ = io.Copy(io.Discard, response.Body) // only the status counts
+		_, _ = io.Copy(io.Discard, response.Body) // read to the end so that the connection is reused
 		response.Body.Close()
 		if response.StatusCode == http.StatusOK || response.StatusCode == http.StatusNotFound {
 			u.lock.Lock()
-			u.servingProxy = proxyNode
+			u.servingProxy = proxyAddress
 			u.lock.Unlock()
 			return
 		}
--- a/internal/stubserver/faults.go
+++ b/internal/stubserver/faults.go
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// OtherStatuses are the statuses besides 200 that a stub server may answer with: its own refusals
-// and failures are whole answers too.
+// OtherStatuses are the statuses besides 200 with which a stub server may answer. An upstream's error
+// statuses are complete answers too, which the mesh has to deliver.
 var OtherStatuses = []int{
 	http.StatusCreated,
 	http.StatusNotFound,
@@ -16,12 +16,12 @@
 	http.StatusServiceUnavailable,
 }
 
-// UsualOtherShare is the share of runs that load tests and the simulator answer with one of
-// OtherStatuses.
+// UsualOtherShare is the share of runs that are answered with one of OtherStatuses in load tests and in
+// the simulator.
 const UsualOtherShare = 1.0 / 12
 
-// Status draws the status of an answer: 200, or for a share of them one of OtherStatuses.
-// It takes a source of uniform numbers from 0 to 1, as rand.Float64 is.
+// Status draws the status of an answer: one of OtherStatuses with probability otherShare, otherwise 200.
+// uniform returns numbers that are uniformly distributed in [0, 1), as rand.Float64 does.
 func Status(uniform func() float64, otherShare float64) int {
 	chance := uniform()
 	if chance >= otherShare {
@@ -30,20 +30,20 @@
 	return OtherStatuses[int(chance/otherShare*float64(len(OtherStatuses)))]
 }
 
-// Faults are shares of runs that go wrong, each between 0 and 1.
+// Faults are the shares of runs that fail in each way, between 0 and 1.
 type Faults struct {
-	Lose     float64 // run, then close without an answer
-	Garbage  float64 // bytes that are no HTTP
-	Truncate float64 // fewer bytes than the length says
-	Excess   float64 // more bytes than the length says
-	Slow     float64 // ten times the work
+	Lose     float64 // run the request, then close the connection without an answer
+	Garbage  float64 // answer with bytes that are not HTTP
+	Truncate float64 // send fewer bytes than Content-Length
+	Excess   float64 // send more bytes than Content-Length
+	Slow     float64 // take slowFactor times as long
 }
 
-// slowFactor is how many times as long a slow run takes.
+// slowFactor is the factor by which the work of a slow run takes longer.
 const slowFactor = 10
 
-// draw decides by chance whether a run goes wrong, and returns the bytes that it sends then; none
-// where the answer is lost.
+// draw decides at random whether a run's answer is faulty. It returns the raw bytes to send in place of
+// the answer, which are empty if the answer is lost.
 func (f Faults) draw(answer string) (raw string, faulty bool) {
 	switch chance := rand.Float64(); {
 	case chance < f.Lose:
@@ -58,12 +58,12 @@
 	return "", false
 }
 
-// writeRaw writes bytes past the HTTP server, and closes the connection.
+// writeRaw writes bytes to the connection, bypassing the HTTP server, and closes it.
 func writeRaw(out http.ResponseWriter, raw string) {
 	conn, _, err := http.NewResponseController(out).Hijack()
 	if err != nil {
 		return
 	}
-	_, _ = conn.Write([]byte(raw)) // the caller may have gone
+	_, _ = conn.Write([]byte(raw)) // the caller may have closed the connection
 	conn.Close()
 }
--- a/internal/stubserver/requests.go
+++ b/internal/stubserver/requests.go
@@ -15,14 +15,14 @@
 	"beaconvane/internal/frontend"
 )
 
-// serve runs one request: it records the run, works, may call another upstream, and answers as the
-// faults say.
+// serve runs one request: it records the run, waits for the duration of the work, may call another
+// upstream, and answers, with a fault if one is drawn.
 func (u *StubServer) serve(out http.ResponseWriter, in *http.Request) {
 	body, err := io.ReadAll(in.Body)
 	if err != nil {
 		return
 	}
-	ran, index, faults, work := u.recordRun(in, body)
+	execution, index, faults, work := u.recordRun(in, body)
 	defer u.finishRun()
 	if rand.Float64() < faults.Slow {
 		work *= slowFactor
@@ -31,9 +31,9 @@
 	defer timer.Stop()
 	<-timer.C
 	if call, calls := u.Calls[in.URL.Path]; calls && rand.Float64() < u.Share {
-		u.callUpstream(call, ran, index, in.Header.Get(backend.DelegationHeader))
+		u.callUpstream(call, execution, index, in.Header.Get(backend.DelegationHeader))
 	}
-	answer := fmt.Sprintf("%s ran at %s as run %d, %d bytes", ran.ID, ran.Instance, index, len(body))
+	answer := fmt.Sprintf("%s ran at %s as run %d, %d bytes", execution.ID, execution.Instance, index, len(body))
 	if raw, faulty := faults.draw(answer); faulty {
 		writeRaw(out, raw)
 		return
@@ -41,11 +41,12 @@
 	u.sendAnswer(out, index, answer)
 }
 
-// recordRun records the begin of a run, and returns it with its index, the faults and the work.
-func (u *StubServer) recordRun(in *http.Request, body []byte) (ran checker.Execution, index int, faults Faults, work time.Duration) {
+// recordRun records the start of a run. It returns the run, its index, and the faults and the duration
+// of the work that apply to it.
+func (u *StubServer) recordRun(in *http.Request, body []byte) (execution checker.Execution, index int, faults Faults, work time.Duration) {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	ran = checker.Execution{
+	execution = checker.Execution{
 		ID:           in.Header.Get(IDHeader),
 		Service:      u.Announcement.Service,
 		Instance:     u.Announcement.Instance,
@@ -59,33 +60,34 @@
 		ServingProxy: u.servingProxy,
 	}
 	index = len(u.runs)
-	u.runs = append(u.runs, ran)
+	u.runs = append(u.runs, execution)
 	u.running++
-	u.mostRunning = max(u.mostRunning, u.running)
-	return ran, index, u.faults, u.Work
+	u.maxRunning = max(u.maxRunning, u.running)
+	return execution, index, u.faults, u.Work
 }
 
-// finishRun counts a run as ended.
+// finishRun decrements the number of running requests.
 func (u *StubServer) finishRun() {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	u.running--
 }
 
-// keySeen reports whether a request shows one of the keys that must never be seen.
+// keySeen reports whether the headers, the URL or the body of a request contain one of Keys, which no
+// upstream may receive.
 func (u *StubServer) keySeen(in *http.Request, body []byte) bool {
-	text := bytes.Buffer{}
-	_ = in.Header.Write(&text) // a buffer takes all
-	text.WriteString(in.URL.String())
+	head := bytes.Buffer{}
+	_ = in.Header.Write(&head) // a bytes.Buffer returns no error
+	head.WriteString(in.URL.String())
 	for _, key := range u.Keys {
-		if strings.Contains(text.String(), key) || bytes.Contains(body, []byte(key)) {
+		if strings.Contains(head.String(), key) || bytes.Contains(body, []byte(key)) {
 			return true
 		}
 	}
 	return false
 }
 
-// sendAnswer records the complete answer of a run and sends it.
+// sendAnswer records the answer of a run as complete, and then sends it.
 func (u *StubServer) sendAnswer(out http.ResponseWriter, index int, answer string) {
 	status := Status(rand.Float64, u.OtherShare)
 	u.lock.Lock()
@@ -94,53 +96,54 @@
 	out.Header().Set("Content-Type", "text/plain")
 	out.Header().Set(ResponseMarkHeader, answer)
 	if index%10 == 0 {
-		// Only the mesh may set this header: it must not let it through.
+		// Only the mesh may set this header. The proxies must remove it from upstreams' answers.
 		out.Header().Set(frontend.CodeHeader, "3101")
 	}
 	out.WriteHeader(status)
-	_, _ = io.WriteString(out, answer) // the caller may have gone
+	_, _ = io.WriteString(out, answer) // the caller may have closed the connection
 }
 
-// Call is a request that a run makes to another upstream, with the delegation of its own request.
+// Call is a request that a run makes to another upstream, with the delegation of the request that it
+// serves.
 type Call struct {
 	Route   string
 	Service string
 	Method  string
 	Path    string
-	Once    bool // must not run twice
+	Once    bool // must run at most once
 }
 
-// callUpstream sends a request through the proxy that serves this upstream, on behalf of the caller
-// of a run, and records it.
-func (u *StubServer) callUpstream(call Call, ran checker.Execution, index int, delegation string) {
-	asked := checker.CallerRequest{
-		ID:         fmt.Sprintf("%s~%s~%d", ran.ID, ran.Instance, index),
-		Proxy:      ran.ServingProxy,
+// callUpstream sends a request through the serving proxy of this upstream, with the delegation of a run,
+// and records the request.
+func (u *StubServer) callUpstream(call Call, execution checker.Execution, index int, delegation string) {
+	record := checker.CallerRequest{
+		ID:         fmt.Sprintf("%s~%s~%d", execution.ID, execution.Instance, index),
+		Proxy:      execution.ServingProxy,
 		Route:      call.Route,
 		Service:    call.Service,
-		Tenant:     ran.Tenant,
-		Caller:     ran.Service,
+		Tenant:     execution.Tenant,
+		Caller:     execution.Service,
 		Once:       call.Once,
 		Sent:       u.since(),
 		Intended:   u.since(),
 		Connection: true,
 	}
-	request, err := http.NewRequest(call.Method, "http://"+ran.ServingProxy+call.Path, http.NoBody)
+	request, err := http.NewRequest(call.Method, "http://"+execution.ServingProxy+call.Path, http.NoBody)
 	if err != nil {
 		return
 	}
-	request.Header.Set(IDHeader, asked.ID)
+	request.Header.Set(IDHeader, record.ID)
 	request.Header.Set(backend.DelegationHeader, delegation)
 	request.Header.Set(backend.CallerHeader, "somebody")
 	if response, err := u.callClient.Do(request); err == nil {
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
-		asked.Connection, asked.Status, asked.Body = err != nil, response.StatusCode, string(body)
-		asked.ResponseMark, asked.Retry = response.Header.Get(ResponseMarkHeader), response.Header.Get("Retry-After") != ""
-		asked.Code, _ = strconv.Atoi(response.Header.Get(frontend.CodeHeader)) // 0 where the header is missing
+		record.Connection, record.Status, record.Body = err != nil, response.StatusCode, string(body)
+		record.ResponseMark, record.Retry = response.Header.Get(ResponseMarkHeader), response.Header.Get("Retry-After") != ""
+		record.Code, _ = strconv.Atoi(response.Header.Get(frontend.CodeHeader)) // 0 where the header is missing
 	}
-	asked.Done = u.since()
+	record.Done = u.since()
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	u.calls = append(u.calls, asked)
+	u.sentRequests = append(u.sentRequests, record)
 }
--- a/internal/stubserver/stubserver.go
+++ b/internal/stubserver/stubserver.go
@@ -1,6 +1,7 @@
-// Package stubserver is a stand-in upstream for tests. It announces itself to a proxy, takes a set time
-// for each request, records every run, may call another upstream, and can be made to misbehave: lose
-// answers, send garbage, truncated or excess answers, be slow, warm up, drain.
+// Package stubserver implements a stub upstream for tests. It announces itself to a proxy, takes a
+// configured time for each request, records every run and may call another upstream. It can be
+// configured to lose answers, to send invalid, truncated or overlong answers, to be slow, to warm up and
+// to drain.
 package stubserver
 
 import (
@@ -16,38 +17,39 @@
 	"beaconvane/internal/goroutine"
 )
 
-// IDHeader has the load generator's own id of a request.
+// IDHeader is the header that carries the load generator's ID of a request.
 const IDHeader = "X-Loadgen-Id"
 
-// ResponseMarkHeader marks an answer as that of one run.
+// ResponseMarkHeader is the header that identifies the run that sent an answer.
 const ResponseMarkHeader = "X-Run"
 
-// StubServer is one stand-in upstream. Its exported fields are set before Start.
+// StubServer is one stub upstream. Its exported fields must be set before Start.
 type StubServer struct {
 	Announcement backend.Announcement
-	Proxies      []string        // HTTP addresses; it announces to the first that answers
-	Work         time.Duration   // of one request
-	Keys         []string        // keys that must never be seen
-	Base         time.Time       // times of the record are since then
-	Every        time.Duration   // between two announcements; 0: a second
-	Calls        map[string]Call // by path: the request that a run makes to another upstream
-	Share        float64         // of the runs that do
-	OtherShare   float64         // of the answers that have one of OtherStatuses; 0: all have 200
+	Proxies      []string        // HTTP addresses in order of preference for announcements
+	Work         time.Duration   // duration of one request
+	Keys         []string        // keys of tenants, which no request may contain
+	Base         time.Time       // start of the run, to which the times of the record are relative
+	Every        time.Duration   // interval between two announcements; 0: a second
+	Calls        map[string]Call // request that a run makes to another upstream, by the path of the incoming request
+	Share        float64         // share of the runs of a path in Calls that make the request
+	OtherShare   float64         // share of the answers that have one of OtherStatuses; 0: all have 200
 
 	lock           sync.Mutex
 	faults         Faults
 	runs           []checker.Execution
 	running        int
-	mostRunning    int
+	maxRunning     int
 	listener       net.Listener
 	announceClient *http.Client
-	callClient     *http.Client // for calls; a new connection for each, so that none is sent twice
+	callClient     *http.Client // opens a connection for each request, so that net/http never resends one
 	stop           context.CancelFunc
-	calls          []checker.CallerRequest
-	servingProxy   string // the proxy that took the last announcement
+	sentRequests   []checker.CallerRequest
+	servingProxy   string // HTTP address of the proxy that accepted the last announcement
 }
 
-// Start listens (the announced address may have port 0) and begins to announce.
+// Start starts to listen and to announce. The announced address may have port 0; it is replaced by the
+// address of the listener.
 func (u *StubServer) Start(group *goroutine.Group) error {
 	listener, err := net.Listen("tcp", u.Announcement.Address)
 	if err != nil {
@@ -63,17 +65,17 @@
 	ctx, cancel := context.WithCancel(group.Context)
 	u.stop = cancel
 	group.Go("stubserver.serve", func(context.Context) {
-		_ = server.Serve(listener) // it ends with server.Close
+		_ = server.Serve(listener) // returns after server.Close
 	})
 	group.Go("stubserver.close", func(context.Context) { <-ctx.Done(); server.Close() })
 	group.Go("stubserver.announce", func(context.Context) { u.announce(ctx) })
 	return nil
 }
 
-// Kill ends the server at once, as SIGKILL would.
+// Kill closes the server and all connections immediately, without signing off.
 func (u *StubServer) Kill() { u.stop() }
 
-// SetFaults sets how runs go wrong from now on.
+// SetFaults sets the faults of the runs that start from now on.
 func (u *StubServer) SetFaults(faults Faults) {
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -87,19 +89,19 @@
 	return append([]checker.Execution{}, u.runs...)
 }
 
-// MaxRunning returns the highest number of requests that ran at one time.
+// MaxRunning returns the highest number of requests that ran concurrently.
 func (u *StubServer) MaxRunning() int {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	return u.mostRunning
+	return u.maxRunning
 }
 
-// Requests returns the requests to other upstreams so far.
+// Requests returns the requests that were sent to other upstreams so far.
 func (u *StubServer) Requests() []checker.CallerRequest {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	return append([]checker.CallerRequest{}, u.calls...)
+	return append([]checker.CallerRequest{}, u.sentRequests...)
 }
 
-// since returns the time since the base of the record.
+// since returns the time since Base.
 func (u *StubServer) since() time.Duration { return time.Since(u.Base) }
--- a/internal/stubserver/stubserver_test.go
+++ b/internal/stubserver/stubserver_test.go
@@ -13,9 +13,9 @@
 	"beaconvane/internal/goroutine"
 )
 
-// A stub server that nobody asked to fail answers every request with 200: the tour and CI's
-// smoke test ask once and must see the same answer each time.
-func TestAnswersAreOKUnlessAskedFor(t *testing.T) {
+// A stub server without configured faults and other statuses must answer every request with 200. The
+// tour and CI's smoke test send a single request and depend on its status.
+func TestAnswersAreOKByDefault(t *testing.T) {
 	c := qt.New(t)
 	group := goroutine.New()
 	server := &StubServer{
@@ -31,10 +31,10 @@
 		target := fmt.Sprintf("http://%s/", server.Announcement.Address)
 		request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, target, nil)
 		c.Assert(err, qt.IsNil)
-		answer, err := client.Do(request)
+		response, err := client.Do(request)
 		c.Assert(err, qt.IsNil)
-		answer.Body.Close()
-		c.Assert(answer.StatusCode, qt.Equals, http.StatusOK)
+		response.Body.Close()
+		c.Assert(response.StatusCode, qt.Equals, http.StatusOK)
 	}
 }
 
--- a/internal/workload/configuration.go
+++ b/internal/workload/configuration.go
@@ -11,8 +11,8 @@
 // routeTimeoutMS is the timeout of the deployments' routes.
 const routeTimeoutMS = 3000
 
-// Configuration is the JSON form of a configuration, as far as the tests write one. The fields are in
-// the order of their keys.
+// Configuration is the JSON form of a configuration, with the fields that the tests use, in the order of
+// their keys.
 type Configuration struct {
 	Note     string   `json:"note,omitempty"`
 	Routes   []Route  `json:"routes"`
@@ -20,7 +20,7 @@
 	Tenants  []Tenant `json:"tenants"`
 }
 
-// Route is one route of a Configuration; what is nil or empty is left to its default.
+// Route is one route of a Configuration. An optional field that is nil or empty has the default.
 type Route struct {
 	Callers   []string `json:"callers"`
 	Match     string   `json:"match,omitempty"`
@@ -42,14 +42,14 @@
 func (c Configuration) JSON() []byte {
 	body, err := json.Marshal(c)
 	if err != nil {
-		panic("workload: " + err.Error()) // a programming error: the types hold nothing that can't be JSON
+		panic("workload: " + err.Error()) // a programming error: every value of these types can be encoded
 	}
 	return body
 }
 
-// Configuration returns a configuration for some tenants; more is the number of filler routes, which
-// make it larger.
-func (d Deployment) Configuration(tenants []loadgen.Tenant, more int) []byte {
+// Configuration returns a configuration with the given tenants. fillerRoutes is the number of additional
+// routes that enlarge it.
+func (d Deployment) Configuration(tenants []loadgen.Tenant, fillerRoutes int) []byte {
 	configuration := Configuration{Services: []string{}, Routes: []Route{}, Tenants: []Tenant{}}
 	for _, service := range d.Services {
 		configuration.Services = append(configuration.Services, service.Name)
@@ -68,7 +68,7 @@
 			TimeoutMS: routeTimeoutMS,
 		})
 	}
-	for number := range more {
+	for number := range fillerRoutes {
 		configuration.Routes = append(configuration.Routes, Route{
 			Name:    fmt.Sprintf("more-%d", number),
 			Service: configuration.Services[0],
--- a/internal/workload/deployments.go
+++ b/internal/workload/deployments.go
@@ -78,13 +78,13 @@
 
 // Named returns a deployment by name:
 //
-//   - "umuyoboro" and "jendela" are the two of the users;
-//   - "umuyoboro-platform" and "jendela-platform" are these with the settings of the users' platform,
-//     "jendela-narrow" the latter with the slow links of their grown site;
+//   - "umuyoboro" and "jendela" are the deployments of the two users;
+//   - "umuyoboro-platform" and "jendela-platform" are the same with the settings of the users' platform,
+//     and "jendela-narrow" is "jendela-platform" with the slow links of that user's larger site;
 //   - "small" is Umuyoboro with few machines, for quick runs;
-//   - "voters-3" and "voters-5" are small ones whose core processes discover their voters,
-//     "voters-3-4" has one core machine more than voters, and "voters-zones" has two core machines a
-//     zone, for three voters that keep a majority when a zone is lost.
+//   - "voters-3" and "voters-5" are small deployments whose core processes discover their voters;
+//     "voters-3-4" has four core machines for three voters, and "voters-zones" has two core machines in
+//     each zone for three voters, which keep a majority if a zone is lost.
 func Named(name string) (Deployment, bool) {
 	switch name {
 	case "umuyoboro":
@@ -102,18 +102,18 @@
 	case "small":
 		return small(), true
 	case "voters-3":
-		return discovered(name, 3, 3), true
+		return withVoterDiscovery(name, 3, 3), true
 	case "voters-5":
-		return discovered(name, 5, 5), true
+		return withVoterDiscovery(name, 5, 5), true
 	case "voters-3-4":
-		return discovered(name, 4, 3), true
+		return withVoterDiscovery(name, 4, 3), true
 	case "voters-zones":
-		return twoPerZone(discovered(name, 6, 3)), true
+		return withTwoCoresPerZone(withVoterDiscovery(name, 6, 3)), true
 	}
 	return Deployment{}, false
 }
 
-// The links of the users' grown site, in bytes a second: 86 and 2.3 Mbit/s.
+// Bandwidths of the links at the larger site of Jendela, in bytes a second: 86 and 2.3 Mbit/s.
 const (
 	narrowCoreLink  = 86e6 / 8
 	narrowProxyLink = 2.3e6 / 8
@@ -127,15 +127,16 @@
 	return d
 }
 
-// discovered returns a small deployment whose core processes discover their voters.
-func discovered(name string, cores int, voters int64) Deployment {
+// withVoterDiscovery returns a small deployment whose core processes discover their voters.
+func withVoterDiscovery(name string, cores int, voters int64) Deployment {
 	d := small()
 	d.Name, d.Cores, d.VoterCount = name, cores, voters
 	return d
 }
 
-// twoPerZone places two core machines in each zone, and the voters so that they outlive a zone.
-func twoPerZone(d Deployment) Deployment {
+// withTwoCoresPerZone returns a deployment with two core machines in each zone, and with the setting
+// that the placement of the voters must tolerate the loss of a zone.
+func withTwoCoresPerZone(d Deployment) Deployment {
 	d.Tolerated = settings.Tolerated{Zones: 1}
 	for _, zone := range d.Zones {
 		d.CoreZones = append(d.CoreZones, zone, zone)
@@ -143,8 +144,8 @@
 	return d
 }
 
-// onPlatform returns a deployment with the settings of the users' platform: the core processes
-// discover their voters, and of competing versions of a configuration the highest wins.
+// onPlatform returns a deployment with the settings of the users' platform: the core processes discover
+// their voters, and among competing writes of a configuration the highest version wins.
 func onPlatform(d Deployment, voters int) Deployment {
 	d.Name += "-platform"
 	d.Cores, d.VoterCount, d.Writes = voters, int64(voters), settings.WritesHighest
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,6 +1,6 @@
-// Package workload describes the deployments that are tested: machines, zones, upstreams, tenants,
-// request rates and configurations. The fleet of real processes and the simulator run the same
-// descriptions. The deployments themselves are in deployments.go.
+// Package workload describes the deployments under test: machines, zones, upstreams, tenants, request
+// rates and configurations. The fleet of real processes and the simulator use the same descriptions.
+// The deployments are defined in deployments.go.
 package workload
 
 import (
@@ -12,17 +12,17 @@
 	"beaconvane/internal/settings"
 )
 
-// Service is a kind of upstream.
+// Service describes the upstreams of one service.
 type Service struct {
 	Name   string
-	Count  int           // instances
-	Slots  int64         // of each instance
-	Work   time.Duration // of one request
+	Count  int           // number of instances
+	Slots  int64         // slots of each instance
+	Work   time.Duration // duration of one request
 	Load   bool          // its instances announce their load
 	Closes bool          // its instances close their connection after each answer
 }
 
-// Deployment is a fleet and the traffic on it.
+// Deployment describes a fleet and its traffic.
 type Deployment struct {
 	Name               string
 	Zones              []string
@@ -30,22 +30,23 @@
 	Services           []Service
 	Kinds              []loadgen.Kind
 	Rate               float64       // requests a second
-	KeyWithdrawalBound bool          // how long withdrawn keys may work has a bound
-	DiskDelay          time.Duration // of one sync
-	Cores              int           // core machines; 0 is three
-	VoterCount         int64         // voters that the core processes discover; 0: the settings name them
-	Writes             string        // the setting for competing writes of configurations; "": the default
-	// CoreZones are the zones of the core machines, in order; none: the zones in turn.
+	KeyWithdrawalBound bool          // Bounds.KeyWithdrawal is set, so that withdrawn keys are rejected in time
+	DiskDelay          time.Duration // duration of one disk sync
+	Cores              int           // number of core machines; 0: the three of Voters
+	VoterCount         int64         // number of voters that the core processes discover; 0: the settings name the voters
+	Writes             string        // policy for competing writes of a configuration; "": the default
+	// CoreZones are the zones of the core machines, by index; machines without an entry are distributed
+	// over Zones round robin.
 	CoreZones []string
-	// CoreLink and ProxyLink are the bytes a second that a machine's link carries each way; 0:
-	// not bounded.
+	// CoreLink and ProxyLink are the bandwidths of a machine's link in each direction, in bytes a
+	// second; 0: unlimited.
 	CoreLink, ProxyLink int64
-	// Tolerated is the loss that the placement of the voters must tolerate.
+	// Tolerated is the loss of machines or zones that the placement of the voters must tolerate.
 	Tolerated settings.Tolerated
 }
 
-// Vanish returns how long at the least the address of a machine that disappeared without closing its
-// connections stays unused, before another machine gets it.
+// Vanish returns the minimum time for which the address of a machine that disappeared without closing
+// its connections stays unused before another machine gets it.
 func (d Deployment) Vanish() time.Duration { return 150 * time.Millisecond }
 
 // Tenants returns the deployment's eight tenants, each with a key.
@@ -60,10 +61,11 @@
 	return tenants
 }
 
-// CallShare is the share of an upstream's runs that make a request to another upstream.
+// CallShare is the share of runs that make a request to another upstream, among the kinds of request
+// with Calls set.
 const CallShare = 0.3
 
-// Kind returns a kind of request by its route.
+// Kind returns the kind of request with a route, and whether there is one.
 func (d Deployment) Kind(route string) (loadgen.Kind, bool) {
 	for _, kind := range d.Kinds {
 		if kind.Route == route {
@@ -73,7 +75,7 @@
 	return loadgen.Kind{}, false
 }
 
-// callersOf lists the services whose upstreams call a route.
+// callersOf returns the services whose upstreams call a route.
 func (d Deployment) callersOf(route string) []string {
 	callers := []string{}
 	for _, kind := range d.Kinds {
@@ -84,7 +86,7 @@
 	return callers
 }
 
-// Voters are the voters of a deployment whose settings name them.
+// Voters are the names of the voters of a deployment whose settings list them.
 var Voters = []string{"core-1", "core-2", "core-3"}
 
 // CoreNames returns the names of the core machines.
@@ -99,7 +101,7 @@
 	return names
 }
 
-// CoreZone returns the zone of a core machine, by its index among them.
+// CoreZone returns the zone of a core machine by its index.
 func (d Deployment) CoreZone(index int) string {
 	if index < len(d.CoreZones) {
 		return d.CoreZones[index]
@@ -107,13 +109,13 @@
 	return d.Zones[index%len(d.Zones)]
 }
 
-// Settings returns the settings of one process of the deployment. Addresses and seeds are "ip:port":
-// address is for the other processes, outside for the HTTP API. The data folder is that of a core
-// process.
-func (d Deployment) Settings(role, nodeName, voter, zone, address, outside string, seeds []string, data string) settings.Settings {
+// Settings returns the settings of one process of the deployment. Addresses and seeds have the form
+// "ip:port": address is the one for the other processes, httpAddress that of the HTTP API. data is the
+// data directory, which only core processes use.
+func (d Deployment) Settings(role, nodeName, voter, zone, address, httpAddress string, seeds []string, data string) settings.Settings {
 	cfg := settings.Default()
 	cfg.Node, cfg.Voter, cfg.Voters, cfg.Zone, cfg.Zones = nodeName, voter, Voters, zone, d.Zones
-	cfg.Address, cfg.HTTPAddress, cfg.Seeds, cfg.DataDirectory = address, outside, seeds, data
+	cfg.Address, cfg.HTTPAddress, cfg.Seeds, cfg.DataDirectory = address, httpAddress, seeds, data
 	cfg.PreferredHolders = map[string]string{settings.ConfigLogLease: Voters[0], settings.UsageLease: Voters[2]}
 	for index, name := range d.Zones {
 		cfg.PreferredHolders[name] = Voters[index%len(Voters)]
