--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -16,19 +16,20 @@
 	"beaconvane/internal/message"
 )
 
-// configName is the configuration that the fleet runs with.
+// configName is the name of the configuration that the fleet runs with.
 const configName = "main"
 
-// errNoRegistry says that no registry answered a write.
-var errNoRegistry = errors.New("no registry answers")
+// errNoRegistry is returned when no registry answered a write.
+var errNoRegistry = errors.New("no registry answered the write")
 
-// requestLimit is how long the load generator waits for an answer.
-const requestLimit = 8 * time.Second
+// requestTimeout is the load generator's timeout for one request.
+const requestTimeout = 8 * time.Second
 
 var httpClient = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{Proxy: nil, MaxIdleConnsPerHost: 4}}
 
-// fetch reads the bytes of an answer; status 0 means that none came completely.
-func fetch(url string) ([]byte, int) {
+// fetchBody gets a URL and returns the body and the status of the answer. Status 0 means that no
+// complete answer was received.
+func fetchBody(url string) ([]byte, int) {
 	response, err := httpClient.Get(url)
 	if err != nil {
 		return nil, 0
@@ -41,9 +42,10 @@
 	return body, response.StatusCode
 }
 
-// Get reads JSON from a process into target; it returns the status, or 0 when no JSON came.
+// Get gets a URL of a process and decodes the JSON body into target, unless target is nil. It returns
+// the status, or 0 if no complete answer was received or its body is not valid JSON for target.
 func Get(url string, target any) int {
-	body, status := fetch(url)
+	body, status := fetchBody(url)
 	if status == 0 || target != nil && json.Unmarshal(body, target) != nil {
 		return 0
 	}
@@ -61,9 +63,10 @@
 }
 
 // Write writes a version of the configuration through the first registry that answers, and records
-// the acknowledgement. It returns the HTTP status.
-func (f *Fleet) Write(version int64, tenants []loadgen.Tenant, more int) (int, error) {
-	body := f.Deployment.Configuration(tenants, more)
+// the acknowledgement. It returns the HTTP status, or 0 if no registry answered. fillerRoutes is the
+// number of additional routes that enlarge the configuration.
+func (f *Fleet) Write(version int64, tenants []loadgen.Tenant, fillerRoutes int) (int, error) {
+	body := f.Deployment.Configuration(tenants, fillerRoutes)
 	for _, process := range f.Of(message.RoleRegistry) {
 		url := fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.HTTPAddress, configName, version)
 		request, err := http.NewRequest(http.MethodPut, url, bytes.NewReader(body))
@@ -76,7 +79,7 @@
 		}
 		answer, _ := io.ReadAll(io.LimitReader(response.Body, 300))
 		response.Body.Close()
-		f.countAnswer(response)
+		f.countWriteAnswer(response)
 		if response.StatusCode != http.StatusOK {
 			return response.StatusCode, errcode.Wrap("fleet.write", errcode.ConfigurationBad, fmt.Errorf("%s", answer))
 		}
@@ -86,19 +89,19 @@
 	return 0, errcode.Wrap("fleet.write", errcode.ConnectionLost, errNoRegistry)
 }
 
-// countAnswer counts the answer to a write by its status and code.
-func (f *Fleet) countAnswer(response *http.Response) {
+// countWriteAnswer counts the answer to a write by its status and error code.
+func (f *Fleet) countWriteAnswer(response *http.Response) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.writeAnswers[fmt.Sprintf("%d %s", response.StatusCode, response.Header.Get(frontend.CodeHeader))]++
 }
 
-// recordWrite records an acknowledged version, and what it allows from now on.
+// recordWrite records an acknowledged version with the routes and keys that it allows.
 func (f *Fleet) recordWrite(version int64, tenants []loadgen.Tenant, body []byte) {
 	write := checker.Write{
 		ConfigName: configName,
 		Version:    version,
-		At:         f.since(),
+		At:         f.sinceStart(),
 		Services:   map[string]string{},
 		Keys:       map[string]string{},
 		Digest:     checker.Digest(body),
@@ -114,30 +117,30 @@
 	f.writes = append(f.writes, write)
 }
 
-// registryStatus is the part of a registry's status that tells which leases it holds.
+// registryStatus holds the fields of a registry's status that show which leases it holds.
 type registryStatus struct {
 	Leases map[string]struct {
 		Here bool `json:"here"`
 	} `json:"leases"`
 }
 
-// Holder returns the registry that holds a lease, by its own status; nil for none.
-func (f *Fleet) Holder(tag string) *Process {
+// Holder returns the registry that reports in its status that it holds a lease, or nil if none does.
+func (f *Fleet) Holder(leaseName string) *Process {
 	for _, process := range f.Of(message.RoleRegistry) {
 		status := registryStatus{}
-		if Get("http://"+process.HTTPAddress+"/v1/status", &status) == http.StatusOK && status.Leases[tag].Here {
+		if Get("http://"+process.HTTPAddress+"/v1/status", &status) == http.StatusOK && status.Leases[leaseName].Here {
 			return process
 		}
 	}
 	return nil
 }
 
-// Load runs the load generator over all proxies and returns its record.
+// Load runs the load generator against all proxies and returns the record of its requests.
 func (f *Fleet) Load(rate float64, length time.Duration, seed uint64) []checker.CallerRequest {
 	return f.runLoad(f.proxyAddresses(), f.Deployment.Kinds, rate, length, seed)
 }
 
-// proxyAddresses returns the addresses at which the proxies take requests.
+// proxyAddresses returns the HTTP addresses of the proxies.
 func (f *Fleet) proxyAddresses() []string {
 	addresses := []string{}
 	for _, process := range f.Of(message.RoleProxy) {
@@ -146,7 +149,8 @@
 	return addresses
 }
 
-// runLoad sends requests of some kinds to some addresses, on behalf of all tenants.
+// runLoad runs the load generator with requests of the given kinds against the given addresses, on
+// behalf of all tenants.
 func (f *Fleet) runLoad(
 	addresses []string, kinds []loadgen.Kind, rate float64, length time.Duration, seed uint64,
 ) []checker.CallerRequest {
@@ -156,7 +160,7 @@
 		Tenants: f.Deployment.Tenants(),
 		Rate:    rate,
 		Length:  length,
-		Limit:   requestLimit,
+		Limit:   requestTimeout,
 		Seed:    seed,
 		Base:    f.Base,
 	})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,9 @@
-// Package fleet runs a whole deployment on one machine for tests: the three programs as real processes
-// on loopback addresses of their own, stand-in upstreams, a stand-in usage collector, the load
-// generator, and faults by signal. It signals only processes that it started.
+// Package fleet runs a complete deployment on one machine for tests: the three programs as real
+// processes on separate loopback addresses, stub upstreams, a stub usage collector, the load generator,
+// and faults injected by signals. It signals only processes that it started.
 //
-// New writes the settings, Play runs one scenario from start to the checker's review.
+// New prepares a fleet and writes its settings files; Play runs one scenario, from the start of the
+// processes to the checker's review.
 package fleet
 
 import (
@@ -24,7 +25,7 @@
 	"beaconvane/internal/workload"
 )
 
-// Fleet is a running deployment and what it recorded.
+// Fleet is a deployment of local processes, with the record of its run.
 type Fleet struct {
 	Deployment workload.Deployment
 	Bin        string
@@ -35,22 +36,23 @@
 	Processes []*Process
 	Upstreams []*stubserver.StubServer
 
-	collector net.Listener
-	seeds     []string // addresses of the registries
+	collector     net.Listener
+	seedAddresses []string // addresses of the registries, at which the other processes join
 
-	lock           sync.Mutex // guards the records below while the load runs
+	lock           sync.Mutex // guards the fields below while the load runs
 	reported       []checker.Reported
 	writes         []checker.Write
-	leaving        []checker.DrainStart
-	connectedSince map[string]time.Duration // of the proxies that no signal has disturbed
-	connected      []checker.Span           // of proxies, up to the first signal
-	writeAnswers   map[string]int           // by status and code
+	drainStarts    []checker.DrainStart
+	connectedSince map[string]time.Duration // by proxy, for those that were not signalled yet
+	connected      []checker.Span           // intervals of proxies from MarkConnected to their first signal
+	writeAnswers   map[string]int           // number of answers to writes, by status and error code
 	frozen         []checker.Span
 	killed         []checker.Span
-	uploads        []checker.CallerRequest // requests besides the load
+	uploads        []checker.CallerRequest // requests that a scenario sent in addition to the load
 }
 
-// New prepares a fleet: settings, addresses and the stand-in collector. It starts no process.
+// New prepares a fleet: it assigns addresses, writes the settings files into a folder and starts the
+// stub usage collector. It starts no process; bin is the folder of the programs.
 func New(deployment workload.Deployment, bin, folder string) (*Fleet, error) {
 	f := &Fleet{
 		Deployment:     deployment,
@@ -66,83 +68,84 @@
 		return nil, errcode.Wrap("fleet.collector", errcode.ConnectionLost, err)
 	}
 	f.collector = collector
-	places := placesOf(deployment)
-	if err := f.assignAddresses(places); err != nil {
+	placed := placements(deployment)
+	if err := f.assignAddresses(placed); err != nil {
 		return nil, err
 	}
-	for _, at := range places {
-		process, err := f.prepare(at)
+	for _, placement := range placed {
+		process, err := f.prepare(placement)
 		if err != nil {
 			return nil, err
 		}
 		f.Processes = append(f.Processes, process)
 	}
-	server := &http.Server{Handler: http.HandlerFunc(f.collect)}
+	server := &http.Server{Handler: http.HandlerFunc(f.collectUsage)}
 	f.Group.Go("fleet.collector", func(context.Context) {
-		_ = server.Serve(collector) // it ends with the listener, which StopAll closes
+		_ = server.Serve(collector) // returns once StopAll closes the listener
 	})
 	return f, nil
 }
 
-// placement is where one process of the deployment runs.
+// placement is the role, node, zone and addresses of one process of the deployment.
 type placement struct {
 	role    string
 	node    string
 	voter   string
 	zone    string
 	host    string
-	address string // for the other processes
+	address string // at which the other processes reach it
 }
 
-// placesOf returns the core's processes on three hosts and each proxy on one of its own.
-func placesOf(deployment workload.Deployment) []*placement {
-	places := []*placement{}
+// placements returns the placements of all processes: the core processes on three hosts, a registry and
+// a configuration store on each, and every proxy on a separate host.
+func placements(deployment workload.Deployment) []*placement {
+	placed := []*placement{}
 	for index, voter := range workload.Voters {
 		zone := deployment.CoreZone(index)
 		host := fmt.Sprintf("127.77.1.%d", index+1)
-		places = append(places,
+		placed = append(placed,
 			&placement{role: message.RoleRegistry, node: voter, voter: voter, zone: zone, host: host},
 			&placement{role: message.RoleConfigStore, node: voter, voter: voter, zone: zone, host: host})
 	}
 	for number := range deployment.Proxies {
-		places = append(places, &placement{
+		placed = append(placed, &placement{
 			role: message.RoleProxy,
 			node: fmt.Sprintf("edge-%d", number+1),
 			zone: deployment.Zones[number%len(deployment.Zones)],
 			host: fmt.Sprintf("127.77.2.%d", number+1),
 		})
 	}
-	return places
+	return placed
 }
 
-// assignAddresses gives each process an address; those of the registries are the seeds.
-func (f *Fleet) assignAddresses(places []*placement) error {
-	for _, at := range places {
-		address, err := freeAddress(at.host)
+// assignAddresses assigns an address to each process. Those of the registries become the seeds.
+func (f *Fleet) assignAddresses(placed []*placement) error {
+	for _, placement := range placed {
+		address, err := freeAddress(placement.host)
 		if err != nil {
 			return err
 		}
-		at.address = address
-		if at.role == message.RoleRegistry {
-			f.seeds = append(f.seeds, address)
+		placement.address = address
+		if placement.role == message.RoleRegistry {
+			f.seedAddresses = append(f.seedAddresses, address)
 		}
 	}
 	return nil
 }
 
-// prepare writes the settings of one process.
-func (f *Fleet) prepare(at *placement) (*Process, error) {
-	outside := ""
-	if at.role != message.RoleConfigStore {
-		address, err := freeAddress(at.host)
+// prepare writes the settings file of one process.
+func (f *Fleet) prepare(placed *placement) (*Process, error) {
+	httpAddress := ""
+	if placed.role != message.RoleConfigStore {
+		address, err := freeAddress(placed.host)
 		if err != nil {
 			return nil, err
 		}
-		outside = address
+		httpAddress = address
 	}
-	name := filepath.Join(f.Folder, at.role+"-"+at.node)
-	cfg := f.Deployment.Settings(at.role, at.node, at.voter, at.zone, at.address, outside, f.seeds, name)
-	if at.role == message.RoleRegistry {
+	name := filepath.Join(f.Folder, placed.role+"-"+placed.node)
+	cfg := f.Deployment.Settings(placed.role, placed.node, placed.voter, placed.zone, placed.address, httpAddress, f.seedAddresses, name)
+	if placed.role == message.RoleRegistry {
 		cfg.Collector = "http://" + f.collector.Addr().String() + "/usage"
 	}
 	body, err := json.MarshalIndent(cfg, "", "  ")
@@ -152,10 +155,17 @@
 	if err := os.WriteFile(name+".json", body, 0o600); err != nil {
 		return nil, errcode.Wrap("fleet.settings", errcode.DiskFault, err)
 	}
-	return &Process{Role: at.role, Node: at.node, HTTPAddress: outside, settings: name + ".json", log: name + ".log"}, nil
+	return &Process{
+		Role:         placed.role,
+		Node:         placed.node,
+		HTTPAddress:  httpAddress,
+		settingsPath: name + ".json",
+		logPath:      name + ".log",
+	}, nil
 }
 
-// freeAddress finds a free port of a loopback host by binding it and letting go.
+// freeAddress returns an address with a free port of a loopback host. It binds the port to find it and
+// releases it again, so that another process can take it in between.
 func freeAddress(host string) (string, error) {
 	listener, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -165,8 +175,8 @@
 	return listener.Addr().String(), nil
 }
 
-// since returns the time since the fleet was prepared.
-func (f *Fleet) since() time.Duration { return time.Since(f.Base) }
+// sinceStart returns the time since New, to which the times of the record are relative.
+func (f *Fleet) sinceStart() time.Duration { return time.Since(f.Base) }
 
 // Of returns the processes of a role, one of message.RoleProxy, RoleRegistry and RoleConfigStore.
 func (f *Fleet) Of(role string) []*Process {
@@ -179,12 +189,12 @@
 	return list
 }
 
-// Until checks a condition at a steady interval, and reports whether it was met within the limit.
-func (f *Fleet) Until(limit time.Duration, condition func() bool) bool {
+// WaitUntil checks a condition every 20 ms and reports whether it was true within the limit.
+func (f *Fleet) WaitUntil(limit time.Duration, condition func() bool) bool {
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
-	end := time.Now().Add(limit)
-	for time.Now().Before(end) {
+	deadline := time.Now().Add(limit)
+	for time.Now().Before(deadline) {
 		if condition() {
 			return true
 		}
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -18,99 +18,102 @@
 )
 
 const (
-	// stopLimit is how long a process may take to stop before it is killed.
-	stopLimit = 5 * time.Second
-	// clockTicks a second and KiB a page, as /proc counts them on Linux.
-	clockTicks = 100
-	pageKiB    = 4
+	// stopTimeout is the time after SIGTERM after which a process that still runs is killed.
+	stopTimeout = 5 * time.Second
+	// clockTicksPerSecond and kibPerPage are the units of processor time and memory in /proc on Linux.
+	clockTicksPerSecond = 100
+	kibPerPage          = 4
 )
 
-// Process is one product process of the fleet.
+// Process is one process of the fleet: a proxy, a registry or a configuration store.
 type Process struct {
-	Role        string
-	Node        string
-	HTTPAddress string // address of the HTTP API; "" for a configuration store
-	settings    string
-	log         string
-	command     *exec.Cmd
-	ended       chan struct{}
+	Role         string
+	Node         string
+	HTTPAddress  string // address of the HTTP API; "" for a configuration store
+	settingsPath string
+	logPath      string
+	command      *exec.Cmd
+	exited       chan struct{}
 
 	frozenAt time.Duration
 }
 
 // Settings returns the path of the settings file.
-func (p *Process) Settings() string { return p.settings }
+func (p *Process) Settings() string { return p.settingsPath }
 
-// Start starts a process.
+// Start starts a process, which appends its output to its log file.
 func (f *Fleet) Start(process *Process) error {
-	log, err := os.OpenFile(process.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(process.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errcode.Wrap("fleet.log", errcode.DiskFault, err)
 	}
-	process.command = exec.Command(filepath.Join(f.Bin, process.Role), "--config", process.settings)
-	process.command.Stdout, process.command.Stderr = log, log
+	process.command = exec.Command(filepath.Join(f.Bin, process.Role), "--config", process.settingsPath)
+	process.command.Stdout, process.command.Stderr = logFile, logFile
 	if err := process.command.Start(); err != nil {
 		return errcode.Wrap("fleet.start", errcode.Internal, err)
 	}
-	ended := make(chan struct{})
-	process.ended = ended
+	exited := make(chan struct{})
+	process.exited = exited
 	command := process.command
 	f.Group.Go("fleet.wait", func(context.Context) {
-		_ = command.Wait() // how it ended is not judged: scenarios kill processes
-		log.Close()
-		close(ended)
+		_ = command.Wait() // the exit status is ignored, since scenarios kill processes
+		logFile.Close()
+		close(exited)
 	})
 	return nil
 }
 
-// Watch starts to count the running proxies as connected, which the checker holds to its bounds.
-func (f *Fleet) Watch() {
+// MarkConnected marks all proxies as connected from now on. The checker applies its bounds to connected proxies
+// only.
+func (f *Fleet) MarkConnected() {
 	for _, process := range f.Of(message.RoleProxy) {
-		f.connectedSince[process.Node] = f.since()
+		f.connectedSince[process.Node] = f.sinceStart()
 	}
 }
 
-// endConnected stops to count a process as connected that is about to get a signal; it never counts
-// again.
-func (f *Fleet) endConnected(process *Process) {
+// endConnectedSpan ends the interval in which a proxy counts as connected, before the proxy is
+// signalled. No second interval begins later.
+func (f *Fleet) endConnectedSpan(process *Process) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if from, isConnected := f.connectedSince[process.Node]; isConnected && process.Role == message.RoleProxy {
 		delete(f.connectedSince, process.Node)
-		f.connected = append(f.connected, checker.Span{Name: process.Node, From: from, To: f.since()})
+		f.connected = append(f.connected, checker.Span{Name: process.Node, From: from, To: f.sinceStart()})
 	}
 }
 
-// Signal sends a signal to a process that this fleet started, and records when.
+// Signal sends a signal to a process of this fleet, and records kills and the intervals in which the
+// process is frozen.
 func (f *Fleet) Signal(process *Process, signal syscall.Signal) {
-	f.endConnected(process)
+	f.endConnectedSpan(process)
 	f.lock.Lock()
 	switch signal {
 	case syscall.SIGKILL:
-		f.killed = append(f.killed, checker.Span{Name: process.HTTPAddress, From: f.since(), To: f.since()})
+		f.killed = append(f.killed, checker.Span{Name: process.HTTPAddress, From: f.sinceStart(), To: f.sinceStart()})
 	case syscall.SIGSTOP:
-		process.frozenAt = f.since()
+		process.frozenAt = f.sinceStart()
 	case syscall.SIGCONT:
 		if process.frozenAt > 0 {
-			f.frozen = append(f.frozen, checker.Span{Name: process.HTTPAddress, From: process.frozenAt, To: f.since()})
+			f.frozen = append(f.frozen, checker.Span{Name: process.HTTPAddress, From: process.frozenAt, To: f.sinceStart()})
 		}
 		process.frozenAt = 0
 	}
 	f.lock.Unlock()
 	select {
-	case <-process.ended:
+	case <-process.exited:
 	default:
-		_ = process.command.Process.Signal(signal) // it may have ended meanwhile
+		_ = process.command.Process.Signal(signal) // fails if the process has exited in the meantime
 	}
 }
 
-// Kill ends a process by SIGKILL and waits for it.
+// Kill kills a process by SIGKILL and waits until it has exited.
 func (f *Fleet) Kill(process *Process) {
 	f.Signal(process, syscall.SIGKILL)
-	<-process.ended
+	<-process.exited
 }
 
-// StopAll asks every process to stop, and kills what is left after a while.
+// StopAll stops every process by SIGTERM, kills those that still run after stopTimeout, and stops the
+// collector and the fleet's goroutines.
 func (f *Fleet) StopAll() {
 	for _, process := range f.Processes {
 		if process.command != nil {
@@ -122,9 +125,9 @@
 		if process.command == nil {
 			continue
 		}
-		timer := time.NewTimer(stopLimit)
+		timer := time.NewTimer(stopTimeout)
 		select {
-		case <-process.ended:
+		case <-process.exited:
 		case <-timer.C:
 			f.Kill(process)
 		}
@@ -134,17 +137,17 @@
 	f.Group.Stop(2 * time.Second)
 }
 
-// Use is what a process has used of the machine.
-type Use struct {
+// ProcessUsage is the processor time and the memory that a process has used.
+type ProcessUsage struct {
 	Role   string  `json:"role"`
 	Node   string  `json:"node"`
 	CPU    float64 `json:"cpu_seconds"`
 	Memory int64   `json:"memory_kib"`
 }
 
-// Uses reads processor time and memory of the running processes.
-func (f *Fleet) Uses() []Use {
-	list := []Use{}
+// ResourceUsage returns the processor time and the resident memory of the running processes from /proc.
+func (f *Fleet) ResourceUsage() []ProcessUsage {
+	list := []ProcessUsage{}
 	for _, process := range f.Processes {
 		body, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", process.command.Process.Pid))
 		if err != nil {
@@ -160,24 +163,25 @@
 	return list
 }
 
-// Fields of /proc/PID/stat, counted from the one behind the name of the program.
+// Indexes of fields of /proc/PID/stat, counted from the first field after the program name.
 const (
 	statUserTicks   = 11
 	statSystemTicks = 12
 	statPages       = 21
 )
 
-// parseStat reads processor time and memory from a process's line in /proc.
-func parseStat(line []byte) (Use, error) {
+// parseStat parses the processor time and the memory from the content of /proc/PID/stat. The program
+// name may contain spaces, so the fields are counted from its closing parenthesis.
+func parseStat(line []byte) (ProcessUsage, error) {
 	fields := strings.Fields(string(line[bytes.LastIndexByte(line, ')')+1:]))
 	figures := [3]int64{}
 	for index, field := range []int{statUserTicks, statSystemTicks, statPages} {
 		figure, err := strconv.ParseInt(fields[field], 10, 64)
 		if err != nil {
-			return Use{}, err
+			return ProcessUsage{}, err
 		}
 		figures[index] = figure
 	}
 	user, system, pages := figures[0], figures[1], figures[2]
-	return Use{CPU: float64(user+system) / clockTicks, Memory: pages * pageKiB}, nil
+	return ProcessUsage{CPU: float64(user+system) / clockTicksPerSecond, Memory: pages * kibPerPage}, nil
 }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -14,7 +14,9 @@
 	"beaconvane/internal/settings"
 )
 
-func (f *Fleet) collect(out http.ResponseWriter, in *http.Request) {
+// collectUsage is the HTTP handler of the stub usage collector. It records every report of a usage
+// window.
+func (f *Fleet) collectUsage(out http.ResponseWriter, in *http.Request) {
 	report := struct {
 		Window int64            `json:"window"`
 		Counts map[string]int64 `json:"counts"`
@@ -32,15 +34,15 @@
 		Window: report.Window,
 		From:   report.From,
 		Counts: report.Counts,
-		At:     f.since(),
+		At:     f.sinceStart(),
 		End:    end,
 	})
 }
 
-// Record gathers all that the run left behind, from what this process saw and from the logs of the
-// others.
-func (f *Fleet) Record(asked []checker.CallerRequest) checker.Record {
-	record := checker.Record{Requests: asked, Bounds: checker.BriefBounds(f.Deployment.KeyWithdrawalBound)}
+// Record returns the record of the run, from the observations of this process and from the logs of the
+// fleet's processes.
+func (f *Fleet) Record(requests []checker.CallerRequest) checker.Record {
+	record := checker.Record{Requests: requests, Bounds: checker.BriefBounds(f.Deployment.KeyWithdrawalBound)}
 	for _, upstream := range f.Upstreams {
 		record.Executions = append(record.Executions, upstream.Runs()...)
 		record.Requests = append(record.Requests, upstream.Requests()...)
@@ -51,11 +53,11 @@
 		})
 	}
 	for _, process := range f.Processes {
-		f.endConnected(process)
+		f.endConnectedSpan(process)
 	}
 	f.lock.Lock()
 	record.Up, record.Disconnected, record.Crashes = f.connected, f.frozen, f.killed
-	record.Writes, record.Reported, record.DrainStarts = f.writes, f.reported, f.leaving
+	record.Writes, record.Reported, record.DrainStarts = f.writes, f.reported, f.drainStarts
 	f.lock.Unlock()
 	for _, process := range f.Processes {
 		record.LeaseTenures = append(record.LeaseTenures, f.leaseHolders(process)...)
@@ -64,21 +66,22 @@
 		}
 	}
 	f.readBack(&record)
-	record.End = f.since()
+	record.End = f.sinceStart()
 	record.Window, record.Epoch = time.Duration(settings.Default().Bounds.UsageWindow)*time.Millisecond, time.Duration(f.Base.UnixNano())
 	return record
 }
 
-// readBack reads from each registry every version that is kept and every window that was reported.
+// readBack reads from each registry every version that it lists and every usage window that was
+// reported.
 func (f *Fleet) readBack(record *checker.Record) {
 	record.RetainedVersions = int(settings.Default().Limits.RetainedVersions)
 	for _, process := range f.Of(message.RoleRegistry) {
-		listed := struct {
+		list := struct {
 			Versions []int64 `json:"versions"`
 		}{}
-		Get("http://"+process.HTTPAddress+"/v1/configurations/"+configName+"/versions", &listed)
-		for _, version := range listed.Versions {
-			body, status := fetch(fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.HTTPAddress, configName, version))
+		Get("http://"+process.HTTPAddress+"/v1/configurations/"+configName+"/versions", &list)
+		for _, version := range list.Versions {
+			body, status := fetchBody(fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.HTTPAddress, configName, version))
 			if status == http.StatusOK {
 				record.StoredVersions = append(record.StoredVersions, checker.StoredVersion{
 					Voter:      process.Node,
@@ -89,24 +92,24 @@
 			}
 		}
 		for _, report := range record.Reported {
-			reread := struct {
+			stored := struct {
 				Counts map[string]int64 `json:"counts"`
 			}{}
-			if Get(fmt.Sprintf("http://%s/v1/usage/%d", process.HTTPAddress, report.Window), &reread) == http.StatusOK {
+			if Get(fmt.Sprintf("http://%s/v1/usage/%d", process.HTTPAddress, report.Window), &stored) == http.StatusOK {
 				record.StoredUsage = append(record.StoredUsage,
-					checker.Reported{Window: report.Window, From: process.Node, Counts: reread.Counts})
+					checker.Reported{Window: report.Window, From: process.Node, Counts: stored.Counts})
 			}
 		}
 	}
 }
 
-// Events of the processes' logs that the record is made of.
+// Names of the log events from which the record is built.
 const (
 	eventInForce    = "configuration-in-force"
 	eventLeaseTaken = "lease-taken"
 )
 
-// logLine is one line of a process's log.
+// logLine holds the decoded fields of one JSON line of a process's log.
 type logLine struct {
 	EventName string `json:"msg"`
 	At        string `json:"ts"`
@@ -114,23 +117,24 @@
 	Cause     string `json:"cause"`
 }
 
-// events returns the events of one name in a process's log, whose JSON lines outlive the process.
-func (f *Fleet) events(process *Process, wanted string) []logLine {
-	body, err := os.ReadFile(process.log)
+// events returns the events of one name from a process's log file, which is readable also after the
+// process was killed.
+func (f *Fleet) events(process *Process, eventName string) []logLine {
+	body, err := os.ReadFile(process.logPath)
 	if err != nil {
 		return nil
 	}
 	list := []logLine{}
 	for _, line := range bytes.Split(body, []byte("\n")) {
-		read := logLine{}
-		if json.Unmarshal(line, &read) == nil && read.EventName == wanted {
-			list = append(list, read)
+		parsed := logLine{}
+		if json.Unmarshal(line, &parsed) == nil && parsed.EventName == eventName {
+			list = append(list, parsed)
 		}
 	}
 	return list
 }
 
-// timeOf returns the time of a line since the start of the run.
+// timeOf returns the time of a log line since the start of the run, or 0 if it can't be parsed.
 func (f *Fleet) timeOf(line logLine) time.Duration {
 	at, err := time.Parse(time.RFC3339Nano, line.At)
 	if err != nil {
@@ -139,7 +143,7 @@
 	return at.Sub(f.Base)
 }
 
-// configurationsInForce returns when each version came into force on a proxy, by its log.
+// configurationsInForce returns when each version came into force on a proxy, according to its log.
 func (f *Fleet) configurationsInForce(process *Process) []checker.Activation {
 	list := []checker.Activation{}
 	for _, line := range f.events(process, eventInForce) {
@@ -148,12 +152,12 @@
 	return list
 }
 
-// leaseHolders returns when a process became the holder of each lease, by its log.
+// leaseHolders returns when a process became the holder of each lease, according to its log.
 func (f *Fleet) leaseHolders(process *Process) []checker.LeaseTenure {
 	list := []checker.LeaseTenure{}
 	for _, line := range f.events(process, eventLeaseTaken) {
-		tag, _, _ := strings.Cut(line.Cause, " ")
-		list = append(list, checker.LeaseTenure{LeaseName: tag, Voter: process.Node, Epoch: line.Epoch, At: f.timeOf(line)})
+		leaseName, _, _ := strings.Cut(line.Cause, " ")
+		list = append(list, checker.LeaseTenure{LeaseName: leaseName, Voter: process.Node, Epoch: line.Epoch, At: f.timeOf(line)})
 	}
 	return list
 }
--- a/internal/fleet/scenarios.go
+++ b/internal/fleet/scenarios.go
@@ -13,38 +13,39 @@
 	"beaconvane/internal/workload"
 )
 
-// scenario is what is done to a fleet under load; length is the load's. Writes may be refused
-// meanwhile: how each was answered stands in the outcome. It fails where a process does not start.
+// scenario injects faults into a fleet, or performs operations on it, while the load runs; length is
+// the duration of the load. Writes may be refused: the outcome counts how they were answered. A
+// scenario returns an error if a process can't be started.
 type scenario func(f *Fleet, length time.Duration, outcome *Outcome) error
 
-// overhead compares the latency of requests straight to the upstreams with that through the mesh, in
-// pairs, on one kind of request.
+// overhead compares the latency of one kind of request, in five pairs of runs: directly to the
+// upstreams and through the mesh.
 func overhead(f *Fleet, _ time.Duration, outcome *Outcome) error {
-	chosenKind := f.Deployment.Kinds[1]
+	kind := f.Deployment.Kinds[1]
 	addresses, proxies := []string{}, f.proxyAddresses()
 	for _, upstream := range f.Upstreams {
-		if upstream.Announcement.Service == chosenKind.Service {
+		if upstream.Announcement.Service == kind.Service {
 			addresses = append(addresses, upstream.Announcement.Address)
 		}
 	}
 	run := func(targets []string, seed uint64) loadgen.Summary {
-		return loadgen.Summarise(f.runLoad(targets, []loadgen.Kind{chosenKind}, 500, 3*time.Second, seed))
+		return loadgen.Summarise(f.runLoad(targets, []loadgen.Kind{kind}, 500, 3*time.Second, seed))
 	}
 	for number := range uint64(5) {
-		straight, mesh := run(addresses, 1000+number), run(proxies, 2000+number)
+		direct, mesh := run(addresses, 1000+number), run(proxies, 2000+number)
 		outcome.Pairs = append(outcome.Pairs, Pair{
-			StraightP50: straight.P50,
-			MeshP50:     mesh.P50,
-			StraightP99: straight.P99,
-			MeshP99:     mesh.P99,
-			ExtraP50:    mesh.P50 - straight.P50,
-			ExtraP99:    mesh.P99 - straight.P99,
+			DirectP50: direct.P50,
+			MeshP50:   mesh.P50,
+			DirectP99: direct.P99,
+			MeshP99:   mesh.P99,
+			ExtraP50:  mesh.P50 - direct.P50,
+			ExtraP99:  mesh.P99 - direct.P99,
 		})
 	}
 	return nil
 }
 
-// killHolder kills the holder of a zone's lease, and starts it again.
+// killHolder kills the holder of a zone's lease, and restarts it.
 func killHolder(f *Fleet, length time.Duration, _ *Outcome) error {
 	f.pause(length / 4)
 	holder := f.Holder(f.Deployment.Zones[0])
@@ -56,7 +57,8 @@
 	return f.Start(holder)
 }
 
-// killVoter kills both processes of a voter, writes without it, and starts them again.
+// killVoter kills both processes of a voter, writes a configuration while they are down, and restarts
+// them.
 func killVoter(f *Fleet, length time.Duration, _ *Outcome) error {
 	f.pause(length / 4)
 	for _, process := range f.Processes {
@@ -78,8 +80,8 @@
 	return nil
 }
 
-// restartProxies stops some proxies one after the other, by kill and politely in turn, and starts
-// each again.
+// restartProxies restarts up to three proxies one after the other, alternately by SIGKILL and by
+// SIGTERM.
 func restartProxies(f *Fleet, length time.Duration, _ *Outcome) error {
 	proxies := f.Of(message.RoleProxy)
 	for index, process := range proxies[:min(3, len(proxies))] {
@@ -88,7 +90,7 @@
 			f.Kill(process)
 		} else {
 			f.Signal(process, syscall.SIGTERM)
-			<-process.ended
+			<-process.exited
 		}
 		f.pause(length / 16)
 		if err := f.Start(process); err != nil {
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// freezeHolder stops the holder of a zone's lease for a while.
+// freezeHolder freezes the holder of a zone's lease by SIGSTOP for a quarter of the load.
 func freezeHolder(f *Fleet, length time.Duration, _ *Outcome) error {
 	f.pause(length / 4)
 	if holder := f.Holder(f.Deployment.Zones[0]); holder != nil {
@@ -109,8 +111,8 @@
 	return nil
 }
 
-// writeOften writes versions that grow.
-func writeOften(f *Fleet, length time.Duration, _ *Outcome) error {
+// writeRepeatedly writes several versions, each larger than the one before.
+func writeRepeatedly(f *Fleet, length time.Duration, _ *Outcome) error {
 	for version := int64(2); version < 8; version++ {
 		f.pause(length / 8)
 		f.tryWrite(version, f.Deployment.Tenants(), int(version)*100)
@@ -118,7 +120,8 @@
 	return nil
 }
 
-// withdrawKey withdraws a key while one proxy is frozen, which must not honor it afterwards.
+// withdrawKey withdraws a key while one proxy is frozen. The proxy must not accept the key after it
+// resumes.
 func withdrawKey(f *Fleet, length time.Duration, _ *Outcome) error {
 	proxies := f.Of(message.RoleProxy)
 	f.pause(length / 4)
@@ -130,8 +133,8 @@
 	return nil
 }
 
-// writeHuge writes two versions of nearly the largest size.
-func writeHuge(f *Fleet, length time.Duration, _ *Outcome) error {
+// writeLargeConfigurations writes two versions of nearly the maximum size.
+func writeLargeConfigurations(f *Fleet, length time.Duration, _ *Outcome) error {
 	f.pause(length / 4)
 	f.tryWrite(2, f.Deployment.Tenants(), 19000)
 	f.pause(length / 4)
@@ -139,8 +142,9 @@
 	return nil
 }
 
-// uploadMany sends bodies of nearly the largest size, many at once, beside the load.
-func uploadMany(f *Fleet, length time.Duration, outcome *Outcome) error {
+// uploadLargeBodies sends requests with bodies of nearly the maximum size concurrently, in addition to
+// the load.
+func uploadLargeBodies(f *Fleet, length time.Duration, outcome *Outcome) error {
 	kind := f.Deployment.Kinds[0]
 	for _, other := range f.Deployment.Kinds {
 		if other.Body > kind.Body {
@@ -155,26 +159,26 @@
 	return nil
 }
 
-// drainUpstream lets one upstream leave in order, and ends another at once.
+// drainUpstream drains, signs off and then stops one upstream, and kills another without notice.
 func drainUpstream(f *Fleet, length time.Duration, _ *Outcome) error {
 	f.pause(length / 4)
-	f.Leave(f.Upstreams[0])
+	f.DrainUpstream(f.Upstreams[0])
 	f.pause(length / 8)
 	f.Upstreams[0].SignOff()
-	f.End(f.Upstreams[0])
-	f.End(f.Upstreams[1])
+	f.KillUpstream(f.Upstreams[0])
+	f.KillUpstream(f.Upstreams[1])
 	return nil
 }
 
-// garbleAnswers makes two upstreams lose and spoil some answers.
-func garbleAnswers(f *Fleet, _ time.Duration, _ *Outcome) error {
+// corruptAnswers makes two upstreams lose, corrupt or delay some of their answers.
+func corruptAnswers(f *Fleet, _ time.Duration, _ *Outcome) error {
 	for _, upstream := range f.Upstreams[:2] {
 		upstream.SetFaults(stubserver.Faults{Lose: 0.05, Garbage: 0.05, Truncate: 0.05, Excess: 0.05, Slow: 0.05})
 	}
 	return nil
 }
 
-// restartAll kills all processes, starts them again, and measures until every proxy is ready.
+// restartAll kills and restarts all processes, and measures the time until every proxy is ready.
 func restartAll(f *Fleet, length time.Duration, outcome *Outcome) error {
 	f.pause(length / 4)
 	for _, process := range f.Processes {
@@ -185,13 +189,13 @@
 			return err
 		}
 	}
-	begin := time.Now()
-	f.Until(readyLimit, f.Ready)
-	outcome.RestoreMS = time.Since(begin).Milliseconds()
+	startedAt := time.Now()
+	f.WaitUntil(readyTimeout, f.Ready)
+	outcome.RestoreMS = time.Since(startedAt).Milliseconds()
 	return nil
 }
 
-// scenarios are the scenarios by name.
+// scenarios maps the names of the scenarios to their functions.
 var scenarios = map[string]scenario{
 	"overhead":       overhead,
 	"calm":           func(*Fleet, time.Duration, *Outcome) error { return nil },
@@ -199,16 +203,16 @@
 	"voter":          killVoter,
 	"proxies":        restartProxies,
 	"freeze":         freezeHolder,
-	"configurations": writeOften,
+	"configurations": writeRepeatedly,
 	"withdraw":       withdrawKey,
-	"huge":           writeHuge,
-	"uploads":        uploadMany,
+	"huge":           writeLargeConfigurations,
+	"uploads":        uploadLargeBodies,
 	"drain":          drainUpstream,
-	"garbage":        garbleAnswers,
+	"garbage":        corruptAnswers,
 	"restart":        restartAll,
 }
 
-// ScenarioNames returns the names of the scenarios, with commas.
+// ScenarioNames returns the sorted names of the scenarios, separated by commas.
 func ScenarioNames() string {
 	names := []string{}
 	for name := range scenarios {
@@ -218,12 +222,12 @@
 	return strings.Join(names, ", ")
 }
 
-// tryWrite writes a version that the fleet may refuse or lose; how it was answered is counted.
-func (f *Fleet) tryWrite(version int64, tenants []loadgen.Tenant, more int) {
-	_, _ = f.Write(version, tenants, more)
+// tryWrite writes a version whose write may be refused or fail. Write counts the answer.
+func (f *Fleet) tryWrite(version int64, tenants []loadgen.Tenant, fillerRoutes int) {
+	_, _ = f.Write(version, tenants, fillerRoutes)
 }
 
-// pause waits.
+// pause blocks for a duration.
 func (f *Fleet) pause(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/fleet/upstreams.go
+++ b/internal/fleet/upstreams.go
@@ -30,13 +30,13 @@
 	return nil
 }
 
-// newUpstream makes the next upstream; it announces to one proxy, and to another one of the same
-// zone where the first does not answer.
+// newUpstream returns the next upstream. It announces itself to one proxy, and to another one of the
+// same zone if the first doesn't answer.
 func (f *Fleet) newUpstream(service workload.Service, index int) *stubserver.StubServer {
 	number := len(f.Upstreams)
 	proxies := f.Of(message.RoleProxy)
 	servingProxy := proxies[number%len(proxies)]
-	next := proxies[(number+len(f.Deployment.Zones))%len(proxies)]
+	fallback := proxies[(number+len(f.Deployment.Zones))%len(proxies)]
 	announcement := backend.Announcement{
 		Service:     service.Name,
 		Instance:    fmt.Sprintf("%s-%d", service.Name, index+1),
@@ -50,7 +50,7 @@
 	}
 	return &stubserver.StubServer{
 		Announcement: announcement,
-		Proxies:      []string{servingProxy.HTTPAddress, next.HTTPAddress},
+		Proxies:      []string{servingProxy.HTTPAddress, fallback.HTTPAddress},
 		Work:         service.Work,
 		Keys:         f.keys(),
 		Base:         f.Base,
@@ -60,7 +60,7 @@
 	}
 }
 
-// keys returns the tenants' keys, which no upstream may see.
+// keys returns the tenants' keys, which no upstream may receive.
 func (f *Fleet) keys() []string {
 	keys := []string{}
 	for _, tenant := range f.Deployment.Tenants() {
@@ -69,12 +69,13 @@
 	return keys
 }
 
-// callsOf returns the further requests that a service's runs make, by path.
+// callsOf returns the requests that the runs of a service make to other upstreams, by the path of the
+// incoming request.
 func (f *Fleet) callsOf(service workload.Service) map[string]stubserver.Call {
 	calls := map[string]stubserver.Call{}
 	for _, kind := range f.Deployment.Kinds {
-		called, callsOn := f.Deployment.Kind(kind.Calls)
-		if callsOn && kind.Service == service.Name {
+		called, callsUpstream := f.Deployment.Kind(kind.Calls)
+		if callsUpstream && kind.Service == service.Name {
 			calls[kind.Path] = stubserver.Call{
 				Route:   called.Route,
 				Service: called.Service,
@@ -87,23 +88,23 @@
 	return calls
 }
 
-// Leave makes an upstream announce that it leaves, and records when.
-func (f *Fleet) Leave(upstream *stubserver.StubServer) {
+// DrainUpstream makes an upstream announce that it is draining, and records when.
+func (f *Fleet) DrainUpstream(upstream *stubserver.StubServer) {
 	upstream.Change(func(announcement *backend.Announcement) { announcement.Draining = true })
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.leaving = append(f.leaving, checker.DrainStart{
+	f.drainStarts = append(f.drainStarts, checker.DrainStart{
 		Service:     upstream.Announcement.Service,
 		Instance:    upstream.Announcement.Instance,
 		Incarnation: upstream.Announcement.Incarnation,
-		At:          f.since(),
+		At:          f.sinceStart(),
 	})
 }
 
-// End kills an upstream, and records when.
-func (f *Fleet) End(upstream *stubserver.StubServer) {
+// KillUpstream kills an upstream and records the time.
+func (f *Fleet) KillUpstream(upstream *stubserver.StubServer) {
 	f.lock.Lock()
-	f.killed = append(f.killed, checker.Span{Name: upstream.Announcement.Instance, From: f.since(), To: f.since()})
+	f.killed = append(f.killed, checker.Span{Name: upstream.Announcement.Instance, From: f.sinceStart(), To: f.sinceStart()})
 	f.lock.Unlock()
 	upstream.Kill()
 }
