--- a/internal/scaletest/activity.go
+++ b/internal/scaletest/activity.go
@@ -11,19 +11,20 @@
 	"beaconvane/internal/proxy"
 )
 
-// announce stands for the one upstream beside a proxy. Its address is the proxy's own, so that each
-// upstream has one of its own and probes are answered.
-func announce(ctx context.Context, part Part, process *node.Node) {
+// announceUpstream announces one upstream to a proxy at each heartbeat interval until the context
+// ends. The upstream has the address of the proxy, so that each upstream has a distinct address and
+// probes are answered.
+func announceUpstream(ctx context.Context, spec NodeSpec, process *node.Node) {
 	registration := message.Registration{
-		Service:     part.Service,
-		Instance:    part.Settings.Node,
+		Service:     spec.Service,
+		Instance:    spec.Settings.Node,
 		Incarnation: time.Now().UnixNano(),
-		Address:     part.Settings.Address,
-		Zone:        part.Settings.Zone,
+		Address:     spec.Settings.Address,
+		Zone:        spec.Settings.Zone,
 		Slots:       16,
 		State:       message.StateReady,
 	}
-	ticker := time.NewTicker(part.Settings.HeartbeatEvery())
+	ticker := time.NewTicker(spec.Settings.HeartbeatEvery())
 	defer ticker.Stop()
 	for {
 		process.Notify(proxy.Announced{Registration: registration})
@@ -35,15 +36,16 @@
 	}
 }
 
-// openWindows is how many usage windows before the current one a proxy still reports.
-const openWindows = 4
+// maxOpenWindows is the number of usage windows before the current one that a proxy still reports.
+const maxOpenWindows = 4
 
-// usageCounts are requests by usage window and tenant.
+// usageCounts holds numbers of requests by usage window and tenant.
 type usageCounts map[int64]map[string]int64
 
-// countUsage reports usage as a proxy under load does: a request of one tenant in each round.
-func countUsage(ctx context.Context, part Part, process *node.Node) {
-	ticker := time.NewTicker(part.Settings.CountEvery())
+// countUsage reports usage as a proxy under load does. It counts one request per round, of the tenants
+// in turn, and discards windows that are sealed.
+func countUsage(ctx context.Context, spec NodeSpec, process *node.Node) {
+	ticker := time.NewTicker(spec.Settings.CountEvery())
 	defer ticker.Stop()
 	counts := usageCounts{}
 	for round := 0; ; round++ {
@@ -52,19 +54,20 @@
 			return
 		case <-ticker.C:
 		}
-		asked, cancel := context.WithTimeout(ctx, part.Settings.HeartbeatEvery())
-		sealedBelow, err := ask[int64](asked, process, proxy.ReadSealed{})
+		requestContext, cancel := context.WithTimeout(ctx, spec.Settings.HeartbeatEvery())
+		sealedBelow, err := queryControl[int64](requestContext, process, proxy.ReadSealed{})
 		cancel()
 		if err != nil {
 			continue
 		}
-		current := time.Now().UnixNano() / int64(part.Settings.UsageWindow())
-		counts.add(current, fmt.Sprintf("tenant-%d", round%part.Tenants))
-		counts.discardBelow(max(sealedBelow, current-openWindows))
+		current := time.Now().UnixNano() / int64(spec.Settings.UsageWindow())
+		counts.add(current, fmt.Sprintf("tenant-%d", round%spec.Tenants))
+		counts.discardBelow(max(sealedBelow, current-maxOpenWindows))
 		process.Notify(proxy.UsageCounted{Closed: current, Usage: counts.messages(current)})
 	}
 }
 
+// add counts one request of a tenant in a window.
 func (u usageCounts) add(window int64, tenant string) {
 	if u[window] == nil {
 		u[window] = map[string]int64{}
@@ -72,7 +75,7 @@
 	u[window][tenant]++
 }
 
-// discardBelow forgets the windows before one.
+// discardBelow removes the windows below the lowest one to retain.
 func (u usageCounts) discardBelow(lowest int64) {
 	for window := range u {
 		if window < lowest {
@@ -81,10 +84,11 @@
 	}
 }
 
-// messages returns the counts of the windows up to the current one, the oldest first.
+// messages returns the counts of the current window and the maxOpenWindows before it, in ascending
+// order.
 func (u usageCounts) messages(current int64) []message.UsageCount {
 	var list []message.UsageCount
-	for window := current - openWindows; window <= current; window++ {
+	for window := current - maxOpenWindows; window <= current; window++ {
 		if counts, known := u[window]; known {
 			list = append(list, message.UsageCount{
 				Window:   window,
--- a/internal/scaletest/arrivals.go
+++ b/internal/scaletest/arrivals.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// arrivals counts on how many proxies of a process each version of the configuration came into force,
-// and when it last did.
+// arrivals counts, for each version of the configuration, the proxies of this process on which it came
+// into force, and records when it last did so.
 type arrivals struct {
-	lock    sync.Mutex
-	reached map[int64]int
-	lastAt  map[int64]int64 // unix nanoseconds
+	lock         sync.Mutex
+	proxyCounts  map[int64]int
+	lastArrivals map[int64]int64 // Unix nanoseconds
 }
 
+// newArrivals returns empty counts.
 func newArrivals() *arrivals {
-	return &arrivals{reached: map[int64]int{}, lastAt: map[int64]int64{}}
+	return &arrivals{proxyCounts: map[int64]int{}, lastArrivals: map[int64]int64{}}
 }
 
-// record counts the versions after one, up to another, as in force on one more proxy.
+// record increments the count of every version in (after, upTo], which came into force on a proxy.
 func (a *arrivals) record(after, upTo int64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	for version := after + 1; version <= upTo; version++ {
-		a.reached[version]++
-		a.lastAt[version] = time.Now().UnixNano()
+		a.proxyCounts[version]++
+		a.lastArrivals[version] = time.Now().UnixNano()
 	}
 }
 
@@ -31,7 +32,7 @@
 func (a *arrivals) addTo(state *State) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	for version, number := range a.reached {
-		state.Reached[version], state.LastAt[version] = number, a.lastAt[version]
+	for version, number := range a.proxyCounts {
+		state.ProxyCounts[version], state.LastArrivals[version] = number, a.lastArrivals[version]
 	}
 }
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -9,7 +9,7 @@
 	"beaconvane/internal/message"
 )
 
-// Fleet is a running hollow fleet.
+// Fleet is a running hollow fleet, usually spread over several processes.
 type Fleet struct {
 	plan       Plan
 	goroutines *goroutine.Group
@@ -17,7 +17,8 @@
 	version    int64
 }
 
-// Start starts the processes of a plan, the core first.
+// Start starts the processes of a plan, first those of the core. On an error it stops those that were
+// started.
 func Start(plan Plan) (*Fleet, error) {
 	f := &Fleet{plan: plan, goroutines: goroutine.New(), processes: map[string][]hollowFleet{}}
 	core, err := newCoreAddresses()
@@ -35,9 +36,11 @@
 	return f, nil
 }
 
-// coreAddresses are the addresses of the core's processes, by voter in the order of voterNames.
+// coreAddresses holds the addresses of the core processes, in the order of voterNames.
 type coreAddresses struct{ registries, configStores []string }
 
+// newCoreAddresses returns free addresses for the core processes. The two processes of a voter share a
+// loopback host.
 func newCoreAddresses() (coreAddresses, error) {
 	core := coreAddresses{}
 	for index := range voterNames {
@@ -56,74 +59,74 @@
 	return core, nil
 }
 
-// seeds returns the addresses at which nodes join.
+// seeds returns the addresses at which nodes join the fleet.
 func (c coreAddresses) seeds() []string { return c.registries }
 
-// startCore starts a process for each core voter of each role.
+// startCore starts a configuration store and a registry for each voter, each in a separate process.
 func (f *Fleet) startCore(core coreAddresses) error {
 	for index, voter := range voterNames {
 		zone := zoneName(index % f.plan.Zones)
 		store := f.plan.Settings(message.RoleConfigStore, voter, voter, zone, core.configStores[index], core.seeds())
-		if err := f.add(message.RoleConfigStore, []Part{{Role: message.RoleConfigStore, Settings: store}}); err != nil {
+		if err := f.add(message.RoleConfigStore, []NodeSpec{{Role: message.RoleConfigStore, Settings: store}}); err != nil {
 			return err
 		}
 		registry := f.plan.Settings(message.RoleRegistry, voter, voter, zone, core.registries[index], core.seeds())
-		if err := f.add(message.RoleRegistry, []Part{{Role: message.RoleRegistry, Settings: registry}}); err != nil {
+		if err := f.add(message.RoleRegistry, []NodeSpec{{Role: message.RoleRegistry, Settings: registry}}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startProxies starts the proxies, Plan.Share of them in a process.
+// startProxies starts the proxies, Plan.Share of them in each process.
 func (f *Fleet) startProxies(seeds []string) error {
-	parts := []Part{}
+	specs := []NodeSpec{}
 	for number := range f.plan.Proxies {
-		part, err := f.plan.proxyPart(number, seeds)
+		spec, err := f.plan.proxySpec(number, seeds)
 		if err != nil {
 			return err
 		}
-		parts = append(parts, part)
-		if len(parts) < f.plan.Share && number < f.plan.Proxies-1 {
+		specs = append(specs, spec)
+		if len(specs) < f.plan.Share && number < f.plan.Proxies-1 {
 			continue
 		}
-		if err := f.add(message.RoleProxy, parts); err != nil {
+		if err := f.add(message.RoleProxy, specs); err != nil {
 			return err
 		}
-		parts = nil
+		specs = nil
 	}
 	return nil
 }
 
-// add starts a process with some nodes of a role, or starts them in this process.
-func (f *Fleet) add(role string, parts []Part) error {
+// add starts nodes of a role in a new process, or in this process if the plan names no program.
+func (f *Fleet) add(role string, specs []NodeSpec) error {
 	if f.plan.Program == "" {
-		hollow, err := NewHollowFleet(parts)
+		hollow, err := NewHollowFleet(specs)
 		if err != nil {
 			return err
 		}
 		f.processes[role] = append(f.processes[role], localFleet{hollow})
 		return nil
 	}
-	started, err := startRemote(f.plan.Program, f.goroutines)
+	process, err := startRemote(f.plan.Program, f.goroutines)
 	if err != nil {
 		return err
 	}
-	f.processes[role] = append(f.processes[role], started)
-	return started.begin(parts)
+	f.processes[role] = append(f.processes[role], process)
+	return process.startNodes(specs)
 }
 
-// Stop ends all processes that were started.
+// Stop stops all processes of the fleet.
 func (f *Fleet) Stop() {
 	for _, role := range []string{message.RoleProxy, message.RoleRegistry, message.RoleConfigStore} {
-		for _, held := range f.processes[role] {
-			held.close()
+		for _, process := range f.processes[role] {
+			process.close()
 		}
 	}
 	f.goroutines.Stop(time.Second)
 }
 
-// until checks a condition at a steady interval and reports whether it held within the limit.
+// until checks a condition at an interval and reports whether it was true within the limit.
 func until(limit, interval time.Duration, condition func() bool) bool {
 	ticker, end := time.NewTicker(interval), time.NewTimer(limit)
 	defer ticker.Stop()
@@ -140,11 +143,11 @@
 	}
 }
 
-// state sums what the proxies know over all processes.
+// state combines the states of all processes. It returns an empty state if a process doesn't answer.
 func (f *Fleet) state() State {
-	sum := State{Reached: map[int64]int{}, LastAt: map[int64]int64{}}
-	for index, held := range f.processes[message.RoleProxy] {
-		answer := held.do(Request{Command: CommandState})
+	sum := State{ProxyCounts: map[int64]int{}, LastArrivals: map[int64]int64{}}
+	for index, process := range f.processes[message.RoleProxy] {
+		answer := process.do(Request{Command: CommandState})
 		if answer.State == nil {
 			return State{}
 		}
@@ -156,37 +159,38 @@
 		if index == 0 || state.Proxies < sum.Proxies {
 			sum.Proxies = state.Proxies
 		}
-		sum.Depth, sum.Age, sum.Moves = max(sum.Depth, state.Depth), max(sum.Age, state.Age), sum.Moves+state.Moves
+		sum.Depth, sum.MaxAgeMS = max(sum.Depth, state.Depth), max(sum.MaxAgeMS, state.MaxAgeMS)
+		sum.ParentChanges += state.ParentChanges
 		sum.MeanDepth += state.MeanDepth * float64(f.size(index)) / float64(f.plan.Proxies)
-		for version, number := range state.Reached {
-			sum.Reached[version] += number
-			sum.LastAt[version] = max(sum.LastAt[version], state.LastAt[version])
+		for version, number := range state.ProxyCounts {
+			sum.ProxyCounts[version] += number
+			sum.LastArrivals[version] = max(sum.LastArrivals[version], state.LastArrivals[version])
 		}
 	}
 	return sum
 }
 
-// size returns how many proxies a process has.
+// size returns the number of proxies in a process, by the process's index.
 func (f *Fleet) size(index int) int { return min(f.plan.Share, f.plan.Proxies-index*f.plan.Share) }
 
-// complete reports whether every proxy is ready and knows all others and all upstreams.
+// complete reports whether every proxy is ready and has all proxies and all upstreams in its snapshot.
 func (f *Fleet) complete() bool {
 	state := f.state()
 	return state.Ready == f.plan.Proxies && state.Upstreams >= f.plan.Proxies && state.Proxies >= f.plan.Proxies
 }
 
-// write writes the next version and returns when it was sent; the configuration is as large as the
-// plan's number of services makes it.
+// write writes the next version of the configuration through the first registry and returns when it was
+// sent. The size of the configuration follows from the plan's number of services.
 func (f *Fleet) write() (time.Time, error) {
 	f.version++
-	began := time.Now()
+	sentAt := time.Now()
 	answer := f.processes[message.RoleRegistry][0].do(Request{
 		Command: CommandWrite,
 		Version: f.version,
 		Body:    configurationBody(f.plan.Services, f.plan.Tenants, f.version),
 	})
 	if answer.Fault != "" {
-		return began, errcode.Wrap("scaletest.write", errcode.ConfigurationUnsure, fmt.Errorf("%s", answer.Fault))
+		return sentAt, errcode.Wrap("scaletest.write", errcode.ConfigurationUnsure, fmt.Errorf("%s", answer.Fault))
 	}
-	return began, nil
+	return sentAt, nil
 }
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -19,58 +19,60 @@
 	"beaconvane/internal/transport"
 )
 
-// hollowNode is one node of a hollow fleet, which can be killed and started again.
+// hollowNode is one node of a hollow fleet. It can be killed and restarted.
 type hollowNode struct {
-	part       Part
+	spec       NodeSpec
 	arrivals   *arrivals
 	goroutines *goroutine.Group
 	process    *node.Node // nil while the node is down
-	lock       sync.Mutex // guards what a snapshot changes
+	lock       sync.Mutex // guards snapshot and version, which OnPublish updates
 	snapshot   *proxy.Snapshot
-	version    int64                      // the newest that came into force here
-	pastCounts map[string]transport.Count // of earlier incarnations
+	version    int64                      // highest version that came into force on this node
+	pastCounts map[string]transport.Count // messages and bytes of earlier incarnations
 }
 
-// start starts the node's control machine, and for a proxy its upstream and its load.
+// start starts the node's control machine, and for a proxy also its upstream and the counting of usage.
 func (n *hollowNode) start() error {
 	group := goroutine.New()
-	process := node.New(n.part.Settings, n.part.Role, group)
+	process := node.New(n.spec.Settings, n.spec.Role, group)
 	process.Log = logr.Discard()
 	n.goroutines, n.process = group, process
-	self := node.Self(n.part.Settings, n.part.Role)
-	if n.part.Role == message.RoleProxy {
+	self := node.Self(n.spec.Settings, n.spec.Role)
+	if n.spec.Role == message.RoleProxy {
 		return n.startProxy(process, self)
 	}
 	return process.RunFromDisk(func(snapshot []byte, records [][]byte) (node.DiskMachine, error) {
-		if n.part.Role == message.RoleRegistry {
-			return registry.New(n.part.Settings, self, snapshot, records)
+		if n.spec.Role == message.RoleRegistry {
+			return registry.New(n.spec.Settings, self, snapshot, records)
 		}
-		return configstore.New(n.part.Settings, self, snapshot, records)
+		return configstore.New(n.spec.Settings, self, snapshot, records)
 	})
 }
 
+// startProxy starts the control machine of a proxy, its upstream and the counting of usage.
 func (n *hollowNode) startProxy(process *node.Node, self message.Member) error {
 	group := n.goroutines
-	tracker := frontend.New(n.part.Settings, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
+	tracker := frontend.New(n.spec.Settings, func(string) (backend.Delegation, bool) { return backend.Delegation{}, false })
 	process.OnPublish(func(published any) {
 		snapshot, isSnapshot := published.(*proxy.Snapshot)
 		if !isSnapshot {
-			panic(fmt.Sprintf("scaletest: a proxy published %T", published)) // a programming error
+			panic(fmt.Sprintf("scaletest: a proxy published %T, want *proxy.Snapshot", published)) // a programming error
 		}
 		tracker.UpdateSnapshot(group.Now(), snapshot)
 		n.updateSnapshot(snapshot)
 	})
-	if err := process.Run(proxy.New(n.part.Settings, self), nil); err != nil {
+	if err := process.Run(proxy.New(n.spec.Settings, self), nil); err != nil {
 		return err
 	}
-	group.Go("scaletest.upstream", func(ctx context.Context) { announce(ctx, n.part, process) })
-	if n.part.Tenants > 0 {
-		group.Go("scaletest.count", func(ctx context.Context) { countUsage(ctx, n.part, process) })
+	group.Go("scaletest.upstream", func(ctx context.Context) { announceUpstream(ctx, n.spec, process) })
+	if n.spec.Tenants > 0 {
+		group.Go("scaletest.count", func(ctx context.Context) { countUsage(ctx, n.spec, process) })
 	}
 	return nil
 }
 
-// updateSnapshot keeps what a proxy knows, and records when each version first came into force here.
+// updateSnapshot stores the latest snapshot of a proxy, and records each version that it brings into
+// force for the first time on this node.
 func (n *hollowNode) updateSnapshot(snapshot *proxy.Snapshot) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -81,28 +83,28 @@
 	}
 }
 
-// kill stops the node as a kill does: no other node is told.
+// kill stops the node without a shutdown, as SIGKILL would: no other node is notified.
 func (n *hollowNode) kill() {
 	if n.process == nil || n.process.Transport == nil {
 		return
 	}
-	for _, passed := range n.process.Transport.Counts() {
-		addCount(n.pastCounts, passed)
+	for _, count := range n.process.Transport.Counts() {
+		addCount(n.pastCounts, count)
 	}
 	n.process.Transport.Close()
-	n.goroutines.Stop(n.part.Settings.HolderCooldown())
+	n.goroutines.Stop(n.spec.Settings.HolderCooldown())
 	n.lock.Lock()
 	n.snapshot, n.process = nil, nil
 	n.lock.Unlock()
 }
 
-// write writes a configuration through this node, a registry.
+// write writes a configuration through this node, which must be a registry.
 func (n *hollowNode) write(request Request) error {
-	limited, cancel := context.WithTimeout(n.goroutines.Context, n.part.Settings.InForceWait()*2)
+	requestContext, cancel := context.WithTimeout(n.goroutines.Context, n.spec.Settings.InForceWait()*2)
 	defer cancel()
-	write := registry.WriteConfiguration{ConfigName: n.part.Settings.ConfigNames[0], Version: request.Version, Body: request.Body,
-		Check: registry.CheckConfiguration(n.part.Settings, request.Body)}
-	answer, err := ask[registry.OperatorResponse](limited, n.process, write)
+	write := registry.WriteConfiguration{ConfigName: n.spec.Settings.ConfigNames[0], Version: request.Version, Body: request.Body,
+		Check: registry.CheckConfiguration(n.spec.Settings, request.Body)}
+	answer, err := queryControl[registry.OperatorResponse](requestContext, n.process, write)
 	if err != nil {
 		return err
 	}
@@ -112,16 +114,18 @@
 	return nil
 }
 
-// ask asks a node's control machine, and returns its answer in the type that this question has.
-func ask[T any](ctx context.Context, process *node.Node, question any) (T, error) {
-	var none T
-	answered, err := process.Request(ctx, question)
+// queryControl sends a query to a node's control machine and returns its answer. It fails if the answer
+// is not of type T.
+func queryControl[T any](ctx context.Context, process *node.Node, query any) (T, error) {
+	var zero T
+	response, err := process.Request(ctx, query)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
-	answer, isWanted := answered.(T)
-	if !isWanted {
-		return none, errcode.Wrap("scaletest.ask", errcode.Internal, fmt.Errorf("%T was answered by %T", question, answered))
+	answer, isExpectedType := response.(T)
+	if !isExpectedType {
+		return zero, errcode.Wrap("scaletest.ask", errcode.Internal,
+			fmt.Errorf("query %T was answered with %T, want %T", query, response, zero))
 	}
 	return answer, nil
 }
--- a/internal/scaletest/hollow_fleet.go
+++ b/internal/scaletest/hollow_fleet.go
@@ -8,20 +8,20 @@
 	"beaconvane/internal/transport"
 )
 
-// HollowFleet is the share of a fleet that runs in one process.
+// HollowFleet holds the nodes of a fleet that run in one process.
 type HollowFleet struct {
 	nodes     []*hollowNode
 	startedAt time.Time
 	arrivals  *arrivals
 }
 
-// NewHollowFleet starts the nodes of a process.
-func NewHollowFleet(parts []Part) (*HollowFleet, error) {
+// NewHollowFleet starts the given nodes in this process.
+func NewHollowFleet(specs []NodeSpec) (*HollowFleet, error) {
 	h := &HollowFleet{startedAt: time.Now(), arrivals: newArrivals()}
-	for _, part := range parts {
-		started := &hollowNode{part: part, arrivals: h.arrivals, pastCounts: map[string]transport.Count{}}
-		h.nodes = append(h.nodes, started)
-		if err := started.start(); err != nil {
+	for _, spec := range specs {
+		hollow := &hollowNode{spec: spec, arrivals: h.arrivals, pastCounts: map[string]transport.Count{}}
+		h.nodes = append(h.nodes, hollow)
+		if err := hollow.start(); err != nil {
 			h.Close()
 			return nil, err
 		}
@@ -31,12 +31,12 @@
 
 // Close kills all nodes.
 func (h *HollowFleet) Close() {
-	for _, closed := range h.nodes {
-		closed.kill()
+	for _, hollow := range h.nodes {
+		hollow.kill()
 	}
 }
 
-// Do carries out one request.
+// Do executes one request. An error is returned as Answer.Fault.
 func (h *HollowFleet) Do(request Request) Answer {
 	answer, err := h.do(request)
 	if err != nil {
@@ -45,29 +45,31 @@
 	return answer
 }
 
+// do executes one request and returns its error separately.
 func (h *HollowFleet) do(request Request) (Answer, error) {
 	if request.Index < 0 || request.Index >= len(h.nodes) {
-		return Answer{}, errcode.Wrap("scaletest.do", errcode.ConfigBadValue, fmt.Errorf("no part %d", request.Index))
+		return Answer{}, errcode.Wrap("scaletest.do", errcode.ConfigBadValue,
+			fmt.Errorf("node index %d is out of range: the process has %d nodes", request.Index, len(h.nodes)))
 	}
-	chosen := h.nodes[request.Index]
+	hollow := h.nodes[request.Index]
 	switch request.Command {
 	case CommandRead:
 		return Answer{Reading: h.read()}, nil
-	case CommandWeigh:
-		return Answer{Reading: h.weigh()}, nil
+	case CommandMemory:
+		return Answer{Reading: h.readMemory()}, nil
 	case CommandState:
 		return Answer{State: h.state()}, nil
-	case CommandReached:
+	case CommandArrivals:
 		state := newState()
 		h.arrivals.addTo(state)
 		return Answer{State: state}, nil
 	case CommandWrite:
-		return Answer{}, chosen.write(request)
+		return Answer{}, hollow.write(request)
 	case CommandKill:
-		chosen.kill()
+		hollow.kill()
 		return Answer{}, nil
 	case CommandStart:
-		return Answer{}, chosen.start()
+		return Answer{}, hollow.start()
 	}
-	return Answer{}, errcode.Wrap("scaletest.do", errcode.ConfigBadValue, fmt.Errorf("no command %q", request.Command))
+	return Answer{}, errcode.Wrap("scaletest.do", errcode.ConfigBadValue, fmt.Errorf("unknown command %q", request.Command))
 }
--- a/internal/scaletest/plan.go
+++ b/internal/scaletest/plan.go
@@ -14,17 +14,17 @@
 	"beaconvane/internal/workload"
 )
 
-// Plan says what fleet to run.
+// Plan describes a hollow fleet.
 type Plan struct {
 	Proxies  int           `json:"proxies"`
 	Zones    int           `json:"zones"`
 	Services int           `json:"services"`
-	Tenants  int           `json:"tenants"` // 0: no requests are counted
+	Tenants  int           `json:"tenants"` // tenants of the usage reports; 0: no usage is reported
 	Fanout   int64         `json:"fanout"`
-	InForce  time.Duration `json:"in_force"` // the bound on configurations, to which most timers are ratios
-	Share    int           `json:"share"`    // proxies in one process
+	InForce  time.Duration `json:"in_force"` // Bounds.ConfigurationInForce, from which most timers are derived
+	Share    int           `json:"share"`    // proxies in each process
 	Folder   string        `json:"-"`
-	Program  string        `json:"-"` // empty: all in this process
+	Program  string        `json:"-"` // executable of the processes; empty: run all nodes in this process
 }
 
 // Settings returns the settings of one node of the plan.
@@ -44,7 +44,7 @@
 		cfg.Bounds.ConfigurationInForce = p.InForce.Milliseconds()
 	}
 	if role != message.RoleConfigStore {
-		cfg.HTTPAddress = address // told to others, never bound here
+		cfg.HTTPAddress = address // announced to other nodes, but not bound: hollow nodes serve no HTTP
 	}
 	if role != message.RoleProxy {
 		cfg.DataDirectory = filepath.Join(p.Folder, role+"-"+nodeName)
@@ -52,20 +52,23 @@
 	return cfg
 }
 
+// voterNames are the names of the voters, and of the nodes on which they run.
 var voterNames = []string{"core-1", "core-2", "core-3"}
 
+// zoneName returns the name of a zone by its index.
 func zoneName(number int) string { return fmt.Sprintf("zone-%02d", number+1) }
 
+// serviceName returns the name of a service by its index.
 func serviceName(number int) string { return fmt.Sprintf("service-%03d", number+1) }
 
-// proxyPart returns one proxy of the plan.
-func (p Plan) proxyPart(number int, seeds []string) (Part, error) {
+// proxyPart returns the specification of one proxy of the plan.
+func (p Plan) proxySpec(number int, seeds []string) (NodeSpec, error) {
 	address, err := freeAddress(fmt.Sprintf("127.88.%d.%d", 2+number/250, 1+number%250))
 	if err != nil {
-		return Part{}, err
+		return NodeSpec{}, err
 	}
 	name := fmt.Sprintf("edge-%05d", number+1)
-	return Part{
+	return NodeSpec{
 		Role:     message.RoleProxy,
 		Settings: p.Settings(message.RoleProxy, name, "", zoneName(number%p.Zones), address, seeds),
 		Service:  serviceName(number % p.Services),
@@ -73,7 +76,8 @@
 	}, nil
 }
 
-// freeAddress finds a free port of a loopback host by binding it and letting go.
+// freeAddress returns an address with a free port of a loopback host. It binds the port to find it and
+// releases it again, so that another process can take it in between.
 func freeAddress(host string) (string, error) {
 	listener, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -83,7 +87,8 @@
 	return listener.Addr().String(), nil
 }
 
-// configurationBody returns a configuration of one route for each service.
+// configurationBody returns a configuration with one route for each service. The version makes its
+// content unique.
 func configurationBody(services, tenants int, version int64) []byte {
 	configuration := workload.Configuration{
 		Note:     fmt.Sprintf("version %d", version),
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -13,25 +13,25 @@
 	"beaconvane/internal/goroutine"
 )
 
-// HollowFleetCommand is the subcommand by which a program that embeds this package runs Serve.
+// HollowFleetCommand is the subcommand under which a program that embeds this package must run Serve.
 const HollowFleetCommand = "hollow-fleet"
 
-// stopLimit is how long a process may take to end by itself.
-const stopLimit = 20 * time.Second
+// stopTimeout is the time after the end of its input after which a process that still runs is killed.
+const stopTimeout = 20 * time.Second
 
-// hollowFleet is one process's share of the fleet, in this process or another.
+// hollowFleet is the group of nodes of one process, in this process or in a child process.
 type hollowFleet interface {
 	do(request Request) Answer
 	close()
 }
 
-// localFleet runs in this process.
+// localFleet is a hollowFleet in this process.
 type localFleet struct{ fleet *HollowFleet }
 
 func (l localFleet) do(request Request) Answer { return l.fleet.Do(request) }
 func (l localFleet) close()                    { l.fleet.Close() }
 
-// remoteFleet runs in a process of its own, which it asks by JSON over pipes.
+// remoteFleet is a hollowFleet in a child process, with which it exchanges JSON over pipes.
 type remoteFleet struct {
 	command *exec.Cmd
 	input   io.WriteCloser
@@ -51,25 +51,25 @@
 	return answer
 }
 
-// close ends the input; a process that does not end by itself is ended.
+// close closes the input of the process, which makes it exit. It kills the process after stopTimeout.
 func (f *remoteFleet) close() {
 	f.input.Close()
 	done := make(chan struct{})
 	f.group.Go("scaletest.wait", func(context.Context) {
-		_ = f.command.Wait() // how it ended is of no interest
+		_ = f.command.Wait() // the exit status is ignored
 		close(done)
 	})
-	limit := time.NewTimer(stopLimit)
-	defer limit.Stop()
+	timer := time.NewTimer(stopTimeout)
+	defer timer.Stop()
 	select {
 	case <-done:
-	case <-limit.C:
-		_ = f.command.Process.Kill() // it may have ended meanwhile
+	case <-timer.C:
+		_ = f.command.Process.Kill() // fails if the process has exited in the meantime
 		<-done
 	}
 }
 
-// startRemote starts a process that waits for its nodes.
+// startRemote starts a child process, which waits for the specifications of its nodes.
 func startRemote(program string, group *goroutine.Group) (*remoteFleet, error) {
 	command := exec.Command(program, HollowFleetCommand)
 	command.Stderr = os.Stderr
@@ -87,9 +87,9 @@
 	return &remoteFleet{command, input, json.NewEncoder(input), json.NewDecoder(output), group}, nil
 }
 
-// begin hands the process its nodes and waits until it has started them.
-func (f *remoteFleet) begin(parts []Part) error {
-	if err := f.encoder.Encode(parts); err != nil {
+// startNodes sends the specifications of the nodes to the process and waits until it has started them.
+func (f *remoteFleet) startNodes(specs []NodeSpec) error {
+	if err := f.encoder.Encode(specs); err != nil {
 		return errcode.Wrap("scaletest.start", errcode.Internal, err)
 	}
 	answer := Answer{}
--- a/internal/scaletest/protocol.go
+++ b/internal/scaletest/protocol.go
@@ -7,61 +7,62 @@
 	"beaconvane/internal/transport"
 )
 
-// Part is one node of a hollow fleet.
-type Part struct {
+// NodeSpec is the specification of one node of a hollow fleet.
+type NodeSpec struct {
 	Role     string            `json:"role"`
 	Settings settings.Settings `json:"config"`
-	Service  string            `json:"service"` // of the one upstream beside a proxy
-	Tenants  int               `json:"tenants"` // whose requests a proxy counts, each round
+	Service  string            `json:"service"` // service of the upstream that a proxy announces
+	Tenants  int               `json:"tenants"` // number of tenants in a proxy's usage reports; 0: it reports no usage
 }
 
-// Command is what a hollow fleet can be asked to do.
+// Command is the operation of a Request.
 type Command string
 
-// Commands of a hollow fleet.
+// Commands.
 const (
-	CommandRead    Command = "read"    // what was spent and passed
-	CommandWeigh   Command = "weigh"   // memory in use, after a collection
-	CommandState   Command = "state"   // what the proxies know
-	CommandReached Command = "reached" // where each version is in force
-	CommandWrite   Command = "write"   // write a configuration, at a registry
-	CommandKill    Command = "end"     // end one node as a kill does
-	CommandStart   Command = "begin"   // start it again
+	CommandRead     Command = "read"    // return processor time and the counts of messages
+	CommandMemory   Command = "weigh"   // return the memory in use after a garbage collection
+	CommandState    Command = "state"   // return the state of the proxies
+	CommandArrivals Command = "reached" // return on how many proxies each version is in force
+	CommandWrite    Command = "write"   // write a configuration through a registry
+	CommandKill     Command = "end"     // stop one node without a shutdown, as SIGKILL would
+	CommandStart    Command = "begin"   // restart a killed node
 )
 
-// Request is one question to a hollow fleet.
+// Request is one request to a hollow fleet.
 type Request struct {
 	Command Command `json:"command"`
-	Index   int     `json:"index"` // of the node, for CommandWrite, CommandEnd and CommandBegin
+	Index   int     `json:"index"` // index of the node, for CommandWrite, CommandKill and CommandStart
 	Version int64   `json:"version"`
 	Body    []byte  `json:"body"`
 }
 
-// Reading is what a hollow fleet has spent and passed since it began; all but the memory only
-// grows.
+// Reading holds the resource usage and the counters of a hollow fleet since its start. All values but
+// those of the memory are cumulative.
 type Reading struct {
 	At        time.Duration     `json:"at"`
 	Processor time.Duration     `json:"processor"`
 	Resident  int64             `json:"resident"` // bytes
-	Live      int64             `json:"live"`     // bytes of heap in use after a collection, and of stacks
+	Live      int64             `json:"live"`     // bytes of heap in use after a garbage collection, and of stacks
 	Counts    []transport.Count `json:"counts"`
-	Node      map[string]int64  `json:"node"` // sums of the nodes' own counters
+	Node      map[string]int64  `json:"node"` // sums of the nodes' counters, by name
 }
 
-// State is what the proxies of a hollow fleet know: of counts the least of any proxy.
+// State is the combined state of the proxies of a hollow fleet. Upstreams and Proxies are the lowest
+// numbers that any proxy has in its snapshot.
 type State struct {
-	Ready     int             `json:"ready"`
-	Upstreams int             `json:"upstreams"`
-	Proxies   int             `json:"proxies"`
-	Depth     int             `json:"depth"` // relays on the longest path of updates
-	MeanDepth float64         `json:"mean_depth"`
-	Age       int64           `json:"age_ms"`  // of the stalest topic of any proxy
-	Moves     int64           `json:"moves"`   // changes of parent, all proxies
-	Reached   map[int64]int   `json:"reached"` // proxies by version
-	LastAt    map[int64]int64 `json:"last_at"` // unix nanoseconds, by version
+	Ready         int             `json:"ready"` // number of proxies that are ready
+	Upstreams     int             `json:"upstreams"`
+	Proxies       int             `json:"proxies"`
+	Depth         int             `json:"depth"` // relays on the longest distribution path
+	MeanDepth     float64         `json:"mean_depth"`
+	MaxAgeMS      int64           `json:"age_ms"`  // highest age of a topic at any proxy
+	ParentChanges int64           `json:"moves"`   // changes of parent, summed over all proxies
+	ProxyCounts   map[int64]int   `json:"reached"` // number of proxies on which a version is in force, by version
+	LastArrivals  map[int64]int64 `json:"last_at"` // when a version last came into force on a proxy, in Unix nanoseconds, by version
 }
 
-// Answer is a hollow fleet's response; Fault is empty where all went well.
+// Answer is the response to a Request. Fault is the error text, empty on success.
 type Answer struct {
 	Reading *Reading `json:"reading,omitempty"`
 	State   *State   `json:"state,omitempty"`
--- a/internal/scaletest/readings.go
+++ b/internal/scaletest/readings.go
@@ -17,46 +17,46 @@
 	"beaconvane/internal/transport"
 )
 
-// read reads what the process has spent and its nodes have passed.
+// read returns the processor time of the process and the counters of its nodes.
 func (h *HollowFleet) read() *Reading {
 	usage := syscall.Rusage{}
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // it knows no fault for these arguments
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // can't fail with these arguments
 	reading := &Reading{
 		At:        time.Since(h.startedAt),
 		Processor: time.Duration(usage.Utime.Nano() + usage.Stime.Nano()),
 		Node:      map[string]int64{},
 	}
 	sums := map[string]transport.Count{}
-	for _, member := range h.nodes {
-		for _, passed := range member.pastCounts {
-			addCount(sums, passed)
+	for _, hollow := range h.nodes {
+		for _, count := range hollow.pastCounts {
+			addCount(sums, count)
 		}
-		if member.process == nil {
+		if hollow.process == nil {
 			continue
 		}
-		for _, passed := range member.process.Transport.Counts() {
-			addCount(sums, passed)
+		for _, count := range hollow.process.Transport.Counts() {
+			addCount(sums, count)
 		}
-		for name, number := range member.process.Counters() {
+		for name, number := range hollow.process.Counters() {
 			reading.Node[name] += number
 		}
 	}
-	for _, passed := range sums {
-		reading.Counts = append(reading.Counts, passed)
+	for _, count := range sums {
+		reading.Counts = append(reading.Counts, count)
 	}
 	return reading
 }
 
-// weigh reads the memory in use; it collects garbage first.
-func (h *HollowFleet) weigh() *Reading {
+// readMemory returns the memory in use after a garbage collection.
+func (h *HollowFleet) readMemory() *Reading {
 	debug.FreeOSMemory()
 	memory := runtime.MemStats{}
 	runtime.ReadMemStats(&memory)
-	return &Reading{Resident: resident(), Live: int64(memory.HeapAlloc + memory.StackInuse)}
+	return &Reading{Resident: residentBytes(), Live: int64(memory.HeapAlloc + memory.StackInuse)}
 }
 
-// resident returns the bytes of memory that the process has.
-func resident() int64 {
+// residentBytes returns the resident memory of this process, or 0 if it can't be read.
+func residentBytes() int64 {
 	body, err := os.ReadFile(filepath.Join("/proc", "self", "statm"))
 	if err != nil {
 		return 0
@@ -68,40 +68,40 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// addCount adds a count to the sum of its protocol, direction and kind of message.
-func addCount(sums map[string]transport.Count, passed transport.Count) {
-	key := fmt.Sprintf("%s %t %s", passed.Protocol, passed.Outbound, passed.Kind)
+// addCount adds a count to the sum of the same protocol, direction and type of message.
+func addCount(sums map[string]transport.Count, count transport.Count) {
+	key := fmt.Sprintf("%s %t %s", count.Protocol, count.Outbound, count.Kind)
 	sum := sums[key]
 	sums[key] = transport.Count{
-		Protocol: passed.Protocol,
-		Outbound: passed.Outbound,
-		Kind:     passed.Kind,
-		Messages: sum.Messages + passed.Messages,
-		Bytes:    sum.Bytes + passed.Bytes,
+		Protocol: count.Protocol,
+		Outbound: count.Outbound,
+		Kind:     count.Kind,
+		Messages: sum.Messages + count.Messages,
+		Bytes:    sum.Bytes + count.Bytes,
 	}
 }
 
 // newState returns an empty state.
-func newState() *State { return &State{Reached: map[int64]int{}, LastAt: map[int64]int64{}} }
+func newState() *State { return &State{ProxyCounts: map[int64]int{}, LastArrivals: map[int64]int64{}} }
 
-// state asks the proxies what they know.
+// state returns the combined state of the proxies of this process.
 func (h *HollowFleet) state() *State {
 	state := newState()
 	proxies, depths := 0, 0
 	for _, member := range h.nodes {
-		if member.part.Role != message.RoleProxy {
+		if member.spec.Role != message.RoleProxy {
 			continue
 		}
 		proxies++
-		member.addKnown(state, proxies == 1)
+		member.addMembershipView(state, proxies == 1)
 		status, err := member.status()
 		if err != nil {
 			continue
 		}
 		state.Depth, depths = max(state.Depth, len(status.Path)), depths+len(status.Path)
-		state.Moves += status.Moves
+		state.ParentChanges += status.Moves
 		for _, age := range status.AgesMS {
-			state.Age = max(state.Age, age)
+			state.MaxAgeMS = max(state.MaxAgeMS, age)
 		}
 	}
 	if proxies > 0 {
@@ -111,8 +111,9 @@
 	return state
 }
 
-// addKnown adds what this proxy knows of the fleet: of counts the state has the least of any proxy.
-func (n *hollowNode) addKnown(state *State, first bool) {
+// addMembershipView adds the content of this proxy's snapshot to a state: its readiness, and the numbers
+// of upstreams and proxies if they are the lowest so far. first is true for the first proxy of a state.
+func (n *hollowNode) addMembershipView(state *State, first bool) {
 	n.lock.Lock()
 	snapshot := n.snapshot
 	n.lock.Unlock()
@@ -122,7 +123,7 @@
 			upstreams += len(list)
 		}
 		proxies = snapshot.ProxyCount
-		if snapshot.Ready(n.goroutines.Now(), n.part.Settings.MaxAgeReady()) {
+		if snapshot.Ready(n.goroutines.Now(), n.spec.Settings.MaxAgeReady()) {
 			state.Ready++
 		}
 	}
@@ -134,15 +135,15 @@
 	}
 }
 
-// status asks a proxy's control machine for its status.
+// status queries the status of a proxy's control machine.
 func (n *hollowNode) status() (proxy.Status, error) {
 	if n.process == nil {
 		return proxy.Status{}, errNodeDown
 	}
-	limited, cancel := context.WithTimeout(n.goroutines.Context, n.part.Settings.HolderCooldown())
+	requestContext, cancel := context.WithTimeout(n.goroutines.Context, n.spec.Settings.HolderCooldown())
 	defer cancel()
-	return ask[proxy.Status](limited, n.process, proxy.ReadStatus{})
+	return queryControl[proxy.Status](requestContext, n.process, proxy.ReadStatus{})
 }
 
-// errNodeDown says that a node was killed and not started again.
-var errNodeDown = errors.New("the node is down")
+// errNodeDown is returned for a node that was killed and not restarted.
+var errNodeDown = errors.New("the node is down: it was killed and not restarted")
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -1,4 +1,4 @@
-// The calculations on made-up figures, and the smallest hollow fleet, in this process.
+// These tests cover the calculations, with generated values, and a small hollow fleet in this process.
 package scaletest
 
 import (
@@ -17,7 +17,9 @@
 	"beaconvane/internal/transport"
 )
 
-func made(grows func(size float64) float64, scatter float64) []Row {
+// sampleRows returns rows whose values follow a growth function, with three repeats of which the first
+// and the last deviate by the share scatter.
+func sampleRows(grows func(size float64) float64, scatter float64) []Row {
 	list := []Row{}
 	for _, size := range []int{16, 32, 64, 128, 256} {
 		value := grows(float64(size))
@@ -27,9 +29,10 @@
 	return list
 }
 
-// Each shape is found again, and its figure at a size that was not run.
-func TestSlopesAreFoundAgain(t *testing.T) {
-	for _, known := range []struct {
+// Rows that are generated from a shape must be fitted with that shape, and extrapolated correctly to a
+// size without rows.
+func TestSlopeOfRecoversEachShape(t *testing.T) {
+	for _, test := range []struct {
 		shape string
 		grows func(size float64) float64
 	}{
@@ -39,18 +42,18 @@
 		{"n log n", func(size float64) float64 { return 10 + 2*size*math.Log2(size) }},
 		{"n²", func(size float64) float64 { return 50 + 0.3*size*size }},
 	} {
-		t.Run(known.shape, func(t *testing.T) {
+		t.Run(test.shape, func(t *testing.T) {
 			c := qt.New(t)
-			slope := SlopeOf(made(known.grows, 0.02), 12000)
-			c.Assert(slope.Shape, qt.Equals, known.shape)
-			wanted := known.grows(12000)
-			c.Assert(math.Abs(slope.Target-wanted) < wanted*1e-6, qt.IsTrue, qt.Commentf("%v, not %v", slope.Target, wanted))
-			c.Assert(slope.Least <= slope.Target*0.985 && slope.Most >= slope.Target*1.015, qt.IsTrue, qt.Commentf("%+v", slope))
+			slope := SlopeOf(sampleRows(test.grows, 0.02), 12000)
+			c.Assert(slope.Shape, qt.Equals, test.shape)
+			expected := test.grows(12000)
+			c.Assert(math.Abs(slope.Target-expected) < expected*1e-6, qt.IsTrue, qt.Commentf("target %v, want %v", slope.Target, expected))
+			c.Assert(slope.Lower <= slope.Target*0.985 && slope.Upper >= slope.Target*1.015, qt.IsTrue, qt.Commentf("%+v", slope))
 		})
 	}
 }
 
-// What only scatters is not taken for growth.
+// Scatter without a trend must not be fitted as growth.
 func TestScatterIsFlat(t *testing.T) {
 	c := qt.New(t)
 	list := []Row{}
@@ -62,15 +65,16 @@
 	c.Assert(slope.Target > 90 && slope.Target < 110, qt.IsTrue)
 }
 
-// A figure never goes below nothing, nor does one size make a slope.
+// Rows of no size, of a single size, or with all values zero must not be extrapolated to growth or to a
+// negative value.
 func TestFewSizes(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(SlopeOf(nil, 12000).Shape, qt.Equals, "none")
 	slope := SlopeOf([]Row{{Size: 16, Values: []float64{5, 7}}}, 12000)
 	c.Assert(slope.Shape, qt.Equals, "flat")
 	c.Assert(slope.Target, qt.Equals, 6.0)
-	c.Assert([]float64{slope.Least, slope.Most}, qt.DeepEquals, []float64{5, 7})
-	c.Assert(SlopeOf(made(func(float64) float64 { return 0 }, 0), 12000).Target, qt.Equals, 0.0)
+	c.Assert([]float64{slope.Lower, slope.Upper}, qt.DeepEquals, []float64{5, 7})
+	c.Assert(SlopeOf(sampleRows(func(float64) float64 { return 0 }, 0), 12000).Target, qt.Equals, 0.0)
 }
 
 func TestNumbers(t *testing.T) {
@@ -83,14 +87,15 @@
 	}
 }
 
-// The table has a column a size and leaves out what never was; the plots are drawn.
+// The table must have a column for each size and omit lines that are all zero, its rows must survive
+// encoding to JSON, and the plots must be written.
 func TestTableAndPlots(t *testing.T) {
 	c := qt.New(t)
-	never := Row{Phase: Steady, Role: message.RoleProxy, Metric: "dropped", Size: 16, Values: []float64{0}}
+	allZero := Row{Phase: Steady, Role: message.RoleProxy, Metric: "dropped", Size: 16, Values: []float64{0}}
 	table := Table{
 		Course: Course{Sizes: []int{16, 32, 64, 128, 256}, Phases: []string{Steady}},
 		Target: 12000,
-		Rows:   append(made(func(size float64) float64 { return 100 * size }, 0.1), never),
+		Rows:   append(sampleRows(func(size float64) float64 { return 100 * size }, 0.1), allZero),
 	}
 	table.FitLines()
 	out := bytes.Buffer{}
@@ -100,30 +105,31 @@
 	c.Assert(strings.Contains(out.String(), "dropped"), qt.IsFalse)
 	body := bytes.Buffer{}
 	c.Assert(table.JSON(&body), qt.IsNil)
-	again := Table{}
-	c.Assert(json.Unmarshal(body.Bytes(), &again), qt.IsNil)
-	c.Assert(again.Rows, qt.DeepEquals, table.Rows)
+	decoded := Table{}
+	c.Assert(json.Unmarshal(body.Bytes(), &decoded), qt.IsNil)
+	c.Assert(decoded.Rows, qt.DeepEquals, table.Rows)
 	folder := t.TempDir()
 	c.Assert(table.Plot(folder), qt.IsNil)
-	drawn, err := os.Stat(filepath.Join(folder, "capacity-bytes.png"))
+	chart, err := os.Stat(filepath.Join(folder, "capacity-bytes.png"))
 	c.Assert(err, qt.IsNil)
-	c.Assert(drawn.Size() > 1000, qt.IsTrue)
+	c.Assert(chart.Size() > 1000, qt.IsTrue)
 }
 
-// The names that are matched are those of message types: a renamed type would count with the voters.
-func TestPartsNameMessages(t *testing.T) {
+// trafficCategories refers to message types by name: after a rename of a type its traffic would silently
+// count under "voters".
+func TestTrafficCategoriesNameMessageTypes(t *testing.T) {
 	c := qt.New(t)
 	names := map[string]bool{}
 	for kind := range math.MaxUint8 + 1 {
 		names[message.KindName(byte(kind))] = true
 	}
-	for name := range partOf {
-		c.Check(names[name], qt.IsTrue, qt.Commentf("no message type %s", name))
+	for name := range trafficCategories {
+		c.Check(names[name], qt.IsTrue, qt.Commentf("trafficCategories has %s, which is not a message type", name))
 	}
 }
 
-// Differences of two readings are a second's; a kind that is known to no part counts
-// with the voters.
+// Rates must be differences of two readings divided by the seconds between them, and a message type
+// without a category must count under "voters".
 func TestRates(t *testing.T) {
 	c := qt.New(t)
 	before := Reading{At: time.Second, Processor: time.Second}
@@ -140,8 +146,8 @@
 	}
 }
 
-// The smallest fleet in this process: complete, a configuration in force everywhere, a proxy that
-// was ended and is back; every stretch leaves its rows.
+// A small fleet in this process must become complete, bring configurations into force on all proxies and
+// recover from restarts of proxies, and each phase must leave its rows.
 func TestTinyFleet(t *testing.T) {
 	c := qt.New(t)
 	plan := Plan{Proxies: 4, Zones: 2, Services: 3, Tenants: 2, Fanout: 2, Share: 2, Folder: t.TempDir()}
@@ -162,18 +168,19 @@
 	c.Assert(found["steady fleet depth"] > 0, qt.IsTrue)
 }
 
-// A hollow fleet's process answers line by line, names what it can't do, and ends with its input.
+// Serve must answer each request, reject an unknown command and an index out of range with an error that
+// names the value, and return at the end of its input.
 func TestServe(t *testing.T) {
 	c := qt.New(t)
 	plan := Plan{Proxies: 1, Zones: 1, Services: 1, Fanout: 2, Folder: t.TempDir()}
 	address, err := freeAddress("127.88.9.1")
 	c.Assert(err, qt.IsNil)
 	cfg := plan.Settings(message.RoleProxy, "edge", "", zoneName(0), address, []string{address, address, address})
-	parts := []Part{{Role: message.RoleProxy, Service: "service-001", Settings: cfg}}
+	specs := []NodeSpec{{Role: message.RoleProxy, Service: "service-001", Settings: cfg}}
 	input, output := bytes.Buffer{}, bytes.Buffer{}
 	encoder := json.NewEncoder(&input)
-	c.Assert(encoder.Encode(parts), qt.IsNil)
-	requests := []Request{{Command: CommandRead}, {Command: "nothing"}, {Command: CommandState, Index: 7}, {Command: CommandWeigh}}
+	c.Assert(encoder.Encode(specs), qt.IsNil)
+	requests := []Request{{Command: CommandRead}, {Command: "nothing"}, {Command: CommandState, Index: 7}, {Command: CommandMemory}}
 	for _, request := range requests {
 		c.Assert(encoder.Encode(request), qt.IsNil)
 	}
@@ -184,7 +191,7 @@
 	}
 	c.Assert(answers[0].Fault, qt.Equals, "")
 	c.Assert(answers[1].Reading.Processor > 0, qt.IsTrue)
-	c.Assert(answers[2].Fault, qt.Contains, "nothing")
-	c.Assert(answers[3].Fault, qt.Contains, "no part 7")
+	c.Assert(answers[2].Fault, qt.Contains, `unknown command "nothing"`)
+	c.Assert(answers[3].Fault, qt.Contains, "node index 7 is out of range: the process has 1 nodes")
 	c.Assert(answers[4].Reading.Live > 0, qt.IsTrue)
 }
--- a/internal/scaletest/serve.go
+++ b/internal/scaletest/serve.go
@@ -8,19 +8,19 @@
 	"beaconvane/internal/errcode"
 )
 
-// Serve is the loop of a hollow fleet's process: the first JSON value it reads has the parts, each
-// further one is a Request. It returns when its input ends, so that no process outlives the one that
-// started it.
+// Serve runs the request loop of a hollow fleet's process. The first JSON value of the input is the list
+// of nodes, each further one is a Request. Serve returns when its input ends, so that no process
+// outlives its parent.
 func Serve(in io.Reader, out io.Writer) error {
 	reader, encoder := bufio.NewReaderSize(in, 1<<20), json.NewEncoder(out)
 	decoder := json.NewDecoder(reader)
-	parts := []Part{}
-	if err := decoder.Decode(&parts); err != nil {
+	specs := []NodeSpec{}
+	if err := decoder.Decode(&specs); err != nil {
 		return errcode.Wrap("scaletest.serve", errcode.ConfigUnreadable, err)
 	}
-	hollow, err := NewHollowFleet(parts)
+	hollow, err := NewHollowFleet(specs)
 	if err != nil {
-		_ = encoder.Encode(Answer{Fault: err.Error()}) // the error is returned in any case
+		_ = encoder.Encode(Answer{Fault: err.Error()}) // the error is returned below
 		return err
 	}
 	defer hollow.Close()
--- a/internal/scaletest/slopes.go
+++ b/internal/scaletest/slopes.go
@@ -5,13 +5,13 @@
 	"sort"
 )
 
-// Shape is a way of growing.
+// Shape is a growth function of the fleet size.
 type Shape struct {
 	Name string
 	At   func(size float64) float64
 }
 
-// Shapes are the shapes that are fitted, the slowest first.
+// Shapes are the growth functions that are fitted, in ascending order of growth.
 var Shapes = []Shape{
 	{"flat", func(float64) float64 { return 0 }},
 	{"log n", func(size float64) float64 { return math.Log2(size) }},
@@ -20,37 +20,39 @@
 	{"n²", func(size float64) float64 { return size * size }},
 }
 
-// Slope is a fitted shape: base + rate × shape(size). A few shapes are fitted by least squares of
-// the relative error, and the one that misses least is taken; a shape that grows is taken only where
-// it misses clearly less than a flat one. The range of the extrapolated figure comes from fitting
-// each repeat alone and from the next best shape, so that it shows both the scatter of the measuring
-// and what the choice of a shape decides.
+// Slope is a fitted growth function: base + rate × shape(size). Each shape is fitted by least squares of
+// the relative error, and the one with the smallest error is used; a growing shape is used only if its
+// error is clearly smaller than that of the flat one (maxGrowthErrorRatio). The range of the
+// extrapolated value comes from fitting each repeat separately and from other shapes with a similar
+// error (maxAlternativeErrorRatio), so that it reflects both the scatter of the measurements and the
+// uncertainty about the shape.
 type Slope struct {
-	Shape    string  `json:"shape"`
-	Base     float64 `json:"base"`
-	Rate     float64 `json:"rate"`
-	Miss     float64 `json:"miss"`     // root mean square of the relative error
-	Exponent float64 `json:"exponent"` // of the log-log line, for comparison
-	Target   float64 `json:"target"`   // the figure at the size extrapolated to, with its range
-	Least    float64 `json:"least"`
-	Most     float64 `json:"most"`
+	Shape         string  `json:"shape"`
+	Base          float64 `json:"base"`
+	Rate          float64 `json:"rate"`
+	RelativeError float64 `json:"miss"`     // root mean square of the relative error
+	Exponent      float64 `json:"exponent"` // slope of the regression line in log-log coordinates, for comparison
+	Target        float64 `json:"target"`   // value extrapolated to the target size; Lower and Upper are its range
+	Lower         float64 `json:"least"`
+	Upper         float64 `json:"most"`
 }
 
 const (
-	clearlyBetter = 0.7  // a growing shape must miss by less than this share of a flat one's miss
-	asLikely      = 1.25 // a shape that misses by at most this much more is as likely
+	maxGrowthErrorRatio      = 0.7  // maximum error of a growing shape, as a share of the flat shape's error
+	maxAlternativeErrorRatio = 1.25 // maximum error of a shape that widens the range, relative to the best shape's error
 )
 
-// fit gives base and rate of one shape; weights are one over the value squared.
-func fit(shape Shape, sizes, values []float64) (base, rate, miss float64) {
+// fit returns the base and the rate of one shape by weighted least squares, with weights of one over
+// the value squared, and the root mean square of the relative error.
+func fit(shape Shape, sizes, values []float64) (base, rate, relativeError float64) {
 	var sumW, sumX, sumY, sumXX, sumXY float64
 	for index, size := range sizes {
 		weight := 1 / math.Max(values[index]*values[index], 1e-12)
 		x, y := shape.At(size), values[index]
 		sumW, sumX, sumY, sumXX, sumXY = sumW+weight, sumX+weight*x, sumY+weight*y, sumXX+weight*x*x, sumXY+weight*x*y
 	}
-	if spread := sumW*sumXX - sumX*sumX; spread > 1e-9*sumW*sumXX {
-		rate = (sumW*sumXY - sumX*sumY) / spread
+	if determinant := sumW*sumXX - sumX*sumX; determinant > 1e-9*sumW*sumXX {
+		rate = (sumW*sumXY - sumX*sumY) / determinant
 	}
 	if sumW > 0 {
 		base = (sumY - rate*sumX) / sumW
@@ -58,26 +60,26 @@
 	for index, size := range sizes {
 		fitted := base + rate*shape.At(size)
 		if values[index] != 0 {
-			miss += (fitted - values[index]) * (fitted - values[index]) / (values[index] * values[index])
+			relativeError += (fitted - values[index]) * (fitted - values[index]) / (values[index] * values[index])
 		}
 	}
-	return base, rate, math.Sqrt(miss / float64(len(sizes)))
+	return base, rate, math.Sqrt(relativeError / float64(len(sizes)))
 }
 
-// at is what a shape comes to at a size; never below nothing.
-func at(shape Shape, sizes, values []float64, size float64) float64 {
+// extrapolate fits a shape and returns its value at a size, at least 0.
+func extrapolate(shape Shape, sizes, values []float64, size float64) float64 {
 	base, rate, _ := fit(shape, sizes, values)
 	return math.Max(0, base+rate*shape.At(size))
 }
 
-// samples are the values of one measure at several sizes.
+// samples holds the values of one metric at several fleet sizes.
 type samples struct {
 	sizes   []float64
 	means   []float64
-	repeats [][]float64 // for each repeat the value at each size
+	repeats [][]float64 // by repeat and size
 }
 
-// samplesOf collects the rows that have values; of repeats it has as many as every size has.
+// samplesOf collects the rows that have values. The number of repeats is the lowest of all sizes.
 func samplesOf(list []Row) samples {
 	s, repeats := samples{}, -1
 	rows := []Row{}
@@ -101,27 +103,27 @@
 	return s
 }
 
-// fitted is a shape with the parameters that fit best.
+// fitted is a shape with its fitted parameters and its relative error.
 type fitted struct {
-	shape            Shape
-	base, rate, miss float64
+	shape                     Shape
+	base, rate, relativeError float64
 }
 
-// fits returns the shapes that neither fall nor start below zero, the one that misses least first, and
-// the flat one.
+// fits returns the fitted shapes in ascending order of their error, and the flat one. It leaves out
+// shapes that decrease or are negative at the smallest size.
 func (s samples) fits() (ranked []fitted, flat fitted) {
 	for _, shape := range Shapes {
-		base, rate, miss := fit(shape, s.sizes, s.means)
+		base, rate, relativeError := fit(shape, s.sizes, s.means)
 		if rate >= 0 && (base+rate*shape.At(s.sizes[0]) >= 0 || shape.Name == "flat") {
-			ranked = append(ranked, fitted{shape, base, rate, miss})
+			ranked = append(ranked, fitted{shape, base, rate, relativeError})
 		}
 	}
 	flat = ranked[0]
-	sort.SliceStable(ranked, func(i, j int) bool { return ranked[i].miss < ranked[j].miss })
+	sort.SliceStable(ranked, func(i, j int) bool { return ranked[i].relativeError < ranked[j].relativeError })
 	return ranked, flat
 }
 
-// SlopeOf fits the rows of one measure at several sizes, and extrapolates to a target size.
+// SlopeOf fits the rows of one metric at several fleet sizes, and extrapolates to a target size.
 func SlopeOf(list []Row, target float64) Slope {
 	s := samplesOf(list)
 	if len(s.sizes) == 0 {
@@ -129,35 +131,36 @@
 	}
 	ranked, flat := s.fits()
 	best := ranked[0]
-	if best.miss > flat.miss*clearlyBetter || len(s.sizes) < 3 {
+	if best.relativeError > flat.relativeError*maxGrowthErrorRatio || len(s.sizes) < 3 {
 		best = flat
 	}
 	slope := Slope{
-		Shape:    best.shape.Name,
-		Base:     best.base,
-		Rate:     best.rate,
-		Miss:     best.miss,
-		Exponent: exponent(s.sizes, s.means),
-		Target:   at(best.shape, s.sizes, s.means, target),
-	}
-	slope.Least, slope.Most = slope.Target, slope.Target
+		Shape:         best.shape.Name,
+		Base:          best.base,
+		Rate:          best.rate,
+		RelativeError: best.relativeError,
+		Exponent:      exponent(s.sizes, s.means),
+		Target:        extrapolate(best.shape, s.sizes, s.means, target),
+	}
+	slope.Lower, slope.Upper = slope.Target, slope.Target
 	for _, values := range s.repeats {
-		slope.widen(at(best.shape, s.sizes, values, target))
+		slope.widen(extrapolate(best.shape, s.sizes, values, target))
 	}
 	for _, other := range ranked {
-		if best.shape.Name != "flat" && other.miss <= best.miss*asLikely+0.01 {
-			slope.widen(at(other.shape, s.sizes, s.means, target))
+		if best.shape.Name != "flat" && other.relativeError <= best.relativeError*maxAlternativeErrorRatio+0.01 {
+			slope.widen(extrapolate(other.shape, s.sizes, s.means, target))
 		}
 	}
 	return slope
 }
 
-// widen makes the range of the extrapolated figure include a value.
+// widen extends the range of the extrapolated value to include another value.
 func (s *Slope) widen(value float64) {
-	s.Least, s.Most = math.Min(s.Least, value), math.Max(s.Most, value)
+	s.Lower, s.Upper = math.Min(s.Lower, value), math.Max(s.Upper, value)
 }
 
-// exponent is the slope of the line through the logarithms.
+// exponent returns the slope of the regression line through the logarithms of sizes and values, without
+// values that are not positive.
 func exponent(sizes, values []float64) float64 {
 	var sumX, sumY, sumXX, sumXY, number float64
 	for index, size := range sizes {
@@ -167,12 +170,13 @@
 		x, y := math.Log(size), math.Log(values[index])
 		sumX, sumY, sumXX, sumXY, number = sumX+x, sumY+y, sumXX+x*x, sumXY+x*y, number+1
 	}
-	if spread := number*sumXX - sumX*sumX; spread > 1e-9 {
-		return (number*sumXY - sumX*sumY) / spread
+	if determinant := number*sumXX - sumX*sumX; determinant > 1e-9 {
+		return (number*sumXY - sumX*sumY) / determinant
 	}
 	return 0
 }
 
+// mean returns the arithmetic mean of the values, of which there must be at least one.
 func mean(values []float64) float64 {
 	sum := 0.0
 	for _, value := range values {
@@ -181,10 +185,11 @@
 	return sum / float64(len(values))
 }
 
-func extent(values []float64) (least, most float64) {
-	least, most = values[0], values[0]
+// extent returns the lowest and the highest of the values, of which there must be at least one.
+func extent(values []float64) (lowest, highest float64) {
+	lowest, highest = values[0], values[0]
 	for _, value := range values {
-		least, most = math.Min(least, value), math.Max(most, value)
+		lowest, highest = math.Min(lowest, value), math.Max(highest, value)
 	}
-	return least, most
+	return lowest, highest
 }
--- a/internal/scaletest/table.go
+++ b/internal/scaletest/table.go
@@ -18,7 +18,7 @@
 	"beaconvane/internal/errcode"
 )
 
-// Table is what a course found at all sizes.
+// Table holds the results of a course at all fleet sizes.
 type Table struct {
 	Plan   Plan   `json:"plan"`
 	Course Course `json:"course"`
@@ -27,7 +27,7 @@
 	Lines  []Line `json:"lines"`
 }
 
-// Line is one measure over all sizes, with its slope.
+// Line is one metric over all fleet sizes, with its fitted slope.
 type Line struct {
 	Phase  string `json:"phase"`
 	Role   string `json:"role"`
@@ -36,7 +36,7 @@
 	rows   []Row
 }
 
-// FitLines groups the rows by measure and fits each.
+// FitLines groups the rows by phase, role and metric, and fits each group.
 func (t *Table) FitLines() {
 	grouped, order := map[string]*Line{}, []string{}
 	for _, row := range t.Rows {
@@ -56,7 +56,7 @@
 	}
 }
 
-// number formats a figure with three digits.
+// number formats a value with about three significant digits and an SI prefix.
 func number(value float64) string {
 	switch magnitude := math.Abs(value); {
 	case magnitude >= 1e9:
@@ -73,7 +73,7 @@
 	return fmt.Sprintf("%.3g", value)
 }
 
-// Markdown prints the table, without lines that are all zero.
+// Markdown prints the table as Markdown, without lines whose values are all zero.
 func (t *Table) Markdown(out io.Writer) {
 	sizes := append([]int{}, t.Course.Sizes...)
 	sort.Ints(sizes)
@@ -93,7 +93,7 @@
 			}
 			slope := line.Slope
 			fmt.Fprintf(out, " %s | %.0f%% | %s (%s..%s) |\n",
-				slope.Shape, slope.Miss*100, number(slope.Target), number(slope.Least), number(slope.Most))
+				slope.Shape, slope.RelativeError*100, number(slope.Target), number(slope.Lower), number(slope.Upper))
 		}
 		fmt.Fprintln(out)
 	}
@@ -111,31 +111,32 @@
 	return true
 }
 
-// cell returns the mean at one size, and half the distance of the extremes.
+// cell formats the mean at one size and, for several values, half of their range.
 func (l Line) cell(size int) string {
 	for _, row := range l.rows {
 		if row.Size == size && len(row.Values) > 0 {
-			least, most := extent(row.Values)
+			lowest, highest := extent(row.Values)
 			if len(row.Values) == 1 {
 				return number(row.Values[0])
 			}
-			return number(mean(row.Values)) + " ±" + number((most-least)/2)
+			return number(mean(row.Values)) + " ±" + number((highest-lowest)/2)
 		}
 	}
 	return ""
 }
 
-// JSON prints everything as JSON.
+// JSON prints the table as JSON.
 func (t *Table) JSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(t)
 }
 
-// Curve names one line of a plot.
+// Curve selects one line of the table for a chart.
 type Curve struct{ Phase, Role, Metric, Label string }
 
-// Chart is one plot: curves, and the bound that they are held to, if there is one.
+// Chart describes one plot: its curves, and the bound on their values. Scale converts the values to
+// Unit.
 type Chart struct {
 	Name, Title, Unit string
 	Bound             float64
@@ -143,7 +144,7 @@
 	Scale             float64
 }
 
-// Charts are the plots of docs/CAPACITY.md.
+// Charts are the charts of docs/CAPACITY.md.
 var Charts = []Chart{
 	{
 		Name: "capacity-bytes", Title: "Control bytes a second of one proxy, in and out, by part",
@@ -184,7 +185,7 @@
 	},
 }
 
-// Plot draws the charts as PNG files into a folder.
+// Plot writes the charts to a folder as PNG files.
 func (t *Table) Plot(folder string) error {
 	for _, chart := range Charts {
 		if err := t.draw(chart, folder); err != nil {
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// drawing is one plot in the making, with the range of what it shows.
+// drawing is a plot under construction, with the range of its values.
 type drawing struct {
 	plot            *plot.Plot
 	scale           float64
@@ -202,7 +203,7 @@
 	lowest, highest float64
 }
 
-// draw draws one chart into a folder; a chart without figures is left out.
+// draw writes one chart to a folder. A chart without values is skipped.
 func (t *Table) draw(chart Chart, folder string) error {
 	d := newDrawing(chart, float64(t.Target))
 	for index, curve := range chart.Curves {
@@ -224,86 +225,90 @@
 	return d.plot.Save(16*vg.Centimeter, 11*vg.Centimeter, filepath.Join(folder, chart.Name+".png"))
 }
 
+// newDrawing returns an empty plot with logarithmic axes.
 func newDrawing(chart Chart, target float64) *drawing {
-	drawn := plot.New()
-	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = chart.Title, "proxies in the fleet", chart.Unit
-	drawn.X.Scale, drawn.Y.Scale = plot.LogScale{}, plot.LogScale{}
-	drawn.X.Tick.Marker, drawn.Y.Tick.Marker = plot.LogTicks{}, plot.LogTicks{}
-	drawn.Legend.Top, drawn.Legend.Left = true, true
-	drawn.Add(plotter.NewGrid())
-	return &drawing{plot: drawn, scale: chart.Scale, target: target, lowest: math.Inf(1), highest: chart.Bound}
+	canvas := plot.New()
+	canvas.Title.Text, canvas.X.Label.Text, canvas.Y.Label.Text = chart.Title, "proxies in the fleet", chart.Unit
+	canvas.X.Scale, canvas.Y.Scale = plot.LogScale{}, plot.LogScale{}
+	canvas.X.Tick.Marker, canvas.Y.Tick.Marker = plot.LogTicks{}, plot.LogTicks{}
+	canvas.Legend.Top, canvas.Legend.Left = true, true
+	canvas.Add(plotter.NewGrid())
+	return &drawing{plot: canvas, scale: chart.Scale, target: target, lowest: math.Inf(1), highest: chart.Bound}
 }
 
-// include widens the range of the plot.
+// include extends the range of the plot to include a value.
 func (d *drawing) include(value float64) {
 	d.lowest, d.highest = math.Min(d.lowest, value), math.Max(d.highest, value)
 }
 
-// points returns the means of a line with the distances to their extremes; sizes without a figure
-// above 0 have no place on a logarithmic axis.
+// points returns the means of a line with the distances to the lowest and highest values. Sizes whose
+// mean is not positive are left out, since they can't be shown on a logarithmic axis.
 func (d *drawing) points(line Line) (plotter.XYs, plotter.YErrors) {
 	points, bars := plotter.XYs{}, plotter.YErrors{}
 	for _, row := range line.rows {
-		middle := mean(row.Values) * d.scale
-		if middle <= 0 {
+		average := mean(row.Values) * d.scale
+		if average <= 0 {
 			continue
 		}
-		least, most := extent(row.Values)
-		points = append(points, plotter.XY{X: float64(row.Size), Y: middle})
-		bars = append(bars, struct{ Low, High float64 }{math.Min(middle-least*d.scale, middle*0.9), most*d.scale - middle})
-		d.include(middle)
+		lowest, highest := extent(row.Values)
+		points = append(points, plotter.XY{X: float64(row.Size), Y: average})
+		bars = append(bars, struct{ Low, High float64 }{math.Min(average-lowest*d.scale, average*0.9), highest*d.scale - average})
+		d.include(average)
 	}
 	return points, bars
 }
 
-// addLine adds the measured points of a line, and the way from the last to the figure extrapolated.
+// addLine adds the measured points of a line, and a dashed line from the last one to the extrapolated
+// value.
 func (d *drawing) addLine(line Line, label string, index int) error {
 	points, bars := d.points(line)
 	if len(points) == 0 {
 		return nil
 	}
-	measured, dots, err := plotter.NewLinePoints(points)
+	measured, markers, err := plotter.NewLinePoints(points)
 	if err != nil {
 		return err
 	}
-	measured.Color, dots.Color = plotutil.Color(index), plotutil.Color(index)
-	dots.Shape = plotutil.Shape(index)
-	spread, err := plotter.NewYErrorBars(struct {
+	measured.Color, markers.Color = plotutil.Color(index), plotutil.Color(index)
+	markers.Shape = plotutil.Shape(index)
+	errorBars, err := plotter.NewYErrorBars(struct {
 		plotter.XYer
 		plotter.YErrorer
 	}{points, bars})
 	if err != nil {
 		return err
 	}
-	spread.Color = plotutil.Color(index)
-	d.plot.Add(measured, dots, spread)
-	d.plot.Legend.Add(label, measured, dots)
+	errorBars.Color = plotutil.Color(index)
+	d.plot.Add(measured, markers, errorBars)
+	d.plot.Legend.Add(label, measured, markers)
 	if line.Slope.Target > 0 && line.Slope.Shape != "none" {
 		return d.addExtrapolation(points[len(points)-1], line.Slope.Target, index)
 	}
 	return nil
 }
 
+// addExtrapolation adds a dashed line from the last measured point to the extrapolated value.
 func (d *drawing) addExtrapolation(last plotter.XY, target float64, index int) error {
-	reached := plotter.XY{X: d.target, Y: math.Max(target*d.scale, 1e-6)}
-	onward, err := plotter.NewLine(plotter.XYs{last, reached})
+	targetPoint := plotter.XY{X: d.target, Y: math.Max(target*d.scale, 1e-6)}
+	extrapolation, err := plotter.NewLine(plotter.XYs{last, targetPoint})
 	if err != nil {
 		return err
 	}
-	onward.Color, onward.Dashes = plotutil.Color(index), []vg.Length{vg.Points(3), vg.Points(3)}
-	d.plot.Add(onward)
-	d.include(reached.Y)
+	extrapolation.Color, extrapolation.Dashes = plotutil.Color(index), []vg.Length{vg.Points(3), vg.Points(3)}
+	d.plot.Add(extrapolation)
+	d.include(targetPoint.Y)
 	return nil
 }
 
+// addBound adds a horizontal line at the bound, and sets the range of the vertical axis.
 func (d *drawing) addBound(bound, smallest float64) error {
-	level, err := plotter.NewLine(plotter.XYs{{X: smallest, Y: bound}, {X: d.target, Y: bound}})
+	boundLine, err := plotter.NewLine(plotter.XYs{{X: smallest, Y: bound}, {X: d.target, Y: bound}})
 	if err != nil {
 		return err
 	}
-	level.Color, level.Width = color.RGBA{R: 200, A: 255}, vg.Points(1.5)
-	d.plot.Add(level)
-	d.plot.Legend.Add(fmt.Sprintf("bound: %s", number(bound)), level)
+	boundLine.Color, boundLine.Width = color.RGBA{R: 200, A: 255}, vg.Points(1.5)
+	d.plot.Add(boundLine)
+	d.plot.Legend.Add(fmt.Sprintf("bound: %s", number(bound)), boundLine)
 	d.plot.Y.Min, d.plot.Y.Max = math.Min(d.lowest, bound)/2, d.highest*20
 	return nil
 }
