--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -25,6 +25,7 @@
 // requestTimeout is the load generator's timeout for one request.
 const requestTimeout = 8 * time.Second
 
+// httpClient sends the fleet's own requests: writes of configurations and queries of the processes.
 var httpClient = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{Proxy: nil, MaxIdleConnsPerHost: 4}}
 
 // fetchBody gets a URL and returns the body and the status of the answer. Status 0 means that no
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -28,9 +28,9 @@
 // Fleet is a deployment of local processes, with the record of its run.
 type Fleet struct {
 	Deployment workload.Deployment
-	Bin        string
-	Folder     string
-	Base       time.Time
+	Bin        string    // folder of the programs
+	Folder     string    // folder of the settings, logs and data
+	Base       time.Time // start of the run, to which the times of the record are relative
 	Group      *goroutine.Group
 
 	Processes []*Process
@@ -46,9 +46,9 @@
 	connectedSince map[string]time.Duration // by proxy, for those that were not signalled yet
 	connected      []checker.Span           // intervals of proxies from MarkConnected to their first signal
 	writeAnswers   map[string]int           // number of answers to writes, by status and error code
-	frozen         []checker.Span
-	killed         []checker.Span
-	uploads        []checker.CallerRequest // requests that a scenario sent in addition to the load
+	frozen         []checker.Span           // intervals between SIGSTOP and SIGCONT, by HTTP address
+	killed         []checker.Span           // kills of processes, by HTTP address, and of upstreams, by instance
+	uploads        []checker.CallerRequest  // requests that a scenario sent in addition to the load
 }
 
 // New prepares a fleet: it assigns addresses, writes the settings files into a folder and starts the
@@ -72,8 +72,8 @@
 	if err := f.assignAddresses(placed); err != nil {
 		return nil, err
 	}
-	for _, placement := range placed {
-		process, err := f.prepare(placement)
+	for _, target := range placed {
+		process, err := f.prepare(target)
 		if err != nil {
 			return nil, err
 		}
@@ -120,13 +120,13 @@
 
 // assignAddresses assigns an address to each process. Those of the registries become the seeds.
 func (f *Fleet) assignAddresses(placed []*placement) error {
-	for _, placement := range placed {
-		address, err := freeAddress(placement.host)
+	for _, target := range placed {
+		address, err := freeAddress(target.host)
 		if err != nil {
 			return err
 		}
-		placement.address = address
-		if placement.role == message.RoleRegistry {
+		target.address = address
+		if target.role == message.RoleRegistry {
 			f.seedAddresses = append(f.seedAddresses, address)
 		}
 	}
--- a/internal/fleet/play.go
+++ b/internal/fleet/play.go
@@ -17,8 +17,8 @@
 // Outcome is the result of a run: its figures and the checker's review.
 type Outcome struct {
 	Scenario  string          `json:"scenario"`
-	ReadyMS   int64           `json:"ready_ms"`
-	RestoreMS int64           `json:"restore_ms"`
+	ReadyMS   int64           `json:"ready_ms"`   // time from the start of the processes until the fleet is ready
+	RestoreMS int64           `json:"restore_ms"` // time until every proxy is ready again, in the scenario restart
 	Summary   loadgen.Summary `json:"summary"`
 	Review    checker.Review  `json:"review"`
 	Usage     []ProcessUsage  `json:"uses"`
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -76,11 +76,11 @@
 func (f *Fleet) readBack(record *checker.Record) {
 	record.RetainedVersions = int(settings.Default().Limits.RetainedVersions)
 	for _, process := range f.Of(message.RoleRegistry) {
-		list := struct {
+		versionList := struct {
 			Versions []int64 `json:"versions"`
 		}{}
-		Get("http://"+process.HTTPAddress+"/v1/configurations/"+configName+"/versions", &list)
-		for _, version := range list.Versions {
+		Get("http://"+process.HTTPAddress+"/v1/configurations/"+configName+"/versions", &versionList)
+		for _, version := range versionList.Versions {
 			body, status := fetchBody(fmt.Sprintf("http://%s/v1/configurations/%s/%d", process.HTTPAddress, configName, version))
 			if status == http.StatusOK {
 				record.StoredVersions = append(record.StoredVersions, checker.StoredVersion{
--- a/internal/loadgen/summary.go
+++ b/internal/loadgen/summary.go
@@ -8,22 +8,22 @@
 )
 
 // Summary holds the figures of a load. Good counts the answers of upstreams, Share is Good as a share of
-// Asked, and ByCode counts the other outcomes by the mesh's error code, or as "connection". Latencies
+// Sent, and ByCode counts the other outcomes by the mesh's error code, or as "connection". Latencies
 // are those of the good answers, in milliseconds from the intended start.
 type Summary struct {
-	Asked   int            `json:"asked"`
-	Good    int            `json:"good"`
-	Share   float64        `json:"share"`
-	ByCode  map[string]int `json:"by_code"`
-	P50     float64        `json:"p50_ms"`
-	P99     float64        `json:"p99_ms"`
-	P999    float64        `json:"p999_ms"`
-	Longest float64        `json:"max_ms"`
+	Sent   int            `json:"asked"`
+	Good   int            `json:"good"`
+	Share  float64        `json:"share"`
+	ByCode map[string]int `json:"by_code"`
+	P50    float64        `json:"p50_ms"`
+	P99    float64        `json:"p99_ms"`
+	P999   float64        `json:"p999_ms"`
+	Max    float64        `json:"max_ms"`
 }
 
 // Summarise counts the outcomes and computes the percentiles of the latencies.
 func Summarise(list []checker.CallerRequest) Summary {
-	summary := Summary{Asked: len(list), ByCode: map[string]int{}}
+	summary := Summary{Sent: len(list), ByCode: map[string]int{}}
 	latencies := []float64{}
 	for _, request := range list {
 		switch {
@@ -46,6 +46,6 @@
 		}
 		return latencies[min(len(latencies)-1, int(share*float64(len(latencies))))]
 	}
-	summary.P50, summary.P99, summary.P999, summary.Longest = rank(0.5), rank(0.99), rank(0.999), rank(1)
+	summary.P50, summary.P99, summary.P999, summary.Max = rank(0.5), rank(0.99), rank(0.999), rank(1)
 	return summary
 }
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -128,15 +128,15 @@
 
 // until checks a condition at an interval and reports whether it was true within the limit.
 func until(limit, interval time.Duration, condition func() bool) bool {
-	ticker, end := time.NewTicker(interval), time.NewTimer(limit)
+	ticker, timer := time.NewTicker(interval), time.NewTimer(limit)
 	defer ticker.Stop()
-	defer end.Stop()
+	defer timer.Stop()
 	for {
 		if condition() {
 			return true
 		}
 		select {
-		case <-end.C:
+		case <-timer.C:
 			return false
 		case <-ticker.C:
 		}
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -40,6 +40,8 @@
 	group   *goroutine.Group
 }
 
+// do sends a request to the process and waits for the answer. An error of the pipes is returned as
+// Answer.Fault.
 func (f *remoteFleet) do(request Request) Answer {
 	answer := Answer{}
 	if err := f.encoder.Encode(request); err != nil {
--- a/internal/scaletest/readings.go
+++ b/internal/scaletest/readings.go
@@ -88,13 +88,13 @@
 func (h *HollowFleet) state() *State {
 	state := newState()
 	proxies, depths := 0, 0
-	for _, member := range h.nodes {
-		if member.spec.Role != message.RoleProxy {
+	for _, hollow := range h.nodes {
+		if hollow.spec.Role != message.RoleProxy {
 			continue
 		}
 		proxies++
-		member.addMembershipView(state, proxies == 1)
-		status, err := member.status()
+		hollow.addMembershipView(state, proxies == 1)
+		status, err := hollow.status()
 		if err != nil {
 			continue
 		}
