--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -12,19 +12,20 @@
 	"beaconvane/internal/storage"
 )
 
-const inboxCap = 20000
+// maxInboxLength is the number of arrivals that a frozen process queues; further ones are dropped.
+const maxInboxLength = 20000
 
 // Node is one simulated process: the product's state machine with its own clock and disk, and for a
-// proxy its frontend and backend. A frozen node handles nothing while its clock runs on; what
-// arrived meanwhile waits in its inbox.
+// proxy also its frontend and backend. A frozen node handles no events while its clock continues;
+// arrivals wait in its inbox until it resumes.
 type Node struct {
 	process
-	disks
-	proxyParts
+	diskState
+	proxyState
 	world         *World
 	name          string
 	role          string
-	machine       string // processes of one machine fail and are cut together
+	machine       string // processes of one machine crash and are partitioned together
 	settings      settings.Settings
 	clock         processClock
 	control       statemachine.Machine
@@ -33,58 +34,59 @@
 	lastRequestID int64
 }
 
-// process is whether and since when the process runs, and what waits while it is frozen.
+// process is the running state of a process.
 type process struct {
-	up          bool
-	frozen      bool
-	frozenAt    time.Duration
-	inbox       []func() // arrivals while it is frozen
-	incarnation int      // grows with each boot
-	born        time.Duration
-	stopping    bool
-	leaving     bool          // it is once the process has ended
-	retired     bool          // its machine was taken away for good
-	spanStart   time.Duration // begin of the span of service that is open, if spanOn
-	spanOpen    bool
+	up               bool
+	frozen           bool
+	frozenAt         time.Duration
+	inbox            []func() // callbacks that arrived while it was frozen
+	incarnation      int      // incremented at each boot
+	startedAt        time.Duration
+	stopping         bool
+	decommissioned   bool          // the machine is retired once the process has ended
+	retired          bool          // the machine has been removed permanently
+	serviceSpanStart time.Duration // start of the current span of service, if serviceSpanOpen
+	serviceSpanOpen  bool
 }
 
-// disks is the disk of a process of the core, its store, and the writes that wait for the disk.
-type disks struct {
+// diskState is the disk of a core process, its store, and the writes that wait for the disk.
+type diskState struct {
 	disk               *Disk
-	diskLost           bool // at least once
+	diskLost           bool // the disk has been lost at least once
 	store              *storage.Store
-	machineIncarnation int  // grows when the state machine is built, also without a new process
-	recovering         bool // the disk has refused a write; the state machine is built anew once it works
+	machineIncarnation int  // incremented when the state machine is built, also within one process
+	recovering         bool // the disk has refused a write; the state machine is rebuilt once the disk accepts writes
 
 	pendingWrites   []statemachine.Write
-	diskFreeAt      time.Duration
+	diskIdleAt      time.Duration
 	writeDelay      time.Duration
 	writeDelayUntil time.Duration
 }
 
-// proxyParts is what only a proxy has: the product's frontend and backend, and its connections.
-type proxyParts struct {
-	tracker        *frontend.Dispatcher
-	frontend       *frontend.Frontend
-	serving        *backend.Backend
-	snapshot       *proxy.Snapshot
-	connections    []*simConnection
-	pools          map[backend.Target][]upConnection
-	guards         map[backend.Target]upConnection
-	inFlight       int  // callers' requests not answered yet
-	listenerClosed bool // takes no new requests
+// proxyState is the state that only a proxy has: the product's frontend and backend, and its connections.
+type proxyState struct {
+	dispatcher       *frontend.Dispatcher
+	frontend         *frontend.Frontend
+	backend          *backend.Backend
+	snapshot         *proxy.Snapshot
+	connections      []*simConnection
+	connectionPools  map[backend.Target][]upstreamConnection
+	guardConnections map[backend.Target]upstreamConnection
+	inFlight         int  // callers' requests in flight
+	listenerClosed   bool // accepts no new requests
 }
 
+// addNode adds a node that isn't running yet, with a random clock drift and wall-clock offset.
 func (w *World) addNode(role, machine, voter, zone, address string, seeds []string) *Node {
 	cfg := w.options.Deployment.Settings(role, machine, voter, zone, address, address, seeds, "data")
 	cfg.Collector = "http://collector/"
 	node := &Node{
-		world:    w,
-		name:     role + "/" + machine,
-		role:     role,
-		machine:  machine,
-		settings: cfg,
-		disks:    disks{disk: NewDisk(), writeDelay: w.options.Deployment.DiskDelay},
+		world:     w,
+		name:      role + "/" + machine,
+		role:      role,
+		machine:   machine,
+		settings:  cfg,
+		diskState: diskState{disk: NewDisk(), writeDelay: w.options.Deployment.DiskDelay},
 		clock: processClock{
 			drift:      (w.random.Float64() - 0.5) * 0.002,
 			wallOffset: time.Duration(w.random.Int64N(int64(60*time.Millisecond))) - 30*time.Millisecond,
@@ -92,12 +94,12 @@
 		replies: map[int64]func(any){},
 	}
 	w.nodes[node.name] = node
-	w.order = append(w.order, node.name)
-	w.byAddress[address] = node
+	w.nodeOrder = append(w.nodeOrder, node.name)
+	w.nodeByAddress[address] = node
 	return node
 }
 
-// voterName names the voter in the record: the settings' one, or the machine.
+// voterName returns the node's voter name in the record: the one in its settings, or else its machine's name.
 func (n *Node) voterName() string {
 	if n.settings.Voter != "" {
 		return n.settings.Voter
@@ -105,9 +107,10 @@
 	return n.machine
 }
 
+// address returns the node's control address.
 func (n *Node) address() string { return n.settings.Address }
 
-// every does something in a steady rhythm of the node's clock, until the process restarts.
+// every calls a function periodically by the node's clock, until the process ends.
 func (n *Node) every(incarnation int, wait time.Duration, do func()) {
 	n.world.after(n.trueWait(wait), func() {
 		if n.up && n.incarnation == incarnation {
@@ -117,39 +120,42 @@
 	})
 }
 
-func (n *Node) sweep() {
-	n.tracker.Expire()
-	for target := range n.pools {
-		if !n.serving.ConnectionsUsable(n.Now(), target) {
-			delete(n.pools, target)
+// sweepConnections expires requests and drops connections to upstreams that are closed or no longer usable.
+func (n *Node) sweepConnections() {
+	n.dispatcher.Expire()
+	for target := range n.connectionPools {
+		if !n.backend.ConnectionsUsable(n.Now(), target) {
+			delete(n.connectionPools, target)
 		}
 	}
-	for target, guard := range n.guards {
-		if !guard.quiet() {
-			n.serving.RecordConnectionLoss(n.Now(), target)
-			delete(n.guards, target)
+	for target, guard := range n.guardConnections {
+		if !guard.idle() {
+			n.backend.RecordConnectionLoss(n.Now(), target)
+			delete(n.guardConnections, target)
 		}
 	}
 }
 
-func (n *Node) count() {
-	usage, closed := n.frontend.Usage(time.Duration(n.Wall().UnixNano()), mustBe[*proxy.Machine](n.control).SealedBelow())
+// reportUsage passes the frontend's usage counts to the proxy's state machine.
+func (n *Node) reportUsage() {
+	usage, closed := n.frontend.Usage(time.Duration(n.Wall().UnixNano()), mustCast[*proxy.Machine](n.control).SealedBelow())
 	n.apply(statemachine.LocalRequest{Request: proxy.UsageCounted{Usage: usage, Closed: closed}})
 }
 
-// tick is dropped, not kept back, while the process stands still.
+// tick advances the state machine. Ticks of a frozen process are dropped, not queued.
 func (n *Node) tick() {
 	if !n.frozen {
 		n.apply(statemachine.Ticked{})
 	}
 }
 
-// run does something in the process, now or when it wakes.
+// run calls a function in the process: now, or when a frozen process resumes. It does nothing if the
+// incarnation has ended or the inbox is full.
 func (n *Node) run(incarnation int, do func()) {
 	switch {
 	case !n.up || n.incarnation != incarnation:
 	case n.frozen:
-		if len(n.inbox) < inboxCap {
+		if len(n.inbox) < maxInboxLength {
 			n.inbox = append(n.inbox, do)
 		}
 	default:
@@ -157,19 +163,21 @@
 	}
 }
 
-func (n *Node) arrive(from string, frame []byte) {
+// receive decodes a frame and passes the message to the state machine.
+func (n *Node) receive(from string, frame []byte) {
 	incarnation := n.incarnation
 	n.run(incarnation, func() {
 		msg, err := message.Decode(frame)
 		if err != nil {
-			n.world.fail("%s cannot read a frame: %v", n.name, err)
+			n.world.fail("%s failed to decode a frame: %v", n.name, err)
 			return
 		}
-		n.world.mark("%s>%s %T %d", from, n.name, msg, len(frame))
+		n.world.traceEvent("%s>%s %T %d", from, n.name, msg, len(frame))
 		n.apply(statemachine.Arrived{From: from, Message: msg})
 	})
 }
 
+// apply applies a command to the state machine at the node's time and performs the effects.
 func (n *Node) apply(command statemachine.Command) {
 	n.env.Now, n.env.Wall = n.Now(), time.Duration(n.Wall().UnixNano())
 	command.Apply(n.control, n.env)
