--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -165,8 +165,8 @@
 // send sends one request and records its outcome.
 func (r *run) send(kind Kind, record *checker.CallerRequest) {
 	record.Sent = time.Since(r.plan.Base)
-	// net/http resends a request on a new connection only if it can rewind the body. Hiding the
-	// bytes.Reader prevents that, so that each request is sent once.
+	// net/http can resend a request only if it can rewind the body. Hiding the bytes.Reader prevents
+	// that, so that a request with a body is sent at most once.
 	body := io.MultiReader(bytes.NewReader(make([]byte, kind.Body)))
 	request, err := http.NewRequest(kind.Method, "http://"+record.Proxy+kind.Path, body)
 	if err != nil {
