--- a/internal/explore/fingerprint.go
+++ b/internal/explore/fingerprint.go
@@ -13,16 +13,18 @@
 	"beaconvane/internal/storage"
 )
 
-// fingerprint folds the state of a run into a hash, through unexported fields and pointers as well:
-// machines, disks, messages and writes in flight, lasting faults, and what operators were told. Two
-// runs with one fingerprint at one round go on alike.
+// fingerprint serializes the state of a run for hashing, including unexported fields and what pointers refer to:
+// machines, disks, messages and writes in flight, lasting faults, and the outcomes that operators received. Two
+// runs with the same fingerprint at the same round continue alike.
 type fingerprint struct {
-	text strings.Builder
-	met  map[uintptr]int
+	text    strings.Builder
+	visited map[uintptr]int // by pointer: its number, in order of first visit
 }
 
+// settingsType is skipped: settings follow from the process's index and incarnation, which are serialized.
 var settingsType = reflect.TypeFor[settings.Settings]()
 
+// add serializes any value.
 func (f *fingerprint) add(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -46,7 +48,7 @@
 			f.add(value.Index(index))
 		}
 	case reflect.Func, reflect.Chan, reflect.UnsafePointer:
-		// What a continuation will do follows from the write that it waits for.
+		// A continuation's effect is determined by the write that it waits for, which is serialized on its own.
 		fmt.Fprintf(&f.text, "%t,", value.IsNil())
 	case reflect.String:
 		fmt.Fprintf(&f.text, "%q,", value.String())
@@ -55,8 +57,8 @@
 	}
 }
 
-// addBytes reads a message, if it is one: the same message has many forms, since its maps
-// are written in any order.
+// addBytes decodes body first if it is a message: maps are encoded in any order, so equal messages can differ
+// in their bytes.
 func (f *fingerprint) addBytes(body []byte) {
 	if decoded, err := message.Decode(body); err == nil {
 		f.add(reflect.ValueOf(decoded))
@@ -65,7 +67,8 @@
 	fmt.Fprintf(&f.text, "%x,", body)
 }
 
-// addDisk takes what a start from the disk would find, and what a crash might lose.
+// addDisk serializes what a restart would read from the disk, and each file's synced and total size, which bound
+// what a crash may lose.
 func (f *fingerprint) addDisk(disk *simulation.Disk) {
 	f.add(reflect.ValueOf(disk.Sizes()))
 	_, snapshot, records, err := storage.Open(disk.Copy())
@@ -74,23 +77,25 @@
 	f.add(reflect.ValueOf(records))
 }
 
+// addPointer serializes what a pointer or interface refers to, and a pointer seen before as its number.
 func (f *fingerprint) addPointer(value reflect.Value) {
 	if value.IsNil() {
 		f.text.WriteString("nil,")
 		return
 	}
 	if value.Kind() == reflect.Pointer {
-		if number, met := f.met[value.Pointer()]; met {
+		if number, visited := f.visited[value.Pointer()]; visited {
 			fmt.Fprintf(&f.text, "#%d,", number)
 			return
 		}
-		f.met[value.Pointer()] = len(f.met)
+		f.visited[value.Pointer()] = len(f.visited)
 	} else {
 		f.text.WriteString(value.Elem().Type().String())
 	}
 	f.add(value.Elem())
 }
 
+// addMap serializes a map in the order of its keys.
 func (f *fingerprint) addMap(value reflect.Value) {
 	keys := value.MapKeys()
 	slices.SortFunc(keys, func(one, other reflect.Value) int {
@@ -103,13 +108,12 @@
 	}
 }
 
-// state is the fingerprint of a world at a round's end.
-func (w *World) state() uint64 {
-	f := &fingerprint{met: map[uintptr]int{}}
+// fingerprint returns the hash of the world's state at the end of a round. It removes expired cuts from cutUntil.
+func (w *World) fingerprint() uint64 {
+	f := &fingerprint{visited: map[uintptr]int{}}
 	for _, p := range w.processes {
-		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.gone, p.leaving, p.seated, p.incarnation,
-			p.bootAt,
-			p.wall, max(p.slowTo-w.round, 0))
+		fmt.Fprintf(&f.text, "%d %t %t %t %t %t %d %d %d %d|", p.index, p.up, p.frozen, p.removed, p.leaving, p.hasVoter, p.incarnation,
+			p.startedAt, p.wallOffset, max(p.slowUntil-w.round, 0))
 		f.add(reflect.ValueOf(p.machine))
 		f.add(reflect.ValueOf(p.env))
 		f.addDisk(p.disk)
@@ -117,16 +121,16 @@
 	}
 	f.addItems(w.queue)
 	for round := w.round; round <= w.plan.Rounds; round++ {
-		f.addItems(w.later[round])
+		f.addItems(w.delayed[round])
 		fmt.Fprintf(&f.text, "%d timers,", len(w.timers[round]))
 	}
-	for pair, heals := range w.cutTo {
-		if heals <= w.round {
-			delete(w.cutTo, pair)
+	for pair, cutUntil := range w.cutUntil {
+		if cutUntil <= w.round {
+			delete(w.cutUntil, pair)
 		}
 	}
-	f.add(reflect.ValueOf(w.cutTo))
-	f.add(reflect.ValueOf(w.history.contents))
+	f.add(reflect.ValueOf(w.cutUntil))
+	f.add(reflect.ValueOf(w.history.committedBodies))
 	f.add(reflect.ValueOf(w.history.refused))
 	f.add(reflect.ValueOf(w.holders))
 	hash := fnv.New64a()
@@ -134,15 +138,16 @@
 	return hash.Sum64()
 }
 
+// addItems serializes messages and writes in flight.
 func (f *fingerprint) addItems(items []item) {
-	for _, held := range items {
-		fmt.Fprintf(&f.text, "%s>%s %d %T;", held.from, held.to.address, held.incarnation, held.message)
-		if held.write == nil {
-			f.add(reflect.ValueOf(held.message))
+	for _, pending := range items {
+		fmt.Fprintf(&f.text, "%s>%s %d %T;", pending.from, pending.to.address, pending.incarnation, pending.message)
+		if pending.write == nil {
+			f.add(reflect.ValueOf(pending.message))
 			continue
 		}
-		fmt.Fprintf(&f.text, "%d;", held.write.RequestID)
-		f.addBytes(held.write.Record)
-		f.addBytes(held.write.Snapshot)
+		fmt.Fprintf(&f.text, "%d;", pending.write.RequestID)
+		f.addBytes(pending.write.Record)
+		f.addBytes(pending.write.Snapshot)
 	}
 }
