--- a/internal/golden/codes_test.go
+++ b/internal/golden/codes_test.go
@@ -1,4 +1,5 @@
-// Result codes: their numbers, names, texts and HTTP statuses, and the bodies that bear them.
+// Golden tests of the result codes: their numbers, names, texts and HTTP statuses, and the responses
+// that contain them.
 package golden_test
 
 import (
@@ -17,43 +18,46 @@
 	"beaconvane/internal/golden"
 )
 
-func codes() []errcode.Code { return slices.Sorted(maps.Keys(errcode.Entries)) }
+// sortedCodes returns every result code in ascending order.
+func sortedCodes() []errcode.Code { return slices.Sorted(maps.Keys(errcode.Entries)) }
 
+// TestCodes records the number, name, HTTP status and text of each code.
 func TestCodes(t *testing.T) {
 	c := qt.New(t)
 	text := strings.Builder{}
-	for _, code := range codes() {
+	for _, code := range sortedCodes() {
 		entry := errcode.Entries[code]
 		fmt.Fprintf(&text, "%d %s %d %d %s\n", code, entry.Name, entry.Status, code.Status(), entry.Text)
 	}
 	golden.Check(c, "codes.txt", text.String())
 }
 
-// A code as the answer of the programs' own paths.
-func TestCodeAnswers(t *testing.T) {
+// TestCodeResponses records the response of the API paths for each code.
+func TestCodeResponses(t *testing.T) {
 	c := qt.New(t)
 	text := strings.Builder{}
-	for _, code := range codes() {
-		out := httptest.NewRecorder()
-		api.WriteCode(out, code, "a detail")
-		text.WriteString(golden.Response(out.Code, out.Result().Header, out.Body.String()))
+	for _, code := range sortedCodes() {
+		recorder := httptest.NewRecorder()
+		api.WriteCode(recorder, code, "a detail")
+		text.WriteString(golden.Response(recorder.Code, recorder.Result().Header, recorder.Body.String()))
 	}
 	golden.Check(c, "code-answers.txt", text.String())
 }
 
-// A code as the refusal of a caller's request, in the product's own protocol.
-func TestRefusalsOfCallers(t *testing.T) {
+// TestCallerRefusalResponses records the response that a caller gets for each code in the native
+// protocol.
+func TestCallerRefusalResponses(t *testing.T) {
 	c := qt.New(t)
 	text := strings.Builder{}
-	for _, code := range codes() {
-		out := httptest.NewRecorder()
-		frontend.NativeProtocol{}.WriteResponse(out, frontend.NewRefusal(code))
-		text.WriteString(golden.Response(out.Code, out.Result().Header, out.Body.String()))
+	for _, code := range sortedCodes() {
+		recorder := httptest.NewRecorder()
+		frontend.NativeProtocol{}.WriteResponse(recorder, frontend.NewRefusal(code))
+		text.WriteString(golden.Response(recorder.Code, recorder.Result().Header, recorder.Body.String()))
 	}
 	golden.Check(c, "caller-refusals.txt", text.String())
 }
 
-// The text of an error that carries a code.
+// TestErrorTexts records the text of an error with a code, and of an error that wraps another one.
 func TestErrorTexts(t *testing.T) {
 	c := qt.New(t)
 	inner := errcode.Wrap("storage.sync", errcode.DiskFault, nil)
--- a/internal/golden/counters_test.go
+++ b/internal/golden/counters_test.go
@@ -1,4 +1,4 @@
-// Counters that a process shows only after something was lost.
+// Tests of the counters that a process creates on the first failure of their kind.
 package golden_test
 
 import (
@@ -20,56 +20,59 @@
 	"beaconvane/internal/statemachine"
 )
 
-// rareCounters are the names of those counters; the metrics page puts "beaconvane_" before.
-var rareCounters = []string{"control_queue_full", "datagrams_dropped", "disk_recoveries_failed", "reports_failed",
+// failureCounters lists the counters that a process creates on the first failure of their kind. The
+// metrics page adds the prefix "beaconvane_" to each name.
+var failureCounters = []string{"control_queue_full", "datagrams_dropped", "disk_recoveries_failed", "reports_failed",
 	"reports_refused", "reports_too_late", "sends_dropped"}
 
-// Each name stands as it is in the code.
-func TestRareCounters(t *testing.T) {
+// TestFailureCounterNames checks that each name in failureCounters occurs as a string literal in the
+// code. The golden files leave these counters out, so a renamed counter would otherwise go unnoticed.
+func TestFailureCounterNames(t *testing.T) {
 	c := qt.New(t)
-	code := strings.Builder{}
+	source := strings.Builder{}
 	c.Assert(filepath.WalkDir("..", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		body, err := os.ReadFile(path)
-		code.Write(body)
+		content, err := os.ReadFile(path)
+		source.Write(content)
 		return err
 	}), qt.IsNil)
-	for _, name := range rareCounters {
-		c.Check(strings.Contains(code.String(), strconv.Quote(name)), qt.IsTrue, qt.Commentf(name))
+	for _, name := range failureCounters {
+		c.Check(strings.Contains(source.String(), strconv.Quote(name)), qt.IsTrue, qt.Commentf(name))
 	}
 }
 
-// reportingMachine sends a usage report at each question.
-type reportingMachine struct{ standIn }
+// reportingMachine sends each request that it receives as a usage report.
+type reportingMachine struct{ stubMachine }
 
-func (*reportingMachine) HandleRequest(env *statemachine.Env, requestID int64, question any) {
-	env.Report(question)
+func (*reportingMachine) HandleRequest(env *statemachine.Env, requestID int64, request any) {
+	env.Report(request)
 	env.Reply(requestID, true)
 }
 
-// What became of reports is counted.
-func TestReportCounters(t *testing.T) {
+// TestUsageReportCounters checks that a usage report is counted as refused by the collector, as too
+// late, or as failed.
+func TestUsageReportCounters(t *testing.T) {
 	c := qt.New(t)
 	status := atomic.NewInt64(http.StatusConflict)
 	collector := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter,
 		_ *http.Request) {
 		out.WriteHeader(int(status.Load()))
 	}))
-	cfg := standInSettings()
+	cfg := testSettings()
 	cfg.Collector = collector.URL
 	process := runProcess(c, cfg, message.RoleRegistry, &reportingMachine{})
-	sent := func(until time.Duration, counter string) {
-		_, err := process.Request(process.Group.Context, registry.UsageReport{Window: 1, ExpiresAt: until})
+	checkReportCounter := func(expiresAt time.Duration, counter string) {
+		_, err := process.Request(process.Group.Context, registry.UsageReport{Window: 1, ExpiresAt: expiresAt})
 		c.Assert(err, qt.IsNil)
 		for deadline := time.Now().Add(answerTimeout); process.Counters()[counter] == 0 && time.Now().Before(deadline); {
 			time.Sleep(pollInterval)
 		}
 		c.Check(process.Counters()[counter], qt.Equals, int64(1), qt.Commentf(counter))
 	}
-	sent(time.Hour, "reports_refused")
-	sent(0, "reports_too_late")
+	checkReportCounter(time.Hour, "reports_refused")
+	checkReportCounter(0, "reports_too_late")
 	collector.Close()
-	sent(time.Hour, "reports_failed")
+	checkReportCounter(time.Hour, "reports_failed")
 }
--- a/internal/golden/deployment_test.go
+++ b/internal/golden/deployment_test.go
@@ -1,7 +1,7 @@
-// A whole deployment in this process: one configuration store, one registry, one proxy and an
-// upstream on real connections. It holds what the running system shows outside: each JSON
-// answer with every field filled, the names of all metrics, a caller's request and answer, and
-// the usage report.
+// Golden test of a complete deployment: one configuration store, one registry, one proxy and an
+// upstream run in the test process and use real connections. The test records the external output
+// of the running system: each JSON response with every field set, the names of all metrics, a
+// caller's request and response, and the usage report.
 package golden_test
 
 import (
@@ -34,11 +34,12 @@
 )
 
 const (
-	// answerTimeout is how long an answer may take to become what the golden file says.
+	// answerTimeout limits the wait until a response matches its golden file.
 	answerTimeout = 60 * time.Second
-	// settleTime is how long to wait before golden files are written anew.
+	// settleTime is the wait before the golden files are rewritten, since the first responses of a
+	// new deployment still change.
 	settleTime = 8 * time.Second
-	// pollInterval is the pause between two requests for the same answer.
+	// pollInterval is the delay between two requests for the same response.
 	pollInterval = 50 * time.Millisecond
 )
 
@@ -47,23 +48,25 @@
 	`"body_bytes":64,"timeout_ms":4000},
  {"name":"own","service":"dispatch","path":"/own","methods":["POST"],"callers":["nobody"]}]}`
 
-// deployment is the running one.
+// deployment is the set of running processes and the requests that their HTTP peers received.
 type deployment struct {
 	registry, configStore, proxy settings.Settings
-	reports                      chan string // bodies of usage reports, with their heads
-	requests                     chan string // what the upstream got
-	names                        map[string]string
+	reports                      chan string // usage reports as the collector received them
+	requests                     chan string // requests as the upstream received them
+	addressNames                 map[string]string
 }
 
-func freeAddress(c *qt.C) string {
+// unusedAddress returns a loopback address with a port that is free at the time of the call.
+func unusedAddress(c *qt.C) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
 	return listener.Addr().String()
 }
 
-// start runs a program from its settings, as package cli does, until the test ends.
-func start(c *qt.C, role string, cfg settings.Settings, module fx.Option) {
+// startProcess runs a program with the given settings, in the way that package cli does, until the
+// test ends.
+func startProcess(c *qt.C, role string, cfg settings.Settings, module fx.Option) {
 	checked, faults := settings.Read(role, []byte(marshal(c, cfg)), nil)
 	c.Assert(faults, qt.HasLen, 0)
 	group := goroutine.New()
@@ -73,26 +76,29 @@
 	c.Assert(app.Err(), qt.IsNil)
 	c.Assert(app.Start(context.Background()), qt.IsNil)
 	c.Cleanup(func() {
-		limited, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+		stopContext, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
-		if err := app.Stop(limited); err != nil {
-			c.Logf("%s stopped late: %v", role, err)
+		if err := app.Stop(stopContext); err != nil {
+			c.Logf("stopping the %s process: %v", role, err)
 		}
 	})
 }
 
+// marshal returns a value as JSON text.
 func marshal(c *qt.C, value any) string {
 	text, err := json.Marshal(value)
 	c.Assert(err, qt.IsNil)
 	return string(text)
 }
 
-// recordRequests serves HTTP, answers 200 with the body given, and passes on what it got.
-func recordRequests(c *qt.C, received chan string, body string) string {
-	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
-		text, _ := io.ReadAll(in.Body)
+// startRecordingServer starts an HTTP server that responds with status 200 and the given body, and
+// sends each request as text to received. It drops a request if the channel is full. It returns the
+// URL of the server.
+func startRecordingServer(c *qt.C, received chan string, body string) string {
+	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, request *http.Request) {
+		text, _ := io.ReadAll(request.Body)
 		select {
-		case received <- in.Method + " " + in.RequestURI + "\n" + golden.Response(0, in.Header, string(text)):
+		case received <- request.Method + " " + request.RequestURI + "\n" + golden.Response(0, request.Header, string(text)):
 		default:
 		}
 		out.Header().Set("Content-Type", "text/plain")
@@ -103,182 +109,192 @@
 	return server.URL
 }
 
+// startDeployment starts the three processes and the collector, and registers the names that
+// replace their addresses in the golden files.
 func startDeployment(c *qt.C) *deployment {
-	d := &deployment{reports: make(chan string, 1000), requests: make(chan string, 1000), names: map[string]string{}}
-	collector := recordRequests(c, d.reports, "")
-	base := settings.Default()
-	base.Zone, base.Zones, base.Regions = "north", []string{"north"}, map[string]string{"north": "west"}
-	base.Seeds = []string{freeAddress(c), freeAddress(c), freeAddress(c)}
-	base.Bounds.UsageWindow = 1000
-	base.Limits.Grace = 3000
-	registryAddress, configStoreAddress := base.Seeds[0], base.Seeds[1]
-	core := func(name, address string) settings.Settings {
-		cfg := base
+	d := &deployment{reports: make(chan string, 1000), requests: make(chan string, 1000), addressNames: map[string]string{}}
+	collector := startRecordingServer(c, d.reports, "")
+	baseSettings := settings.Default()
+	baseSettings.Zone, baseSettings.Zones, baseSettings.Regions = "north", []string{"north"}, map[string]string{"north": "west"}
+	baseSettings.Seeds = []string{unusedAddress(c), unusedAddress(c), unusedAddress(c)}
+	baseSettings.Bounds.UsageWindow = 1000
+	baseSettings.Limits.Grace = 3000
+	registryAddress, configStoreAddress := baseSettings.Seeds[0], baseSettings.Seeds[1]
+	coreSettings := func(name, address string) settings.Settings {
+		cfg := baseSettings
 		cfg.Node, cfg.Address, cfg.DataDirectory, cfg.VoterCount, cfg.Bootstrap = name, address, c.TempDir(), 1, true
 		cfg.Anchors = []string{address}
-		cfg.Collector, cfg.MetricsAddress = collector+"/reports", freeAddress(c)
+		cfg.Collector, cfg.MetricsAddress = collector+"/reports", unusedAddress(c)
 		return cfg
 	}
-	d.configStore = core("store-1", configStoreAddress)
-	d.registry = core("registry-1", registryAddress)
-	d.registry.HTTPAddress = freeAddress(c)
-	d.proxy = base
-	d.proxy.Node, d.proxy.Address, d.proxy.HTTPAddress, d.proxy.MetricsAddress = "proxy-1", base.Seeds[2], freeAddress(c), freeAddress(c)
-	start(c, message.RoleConfigStore, d.configStore, cli.ConfigStoreModule)
-	start(c, message.RoleRegistry, d.registry, cli.RegistryModule)
-	start(c, message.RoleProxy, d.proxy, cli.ProxyModule)
+	d.configStore = coreSettings("store-1", configStoreAddress)
+	d.registry = coreSettings("registry-1", registryAddress)
+	d.registry.HTTPAddress = unusedAddress(c)
+	d.proxy = baseSettings
+	d.proxy.Node, d.proxy.Address, d.proxy.HTTPAddress, d.proxy.MetricsAddress =
+		"proxy-1", baseSettings.Seeds[2], unusedAddress(c), unusedAddress(c)
+	startProcess(c, message.RoleConfigStore, d.configStore, cli.ConfigStoreModule)
+	startProcess(c, message.RoleRegistry, d.registry, cli.RegistryModule)
+	startProcess(c, message.RoleProxy, d.proxy, cli.ProxyModule)
 	for name, address := range map[string]string{"STORE": configStoreAddress, "REGISTRY": registryAddress,
 		"REGISTRY-HTTP": d.registry.HTTPAddress,
 		"PROXY":         d.proxy.Address, "PROXY-HTTP": d.proxy.HTTPAddress} {
-		d.names[address] = name
+		d.addressNames[address] = name
 	}
 	return d
 }
 
-// call makes a request and returns its answer; status 0 means that none came completely.
+// call sends a request and returns the response. Status 0 means that no complete response arrived;
+// responseBody is then the text of the error.
 func (d *deployment) call(
 	c *qt.C, method, target string, header map[string]string, body string,
-) (status int, fields http.Header, answer string) {
-	in, err := http.NewRequest(method, "http://"+target, strings.NewReader(body))
+) (status int, responseHeader http.Header, responseBody string) {
+	request, err := http.NewRequest(method, "http://"+target, strings.NewReader(body))
 	c.Assert(err, qt.IsNil)
 	for name, value := range header {
-		in.Header.Set(name, value)
+		request.Header.Set(name, value)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
-	out, err := client.Do(in)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, http.Header{}, err.Error()
 	}
-	defer out.Body.Close()
-	text, err := io.ReadAll(out.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, http.Header{}, err.Error()
 	}
-	return out.StatusCode, out.Header, string(text)
+	return response.StatusCode, response.Header, string(text)
 }
 
-// served makes a call until its answer is none of a busy process.
-func (d *deployment) served(c *qt.C, method, target string, header map[string]string, body string) string {
+// callUntilServed repeats a call until a complete response with a status other than 503 arrives or
+// answerTimeout has passed. It returns the last response.
+func (d *deployment) callUntilServed(c *qt.C, method, target string, header map[string]string, body string) string {
 	deadline := time.Now().Add(answerTimeout)
 	for {
-		status, fields, answer := d.call(c, method, target, header, body)
+		status, header, answer := d.call(c, method, target, header, body)
 		if status != 0 && status != http.StatusServiceUnavailable || time.Now().After(deadline) {
-			return golden.Response(status, fields, answer)
+			return golden.Response(status, header, answer)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// untilStatus makes a call until it has a status.
-func (d *deployment) untilStatus(c *qt.C, wanted int, method, target string, header map[string]string, body string) string {
+// callUntilStatus repeats a call until the response has the expected status, and returns that
+// response. It fails the test after answerTimeout.
+func (d *deployment) callUntilStatus(c *qt.C, expectedStatus int, method, target string, header map[string]string, body string) string {
 	deadline := time.Now().Add(answerTimeout)
 	for {
 		status, fields, answer := d.call(c, method, target, header, body)
-		if status == wanted {
+		if status == expectedStatus {
 			return golden.Response(status, fields, answer)
 		}
 		if time.Now().After(deadline) {
-			c.Fatalf("%s %s: status %d, wanted %d: %s", method, target, status, wanted, answer)
+			c.Fatalf("%s %s: got status %d, expected %d, last response: %s", method, target, status, expectedStatus, answer)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// checkEventually compares a text with a golden file, and gets it anew until it is the same or
-// answerTimeout is over.
-func checkEventually(c *qt.C, name string, look func() string) {
+// checkEventually compares a text with a golden file. It fetches the text again until it matches or
+// answerTimeout has passed.
+func checkEventually(c *qt.C, name string, fetch func() string) {
 	c.Helper()
-	got := look()
+	got := fetch()
 	if !golden.Updating() {
-		wanted := golden.Read(c, name)
-		for deadline := time.Now().Add(answerTimeout); got != wanted && time.Now().Before(deadline); got = look() {
+		expected := golden.Read(c, name)
+		for deadline := time.Now().Add(answerTimeout); got != expected && time.Now().Before(deadline); got = fetch() {
 			time.Sleep(pollInterval)
 		}
 	}
 	golden.Check(c, name, got)
 }
 
-// normalize replaces each figure and each text that differs from run to run in a JSON value.
+// normalize replaces each number in a JSON value by "number" and each address by the name of its
+// process, since both differ between runs.
 func (d *deployment) normalize(value any) any {
-	switch it := value.(type) {
+	switch typed := value.(type) {
 	case map[string]any:
-		for key := range it {
-			it[key] = d.normalize(it[key])
+		for key := range typed {
+			typed[key] = d.normalize(typed[key])
 		}
 	case []any:
-		for index := range it {
-			it[index] = d.normalize(it[index])
+		for index := range typed {
+			typed[index] = d.normalize(typed[index])
 		}
 	case float64:
 		return "number"
 	case string:
-		for address, name := range d.names {
-			it = strings.ReplaceAll(it, address, name)
+		for address, name := range d.addressNames {
+			typed = strings.ReplaceAll(typed, address, name)
 		}
-		return it
+		return typed
 	}
 	return value
 }
 
-// normalizedAnswer makes a GET call and returns its answer with every figure replaced.
+// normalizedAnswer sends a GET request and returns the response with normalized values.
 func (d *deployment) normalizedAnswer(c *qt.C, target string) string {
-	status, fields, body := d.call(c, http.MethodGet, target, nil, "")
-	fields.Del("Content-Length")
+	status, header, body := d.call(c, http.MethodGet, target, nil, "")
+	header.Del("Content-Length")
 	var value any
 	if err := json.Unmarshal([]byte(body), &value); err != nil {
-		return golden.Response(status, fields, body)
+		return golden.Response(status, header, body)
 	}
-	if counters, isObject := value.(map[string]any); isObject {
-		dropVarying(counters["process"])
-		dropVarying(counters["answers"])
+	if sections, isObject := value.(map[string]any); isObject {
+		removeVolatileCounters(sections["process"])
+		removeVolatileCounters(sections["answers"])
 	}
 	text, err := json.MarshalIndent(d.normalize(value), "", " ")
 	c.Assert(err, qt.IsNil)
-	return golden.Response(status, fields, string(text))
+	return golden.Response(status, header, string(text))
 }
 
-// dropVarying takes out the counters that only some runs have: of events, of what was lost,
-// and of requests that came too early. TestRareCounters holds the names of those that are lost.
-func dropVarying(counters any) {
+// removeVolatileCounters removes the counters that exist only in some runs: those of events, of
+// failures, and of requests that arrived before the process was ready. TestFailureCounterNames
+// checks the names of the failure counters.
+func removeVolatileCounters(counters any) {
 	counts, isObject := counters.(map[string]any)
 	if !isObject {
 		return
 	}
 	for name := range counts {
-		if strings.HasPrefix(name, "event_") || strings.HasPrefix(name, "Busy") || slices.Contains(rareCounters, name) {
+		if strings.HasPrefix(name, "event_") || strings.HasPrefix(name, "Busy") || slices.Contains(failureCounters, name) {
 			delete(counts, name)
 		}
 	}
 }
 
-var metricLine = regexp.MustCompile(`^([a-z_]+)(\{(\w+)=".*"\})? [-+.e\d]+$`)
+var sampleLine = regexp.MustCompile(`^([a-z_]+)(\{(\w+)=".*"\})? [-+.e\d]+$`)
 
-// metricNames returns the names on a metrics page with their labels; a line of another form
-// is given as it is. Which events and states there are is left out.
+// metricNames returns the metric names on a metrics page with their label names, and each line that
+// is not a sample unchanged. It omits the label values, since the events and states that occur
+// differ between runs.
 func (d *deployment) metricNames(c *qt.C, address string) string {
-	_, fields, body := d.call(c, http.MethodGet, address+"/metrics", nil, "")
+	_, header, body := d.call(c, http.MethodGet, address+"/metrics", nil, "")
 	names := map[string]bool{}
 	for _, line := range strings.Split(strings.TrimSpace(body), "\n") {
-		parts := metricLine.FindStringSubmatch(line)
+		match := sampleLine.FindStringSubmatch(line)
 		switch {
-		case parts != nil && slices.Contains(rareCounters, strings.TrimPrefix(parts[1], "beaconvane_")):
-		case parts == nil:
+		case match != nil && slices.Contains(failureCounters, strings.TrimPrefix(match[1], "beaconvane_")):
+		case match == nil:
 			names["not a sample: "+line] = true
-		case parts[3] != "":
-			names[parts[1]+"{"+parts[3]+"}"] = true
+		case match[3] != "":
+			names[match[1]+"{"+match[3]+"}"] = true
 		default:
-			names[parts[1]] = true
+			names[match[1]] = true
 		}
 	}
-	return fields.Get("Content-Type") + "\n" + strings.Join(slices.Sorted(maps.Keys(names)), "\n") + "\n"
+	return header.Get("Content-Type") + "\n" + strings.Join(slices.Sorted(maps.Keys(names)), "\n") + "\n"
 }
 
-func (d *deployment) announce(c *qt.C, upstream string) {
-	at, err := url.Parse(upstream)
+// startAnnouncing announces the upstream to the proxy at the heartbeat interval until the test ends.
+func (d *deployment) startAnnouncing(c *qt.C, upstream string) {
+	address, err := url.Parse(upstream)
 	c.Assert(err, qt.IsNil)
-	d.names[at.Host] = "UPSTREAM"
+	d.addressNames[address.Host] = "UPSTREAM"
 	body := fmt.Sprintf(`{"service":"dispatch","instance":"d1","incarnation":1,"address":"%s","zone":"north",`+
-		`"slots":4,"warming":false,"leaving":false,"load":0.5}`, at.Host)
+		`"slots":4,"warming":false,"leaving":false,"load":0.5}`, address.Host)
 	group := goroutine.New()
 	c.Cleanup(func() { group.Stop(time.Second) })
 	group.Go("announce", func(ctx context.Context) {
@@ -295,38 +311,39 @@
 func TestDeployment(t *testing.T) {
 	c := qt.New(t)
 	d := startDeployment(c)
-	operators, callers := d.registry.HTTPAddress, d.proxy.HTTPAddress
-	d.untilStatus(c, http.StatusNotFound, http.MethodGet, operators+"/v1/configurations/main", nil, "")
-	written := d.untilStatus(c, http.StatusOK, http.MethodPut, operators+"/v1/configurations/main/1", nil, deploymentConfiguration)
-	d.announce(c, recordRequests(c, d.requests, "done\n"))
-	d.untilStatus(c, http.StatusOK, http.MethodGet, callers+"/beacon/ready", nil, "")
-	goodHead := map[string]string{"X-Api-Key": "secret", "X-Calling-Service": "frontdesk", "X-Color": "red"}
-	answered := d.untilStatus(c, http.StatusOK, http.MethodPost, callers+"/messages?a=b", goodHead, "hello")
+	registryHTTP, proxyHTTP := d.registry.HTTPAddress, d.proxy.HTTPAddress
+	d.callUntilStatus(c, http.StatusNotFound, http.MethodGet, registryHTTP+"/v1/configurations/main", nil, "")
+	putResponse := d.callUntilStatus(
+		c, http.StatusOK, http.MethodPut, registryHTTP+"/v1/configurations/main/1", nil, deploymentConfiguration)
+	d.startAnnouncing(c, startRecordingServer(c, d.requests, "done\n"))
+	d.callUntilStatus(c, http.StatusOK, http.MethodGet, proxyHTTP+"/beacon/ready", nil, "")
+	validHeader := map[string]string{"X-Api-Key": "secret", "X-Calling-Service": "frontdesk", "X-Color": "red"}
+	callerResponse := d.callUntilStatus(c, http.StatusOK, http.MethodPost, proxyHTTP+"/messages?a=b", validHeader, "hello")
 
 	if golden.Updating() {
 		time.Sleep(settleTime)
 	}
-	c.Check(written, qt.Contains, `"configuration":"main"`)
-	golden.Check(c, "deployment-answer.txt", answered)
+	c.Check(putResponse, qt.Contains, `"configuration":"main"`)
+	golden.Check(c, "deployment-answer.txt", callerResponse)
 	golden.Check(c, "deployment-request.txt", d.normalizedRequest(<-d.requests))
-	d.checkOperators(c)
-	d.checkCallers(c, goodHead)
-	checkEventually(c, "deployment-proxy-counters.txt", func() string { return d.normalizedAnswer(c, callers+"/beacon/counters") })
+	d.checkRegistryResponses(c)
+	d.checkCallerRefusals(c, validHeader)
+	checkEventually(c, "deployment-proxy-counters.txt", func() string { return d.normalizedAnswer(c, proxyHTTP+"/beacon/counters") })
 	checkEventually(c, "metrics-registry.txt", func() string { return d.metricNames(c, d.registry.MetricsAddress) })
 	checkEventually(c, "metrics-configstore.txt", func() string { return d.metricNames(c, d.configStore.MetricsAddress) })
 	checkEventually(c, "metrics-proxy.txt", func() string { return d.metricNames(c, d.proxy.MetricsAddress) })
-	d.checkUsage(c)
+	d.checkUsageReport(c)
 }
 
-// normalizedRequest replaces what differs in a request to an upstream.
+// normalizedRequest replaces the values in an upstream request that differ between runs.
 func (d *deployment) normalizedRequest(text string) string {
 	return regexp.MustCompile(`(X-Beacon-Pass|X-Request-Id): [0-9a-f]+`).ReplaceAllString(text, "$1: HEX")
 }
 
-// checkUsage looks at the first usage report that counts the tenant, and at the registry's
-// answer for its window.
-func (d *deployment) checkUsage(c *qt.C) {
-	report := d.usageReport(c)
+// checkUsageReport checks the first usage report that includes the tenant, and the registry's usage
+// response for the same window.
+func (d *deployment) checkUsageReport(c *qt.C) {
+	report := d.awaitUsageReport(c)
 	window := regexp.MustCompile(`"window":(\d+)`).FindStringSubmatch(report)
 	c.Assert(window, qt.HasLen, 2)
 	report = regexp.MustCompile(`Content-Length: \d+\n`).ReplaceAllString(report, "")
@@ -336,7 +353,8 @@
 	})
 }
 
-func (d *deployment) usageReport(c *qt.C) string {
+// awaitUsageReport returns the first usage report that includes the tenant.
+func (d *deployment) awaitUsageReport(c *qt.C) string {
 	deadline := time.After(answerTimeout)
 	for {
 		select {
@@ -345,14 +363,14 @@
 				return report
 			}
 		case <-deadline:
-			c.Fatal("no usage report came")
+			c.Fatalf("no usage report with tenant %q within %v", "clinic", answerTimeout)
 		}
 	}
 }
 
-// checkOperators looks at every answer that a registry gives.
-func (d *deployment) checkOperators(c *qt.C) {
-	at := d.registry.HTTPAddress
+// checkRegistryResponses checks the response of each path of the registry.
+func (d *deployment) checkRegistryResponses(c *qt.C) {
+	registryHTTP := d.registry.HTTPAddress
 	for name, path := range map[string]string{
 		"ready": "/ready", "status": "/v1/status", "roster": "/v1/roster", "configuration": "/v1/configurations/main",
 		"version":  "/v1/configurations/main/1",
@@ -360,7 +378,7 @@
 		"in-force": "/v1/configurations/main/1/in-force", "lacking": "/v1/configurations/main/9/in-force?wait_ms=1",
 		"no-configuration": "/v1/configurations/other", "no-version": "/v1/configurations/main/9", "no-usage": "/v1/usage/9",
 	} {
-		checkEventually(c, "deployment-registry-"+name+".txt", func() string { return d.normalizedAnswer(c, at+path) })
+		checkEventually(c, "deployment-registry-"+name+".txt", func() string { return d.normalizedAnswer(c, registryHTTP+path) })
 	}
 	text := strings.Builder{}
 	for _, write := range []struct{ path, body string }{
@@ -369,15 +387,15 @@
 		{"/v1/configurations/main/2", `{"services":1}`},
 		{"/v1/configurations/other/1", deploymentConfiguration},
 	} {
-		text.WriteString(d.served(c, http.MethodPut, at+write.path, nil, write.body))
+		text.WriteString(d.callUntilServed(c, http.MethodPut, registryHTTP+write.path, nil, write.body))
 	}
 	golden.Check(c, "deployment-writes.txt", text.String())
 }
 
-// checkCallers looks at what callers are refused for.
-func (d *deployment) checkCallers(c *qt.C, goodHead map[string]string) {
+// checkCallerRefusals checks the response for each reason to refuse a request of a caller.
+func (d *deployment) checkCallerRefusals(c *qt.C, validHeader map[string]string) {
 	text := strings.Builder{}
-	for _, tried := range []struct {
+	for _, testCase := range []struct {
 		name, method, path, body string
 		change                   map[string]string
 	}{
@@ -391,14 +409,15 @@
 		{"too large", "POST", "/messages", strings.Repeat("x", 65), nil},
 		{"bad pass", "POST", "/messages", "", map[string]string{"X-Api-Key": "", "X-Beacon-Pass": "0123"}},
 	} {
-		head := maps.Clone(goodHead)
-		for name, value := range tried.change {
-			head[name] = value
+		header := maps.Clone(validHeader)
+		for name, value := range testCase.change {
+			header[name] = value
 			if value == "" {
-				delete(head, name)
+				delete(header, name)
 			}
 		}
-		text.WriteString("=== " + tried.name + "\n" + d.served(c, tried.method, d.proxy.HTTPAddress+tried.path, head, tried.body))
+		text.WriteString("=== " + testCase.name + "\n" +
+			d.callUntilServed(c, testCase.method, d.proxy.HTTPAddress+testCase.path, header, testCase.body))
 	}
 	golden.Check(c, "deployment-refusals.txt", text.String())
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden supports golden tests: it compares what a test got with a file in
-// the testdata folder of the test's package. The files hold the outward forms of the system
-// (HTTP answers, settings, result codes, metrics, command lines), which a change of the code
-// must leave alone. Run the tests with -update-golden to write the files anew, and read the
-// difference before it is committed.
+// Package golden supports golden tests: it compares the output of a test with a file in the
+// testdata directory of the test's package. The files record the externally visible formats of the
+// system (HTTP responses, settings, result codes, metrics, command lines), which a refactoring must
+// not change. Run the tests with -update-golden to rewrite the files, and review the diff before
+// committing it.
 package golden
 
 import (
@@ -21,7 +21,8 @@
 
 var update = flag.Bool("update-golden", false, "write the golden files instead of comparing with them")
 
-// Check compares a text with the golden file of that name.
+// Check fails the test if got differs from the golden file with the given name. With -update-golden
+// it writes got to the file instead.
 func Check(c *qt.C, name, got string) {
 	c.Helper()
 	path := Path(name)
@@ -33,10 +34,11 @@
 	c.Check(got, qt.Equals, Read(c, name), qt.Commentf(path))
 }
 
-// Path returns where the golden file of a name is.
+// Path returns the path of the golden file with the given name, relative to the package of the
+// running test.
 func Path(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Read returns the golden file of a name.
+// Read returns the content of the golden file with the given name.
 func Read(c *qt.C, name string) string {
 	c.Helper()
 	text, err := os.ReadFile(Path(name))
@@ -44,22 +46,22 @@
 	return string(text)
 }
 
-// Updating reports whether the golden files are being written anew.
+// Updating reports whether this test run rewrites the golden files.
 func Updating() bool { return *update }
 
-// Response returns an HTTP answer as text: its status, its header fields in the order of
-// their names, and its body. The date is left out.
+// Response formats an HTTP response as text: the status, the header fields sorted by name, and the
+// body. It omits the Date field, which differs between runs.
 func Response(status int, header http.Header, body string) string {
 	text := strings.Builder{}
 	text.WriteString(strconv.Itoa(status) + "\n")
-	names := []string{}
+	fieldNames := []string{}
 	for name := range header {
 		if name != "Date" {
-			names = append(names, name)
+			fieldNames = append(fieldNames, name)
 		}
 	}
-	slices.Sort(names)
-	for _, name := range names {
+	slices.Sort(fieldNames)
+	for _, name := range fieldNames {
 		text.WriteString(name + ": " + strings.Join(header[name], ", ") + "\n")
 	}
 	text.WriteString("\n" + body)
@@ -69,19 +71,21 @@
 	return text.String()
 }
 
-// Output runs the main function of a command with arguments, and returns what it printed.
-func Output(c *qt.C, run func(), arguments ...string) string {
+// Output runs the main function of a command with the given os.Args and returns its standard
+// output. It replaces os.Stdout and os.Args for the duration of the call, so tests that use it must
+// not run in parallel.
+func Output(c *qt.C, mainFunction func(), arguments ...string) string {
 	c.Helper()
 	reader, writer, err := os.Pipe()
 	c.Assert(err, qt.IsNil)
-	stdout, givenArguments := os.Stdout, os.Args
+	savedStdout, savedArguments := os.Stdout, os.Args
 	os.Stdout, os.Args = writer, arguments
-	run()
-	os.Stdout, os.Args = stdout, givenArguments
+	mainFunction()
+	os.Stdout, os.Args = savedStdout, savedArguments
 	c.Assert(writer.Close(), qt.IsNil)
-	printed, err := io.ReadAll(reader)
+	output, err := io.ReadAll(reader)
 	c.Assert(err, qt.IsNil)
-	return string(printed)
+	return string(output)
 }
 
 var (
@@ -90,8 +94,8 @@
 	flagLine    = regexp.MustCompile(`^ +(-\w, )?--([\w-]+)( \w+)?\s{2,}.*?(\(default .*\))?$`)
 )
 
-// CommandLine returns what a command's help says of its use, its subcommands and its flags
-// with their types and defaults, without the texts that explain them.
+// CommandLine extracts the usage lines, the subcommands, and the flags with their types and defaults
+// from the help text of a command. It omits the descriptions.
 func CommandLine(help string) string {
 	text, section := strings.Builder{}, ""
 	for _, line := range strings.Split(help, "\n") {
@@ -99,14 +103,14 @@
 			section = line
 			continue
 		}
-		option, command := flagLine.FindStringSubmatch(line), commandLine.FindStringSubmatch(line)
+		flagMatch, commandMatch := flagLine.FindStringSubmatch(line), commandLine.FindStringSubmatch(line)
 		switch {
 		case section == "Usage:" && usageLine.MatchString(line):
 			text.WriteString("use" + line + "\n")
-		case section == "Available Commands:" && command != nil:
-			text.WriteString("command  " + command[1] + "\n")
-		case section == "Flags:" && option != nil:
-			text.WriteString(strings.TrimSpace("flag  "+option[1]+"--"+option[2]+option[3]+" "+option[4]) + "\n")
+		case section == "Available Commands:" && commandMatch != nil:
+			text.WriteString("command  " + commandMatch[1] + "\n")
+		case section == "Flags:" && flagMatch != nil:
+			text.WriteString(strings.TrimSpace("flag  "+flagMatch[1]+"--"+flagMatch[2]+flagMatch[3]+" "+flagMatch[4]) + "\n")
 		}
 	}
 	return text.String()
--- a/internal/golden/proxy_api_test.go
+++ b/internal/golden/proxy_api_test.go
@@ -1,4 +1,4 @@
-// The proxy's own paths: readiness, counters, announcements and their refusals.
+// Golden tests of the proxy's API paths: readiness, counters, announcements and their refusals.
 package golden_test
 
 import (
@@ -22,14 +22,14 @@
 	"beaconvane/internal/statemachine"
 )
 
-// standInProxy replies with a status whose every field is filled.
-type standInProxy struct{}
+// stubProxyMachine is a state machine that replies with a status in which every field is set.
+type stubProxyMachine struct{}
 
-func (standInProxy) Handle(*statemachine.Env, string, any)  {}
-func (standInProxy) Tick(*statemachine.Env)                 {}
-func (standInProxy) Synced(*statemachine.Env, int64, error) {}
-func (standInProxy) HandleRequest(env *statemachine.Env, requestID int64, question any) {
-	switch question.(type) {
+func (stubProxyMachine) Handle(*statemachine.Env, string, any)  {}
+func (stubProxyMachine) Tick(*statemachine.Env)                 {}
+func (stubProxyMachine) Synced(*statemachine.Env, int64, error) {}
+func (stubProxyMachine) HandleRequest(env *statemachine.Env, requestID int64, request any) {
+	switch request.(type) {
 	case proxy.ReadStatus:
 		env.Reply(requestID, proxy.Status{AgesMS: map[string]int64{"topic": 11}, Configurations: map[string]int64{"main": 12},
 			Members: 13, Moves: 14,
@@ -39,70 +39,77 @@
 	}
 }
 
-// proxyAPI returns the HTTP interface of a proxy with real frontend, backend and stages.
-func proxyAPI(c *qt.C, cfg settings.Settings) (*api.Proxy, *node.Node) {
-	process := runProcess(c, cfg, message.RoleProxy, standInProxy{})
+// newProxyAPI returns the HTTP API of a proxy with the real frontend, backend and request pipeline,
+// and the process that runs stubProxyMachine.
+func newProxyAPI(c *qt.C, cfg settings.Settings) (*api.Proxy, *node.Node) {
+	process := runProcess(c, cfg, message.RoleProxy, stubProxyMachine{})
 	upstreams := backend.New(cfg, func(message.Forward) errcode.Code { return errcode.OK })
-	front := frontend.New(cfg, upstreams.LookupDelegation)
-	front.UseRetryMonitor(upstreams)
-	caller := backend.NewUpstreamClient(cfg, upstreams, process.Group)
-	stages := frontend.NewPipeline(cfg, front, upstreams, caller, process.Group, node.Self(cfg, message.RoleProxy), process.Notify)
-	return api.NewProxy(cfg, process, process.Group, front, upstreams, stages), process
+	callerFrontend := frontend.New(cfg, upstreams.LookupDelegation)
+	callerFrontend.UseRetryMonitor(upstreams)
+	client := backend.NewUpstreamClient(cfg, upstreams, process.Group)
+	pipeline := frontend.NewPipeline(cfg, callerFrontend, upstreams, client, process.Group,
+		node.Self(cfg, message.RoleProxy), process.Notify)
+	return api.NewProxy(cfg, process, process.Group, callerFrontend, upstreams, pipeline), process
 }
 
-const goodAnnouncement = `{"service":"dispatch","instance":"d1","incarnation":5,"address":"127.0.0.1:9",` +
+const validAnnouncement = `{"service":"dispatch","instance":"d1","incarnation":5,"address":"127.0.0.1:9",` +
 	`"zone":"north","slots":4,"warming":true,"leaving":false,"load":0.5,"number":1,"cold_ms":100}`
 
+// TestProxyPaths records the response of each API path of a proxy, for valid and invalid requests,
+// before and during the shutdown.
 func TestProxyPaths(t *testing.T) {
 	c := qt.New(t)
-	cfg := standInSettings()
-	cfg.TargetProof = settings.ProofTarget // no guard connection to the upstream
-	paths, _ := proxyAPI(c, cfg)
-	handler := paths.Handler()
+	cfg := testSettings()
+	cfg.TargetProof = settings.ProofTarget // opens no guard connection to the upstream
+	proxyAPI, _ := newProxyAPI(c, cfg)
+	handler := proxyAPI.Handler()
 	text := strings.Builder{}
-	play := func(method, target, body string) {
-		text.WriteString("=== " + method + " " + target + " " + body + "\n" + exchange(handler, method, target, body))
+	record := func(method, target, body string) {
+		text.WriteString("=== " + method + " " + target + " " + body + "\n" + serveRequest(handler, method, target, body))
 	}
-	play("GET", "/beacon/live", "")
-	play("GET", "/beacon/ready", "")
-	play("GET", "/beacon/journal", "")
-	play("GET", "/beacon/counters", "")
-	play("POST", "/beacon/announce", goodAnnouncement)
+	record("GET", "/beacon/live", "")
+	record("GET", "/beacon/ready", "")
+	record("GET", "/beacon/journal", "")
+	record("GET", "/beacon/counters", "")
+	record("POST", "/beacon/announce", validAnnouncement)
 	for _, change := range []struct{ old, new string }{
 		{`"dispatch"`, `"a/b"`}, {`"d1"`, `""`}, {`"incarnation":5`, `"incarnation":0`}, {`127.0.0.1:9`, `host:9`}, {`"north"`, `"west"`},
 		{`"slots":4`, `"slots":0`}, {`0.5`, `-1`}, {`"load"`, `"burden"`}, {`{`, ``}, {`"incarnation":5`, `"incarnation":4`},
 	} {
-		play("POST", "/beacon/announce", strings.Replace(goodAnnouncement, change.old, change.new, 1))
+		record("POST", "/beacon/announce", strings.Replace(validAnnouncement, change.old, change.new, 1))
 	}
-	play("POST", "/beacon/announce/d2",
+	record("POST", "/beacon/announce/d2",
 		`{"service":"dispatch","address":"127.0.0.1:9","zone":"north","slots":4,"state":"ready","unknown":1}`)
-	play("POST", "/beacon/announce/d2", `{"service":"dispatch","address":"127.0.0.1:9","zone":"north","slots":4,"state":"gone"}`)
-	play("POST", "/beacon/announce/d2", `{`)
-	play("POST", "/beacon/signoff", `{"service":"dispatch","instance":"d1","incarnation":5}`)
-	play("POST", "/beacon/signoff", `{"service":"dispatch","instance":"nobody","incarnation":5}`)
-	play("POST", "/beacon/signoff", `{`)
-	play("POST", "/beacon/signoff/d2", ``)
-	play("GET", "/beacon/nothing", "")
-	play("DELETE", "/beacon/live", "")
-	play("GET", "/else", "")
-	paths.BeginStop()
-	play("GET", "/beacon/ready", "")
-	play("POST", "/beacon/announce", goodAnnouncement)
-	play("POST", "/beacon/announce/d2", `{"service":"dispatch","address":"127.0.0.1:9","zone":"north","slots":4,"state":"ready"}`)
+	record("POST", "/beacon/announce/d2", `{"service":"dispatch","address":"127.0.0.1:9","zone":"north","slots":4,"state":"gone"}`)
+	record("POST", "/beacon/announce/d2", `{`)
+	record("POST", "/beacon/signoff", `{"service":"dispatch","instance":"d1","incarnation":5}`)
+	record("POST", "/beacon/signoff", `{"service":"dispatch","instance":"nobody","incarnation":5}`)
+	record("POST", "/beacon/signoff", `{`)
+	record("POST", "/beacon/signoff/d2", ``)
+	record("GET", "/beacon/nothing", "")
+	record("DELETE", "/beacon/live", "")
+	record("GET", "/else", "")
+	proxyAPI.BeginStop()
+	record("GET", "/beacon/ready", "")
+	record("POST", "/beacon/announce", validAnnouncement)
+	record("POST", "/beacon/announce/d2", `{"service":"dispatch","address":"127.0.0.1:9","zone":"north","slots":4,"state":"ready"}`)
 	golden.Check(c, "proxy-paths.txt", text.String())
 }
 
-// Callers' paths go to the other handler.
-func TestProxyPathsBesideCallers(t *testing.T) {
+// TestProxyPathsWithCallerHandler checks that a path outside the API goes to the handler of the
+// callers' requests, unchanged.
+func TestProxyPathsWithCallerHandler(t *testing.T) {
 	c := qt.New(t)
-	paths, _ := proxyAPI(c, standInSettings())
-	callers := http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) { out.Header().Set("X-Callers", in.RequestURI) })
-	handler := paths.HandlerWithCallers(callers)
+	proxyAPI, _ := newProxyAPI(c, testSettings())
+	callers := http.HandlerFunc(func(out http.ResponseWriter, request *http.Request) {
+		out.Header().Set("X-Callers", request.RequestURI)
+	})
+	handler := proxyAPI.HandlerWithCallers(callers)
 	text := strings.Builder{}
 	for _, target := range []string{"/", "/beacon", "/beacon/", "/beacon/live", "/beacons", "/a%2fb/../c?d=e"} {
-		out := httptest.NewRecorder()
-		handler.ServeHTTP(out, httptest.NewRequest(http.MethodGet, target, nil))
-		text.WriteString("=== " + target + "\n" + golden.Response(out.Code, out.Result().Header, out.Body.String()))
+		recorder := httptest.NewRecorder()
+		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, target, nil))
+		text.WriteString("=== " + target + "\n" + golden.Response(recorder.Code, recorder.Result().Header, recorder.Body.String()))
 	}
 	golden.Check(c, "proxy-paths-beside-callers.txt", text.String())
 }
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -1,4 +1,4 @@
-// Settings: every key of the file, the defaults, and the names that protocols use.
+// Golden tests of the settings: every key of the file, the defaults, and the names in the protocols.
 package golden_test
 
 import (
@@ -17,10 +17,11 @@
 	"beaconvane/internal/settings"
 )
 
-// keysOf lists the JSON keys of a type, in the order of its fields, with their kinds.
-func keysOf(of reflect.Type, path string, text *strings.Builder) {
-	for index := range of.NumField() {
-		field := of.Field(index)
+// appendSettingsKeys appends the JSON keys of a struct type to text, in field order, each with the Go
+// type of its field. Keys of nested structs are prefixed with the path of their parent.
+func appendSettingsKeys(structType reflect.Type, path string, text *strings.Builder) {
+	for index := range structType.NumField() {
+		field := structType.Field(index)
 		key := field.Tag.Get("json")
 		if key == "-" {
 			continue
@@ -29,31 +30,32 @@
 			key = "NO KEY: " + field.Name
 		}
 		if field.Type.Kind() == reflect.Struct {
-			keysOf(field.Type, path+key+".", text)
+			appendSettingsKeys(field.Type, path+key+".", text)
 			continue
 		}
 		fmt.Fprintf(text, "%s%s %s\n", path, key, field.Type)
 	}
 }
 
+// TestSettingsKeys records every key of the settings file with its type.
 func TestSettingsKeys(t *testing.T) {
 	c := qt.New(t)
 	text := strings.Builder{}
-	keysOf(reflect.TypeOf(settings.Settings{}), "", &text)
+	appendSettingsKeys(reflect.TypeOf(settings.Settings{}), "", &text)
 	golden.Check(c, "settings-keys.txt", text.String())
 }
 
-// The defaults, and what comes of the smallest file of each role.
+// TestSettingsDefaults records the settings that result from the minimal file of each role.
 func TestSettingsDefaults(t *testing.T) {
 	c := qt.New(t)
 	const minimal = `{"node":"one","zone":"north","zones":["north"],"address":"10.0.0.1:1","outside":"10.0.0.1:2",` +
 		`"seeds":["10.0.0.1:1","10.0.0.2:1","10.0.0.3:1"]`
-	for name, from := range map[string]struct{ role, file string }{
+	for name, testCase := range map[string]struct{ role, file string }{
 		"proxy":       {message.RoleProxy, minimal + `}`},
 		"registry":    {message.RoleRegistry, minimal + `,"data":"/data","voter_count":3,"collector":"http://10.0.0.9/usage"}`},
 		"configstore": {message.RoleConfigStore, minimal + `,"data":"/data","voter":"a","voters":["a","b","c"]}`},
 	} {
-		cfg, faults := settings.Read(from.role, []byte(from.file), nil)
+		cfg, faults := settings.Read(testCase.role, []byte(testCase.file), nil)
 		c.Assert(faults, qt.HasLen, 0, qt.Commentf(name))
 		text, err := json.MarshalIndent(cfg, "", " ")
 		c.Assert(err, qt.IsNil)
@@ -61,10 +63,11 @@
 	}
 }
 
-// The texts of the faults of a file in which nearly all is wrong, and of flags over a file.
+// TestSettingsFaults records the fault texts for a file in which nearly every value is invalid, and
+// the settings that result when flags override an empty file.
 func TestSettingsFaults(t *testing.T) {
 	c := qt.New(t)
-	const wrong = `{"node":"","zone":"x","zones":["y","y"],"address":"host:1","outside":"1","metrics":"2",` +
+	const invalid = `{"node":"","zone":"x","zones":["y","y"],"address":"host:1","outside":"1","metrics":"2",` +
 		`"seeds":["a"],"data":"","configurations":[],"puts":"p",
 		"slices":["z"],"collector":"ftp://","active":{"other":"v"},"proof":"p","fields":"f","counted":"c",` +
 		`"beacon":["b"],"colour":1,"voter_count":2,
@@ -72,7 +75,7 @@
 		`"linger_ms":-1,"frame_bytes":1}}`
 	text := strings.Builder{}
 	for _, role := range []string{message.RoleProxy, message.RoleRegistry, message.RoleConfigStore} {
-		_, faults := settings.Read(role, []byte(wrong), nil)
+		_, faults := settings.Read(role, []byte(invalid), nil)
 		text.WriteString("=== " + role + "\n" + strings.Join(faults, "\n") + "\n")
 	}
 	golden.Check(c, "settings-faults.txt", text.String())
@@ -86,7 +89,7 @@
 	golden.Check(c, "settings-flags.json", string(body)+"\n")
 }
 
-// The names of header fields and parameters in the product's own protocols.
+// TestProtocolNames records the names of header fields and parameters in the native protocols.
 func TestProtocolNames(t *testing.T) {
 	c := qt.New(t)
 	golden.Check(c, "protocol-names.txt", strings.Join([]string{
--- a/internal/tools/days/catalog.go
+++ b/internal/tools/days/catalog.go
@@ -1,35 +1,35 @@
 package main
 
-// span is a range of numbers, both ends included.
+// span is a closed interval of numbers. The zero span means that the field is absent.
 type span struct{ low, high float64 }
 
-// entryKind is one kind of entry of a day, a fault or a planned action, with what it may be drawn with.
-// Spans that are zero are left out of the entry.
+// entryKind describes one kind of entry in a day file, a fault or a planned action, and the values
+// that a random entry of this kind may have. A zero span leaves its field out of the entry.
 type entryKind struct {
-	kind     string
-	planned  bool     // stands in the day's plan, not among its faults
-	weight   int      // how often it is drawn, against the others
-	variants []string // of the entry's "how"; "" leaves it out
-	marks    []string // that may stand behind a variant: meet, race, hard, drain
-	classes  []string // of machines: "" for those beside upstreams, "core"
-	duration span     // seconds
-	share    span
-	count    span // whole numbers
-	strength span // the entry's "x"
-	gap      span // seconds
+	kind      string
+	planned   bool     // written to the day's plan instead of its faults
+	weight    int      // relative probability of being drawn from its catalogue
+	variants  []string // values of the entry's "how"; "" leaves the field out
+	modifiers []string // optional suffixes of "how" after a variant: meet, race, hard, drain
+	classes   []string // machine classes for the entry's "on": "" for machines beside upstreams, "core"
+	duration  span     // the entry's "for_s", in seconds
+	share     span     // fraction of the candidates to affect, 0 to 1
+	count     span     // rounded to an integer
+	strength  span     // the entry's "x"; its unit depends on the kind
+	gap       span     // the entry's "gap_s", in seconds
 }
 
-// Classes of machines that an entry may affect.
+// Machine classes that an entry may affect.
 var (
-	anywhere = []string{"", "core"}
-	coreOnly = []string{"core"}
+	anyClass  = []string{"", "core"}
+	coreClass = []string{"core"}
 )
 
-// lossMarks are the marks that a loss of a machine may have.
-var lossMarks = []string{"meet", "race", "race hard", "drain", "meet drain", "race drain", "hard"}
+// lossModifiers lists the modifiers of entries that stop or disconnect a machine.
+var lossModifiers = []string{"meet", "race", "race hard", "drain", "meet drain", "race drain", "hard"}
 
-// controlEntries affect the core machines, the operators and the disks. The catalogues have every kind
-// that the bench lists for the deployments in force.
+// controlEntries lists the kinds that affect the core machines, the operators and the disks. Together,
+// the two catalogues contain every kind that the bench lists for the current deployments.
 var controlEntries = []entryKind{
 	{
 		kind: "core_cut", weight: 10,
@@ -37,40 +37,40 @@
 			"", "leader", "leader one_way", "one_way", "all", "near", "oldest", "seeds",
 			"both", "lure", "reset", "leader reset", "refuse", "turn", "leader all", "leader near",
 		},
-		marks: lossMarks, duration: span{1, 20}, count: span{1, 1},
+		modifiers: lossModifiers, duration: span{1, 20}, count: span{1, 1},
 	},
 	{
 		kind: "kill_leader", weight: 6,
-		variants: []string{"kill", "freeze", "power", "cut"},
-		marks:    []string{"race", "meet", "race hard"}, duration: span{0.3, 12},
+		variants:  []string{"kill", "freeze", "power", "cut"},
+		modifiers: []string{"race", "meet", "race hard"}, duration: span{0.3, 12},
 	},
 	{kind: "after_ack_kill", weight: 4, variants: []string{"", "kill", "timed", "taken"}, duration: span{0.5, 6}, count: span{1, 1}},
 	{kind: "after_ack_wipe", weight: 5, variants: []string{"", "timed", "taken", "oldest"}, duration: span{0.5, 5}},
 	{kind: "replace_core", weight: 5, variants: []string{"", "planned", "oldest", "oldest planned"}, strength: span{0.3, 4}},
 	{
 		kind: "node_kill", weight: 4,
-		variants: []string{"", "leader", "power", "leader power", "turn"},
-		marks:    lossMarks, classes: coreOnly, duration: span{0.5, 8}, count: span{1, 1},
+		variants:  []string{"", "leader", "power", "leader power", "turn"},
+		modifiers: lossModifiers, classes: coreClass, duration: span{0.5, 8}, count: span{1, 1},
 	},
 	{
 		kind: "node_freeze", weight: 4,
-		variants: []string{"", "leader"},
-		marks:    []string{"race", "meet"}, classes: coreOnly, duration: span{0.5, 12}, count: span{1, 1},
+		variants:  []string{"", "leader"},
+		modifiers: []string{"race", "meet"}, classes: coreClass, duration: span{0.5, 12}, count: span{1, 1},
 	},
 	{
 		kind: "node_slow", weight: 2,
 		variants: []string{"", "leader"},
-		classes:  coreOnly, duration: span{2, 10}, count: span{1, 1}, strength: span{2, 10},
+		classes:  coreClass, duration: span{2, 10}, count: span{1, 1}, strength: span{2, 10},
 	},
 	{
 		kind: "herd_kill", weight: 3,
 		variants: []string{"", "power", "taken", "taken all"},
-		classes:  coreOnly, duration: span{0.3, 3}, share: span{0.4, 1},
+		classes:  coreClass, duration: span{0.3, 3}, share: span{0.4, 1},
 	},
 	{
 		kind: "roll_term", planned: true, weight: 2,
 		variants: []string{"", "busy", "turn busy"},
-		classes:  coreOnly, share: span{0.3, 1}, strength: span{1, 1}, gap: span{1, 4},
+		classes:  coreClass, share: span{0.3, 1}, strength: span{1, 1}, gap: span{1, 4},
 	},
 	{kind: "seed_turnover", weight: 2},
 	{kind: "disk_slow", weight: 3, variants: []string{"", "leader"}, duration: span{2, 10}, count: span{1, 1}, strength: span{5, 60}},
@@ -81,7 +81,7 @@
 		variants: []string{"", "back", "ahead"},
 		duration: span{2, 12}, share: span{0.1, 0.6}, strength: span{200, 8000},
 	},
-	{kind: "reset_conns", weight: 2, classes: anywhere, share: span{0.1, 1}, strength: span{0.3, 1}},
+	{kind: "reset_conns", weight: 2, classes: anyClass, share: span{0.1, 1}, strength: span{0.3, 1}},
 	{kind: "config_race", planned: true, weight: 8, count: span{2, 40}, gap: span{0.2, 2}},
 	{kind: "config_change", planned: true, weight: 6, variants: []string{"route", "weights", "timeout", "tenant", "quota", "idle"}},
 	{
@@ -99,19 +99,19 @@
 	{kind: "cloud_slow", weight: 1, duration: span{2, 7}, strength: span{10, 60}},
 }
 
-// trafficEntries affect the proxies, the upstreams and the callers.
+// trafficEntries lists the kinds that affect the proxies, the upstreams and the callers.
 var trafficEntries = []entryKind{
 	{
 		kind: "node_kill", weight: 3,
-		variants: []string{"", "power", "turn"},
-		marks:    []string{"meet", "drain"}, duration: span{0.5, 5}, share: span{0.1, 0.4},
+		variants:  []string{"", "power", "turn"},
+		modifiers: []string{"meet", "drain"}, duration: span{0.5, 5}, share: span{0.1, 0.4},
 	},
 	{kind: "node_freeze", weight: 3, duration: span{0.5, 5}, share: span{0.1, 0.4}},
 	{kind: "node_slow", weight: 1, duration: span{1, 5}, share: span{0.1, 0.3}, strength: span{2, 8}},
 	{
 		kind: "node_cut", weight: 4,
-		variants: []string{"", "all", "servers", "reset", "refuse"},
-		marks:    []string{"meet"}, duration: span{1, 10}, share: span{0.1, 0.4},
+		variants:  []string{"", "all", "servers", "reset", "refuse"},
+		modifiers: []string{"meet"}, duration: span{1, 10}, share: span{0.1, 0.4},
 	},
 	{kind: "herd_kill", weight: 2, variants: []string{"", "power"}, duration: span{0.5, 2}, share: span{0.3, 0.7}},
 	{
@@ -153,7 +153,7 @@
 	{kind: "give_up", weight: 1, duration: span{2, 8}, share: span{0.1, 0.5}},
 }
 
-// closings are the faults with which a day may end; "" for none.
+// closings lists the faults that may end a day. The kind "" means that the day ends without one.
 var closings = []struct {
 	kind     string
 	variants []string
--- a/internal/tools/days/draw.go
+++ b/internal/tools/days/draw.go
@@ -7,111 +7,117 @@
 	"strings"
 )
 
-// drawnShape is how long a drawn day is and how much happens on it.
-type drawnShape struct {
-	seconds       float64
-	lastEntryAt   float64
-	fewestControl int
-	mostControl   int
-	mostTraffic   int
-	changes       span // of the configuration, one after the other; none for the zero span
+// dayShape defines the length of a random day and the number of its entries. Times are in seconds
+// from the start of the day.
+type dayShape struct {
+	seconds           float64
+	lastEntryAt       float64
+	minControlEntries int
+	maxControlEntries int
+	maxTrafficEntries int
+	changeCount       span // number of successive configuration changes; the zero span means none
 }
 
-// usualDay is as long as the sites' own days; longDay holds hundreds of changes.
+// Shapes of random days: standardDay has the length of the days in the site files, longDay contains
+// hundreds of configuration changes.
 var (
-	usualDay = drawnShape{seconds: 32, lastEntryAt: 27, fewestControl: 4, mostControl: 9, mostTraffic: 5}
-	longDay  = drawnShape{seconds: 100, lastEntryAt: 92, fewestControl: 10, mostControl: 20, mostTraffic: 8, changes: span{100, 300}}
+	standardDay = dayShape{seconds: 32, lastEntryAt: 27, minControlEntries: 4, maxControlEntries: 9, maxTrafficEntries: 5}
+	longDay     = dayShape{
+		seconds: 100, lastEntryAt: 92, minControlEntries: 10, maxControlEntries: 20, maxTrafficEntries: 8, changeCount: span{100, 300},
+	}
 )
 
-// Bounds of a drawn day.
+// Parameters of random days. Times are in seconds from the start of the day.
 const (
-	firstEntryAt       = 1.5
-	changesFrom        = 3.0
-	changesUntil       = 85.0
-	clusteredShare     = 0.6 // of the control entries follow another within clusterSeconds
-	clusterSeconds     = 3.5
-	markShare          = 0.3 // of the entries that may bear a mark
-	drawnFloor         = 0.02
-	shortestDownSecond = 0.3
-	longestDownSecond  = 2.0
+	firstEntryAt        = 1.5
+	firstChangeAt       = 3.0
+	lastChangeAt        = 85.0
+	clusterProbability  = 0.6 // that a control entry follows the previous one within clusterSeconds
+	clusterSeconds      = 3.5
+	modifierProbability = 0.3 // that an entry has a modifier, if its kind allows one
+	goalFloor           = 0.02
+	minDownSeconds      = 0.3
+	maxDownSeconds      = 2.0
 )
 
-// drawer holds a day that is being drawn, and its random source.
-type drawer struct {
+// dayGenerator builds one random day.
+type dayGenerator struct {
 	random *rand.Rand
 	day    *drawnDay
 }
 
-// drawDay draws a day: entries of every kind that the site knows at random moments, several at once and
-// the same kind more than once. The day is a function of its seed.
-func drawDay(seed uint64, known kinds, shape drawnShape) *drawnDay {
-	d := &drawer{random: rand.New(rand.NewPCG(seed, 41)), day: &drawnDay{seed: seed, shape: shape}}
-	d.add(entryKind{kind: "config_change", planned: true, variants: []string{"idle"}}, firstEntryAt)
-	d.addControl(known.among(controlEntries))
-	traffic := known.among(trafficEntries)
-	for range d.random.IntN(shape.mostTraffic + 1) {
-		d.add(pick(d.random, traffic), d.between(firstEntryAt, shape.lastEntryAt))
+// drawDay generates a day with random entries of the kinds that the site supports. Entries may overlap,
+// and a kind may occur more than once. The day depends only on the seed, the kinds and the shape.
+func drawDay(seed uint64, known kindSet, shape dayShape) *drawnDay {
+	d := &dayGenerator{random: rand.New(rand.NewPCG(seed, 41)), day: &drawnDay{seed: seed, shape: shape}}
+	d.addEntry(entryKind{kind: "config_change", planned: true, variants: []string{"idle"}}, firstEntryAt)
+	d.addControlEntries(known.filter(controlEntries))
+	traffic := known.filter(trafficEntries)
+	for range d.random.IntN(shape.maxTrafficEntries + 1) {
+		d.addEntry(drawByWeight(d.random, traffic), d.uniform(firstEntryAt, shape.lastEntryAt))
 	}
-	d.addChanges()
+	d.addConfigurationChanges()
 	d.day.closing = d.drawClosing()
 	return d.day
 }
 
-// addChanges adds a row of changes of the configuration over most of a long day.
-func (d *drawer) addChanges() {
-	if d.day.shape.changes == (span{}) {
+// addConfigurationChanges adds evenly spaced configuration changes between firstChangeAt and
+// lastChangeAt, if the shape has any.
+func (d *dayGenerator) addConfigurationChanges() {
+	if d.day.shape.changeCount == (span{}) {
 		return
 	}
-	count := math.Round(d.between(d.day.shape.changes.low, d.day.shape.changes.high))
-	gap := (changesUntil - changesFrom) / count
-	d.add(entryKind{kind: "config_race", planned: true, count: span{count, count}, gap: span{gap, gap}}, changesFrom)
+	count := math.Round(d.uniform(d.day.shape.changeCount.low, d.day.shape.changeCount.high))
+	gap := (lastChangeAt - firstChangeAt) / count
+	d.addEntry(entryKind{kind: "config_race", planned: true, count: span{count, count}, gap: span{gap, gap}}, firstChangeAt)
 }
 
-// addControl adds entries of the control side, most of them soon after another.
-func (d *drawer) addControl(catalogue []entryKind) {
+// addControlEntries adds control entries, most of them shortly after the previous one.
+func (d *dayGenerator) addControlEntries(catalogue []entryKind) {
 	shape := d.day.shape
-	at := d.between(firstEntryAt, shape.lastEntryAt/2)
-	for range shape.fewestControl + d.random.IntN(shape.mostControl-shape.fewestControl+1) {
-		d.add(pick(d.random, catalogue), at)
-		if d.random.Float64() < clusteredShare {
-			at = min(at+d.between(0, clusterSeconds), shape.lastEntryAt)
+	at := d.uniform(firstEntryAt, shape.lastEntryAt/2)
+	for range shape.minControlEntries + d.random.IntN(shape.maxControlEntries-shape.minControlEntries+1) {
+		d.addEntry(drawByWeight(d.random, catalogue), at)
+		if d.random.Float64() < clusterProbability {
+			at = min(at+d.uniform(0, clusterSeconds), shape.lastEntryAt)
 		} else {
-			at = d.between(firstEntryAt, shape.lastEntryAt)
+			at = d.uniform(firstEntryAt, shape.lastEntryAt)
 		}
 	}
 }
 
-// pick draws from a catalogue by weight.
-func pick(random *rand.Rand, catalogue []entryKind) entryKind {
+// drawByWeight returns a random entry of the catalogue, with a probability proportional to its weight.
+// The catalogue must not be empty.
+func drawByWeight(random *rand.Rand, catalogue []entryKind) entryKind {
 	total := 0
 	for _, entry := range catalogue {
 		total += entry.weight
 	}
-	left := random.IntN(total)
+	remaining := random.IntN(total)
 	for _, entry := range catalogue {
-		if left -= entry.weight; left < 0 {
+		if remaining -= entry.weight; remaining < 0 {
 			return entry
 		}
 	}
 	return catalogue[len(catalogue)-1]
 }
 
-// add writes one entry of the day.
-func (d *drawer) add(entry entryKind, at float64) {
+// addEntry adds an entry with random values to the plan or the faults of the day. The time is in seconds.
+func (d *dayGenerator) addEntry(entry entryKind, at float64) {
 	fields := []string{fmt.Sprintf("at = %.2f", at), fmt.Sprintf("kind = %q", entry.kind)}
 	if len(entry.classes) > 0 {
 		if class := entry.classes[d.random.IntN(len(entry.classes))]; class != "" {
 			fields = append(fields, fmt.Sprintf("on = %q", class))
 		}
 	}
-	if how := d.variant(entry); how != "" {
+	if how := d.drawVariant(entry); how != "" {
 		fields = append(fields, fmt.Sprintf("how = %q", how))
 	}
-	fields = d.number(fields, "for_s", entry.duration, 2)
-	fields = d.number(fields, "share", entry.share, 2)
-	fields = d.number(fields, "count", entry.count, 0)
-	fields = d.number(fields, "x", entry.strength, 2)
-	fields = d.number(fields, "gap_s", entry.gap, 2)
+	fields = d.appendNumber(fields, "for_s", entry.duration, 2)
+	fields = d.appendNumber(fields, "share", entry.share, 2)
+	fields = d.appendNumber(fields, "count", entry.count, 0)
+	fields = d.appendNumber(fields, "x", entry.strength, 2)
+	fields = d.appendNumber(fields, "gap_s", entry.gap, 2)
 	line := "{ " + strings.Join(fields, ", ") + " }"
 	if entry.planned {
 		d.day.plan = append(d.day.plan, line)
@@ -120,41 +126,43 @@
 	}
 }
 
-// variant draws the "how" of an entry, with a mark behind it at times.
-func (d *drawer) variant(entry entryKind) string {
+// drawVariant returns a random value for the "how" of an entry, with or without a modifier.
+func (d *dayGenerator) drawVariant(entry entryKind) string {
 	how := ""
 	if len(entry.variants) > 0 {
 		how = entry.variants[d.random.IntN(len(entry.variants))]
 	}
-	if len(entry.marks) > 0 && d.random.Float64() < markShare {
-		how = strings.TrimSpace(how + " " + entry.marks[d.random.IntN(len(entry.marks))])
+	if len(entry.modifiers) > 0 && d.random.Float64() < modifierProbability {
+		how = strings.TrimSpace(how + " " + entry.modifiers[d.random.IntN(len(entry.modifiers))])
 	}
 	return how
 }
 
-// number adds a field with a number from a span; a zero span adds none.
-func (d *drawer) number(fields []string, name string, from span, digits int) []string {
-	if from == (span{}) {
+// appendNumber appends a field with a random number within the bounds. It appends nothing for the zero span.
+func (d *dayGenerator) appendNumber(fields []string, name string, bounds span, digits int) []string {
+	if bounds == (span{}) {
 		return fields
 	}
-	value := d.between(from.low, from.high)
+	value := d.uniform(bounds.low, bounds.high)
 	if digits == 0 {
 		return append(fields, fmt.Sprintf("%s = %d", name, int(math.Round(value))))
 	}
 	return append(fields, fmt.Sprintf("%s = %.*f", name, digits, value))
 }
 
-func (d *drawer) between(low, high float64) float64 { return low + (high-low)*d.random.Float64() }
+// uniform returns a random number between low and high.
+func (d *dayGenerator) uniform(low, high float64) float64 { return low + (high-low)*d.random.Float64() }
 
-func (d *drawer) drawClosing() string {
-	drawn := closings[d.random.IntN(len(closings))]
-	if drawn.kind == "" {
+// drawClosing returns the line of the day file with a random closing fault, or "" for none.
+func (d *dayGenerator) drawClosing() string {
+	fault := closings[d.random.IntN(len(closings))]
+	if fault.kind == "" {
 		return ""
 	}
-	how := drawn.variants[d.random.IntN(len(drawn.variants))]
-	down := d.between(shortestDownSecond, longestDownSecond)
+	how := fault.variants[d.random.IntN(len(fault.variants))]
+	downSeconds := d.uniform(minDownSeconds, maxDownSeconds)
 	if how == "" {
-		return fmt.Sprintf("closing = { kind = %q, down_s = %.2f }\n", drawn.kind, down)
+		return fmt.Sprintf("closing = { kind = %q, down_s = %.2f }\n", fault.kind, downSeconds)
 	}
-	return fmt.Sprintf("closing = { kind = %q, down_s = %.2f, how = %q }\n", drawn.kind, down, how)
+	return fmt.Sprintf("closing = { kind = %q, down_s = %.2f, how = %q }\n", fault.kind, downSeconds, how)
 }
--- a/internal/tools/days/draw_test.go
+++ b/internal/tools/days/draw_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// allKinds are the kinds of both catalogues.
-func allKinds() kinds {
-	known := kinds{}
+// allKinds returns the kinds of both catalogues.
+func allKinds() kindSet {
+	known := kindSet{}
 	for _, catalogue := range [][]entryKind{controlEntries, trafficEntries} {
 		for _, entry := range catalogue {
 			known[entry.kind] = true
@@ -22,36 +22,36 @@
 func TestDrawnDayIsAFunctionOfItsSeed(t *testing.T) {
 	c := qt.New(t)
 	known := allKinds()
-	c.Assert(drawDay(7, known, usualDay).text(), qt.Equals, drawDay(7, known, usualDay).text())
-	c.Assert(drawDay(7, known, usualDay).text(), qt.Not(qt.Equals), drawDay(8, known, usualDay).text())
+	c.Assert(drawDay(7, known, standardDay).text(), qt.Equals, drawDay(7, known, standardDay).text())
+	c.Assert(drawDay(7, known, standardDay).text(), qt.Not(qt.Equals), drawDay(8, known, standardDay).text())
 }
 
-func TestDrawnDaysHaveOnlyKindsThatTheSiteKnows(t *testing.T) {
+func TestDrawnDaysHaveOnlyKindsOfTheSite(t *testing.T) {
 	c := qt.New(t)
 	known := allKinds()
 	delete(known, "core_cut")
 	delete(known, "srv_grey")
 	for seed := range uint64(100) {
-		text := drawDay(seed, known, usualDay).text()
+		text := drawDay(seed, known, standardDay).text()
 		c.Assert(strings.Contains(text, "core_cut") || strings.Contains(text, "srv_grey"), qt.IsFalse)
 	}
 }
 
-// Over some hundreds of days every kind of entry comes, every variant and mark of the
-// control side, and some kind more than once on one day.
+// TestDrawnDaysHaveEveryKind checks that 400 random days include every kind of entry with each of its
+// variants, and that at least one day has several entries of the same kind.
 func TestDrawnDaysHaveEveryKind(t *testing.T) {
 	c := qt.New(t)
-	all, repeated, known := strings.Builder{}, false, allKinds()
+	allText, repeated, known := strings.Builder{}, false, allKinds()
 	for seed := range uint64(400) {
-		text := drawDay(seed, known, usualDay).text()
-		all.WriteString(text)
+		text := drawDay(seed, known, standardDay).text()
+		allText.WriteString(text)
 		repeated = repeated || strings.Count(text, `kind = "core_cut"`) > 1
 	}
 	for _, catalogue := range [][]entryKind{controlEntries, trafficEntries} {
 		for _, entry := range catalogue {
-			c.Check(strings.Contains(all.String(), `kind = "`+entry.kind+`"`), qt.IsTrue, qt.Commentf("%s", entry.kind))
+			c.Check(strings.Contains(allText.String(), `kind = "`+entry.kind+`"`), qt.IsTrue, qt.Commentf("%s", entry.kind))
 			for _, variant := range entry.variants {
-				c.Check(strings.Contains(all.String(), `how = "`+variant), qt.IsTrue, qt.Commentf("%s %s", entry.kind, variant))
+				c.Check(strings.Contains(allText.String(), `how = "`+variant), qt.IsTrue, qt.Commentf("%s %s", entry.kind, variant))
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 	folder := c.TempDir()
 	script := "#!/bin/sh\n[ \"$1\" = kinds ] || exit 2\necho 'core_cut: cut'\necho 'node_kill: killed'\n"
 	bench := writeFile(c, c.TempDir(), "bench", script, 0o755)
-	matrix, err := options{bench: bench, sites: []string{"x.toml", "y.toml"}, draw: 2, drawSeed: 5}.matrix(folder)
+	matrix, err := options{bench: bench, sites: []string{"x.toml", "y.toml"}, randomDays: 2, firstSeed: 5}.matrix(folder)
 	c.Assert(err, qt.IsNil)
 	var names []string
 	for _, p := range matrix {
--- a/internal/tools/days/drawn_day.go
+++ b/internal/tools/days/drawn_day.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// drawnDay is a day that was drawn from a seed: the entries of its plan, its faults, and the fault with
-// which it ends, all in the form of the day files.
+// drawnDay is a random day. Its plan, its faults and its closing fault are lines in the syntax of the
+// day files.
 type drawnDay struct {
 	seed    uint64
 	plan    []string
 	faults  []string
 	closing string
-	shape   drawnShape
+	shape   dayShape
 }
 
-// name is the day's name and that of its file.
+// name returns the name of the day, which is also part of the file name.
 func (d *drawnDay) name() string {
 	if d.shape == longDay {
 		return fmt.Sprintf("drawn-long-%d", d.seed)
@@ -25,28 +25,29 @@
 	return fmt.Sprintf("drawn-%d", d.seed)
 }
 
-// flag is what else the command line has that draws the day.
-func (d *drawnDay) flag() string {
+// extraFlags returns the flags, besides the seed, that reproduce the day on the command line.
+func (d *drawnDay) extraFlags() string {
 	if d.shape == longDay {
 		return " --long"
 	}
 	return ""
 }
 
-// text is the day as a file for the bench.
+// text returns the day file for the bench.
 func (d *drawnDay) text() string {
 	text := strings.Builder{}
 	fmt.Fprintf(&text, "# Drawn by `days --draw-seed %d --draw 1%s`.\n[[day]]\nname = %q\nslot = \"trouble\"\nseed = %d\nlength_s = %.1f\n",
-		d.seed, d.flag(), d.name(), d.seed, d.shape.seconds)
+		d.seed, d.extraFlags(), d.name(), d.seed, d.shape.seconds)
 	text.WriteString(d.closing)
-	fmt.Fprintf(&text, "goal = { floor = %g }\n", drawnFloor)
+	fmt.Fprintf(&text, "goal = { floor = %g }\n", goalFloor)
 	fmt.Fprintf(&text, "plan = [\n  %s,\n]\n", strings.Join(d.plan, ",\n  "))
 	fmt.Fprintf(&text, "faults = [\n  %s,\n]\n", strings.Join(d.faults, ",\n  "))
 	return text.String()
 }
 
-// drawDays writes a site's days of consecutive seeds into a folder and lists the files.
-func drawDays(folder, site string, known kinds, shape drawnShape, firstSeed uint64, count int) ([]string, error) {
+// drawDays generates days for a site from consecutive seeds, writes them into a folder and returns
+// the paths of the files.
+func drawDays(folder, site string, known kindSet, shape dayShape, firstSeed uint64, count int) ([]string, error) {
 	paths := []string{}
 	for seed := firstSeed; seed < firstSeed+uint64(count); seed++ {
 		day := drawDay(seed, known, shape)
--- a/internal/tools/days/kinds.go
+++ b/internal/tools/days/kinds.go
@@ -6,35 +6,35 @@
 	"regexp"
 )
 
-// kinds are the names of the entries that a site knows.
-type kinds map[string]bool
+// kindSet is the set of entry kinds that a site supports.
+type kindSet map[string]bool
 
-// kindLine is a line of the bench's list: a kind and what it means.
+// kindLine matches the kind at the start of a line in the bench's list of kinds.
 var kindLine = regexp.MustCompile(`(?m)^([a-z_]+): `)
 
-// kindsOf asks the bench which entries a site knows.
-func kindsOf(bench, site string) (kinds, error) {
-	listed, err := exec.Command(bench, "kinds", site).Output()
+// siteKinds returns the entry kinds that the bench lists for a site.
+func siteKinds(bench, site string) (kindSet, error) {
+	output, err := exec.Command(bench, "kinds", site).Output()
 	if err != nil {
-		return nil, fmt.Errorf("kinds of %s: %w", site, err)
+		return nil, fmt.Errorf("listing the entry kinds of site %s: %w", site, err)
 	}
-	known := kinds{}
-	for _, match := range kindLine.FindAllSubmatch(listed, -1) {
+	known := kindSet{}
+	for _, match := range kindLine.FindAllSubmatch(output, -1) {
 		known[string(match[1])] = true
 	}
 	if len(known) == 0 {
-		return nil, fmt.Errorf("kinds of %s: none listed", site)
+		return nil, fmt.Errorf("listing the entry kinds of site %s: no kind in the output of %s", site, bench)
 	}
 	return known, nil
 }
 
-// among returns the entries of a catalogue that are known.
-func (k kinds) among(catalogue []entryKind) []entryKind {
-	var kept []entryKind
+// filter returns the entries of a catalogue whose kind is in the set.
+func (k kindSet) filter(catalogue []entryKind) []entryKind {
+	var filtered []entryKind
 	for _, entry := range catalogue {
 		if k[entry.kind] {
-			kept = append(kept, entry)
+			filtered = append(filtered, entry)
 		}
 	}
-	return kept
+	return filtered
 }
--- a/internal/tools/days/main.go
+++ b/internal/tools/days/main.go
@@ -1,5 +1,5 @@
-// Command days plays the day files of docs/days on the users' bench and prints one table
-// of what each play gave. It is a tool for developers; no product program needs it.
+// Command days runs the day files of docs/days, or random days, on the users' bench and prints a table
+// with the result of each run. It is a development tool that no program of the product depends on.
 package main
 
 import (
@@ -19,53 +19,55 @@
 	}
 }
 
-// options are the flags of the command.
+// options holds the flags of the command.
 type options struct {
-	bench   string
-	sites   []string
-	folder  string
-	only    []string
-	seeds   string
-	jobs    int
-	why     string
-	reports string
+	bench        string
+	sites        []string
+	dayFolder    string
+	namePrefixes []string
+	seeds        string
+	jobs         int
+	journalNote  string
+	reportFolder string
 
-	draw     int    // how many random days are played instead of the files
-	drawSeed uint64 // of the first of them
-	long     bool   // they are long and hold hundreds of changes
+	randomDays int    // number of random days to play instead of the day files; 0 plays the files
+	firstSeed  uint64 // seed of the first random day; the others use the following seeds
+	longDays   bool   // gives random days the shape longDay
 }
 
+// newCommand returns the command with its flags.
 func newCommand() *cobra.Command {
-	var chosen options
+	var opts options
 	command := &cobra.Command{
 		Use:          "days",
 		Short:        "play the day files over sites and seeds, and print one table",
 		SilenceUsage: true,
 		RunE: func(command *cobra.Command, _ []string) error {
-			return chosen.run(command.OutOrStdout(), command.ErrOrStderr())
+			return opts.run(command.OutOrStdout(), command.ErrOrStderr())
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&chosen.bench, "bench", "", "path of the bench's program")
-	flags.StringArrayVar(&chosen.sites, "site", nil, "path of a site file; may stand more than once")
-	flags.StringVar(&chosen.folder, "days", "docs/days", "folder of the day files")
-	flags.StringSliceVar(&chosen.only, "only", nil, "only days whose names begin so")
-	flags.StringVar(&chosen.seeds, "seeds", "1", "seeds, separated by commas")
-	flags.IntVar(&chosen.jobs, "jobs", 1, "plays at one time")
-	flags.StringVar(&chosen.why, "why", "", "a line for the bench's journal")
-	flags.IntVar(&chosen.draw, "draw", 0, "play so many random days instead of the files, each with its own seed")
-	flags.Uint64Var(&chosen.drawSeed, "draw-seed", 1, "seed of the first random day; the others follow")
-	flags.BoolVar(&chosen.long, "long", false, "random days are long and hold hundreds of changes")
-	flags.StringVar(&chosen.reports, "reports", "", "folder that keeps the reports (default: a temporary one)")
+	flags.StringVar(&opts.bench, "bench", "", "path of the bench's program")
+	flags.StringArrayVar(&opts.sites, "site", nil, "path of a site file; may stand more than once")
+	flags.StringVar(&opts.dayFolder, "days", "docs/days", "folder of the day files")
+	flags.StringSliceVar(&opts.namePrefixes, "only", nil, "only days whose names begin so")
+	flags.StringVar(&opts.seeds, "seeds", "1", "seeds, separated by commas")
+	flags.IntVar(&opts.jobs, "jobs", 1, "plays at one time")
+	flags.StringVar(&opts.journalNote, "why", "", "a line for the bench's journal")
+	flags.IntVar(&opts.randomDays, "draw", 0, "play so many random days instead of the files, each with its own seed")
+	flags.Uint64Var(&opts.firstSeed, "draw-seed", 1, "seed of the first random day; the others follow")
+	flags.BoolVar(&opts.longDays, "long", false, "random days are long and hold hundreds of changes")
+	flags.StringVar(&opts.reportFolder, "reports", "", "folder that keeps the reports (default: a temporary one)")
 	for _, required := range []string{"bench", "site", "why"} {
 		_ = command.MarkFlagRequired(required)
 	}
 	return command
 }
 
-// run plays the matrix, and prints the table and, meanwhile, the progress.
+// run plays the matrix, writes a line to progress after each play, and prints the table to out. It
+// returns an error if a play failed.
 func (o options) run(out, progress io.Writer) error {
-	reports, err := o.reportFolder()
+	reports, err := o.ensureReportFolder()
 	if err != nil {
 		return err
 	}
@@ -73,19 +75,19 @@
 	if err != nil {
 		return err
 	}
-	player := &bench{path: o.bench, why: o.why, reports: reports}
-	results := playAll(matrix, o.jobs, player.play, progress)
+	runner := &benchRunner{path: o.bench, journalNote: o.journalNote, reportFolder: reports}
+	results := playAll(matrix, o.jobs, runner.play, progress)
 	printTable(out, results)
-	return verdict(results)
+	return checkResults(results)
 }
 
-// matrix lists every play that the options ask for: site by site, day by day. Random days
-// are written beside the reports.
+// matrix returns the selected plays, ordered by site, day and seed. It writes the files of random days
+// into the report folder.
 func (o options) matrix(reports string) ([]play, error) {
-	if o.draw > 0 {
-		return o.drawnMatrix(reports)
+	if o.randomDays > 0 {
+		return o.randomMatrix(reports)
 	}
-	days, err := dayFiles(o.folder, o.only)
+	days, err := dayFiles(o.dayFolder, o.namePrefixes)
 	if err != nil {
 		return nil, err
 	}
@@ -104,61 +106,66 @@
 	return matrix, nil
 }
 
-// drawnMatrix lists the plays of random days: each seed on each site, with a day of the entries that
-// the site knows.
-func (o options) drawnMatrix(folder string) ([]play, error) {
-	perSite := map[string][]string{}
+// randomMatrix returns the plays of random days, ordered by seed and site. Each site gets its own day
+// per seed, with the entry kinds that the site supports. The day files are written into folder.
+func (o options) randomMatrix(folder string) ([]play, error) {
+	daysBySite := map[string][]string{}
 	for _, site := range o.sites {
-		known, err := kindsOf(o.bench, site)
+		known, err := siteKinds(o.bench, site)
 		if err != nil {
 			return nil, err
 		}
-		if perSite[site], err = drawDays(folder, site, known, o.shape(), o.drawSeed, o.draw); err != nil {
+		if daysBySite[site], err = drawDays(folder, site, known, o.shape(), o.firstSeed, o.randomDays); err != nil {
 			return nil, err
 		}
 	}
 	var matrix []play
-	for index := range o.draw {
+	for index := range o.randomDays {
 		for _, site := range o.sites {
-			matrix = append(matrix, play{site: site, day: perSite[site][index], seed: o.drawSeed + uint64(index)})
+			matrix = append(matrix, play{site: site, day: daysBySite[site][index], seed: o.firstSeed + uint64(index)})
 		}
 	}
 	return matrix, nil
 }
 
-func (o options) shape() drawnShape {
-	if o.long {
+// shape returns the shape of the random days.
+func (o options) shape() dayShape {
+	if o.longDays {
 		return longDay
 	}
-	return usualDay
+	return standardDay
 }
 
-func (o options) reportFolder() (string, error) {
-	if o.reports == "" {
+// ensureReportFolder creates the folder for the reports, a temporary one if none is set, and returns
+// its path.
+func (o options) ensureReportFolder() (string, error) {
+	if o.reportFolder == "" {
 		return os.MkdirTemp("", "days-")
 	}
-	return o.reports, os.MkdirAll(o.reports, 0o755)
+	return o.reportFolder, os.MkdirAll(o.reportFolder, 0o755)
 }
 
-// dayFiles finds the day files of a folder, in the order of their names.
-func dayFiles(folder string, only []string) ([]string, error) {
-	all, err := filepath.Glob(filepath.Join(folder, "*.toml"))
+// dayFiles returns the day files in a folder, sorted by name. If prefixes is not empty, it returns only
+// the files whose names start with one of them.
+func dayFiles(folder string, prefixes []string) ([]string, error) {
+	paths, err := filepath.Glob(filepath.Join(folder, "*.toml"))
 	if err != nil {
 		return nil, err
 	}
-	var chosen []string
-	for _, path := range all {
-		if beginsWithAny(baseName(path), only) {
-			chosen = append(chosen, path)
+	var selected []string
+	for _, path := range paths {
+		if hasAnyPrefix(baseName(path), prefixes) {
+			selected = append(selected, path)
 		}
 	}
-	if len(chosen) == 0 {
-		return nil, fmt.Errorf("no day files in %s", folder)
+	if len(selected) == 0 {
+		return nil, fmt.Errorf("no day files in %s with a name prefix in %q", folder, prefixes)
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-func beginsWithAny(name string, prefixes []string) bool {
+// hasAnyPrefix reports whether a name starts with one of the prefixes, or there are no prefixes.
+func hasAnyPrefix(name string, prefixes []string) bool {
 	for _, prefix := range prefixes {
 		if strings.HasPrefix(name, prefix) {
 			return true
@@ -167,6 +174,7 @@
 	return len(prefixes) == 0
 }
 
+// parseSeeds parses a comma-separated list of seeds.
 func parseSeeds(text string) ([]uint64, error) {
 	var seeds []uint64
 	for _, word := range strings.Split(text, ",") {
@@ -179,7 +187,7 @@
 	return seeds, nil
 }
 
-// baseName is a file's name without its folder and ending.
+// baseName returns the name of a file without its folder and extension.
 func baseName(path string) string {
 	return strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 }
--- a/internal/tools/days/report.go
+++ b/internal/tools/days/report.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// report is the part of the bench's report that the table shows.
+// report holds the fields of the bench's report that the table shows.
 type report struct {
 	Score  float64                      `json:"G"`
 	Served float64                      `json:"served"`
@@ -19,47 +19,50 @@
 	Times  map[string][]json.RawMessage `json:"times"`
 }
 
+// readReport reads the report that the bench wrote.
 func readReport(path string) (report, error) {
-	var read report
+	var parsed report
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return read, err
+		return parsed, err
 	}
-	if err := json.Unmarshal(content, &read); err != nil {
-		return read, fmt.Errorf("report %s: %w", path, err)
+	if err := json.Unmarshal(content, &parsed); err != nil {
+		return parsed, fmt.Errorf("report %s: %w", path, err)
 	}
-	return read, nil
+	return parsed, nil
 }
 
-// faulty says that the bench saw a fault of a process.
-func (r report) faulty() bool {
+// hasFault reports whether the bench observed a process fault.
+func (r report) hasFault() bool {
 	text := string(r.Fault)
 	return text != "" && text != "null"
 }
 
-func (r report) broke() bool {
-	return len(r.Breaks) > 0 || r.faulty() || len(r.Short) > 0
+// failed reports whether a rule was broken, a process fault occurred or a floor was missed.
+func (r report) failed() bool {
+	return len(r.Breaks) > 0 || r.hasFault() || len(r.Short) > 0
 }
 
-// rules names the broken rules in the order of the alphabet, with what is told of each.
-func (r report) rules() string {
+// brokenRules returns the broken rules in alphabetical order, each with its value in the report.
+func (r report) brokenRules() string {
 	if len(r.Breaks) == 0 {
 		return "none"
 	}
 	var names []string
-	for name, told := range r.Breaks {
-		names = append(names, name+" "+string(told))
+	for name, detail := range r.Breaks {
+		names = append(names, name+" "+string(detail))
 	}
 	sort.Strings(names)
 	return strings.Join(names, ", ")
 }
 
-// gate tells whether the play passes: no rule broken, no fault, no floor missed.
+// gate returns "passed" if no rule was broken, no process fault occurred and no floor was missed, and
+// otherwise the first of these failures.
 func (r report) gate() string {
 	switch {
 	case len(r.Breaks) > 0:
 		return "broken"
-	case r.faulty():
+	case r.hasFault():
 		return "fault " + string(r.Fault)
 	case len(r.Short) > 0:
 		return "short"
@@ -67,15 +70,15 @@
 	return "passed"
 }
 
-// slowestRecovery is the longest time, in milliseconds, that the report names for coming
-// back after a loss; no such time is a dash.
+// slowestRecovery returns the longest recovery time in the report, in milliseconds, or "-" if there is
+// none. Recovery times are those whose name contains "after".
 func (r report) slowestRecovery() string {
 	slowest := -1.0
-	for name, span := range r.Times {
+	for name, values := range r.Times {
 		if !strings.Contains(name, "after") {
 			continue
 		}
-		for _, raw := range span {
+		for _, raw := range values {
 			var milliseconds float64
 			if json.Unmarshal(raw, &milliseconds) == nil {
 				slowest = max(slowest, milliseconds)
--- a/internal/tools/pages/pages.go
+++ b/internal/tools/pages/pages.go
@@ -1,3 +1,3 @@
-// Package pages has the test that holds docs/architecture.md to the code: each name of a package's
-// item there exists.
+// Package pages contains a test that checks docs/architecture.md against the code: each item of a
+// package that the page names must exist.
 package pages
--- a/internal/tools/pages/pages_test.go
+++ b/internal/tools/pages/pages_test.go
@@ -14,31 +14,33 @@
 )
 
 const (
-	root = "../../.."
-	page = root + "/docs/architecture.md"
+	repositoryRoot   = "../../.."
+	architecturePage = repositoryRoot + "/docs/architecture.md"
 )
 
-// codeName matches `package.Name` and `package.Type.Method` in backticks.
-var codeName = regexp.MustCompile("`([a-z]+)\\.([A-Za-z]+(?:\\.[A-Za-z]+)?)`")
+// qualifiedName matches `package.Name` and `package.Type.Method` in backticks.
+var qualifiedName = regexp.MustCompile("`([a-z]+)\\.([A-Za-z]+(?:\\.[A-Za-z]+)?)`")
 
-func TestArchitectureNamesWhatExists(t *testing.T) {
+// TestArchitecturePageNamesExistingCode guards against a page that still names an item after it was
+// renamed or removed.
+func TestArchitecturePageNamesExistingCode(t *testing.T) {
 	c := qt.New(t)
-	body, err := os.ReadFile(page)
+	body, err := os.ReadFile(architecturePage)
 	c.Assert(err, qt.IsNil)
-	names := codeName.FindAllStringSubmatch(string(body), -1)
+	names := qualifiedName.FindAllStringSubmatch(string(body), -1)
 	c.Assert(len(names) > 30, qt.IsTrue, qt.Commentf("%d names", len(names)))
-	declared := map[string]map[string]bool{}
+	declaredNames := map[string]map[string]bool{}
 	for _, name := range names {
 		packageName, item := name[1], name[2]
-		if declared[packageName] == nil {
-			declared[packageName] = declarations(c, filepath.Join(root, "internal", packageName))
+		if declaredNames[packageName] == nil {
+			declaredNames[packageName] = declarations(c, filepath.Join(repositoryRoot, "internal", packageName))
 		}
-		c.Check(declared[packageName][item], qt.IsTrue, qt.Commentf("%s.%s does not exist", packageName, item))
+		c.Check(declaredNames[packageName][item], qt.IsTrue, qt.Commentf("%s.%s does not exist", packageName, item))
 	}
 }
 
-// declarations returns the types, functions and methods of a package, methods as Type.Method; a
-// method of an embedded type is not seen.
+// declarations returns the names of the types, functions and methods that a package declares, methods
+// as Type.Method. It does not include methods that a type gets from an embedded type.
 func declarations(c *qt.C, folder string) map[string]bool {
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	c.Assert(err, qt.IsNil)
@@ -50,35 +52,36 @@
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 		c.Assert(err, qt.IsNil)
 		for _, declaration := range file.Decls {
-			addNames(names, declaration)
+			addDeclaredNames(names, declaration)
 		}
 	}
 	return names
 }
 
-func addNames(names map[string]bool, declaration ast.Decl) {
-	switch declared := declaration.(type) {
+// addDeclaredNames adds the names of the types, functions and methods in a declaration to names.
+func addDeclaredNames(names map[string]bool, declaration ast.Decl) {
+	switch typedDeclaration := declaration.(type) {
 	case *ast.FuncDecl:
-		names[receiver(declared)+declared.Name.Name] = true
+		names[receiverPrefix(typedDeclaration)+typedDeclaration.Name.Name] = true
 	case *ast.GenDecl:
-		for _, spec := range declared.Specs {
-			if typed, isType := spec.(*ast.TypeSpec); isType {
-				names[typed.Name.Name] = true
+		for _, spec := range typedDeclaration.Specs {
+			if typeSpec, isType := spec.(*ast.TypeSpec); isType {
+				names[typeSpec.Name.Name] = true
 			}
 		}
 	}
 }
 
-// receiver returns "Type." for a method and "" for a function.
-func receiver(declared *ast.FuncDecl) string {
-	if declared.Recv == nil {
+// receiverPrefix returns "Type." for a method of Type and "" for a function.
+func receiverPrefix(function *ast.FuncDecl) string {
+	if function.Recv == nil {
 		return ""
 	}
-	typed := declared.Recv.List[0].Type
-	if pointer, isPointer := typed.(*ast.StarExpr); isPointer {
-		typed = pointer.X
+	receiverType := function.Recv.List[0].Type
+	if pointer, isPointer := receiverType.(*ast.StarExpr); isPointer {
+		receiverType = pointer.X
 	}
-	if named, isNamed := typed.(*ast.Ident); isNamed {
+	if named, isNamed := receiverType.(*ast.Ident); isNamed {
 		return named.Name + "."
 	}
 	return ""
