--- a/internal/golden/counters_test.go
+++ b/internal/golden/counters_test.go
@@ -66,7 +66,7 @@
 	checkReportCounter := func(expiresAt time.Duration, counter string) {
 		_, err := process.Request(process.Group.Context, registry.UsageReport{Window: 1, ExpiresAt: expiresAt})
 		c.Assert(err, qt.IsNil)
-		for deadline := time.Now().Add(answerTimeout); process.Counters()[counter] == 0 && time.Now().Before(deadline); {
+		for deadline := time.Now().Add(responseTimeout); process.Counters()[counter] == 0 && time.Now().Before(deadline); {
 			time.Sleep(pollInterval)
 		}
 		c.Check(process.Counters()[counter], qt.Equals, int64(1), qt.Commentf(counter))
--- a/internal/golden/deployment_test.go
+++ b/internal/golden/deployment_test.go
@@ -34,8 +34,8 @@
 )
 
 const (
-	// answerTimeout limits the wait until a response matches its golden file.
-	answerTimeout = 60 * time.Second
+	// responseTimeout limits the wait until a response matches its golden file.
+	responseTimeout = 60 * time.Second
 	// settleTime is the wait before the golden files are rewritten, since the first responses of a
 	// new deployment still change.
 	settleTime = 8 * time.Second
@@ -51,9 +51,9 @@
 // deployment is the set of running processes and the requests that their HTTP peers received.
 type deployment struct {
 	registry, configStore, proxy settings.Settings
-	reports                      chan string // usage reports as the collector received them
-	requests                     chan string // requests as the upstream received them
-	addressNames                 map[string]string
+	reports                      chan string       // usage reports as the collector received them
+	requests                     chan string       // requests as the upstream received them
+	addressNames                 map[string]string // the name that replaces each address in the golden files
 }
 
 // unusedAddress returns a loopback address with a port that is free at the time of the call.
@@ -168,42 +168,42 @@
 }
 
 // callUntilServed repeats a call until a complete response with a status other than 503 arrives or
-// answerTimeout has passed. It returns the last response.
+// responseTimeout has passed. It returns the last response.
 func (d *deployment) callUntilServed(c *qt.C, method, target string, header map[string]string, body string) string {
-	deadline := time.Now().Add(answerTimeout)
+	deadline := time.Now().Add(responseTimeout)
 	for {
-		status, header, answer := d.call(c, method, target, header, body)
+		status, responseHeader, responseBody := d.call(c, method, target, header, body)
 		if status != 0 && status != http.StatusServiceUnavailable || time.Now().After(deadline) {
-			return golden.Response(status, header, answer)
+			return golden.Response(status, responseHeader, responseBody)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
 // callUntilStatus repeats a call until the response has the expected status, and returns that
-// response. It fails the test after answerTimeout.
+// response. It fails the test after responseTimeout.
 func (d *deployment) callUntilStatus(c *qt.C, expectedStatus int, method, target string, header map[string]string, body string) string {
-	deadline := time.Now().Add(answerTimeout)
+	deadline := time.Now().Add(responseTimeout)
 	for {
-		status, fields, answer := d.call(c, method, target, header, body)
+		status, responseHeader, responseBody := d.call(c, method, target, header, body)
 		if status == expectedStatus {
-			return golden.Response(status, fields, answer)
+			return golden.Response(status, responseHeader, responseBody)
 		}
 		if time.Now().After(deadline) {
-			c.Fatalf("%s %s: got status %d, expected %d, last response: %s", method, target, status, expectedStatus, answer)
+			c.Fatalf("%s %s: got status %d, expected %d, last response: %s", method, target, status, expectedStatus, responseBody)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
 // checkEventually compares a text with a golden file. It fetches the text again until it matches or
-// answerTimeout has passed.
+// responseTimeout has passed.
 func checkEventually(c *qt.C, name string, fetch func() string) {
 	c.Helper()
 	got := fetch()
 	if !golden.Updating() {
 		expected := golden.Read(c, name)
-		for deadline := time.Now().Add(answerTimeout); got != expected && time.Now().Before(deadline); got = fetch() {
+		for deadline := time.Now().Add(responseTimeout); got != expected && time.Now().Before(deadline); got = fetch() {
 			time.Sleep(pollInterval)
 		}
 	}
@@ -233,8 +233,8 @@
 	return value
 }
 
-// normalizedAnswer sends a GET request and returns the response with normalized values.
-func (d *deployment) normalizedAnswer(c *qt.C, target string) string {
+// normalizedResponse sends a GET request and returns the response with normalized values.
+func (d *deployment) normalizedResponse(c *qt.C, target string) string {
 	status, header, body := d.call(c, http.MethodGet, target, nil, "")
 	header.Del("Content-Length")
 	var value any
@@ -308,6 +308,8 @@
 	})
 }
 
+// TestDeployment writes a configuration, announces an upstream and sends a caller's request, and then
+// compares the external output of each process with the golden files.
 func TestDeployment(t *testing.T) {
 	c := qt.New(t)
 	d := startDeployment(c)
@@ -328,7 +330,7 @@
 	golden.Check(c, "deployment-request.txt", d.normalizedRequest(<-d.requests))
 	d.checkRegistryResponses(c)
 	d.checkCallerRefusals(c, validHeader)
-	checkEventually(c, "deployment-proxy-counters.txt", func() string { return d.normalizedAnswer(c, proxyHTTP+"/beacon/counters") })
+	checkEventually(c, "deployment-proxy-counters.txt", func() string { return d.normalizedResponse(c, proxyHTTP+"/beacon/counters") })
 	checkEventually(c, "metrics-registry.txt", func() string { return d.metricNames(c, d.registry.MetricsAddress) })
 	checkEventually(c, "metrics-configstore.txt", func() string { return d.metricNames(c, d.configStore.MetricsAddress) })
 	checkEventually(c, "metrics-proxy.txt", func() string { return d.metricNames(c, d.proxy.MetricsAddress) })
@@ -349,13 +351,13 @@
 	report = regexp.MustCompile(`Content-Length: \d+\n`).ReplaceAllString(report, "")
 	golden.Check(c, "deployment-report.txt", regexp.MustCompile(`":\d+`).ReplaceAllString(report, `":1`))
 	checkEventually(c, "deployment-registry-usage.txt", func() string {
-		return d.normalizedAnswer(c, d.registry.HTTPAddress+"/v1/usage/"+window[1])
+		return d.normalizedResponse(c, d.registry.HTTPAddress+"/v1/usage/"+window[1])
 	})
 }
 
 // awaitUsageReport returns the first usage report that includes the tenant.
 func (d *deployment) awaitUsageReport(c *qt.C) string {
-	deadline := time.After(answerTimeout)
+	deadline := time.After(responseTimeout)
 	for {
 		select {
 		case report := <-d.reports:
@@ -363,7 +365,7 @@
 				return report
 			}
 		case <-deadline:
-			c.Fatalf("no usage report with tenant %q within %v", "clinic", answerTimeout)
+			c.Fatalf("no usage report with tenant %q within %v", "clinic", responseTimeout)
 		}
 	}
 }
@@ -378,7 +380,7 @@
 		"in-force": "/v1/configurations/main/1/in-force", "lacking": "/v1/configurations/main/9/in-force?wait_ms=1",
 		"no-configuration": "/v1/configurations/other", "no-version": "/v1/configurations/main/9", "no-usage": "/v1/usage/9",
 	} {
-		checkEventually(c, "deployment-registry-"+name+".txt", func() string { return d.normalizedAnswer(c, registryHTTP+path) })
+		checkEventually(c, "deployment-registry-"+name+".txt", func() string { return d.normalizedResponse(c, registryHTTP+path) })
 	}
 	text := strings.Builder{}
 	for _, write := range []struct{ path, body string }{
@@ -397,7 +399,7 @@
 	text := strings.Builder{}
 	for _, testCase := range []struct {
 		name, method, path, body string
-		change                   map[string]string
+		headerChanges            map[string]string // an empty value removes the field
 	}{
 		{"no key", "POST", "/messages", "", map[string]string{"X-Api-Key": ""}},
 		{"unknown key", "POST", "/messages", "", map[string]string{"X-Api-Key": "other"}},
@@ -410,7 +412,7 @@
 		{"bad pass", "POST", "/messages", "", map[string]string{"X-Api-Key": "", "X-Beacon-Pass": "0123"}},
 	} {
 		header := maps.Clone(validHeader)
-		for name, value := range testCase.change {
+		for name, value := range testCase.headerChanges {
 			header[name] = value
 			if value == "" {
 				delete(header, name)
--- a/internal/golden/proxy_api_test.go
+++ b/internal/golden/proxy_api_test.go
@@ -101,10 +101,10 @@
 func TestProxyPathsWithCallerHandler(t *testing.T) {
 	c := qt.New(t)
 	proxyAPI, _ := newProxyAPI(c, testSettings())
-	callers := http.HandlerFunc(func(out http.ResponseWriter, request *http.Request) {
+	callerHandler := http.HandlerFunc(func(out http.ResponseWriter, request *http.Request) {
 		out.Header().Set("X-Callers", request.RequestURI)
 	})
-	handler := proxyAPI.HandlerWithCallers(callers)
+	handler := proxyAPI.HandlerWithCallers(callerHandler)
 	text := strings.Builder{}
 	for _, target := range []string{"/", "/beacon", "/beacon/", "/beacon/live", "/beacons", "/a%2fb/../c?d=e"} {
 		recorder := httptest.NewRecorder()
--- a/internal/golden/registry_api_test.go
+++ b/internal/golden/registry_api_test.go
@@ -24,8 +24,8 @@
 	"beaconvane/internal/statemachine"
 )
 
-// stubMachine is a state machine that replies to each request with the same code, and with a body
-// that describes the request. With noReply set it never replies.
+// stubMachine is a state machine that records an event for each request and replies with the same
+// code and a body that describes the request. With noReply set it never replies.
 type stubMachine struct {
 	code    errcode.Code
 	noReply bool
--- a/internal/tools/days/days_test.go
+++ b/internal/tools/days/days_test.go
@@ -66,7 +66,7 @@
 	_, err := options{dayFolder: folder, seeds: "one"}.matrix("")
 	c.Assert(err, qt.ErrorMatches, `seed "one" is not a number`)
 	_, err = options{dayFolder: folder, namePrefixes: []string{"z"}, seeds: "1"}.matrix("")
-	c.Assert(err, qt.ErrorMatches, `no day files in .* with a name prefix in \["z"\]`)
+	c.Assert(err, qt.ErrorMatches, `no day files in .* match the name prefixes \["z"\]`)
 }
 
 func TestGateOfReports(t *testing.T) {
--- a/internal/tools/days/draw.go
+++ b/internal/tools/days/draw.go
@@ -36,7 +36,7 @@
 	clusterSeconds      = 3.5
 	modifierProbability = 0.3 // that an entry has a modifier, if its kind allows one
 	goalFloor           = 0.02
-	minDownSeconds      = 0.3
+	minDownSeconds      = 0.3 // minDownSeconds and maxDownSeconds bound the "down_s" of the closing fault
 	maxDownSeconds      = 2.0
 )
 
@@ -48,11 +48,11 @@
 
 // drawDay generates a day with random entries of the kinds that the site supports. Entries may overlap,
 // and a kind may occur more than once. The day depends only on the seed, the kinds and the shape.
-func drawDay(seed uint64, known kindSet, shape dayShape) *drawnDay {
+func drawDay(seed uint64, supported kindSet, shape dayShape) *drawnDay {
 	d := &dayGenerator{random: rand.New(rand.NewPCG(seed, 41)), day: &drawnDay{seed: seed, shape: shape}}
 	d.addEntry(entryKind{kind: "config_change", planned: true, variants: []string{"idle"}}, firstEntryAt)
-	d.addControlEntries(known.filter(controlEntries))
-	traffic := known.filter(trafficEntries)
+	d.addControlEntries(supported.filter(controlEntries))
+	traffic := supported.filter(trafficEntries)
 	for range d.random.IntN(shape.maxTrafficEntries + 1) {
 		d.addEntry(drawByWeight(d.random, traffic), d.uniform(firstEntryAt, shape.lastEntryAt))
 	}
--- a/internal/tools/days/draw_test.go
+++ b/internal/tools/days/draw_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestDrawnDaysHaveEveryKind checks that 400 random days include every kind of entry with each of its
-// variants, and that at least one day has several entries of the same kind.
+// variants, and that at least one day has several core_cut entries.
 func TestDrawnDaysHaveEveryKind(t *testing.T) {
 	c := qt.New(t)
 	allText, repeated, known := strings.Builder{}, false, allKinds()
--- a/internal/tools/days/drawn_day.go
+++ b/internal/tools/days/drawn_day.go
@@ -47,10 +47,10 @@
 
 // drawDays generates days for a site from consecutive seeds, writes them into a folder and returns
 // the paths of the files.
-func drawDays(folder, site string, known kindSet, shape dayShape, firstSeed uint64, count int) ([]string, error) {
+func drawDays(folder, site string, supported kindSet, shape dayShape, firstSeed uint64, count int) ([]string, error) {
 	paths := []string{}
 	for seed := firstSeed; seed < firstSeed+uint64(count); seed++ {
-		day := drawDay(seed, known, shape)
+		day := drawDay(seed, supported, shape)
 		path := filepath.Join(folder, baseName(site)+"-"+day.name()+".toml")
 		if err := os.WriteFile(path, []byte(day.text()), 0o644); err != nil {
 			return nil, err
--- a/internal/tools/days/kinds.go
+++ b/internal/tools/days/kinds.go
@@ -18,14 +18,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("listing the entry kinds of site %s: %w", site, err)
 	}
-	known := kindSet{}
+	supported := kindSet{}
 	for _, match := range kindLine.FindAllSubmatch(output, -1) {
-		known[string(match[1])] = true
+		supported[string(match[1])] = true
 	}
-	if len(known) == 0 {
+	if len(supported) == 0 {
 		return nil, fmt.Errorf("listing the entry kinds of site %s: no kind in the output of %s", site, bench)
 	}
-	return known, nil
+	return supported, nil
 }
 
 // filter returns the entries of a catalogue whose kind is in the set.
--- a/internal/tools/days/main.go
+++ b/internal/tools/days/main.go
@@ -111,11 +111,11 @@
 func (o options) randomMatrix(folder string) ([]play, error) {
 	daysBySite := map[string][]string{}
 	for _, site := range o.sites {
-		known, err := siteKinds(o.bench, site)
+		supported, err := siteKinds(o.bench, site)
 		if err != nil {
 			return nil, err
 		}
-		if daysBySite[site], err = drawDays(folder, site, known, o.shape(), o.firstSeed, o.randomDays); err != nil {
+		if daysBySite[site], err = drawDays(folder, site, supported, o.shape(), o.firstSeed, o.randomDays); err != nil {
 			return nil, err
 		}
 	}
@@ -159,7 +159,7 @@
 		}
 	}
 	if len(selected) == 0 {
-		return nil, fmt.Errorf("no day files in %s with a name prefix in %q", folder, prefixes)
+		return nil, fmt.Errorf("no day files in %s match the name prefixes %q", folder, prefixes)
 	}
 	return selected, nil
 }
